--- a/tests/golden_facts.py
+++ b/tests/golden_facts.py
@@ -16,12 +16,16 @@
 import random
 import shutil
 import tempfile
+from contextlib import contextmanager
 from pathlib import Path
 
 import trio
 import trio.testing
 from facts import manifest, way
+from gates import items as gate_items
+from gates import listed
 from mesh import answers, configured
+from test_gate_http import raw
 from test_items import route, service
 
 import mdaudit
@@ -32,6 +36,7 @@
 from mdlog import CATALOGUE
 from mdseam import MILLI, SECOND, MemoryDisk, now, rest
 from mdsim import SimDisk, run
+from mdsim.wires import SimWire
 from mdwire import ConnectionFailed, Link, Peer, Proof, Rejected, serve
 from mdwire.link import Handlers, greet, pack, unpack
 
@@ -481,6 +486,103 @@
     return {"audit": audit, "manifest": told, "faults": faults}
 
 
+# ---------------------------------------------------------------- gates, byte by byte
+
+GATE_LINK_MAGIC = b"mdg1"  # in the first frame of a link between gates
+LINK_SENDS_KEPT = 4  # of each side: greeting, first call, its answer; then they only ping
+CALL = b"Host: h.example\r\nmd-call: c-%d\r\nmd-due: 900\r\n"
+NO_DUE = b"Host: h.example\r\nmd-call: c-0\r\nmd-due: %s\r\nX-A: %%.0s1\r\n\r\n"
+GATE_REQUESTS = {
+    "answered beside": b"GET /p/x?a=1 HTTP/1.1\r\n%s\r\n",
+    "answered beside, with a body": b"POST /once/x HTTP/1.1\r\n%sContent-Length: 3\r\n\r\nabc",
+    "answered by a neighbour": b"GET /paper/x HTTP/1.1\r\n%s\r\n",
+    "no route": b"GET /nowhere HTTP/1.1\r\n%s\r\n",
+    "no endpoint": b"GET /none/x HTTP/1.1\r\n%s\r\n",
+    "two lengths": b"POST /p/x HTTP/1.1\r\n%sContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
+    "body too large": b"POST /p/x HTTP/1.1\r\n%sContent-Length: 9999999\r\n\r\n",
+    "head too large": b"GET /p/x HTTP/1.1\r\n%sX-A: " + b"x" * 9000 + b"\r\n\r\n",
+    "two dues": b"GET /p/x HTTP/1.1\r\n%smd-due: 800\r\n\r\n",
+    "no call id": b"GET /p/x HTTP/1.1\r\nHost: h.example\r\nmd-due: 0\r\nX-A: %.0s\r\n\r\n",
+    "malformed due": b"GET /p/x HTTP/1.1\r\n" + NO_DUE % b"soon",
+    "due passed": b"GET /p/x HTTP/1.1\r\n" + NO_DUE % b"0",
+    "no host": b"GET /p/x HTTP/1.1\r\nX-A: %.0s1\r\n\r\n",
+    "connect": b"CONNECT h.example:80 HTTP/1.1\r\n%s\r\n",
+    "no HTTP": b"\x16\x03\x01 %.0s\r\n\r\n",
+}
+
+
+class Conversations:
+    """What both ends of each connection send, in the order in which connections are first used."""
+
+    def __init__(self):
+        self.sent = {}  # wire -> [bytes]
+
+    @contextmanager
+    def recorded(self):
+        """Record while the block runs."""
+        original = SimWire.send
+
+        def send(wire, data):
+            self.sent.setdefault(wire, []).append(bytes(data))
+            original(wire, data)
+
+        SimWire.send = send
+        try:
+            yield
+        finally:
+            SimWire.send = original
+
+    def pairs(self):
+        """[(what the end that spoke first sent, what the other did)]"""
+        found, seen = [], set()
+        for wire, sent in self.sent.items():
+            if wire not in seen:
+                seen |= {wire, wire.other}
+                found.append((sent, self.sent.get(wire.other, [])))
+        return found
+
+    def told(self):
+        """{"links": hexadecimal digits of those between gates, "http": text of the others}"""
+        links, http = [], []
+        for first, second in self.pairs():
+            if GATE_LINK_MAGIC in first[0]:
+                links.append(
+                    [[d.hex() for d in side[:LINK_SENDS_KEPT]] for side in (first, second)]
+                )
+            else:
+                http.append([b"".join(side).decode("latin-1") for side in (first, second)])
+        return {"links": links, "http": http}
+
+
+async def play_gates(world):
+    """{"answers": raw answers of a gate's door, "links": ..., "http": ...}"""
+    made, conversations = {}, Conversations()
+    await world.whole()
+    member = world.node(STORING_ROLE, world.core[0])
+    await world.eventually(lambda: not member.not_ready())
+    made["before any revision"] = await raw(world, GATE_REQUESTS["answered beside"] % (CALL % 0))
+    await world.set_items(
+        gate_items(service("none"), route("none", prefix="/none/", services=("none",)))
+    )
+    with conversations.recorded():
+        for host, name in world.application.items():
+            await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
+            await world.stand_in(host, name)
+        await listed(world)
+        for number, (case, request) in enumerate(GATE_REQUESTS.items(), 1):
+            made[case] = await raw(world, request % (CALL % number))
+    answers = {
+        case: {"status": status, "closed": closed, "bytes": data.decode("latin-1")}
+        for case, (status, closed, data) in made.items()
+    }
+    return {"answers": answers, **conversations.told()}
+
+
+def played_gates():
+    """The gates of the golden files, played by the code as it is."""
+    return run(play_gates, SEED, core=1, application=("desk", "paper"), gate=True)
+
+
 # ---------------------------------------------------------------- a link, byte by byte
 
 
@@ -702,6 +804,7 @@
         "formats.json": in_world(read_formats, formats),
         "lease_messages.json": lease_messages(),
         "rpc.json": played.rpc,
+        "gates.json": played_gates(),
         "methods.json": played.methods,
         "http.json": played.http,
         "events.json": {"names": event_names(), "fields": played.events},
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -107,6 +107,14 @@
         same(played.http[door][case], answer)
 
 
+def test_gates_say_the_same_bytes_to_callers_endpoints_and_neighbours():
+    golden, made = golden_json("gates.json"), facts.played_gates()
+    assert sorted(made["answers"]) == sorted(golden["answers"])
+    for case, answer in golden["answers"].items():
+        same(made["answers"][case], answer)
+    same(made, golden)
+
+
 @pytest.mark.parametrize("role", facts.ROLES)
 def test_settings_are_accepted_and_refused_as_before(role):
     golden = golden_json("settings.json")
