--- a/packages/mdsim/mdsim/__main__.py
+++ b/packages/mdsim/mdsim/__main__.py
@@ -2,6 +2,7 @@
 
 mdsim sweep --seeds 1000      many days; exit status 1 if any promise was broken
 mdsim replay SEED             one day again: faults, breaches, trace
+mdsim digest --check FILE     hashes of what days did, compared with those of a golden file
 mdsim scale --run --write     what control costs by the fleet's size; fills docs/CAPACITY.md
 """
 
@@ -16,6 +17,12 @@
 import fire
 
 from mdsim.checkers import lags, returned
+from mdsim.digest import (
+    differing,
+    digests,
+    read_digests,
+    write_digests,
+)
 from mdsim.faults import draw
 from mdsim.overload import curve, table
 from mdsim.scale import scale
@@ -74,6 +81,18 @@
         """Offered 0.5 to 3 times all capacity, with processors that cost time; as a table."""
         print(table(curve(shared=shared)))
 
+    def digest(self, seeds=50, first=1, jobs=None, check=None, write=None):
+        """Hash what days did. --write keeps the hashes in a file; --check compares with one: exit
+        status 1 if any differs."""
+        found = digests(range(first, first + seeds), jobs or os.cpu_count())
+        print(json.dumps(found, indent=1))
+        if write:
+            write_digests(write, found)
+        wrong = differing(found, read_digests(check)) if check else []
+        if wrong:
+            print("differ:", *wrong, sep="\n")
+        sys.exit(1 if wrong else 0)
+
     def scale(self, folder="docs", run=False, write=False):
         """Print what control costs by the fleet's size; --run measures anew (some 10 minutes),
         --write fills the page and the plot from docs/capacity.json."""
--- a/packages/mdsim/mdsim/history.py
+++ b/packages/mdsim/mdsim/history.py
@@ -22,9 +22,11 @@
     version: int | None = None
     cut_off: bool = False
     path: str = ""
+    status: int = 0  # of the HTTP response; 0: none came
 
     def heard(self, status, headers, body):
         """A proxy's answer came whole."""
+        self.status = status
         lines = {name.lower(): value for name, value in headers}
         self.verdict = lines[b"md-verdict"].decode()
         self.body = json.loads(body) if body else None
