--- a/packages/mdconf/mdconf/__main__.py
+++ b/packages/mdconf/mdconf/__main__.py
@@ -5,11 +5,11 @@
 import fire
 import trio
 
-from mdboot import command, load
 from mdconf.part import Part
 from mdconf.store import rescue as rescue_disk
-from mdnode import start
-from mdseam import Disk
+from meadowdock.process import start
+from meadowdock.runtime import Disk
+from meadowdock.settings import command, load
 
 
 @fire.decorators.SetParseFn(str)
--- a/packages/mdconf/mdconf/change.py
+++ b/packages/mdconf/mdconf/change.py
@@ -13,8 +13,8 @@
 )
 from mdconf.store import disk_failures_rejected
 from mdregister import OutcomeUnknown, VoterSets
-from mdseam import now, until
-from mdwire import ConnectionFailed, Handlers, Rejected
+from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
+from meadowdock.runtime import now, until
 
 MEMBERS = "members"
 
--- a/packages/mdconf/mdconf/chunks.py
+++ b/packages/mdconf/mdconf/chunks.py
@@ -4,8 +4,8 @@
 
 from mdmanifest import WHOLE
 from mdmanifest.fetch import Fetch, Fetcher, PackedCache, answer_request
-from mdseam import MILLI, now, until
-from mdwire import Handlers
+from meadowdock.rpc import Handlers
+from meadowdock.runtime import MILLI, now, until
 
 HEAD_START = 30 * MILLI  # of the own disk that gives nothing, before other members are asked
 FRESH_MAX = 1 << 20  # bytes
--- a/packages/mdconf/mdconf/contact.py
+++ b/packages/mdconf/mdconf/contact.py
@@ -12,8 +12,8 @@
 import trio
 
 from mdregister import NoQuorum
-from mdseam import MILLI, now, rest
-from mdwire import ConnectionFailed, Rejected
+from meadowdock.rpc import ConnectionFailed, Rejected
+from meadowdock.runtime import MILLI, now, rest
 
 FRESH_ROUNDS = 2  # of asking: an answer counts for so long; after it members are asked once more
 LOOK_EVERY = 50 * MILLI  # while an operator's request is under way
--- a/packages/mdconf/mdconf/handover.py
+++ b/packages/mdconf/mdconf/handover.py
@@ -7,7 +7,7 @@
 
 from mdconf.store import HEAD
 from mdregister import Lost, NoQuorum, OutcomeUnknown
-from mdseam import MILLI, SECOND, now, rest, until
+from meadowdock.runtime import MILLI, SECOND, now, rest, until
 
 LOOK_EVERY = 20 * MILLI
 SECURE_US = SECOND  # at most, for what only this disk may hold
--- a/packages/mdconf/mdconf/items.py
+++ b/packages/mdconf/mdconf/items.py
@@ -17,8 +17,8 @@
 from mdhttp import Reply
 from mdmanifest import SIZE_MAX, cut_items
 from mdregister import NoQuorum, OutcomeUnknown
-from mdseam import MILLI, fingerprint, now, rest, until
-from mdwire import Handlers
+from meadowdock.rpc import Handlers
+from meadowdock.runtime import MILLI, fingerprint, now, rest, until
 
 PER_ITEM = 3 * MILLI  # an operator waits longer for a large call's answer
 CHUNK = 16  # range files in one frame
--- a/packages/mdconf/mdconf/lease.py
+++ b/packages/mdconf/mdconf/lease.py
@@ -27,8 +27,8 @@
     RenewLease,
 )
 from mdregister import Lost, NoQuorum, OutcomeUnknown
-from mdseam import MILLI, now
-from mdwire import Handlers, Rejected
+from meadowdock.rpc import Handlers, Rejected
+from meadowdock.runtime import MILLI, now
 
 DRIFT = 16  # clocks of two machines differ in rate by less than one part in so many
 CHANGE_WAIT = 900 * MILLI
--- a/packages/mdconf/mdconf/liveness.py
+++ b/packages/mdconf/mdconf/liveness.py
@@ -6,8 +6,8 @@
 
 from mdconf.record import with_places
 from mdregister import Place
-from mdseam import now, rest
-from mdwire import Handlers
+from meadowdock.rpc import Handlers
+from meadowdock.runtime import now, rest
 
 
 @dataclass(frozen=True)
--- a/packages/mdconf/mdconf/members.py
+++ b/packages/mdconf/mdconf/members.py
@@ -14,8 +14,8 @@
 from mdconf.votes import Votes
 from mdhttp import Reply
 from mdregister import NoQuorum, OutcomeUnknown, Place, Tolerance, VoterSets
-from mdseam import MILLI, SECOND, PauseDetector, now, rest
-from mdwire import ConnectionFailed, Rejected
+from meadowdock.rpc import ConnectionFailed, Rejected
+from meadowdock.runtime import MILLI, SECOND, PauseDetector, now, rest
 
 
 class Members(Liveness, Votes, Transfer, MemberChange):
--- a/packages/mdconf/mdconf/part.py
+++ b/packages/mdconf/mdconf/part.py
@@ -9,7 +9,6 @@
 import trio
 
 import mdaudit
-import mdnode
 from mdconf.chunks import Chunks
 from mdconf.contact import NoContact, QuorumContact
 from mdconf.handover import Handover
@@ -24,8 +23,9 @@
 from mdhttp import Reply, Table, TooLarge
 from mdmanifest import SIZE_MAX, assemble
 from mdregister import NoQuorum, OutcomeUnknown
-from mdseam import MILLI, SECOND, now, rest, until
-from mdwire import ConnectionFailed, Handlers, Rejected
+from meadowdock import process
+from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
+from meadowdock.runtime import MILLI, SECOND, now, rest, until
 
 OPERATORS = "operators"  # the product's own door
 STAGE_PARTS = (9, 20)  # of apply_us, for all proxies to stage a head; the same to switch to it
@@ -40,7 +40,7 @@
     outcome: object = None
 
 
-class Part(Members, mdnode.Part):
+class Part(Members, process.Part):
     """One mdconf: a voter or spare of the register, and the listener for operators."""
 
     table = Table()
--- a/packages/mdconf/mdconf/plans.py
+++ b/packages/mdconf/mdconf/plans.py
@@ -15,7 +15,7 @@
 from mditems import standing
 from mdmanifest import SIZE_MAX, checked, cut, difference
 from mdregister import NoQuorum, OutcomeUnknown
-from mdseam import SECOND, fingerprint, now
+from meadowdock.runtime import SECOND, fingerprint, now
 
 HISTORY = repair.RANGES_KEPT  # versions whose plans the head names
 NO_HEAD = {"version": 0, "ranges": [], "plan": "", "history": []}
--- a/packages/mdconf/mdconf/repair.py
+++ b/packages/mdconf/mdconf/repair.py
@@ -5,8 +5,8 @@
 from collections import Counter
 
 from mdregister import Lost
-from mdseam import SECOND, fingerprint, now, rest
-from mdwire import ConnectionFailed, Handlers, Rejected
+from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
+from meadowdock.runtime import SECOND, fingerprint, now, rest
 
 PACE = SECOND
 FILES_A_TURN = 8
--- a/packages/mdconf/mdconf/status.py
+++ b/packages/mdconf/mdconf/status.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from mdregister import NoQuorum
-from mdseam import MILLI, SECOND, now
+from meadowdock.runtime import MILLI, SECOND, now
 
 READ_WITHIN = SECOND
 HELLO_WITHIN = 500 * MILLI
--- a/packages/mdconf/mdconf/store.py
+++ b/packages/mdconf/mdconf/store.py
@@ -10,8 +10,8 @@
 from mdconf.record import voter_sets_of
 from mdconf.trail import AuditTrail
 from mdregister import NO_LOSSES, Acceptor, VoterSets
-from mdseam import SECOND, fingerprint, now, sealed, unsealed
-from mdwire import Rejected
+from meadowdock.rpc import Rejected
+from meadowdock.runtime import SECOND, fingerprint, now, sealed, unsealed
 
 RECORDS_KEPT = 2  # the newest, and one to go on from should that be damaged
 
--- a/packages/mdconf/mdconf/timing.py
+++ b/packages/mdconf/mdconf/timing.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from mdseam import MILLI, SECOND
+from meadowdock.runtime import MILLI, SECOND
 
 CONTACT, CATCH_UP = 3 * SECOND, 4 * SECOND  # as the settings' defaults
 SHORTEST_CONTACT = 300 * MILLI
--- a/packages/mdconf/mdconf/trail.py
+++ b/packages/mdconf/mdconf/trail.py
@@ -15,7 +15,7 @@
 
 import mdaudit
 from mdregister import each
-from mdseam import fingerprint, sealed, unsealed
+from meadowdock.runtime import fingerprint, sealed, unsealed
 
 SEGMENT = 64  # records, about 40 KB: one segment is also the most that one message carries
 SEGMENTS_KEPT = 256  # 16,384 versions, about 10 MB
--- a/packages/mdconf/mdconf/trail_transfer.py
+++ b/packages/mdconf/mdconf/trail_transfer.py
@@ -12,8 +12,8 @@
 from mdconf.store import disk_failures_rejected
 from mdconf.trail import SEGMENT, TrailState, by_segment
 from mdregister import NoQuorum, holds_majorities
-from mdseam import MILLI, SECOND, now, rest, until
-from mdwire import ConnectionFailed, Handlers, Rejected
+from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
+from meadowdock.runtime import MILLI, SECOND, now, rest, until
 
 PACE = SECOND
 ASK_WAIT = SECOND
--- a/packages/mdconf/mdconf/votes.py
+++ b/packages/mdconf/mdconf/votes.py
@@ -4,7 +4,7 @@
 
 from mdconf.store import disk_failures_rejected
 from mdregister import Lost, Proposer
-from mdwire import Handlers, Rejected
+from meadowdock.rpc import Handlers, Rejected
 
 
 class Votes:
--- a/packages/mdctl/mdctl/__main__.py
+++ b/packages/mdctl/mdctl/__main__.py
@@ -14,9 +14,9 @@
 from returns.pipeline import is_successful
 
 import mdaudit
-from mdboot import VERSION
 from mdctl.client import OutcomeUnknown, Unreachable, ask
 from mdmanifest import checked
+from meadowdock.settings import VERSION
 
 REFUSED, USAGE, UNCLEAR = 1, 2, 3
 
--- a/packages/mddrill/mddrill/drill.py
+++ b/packages/mddrill/mddrill/drill.py
@@ -11,9 +11,9 @@
 
 from mdctl.client import OutcomeUnknown, Unreachable, ask
 from mdfleet.caller import fetch
-from mdseam import MILLI, SECOND, HttpConnectionFailed, Net, now, rest, until
 from mdsim.checkers import in_force, no_step_back
 from mdsim.history import Asked, History, Operated
+from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, Net, now, rest, until
 
 RETURN_WITHIN = 15 * SECOND
 EXTRAS = ("leaving", "slow", "garbage", "hurried", "race")
--- a/packages/mdfleet/mdfleet/__main__.py
+++ b/packages/mdfleet/mdfleet/__main__.py
@@ -9,10 +9,10 @@
 
 import fire
 
-from mdboot import VERSION
 from mdfleet.fleet import Fleet, Taken, load_topology
 from mdfleet.measure import large_change, measure, overload
 from mdfleet.report import summary, table
+from meadowdock.settings import VERSION
 
 
 class Commands:
--- a/packages/mdfleet/mdfleet/caller.py
+++ b/packages/mdfleet/mdfleet/caller.py
@@ -16,7 +16,7 @@
 from returns.pipeline import is_successful
 
 from mdlib import Client
-from mdseam import SECOND, HttpConnectionFailed, Net, now, rest, until
+from meadowdock.runtime import SECOND, HttpConnectionFailed, Net, now, rest, until
 
 
 async def fetch(net, address, path, wait_us=SECOND):
--- a/packages/mdfleet/mdfleet/standin.py
+++ b/packages/mdfleet/mdfleet/standin.py
@@ -10,7 +10,7 @@
 import trio
 
 from mdlib import Endpoint, Record
-from mdseam import Disk, Net, rest
+from meadowdock.runtime import Disk, Net, rest
 
 KNOBS = {
     "mean_us": 20_000,  # mean service time, exponential
--- a/packages/mdgate/mdgate/callers.py
+++ b/packages/mdgate/mdgate/callers.py
@@ -7,7 +7,7 @@
 
 from mdgate.call import Refused, Served
 from mdgate.http import Requests, status_line
-from mdseam import SECOND, now
+from meadowdock.runtime import SECOND, now
 
 LINE_MAX = 64  # requests under way on one connection; more wait in the kernel
 HELD_MAX = 1 << 20  # bytes that a caller does not read
--- a/packages/mdgate/mdgate/figures.py
+++ b/packages/mdgate/mdgate/figures.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from mdgate.call import Call
-from mdseam import MILLI, SECOND, now
+from meadowdock.runtime import MILLI, SECOND, now
 
 REPORT_EVERY = SECOND
 
--- a/packages/mdgate/mdgate/gate.py
+++ b/packages/mdgate/mdgate/gate.py
@@ -18,7 +18,7 @@
 from mdgate.peers import CARRIED, Peers
 from mditems import DEFAULT_LIMITS
 from mdload import Choice, Home, LoadList, Wheel, choose
-from mdseam import MILLI, SECOND, now
+from meadowdock.runtime import MILLI, SECOND, now
 
 RETRY_LEAST = 20 * MILLI
 SLACK = 60 * MILLI  # after the due, an outcome from elsewhere is no longer waited for
--- a/packages/mdgate/mdgate/invariants.py
+++ b/packages/mdgate/mdgate/invariants.py
@@ -8,7 +8,7 @@
 from mdgate.admission import Admission
 from mdgate.call import Call
 from mdgate.figures import RankFigures
-from mdseam import SECOND
+from meadowdock.runtime import SECOND
 
 LOG_EVERY = SECOND  # a violation of one kind is logged once in so long
 
--- a/packages/mdgate/mdgate/outlets.py
+++ b/packages/mdgate/mdgate/outlets.py
@@ -6,7 +6,7 @@
 
 from mdgate.call import Refused, Served
 from mdgate.http import Answers, answer_head
-from mdseam import MILLI, SECOND, now
+from meadowdock.runtime import MILLI, SECOND, now
 
 ALIVE = 8 * SECOND  # an idle connection is used no longer, if the endpoint says nothing
 MARGIN = 700 * MILLI  # before an endpoint closes an idle connection by itself
--- a/packages/mdgate/mdgate/peers.py
+++ b/packages/mdgate/mdgate/peers.py
@@ -11,10 +11,10 @@
 import ormsgpack
 
 from mdgate.call import Call, Refused, Served, Unknown
-from mdseam import MILLI, SECOND, PauseDetector, now
-from mdslab import Slab
-from mdwire.frame import FRAME_MAX, LENGTH, SEAL, Proof, derive
-from mdwire.link import Lag
+from meadowdock.rpc.frame import FRAME_MAX, LENGTH, SEAL, Proof, derive
+from meadowdock.rpc.link import Lag
+from meadowdock.runtime import MILLI, SECOND, PauseDetector, now
+from meadowdock.runtime.slab import Slab
 
 MAGIC = "mdg1"
 BLANK = b"\x00" * 32
--- a/packages/mdgate/mdgate/reactor.py
+++ b/packages/mdgate/mdgate/reactor.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from mdseam import now, until
+from meadowdock.runtime import now, until
 
 
 class Timer:
--- a/packages/mdgate/mdgate/wires.py
+++ b/packages/mdgate/mdgate/wires.py
@@ -12,7 +12,7 @@
 import trio
 from trio.lowlevel import notify_closing, wait_readable, wait_writable
 
-from mdseam import MILLI, SECOND, Address, now, rest, until
+from meadowdock.runtime import MILLI, SECOND, Address, now, rest, until
 
 READ = 16_384  # a larger buffer is taken from the system anew at each read
 CLOGGED = 1 << 20  # bytes held for a reader that does not read: nothing more is read from it
--- a/packages/mdhttp/mdhttp/__init__.py
+++ b/packages/mdhttp/mdhttp/__init__.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from mdseam import now
+from meadowdock.runtime import now
 
 TEXT = b"application/json"
 BODY_MAX = 16 << 20
--- a/packages/mditems/mditems/merge.py
+++ b/packages/mditems/mditems/merge.py
@@ -7,7 +7,7 @@
 import ormsgpack
 
 from mditems.check import ERRORS_MAX, Invalid
-from mdseam import fingerprint
+from meadowdock.runtime import fingerprint
 
 SUPERSEDED_MAX = 8  # versions below the standing one whose content is remembered, for each item
 DIGEST_LENGTH = 16
--- a/packages/mdlib/mdlib/client.py
+++ b/packages/mdlib/mdlib/client.py
@@ -8,8 +8,8 @@
 
 from returns.result import Failure, Result, Success
 
-from mdseam import SECOND, HttpConnectionFailed, Net, now, until
-from mdverdict import MAY_HAVE_RUN, NOT_RUN, RAN, Verdict
+from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, RAN, Verdict
+from meadowdock.runtime import SECOND, HttpConnectionFailed, Net, now, until
 
 SLACK_US = SECOND  # the proxy answers within the due; this is for a proxy that doesn't
 LONGEST_US = 4 * SECOND
--- a/packages/mdlib/mdlib/endpoint.py
+++ b/packages/mdlib/mdlib/endpoint.py
@@ -8,7 +8,7 @@
 
 from mdhttp import App, Reply, Table
 from mdlib.record import Got
-from mdseam import MILLI, SECOND, HttpConnectionFailed, now, rest, until
+from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
 
 
 class Endpoint:
--- a/packages/mdlib/mdlib/record.py
+++ b/packages/mdlib/mdlib/record.py
@@ -1,7 +1,7 @@
 """An endpoint's record of run-once calls: a key runs once, and is answered from the record after.
 
 >>> import trio
->>> from mdseam import MemoryDisk
+>>> from meadowdock.runtime import MemoryDisk
 >>> async def twice(record, got):
 ...     async def work(got):
 ...         return 200, {"balance": 5}
@@ -20,7 +20,7 @@
 import ormsgpack
 
 from mdhttp import Reply
-from mdseam import MemoryDisk, fingerprint, sealed, unsealed
+from meadowdock.runtime import MemoryDisk, fingerprint, sealed, unsealed
 
 MOST = 10_000
 
--- a/packages/mdmanifest/mdmanifest/fetch.py
+++ b/packages/mdmanifest/mdmanifest/fetch.py
@@ -13,8 +13,8 @@
 import trio
 
 from mdmanifest.packed import WHOLE, CorruptChunk, pack_chunk, unpack_chunk
-from mdseam import SECOND, fingerprint, now, until
-from mdwire import ConnectionFailed, Rejected
+from meadowdock.rpc import ConnectionFailed, Rejected
+from meadowdock.runtime import SECOND, fingerprint, now, until
 
 METHOD, FORMER_METHOD = "chunk.get", "blob.get"
 FRAME = 16_384  # most bytes of chunks in one answer: heartbeats on the same link come between
--- a/packages/mdmanifest/mdmanifest/packed.py
+++ b/packages/mdmanifest/mdmanifest/packed.py
@@ -20,7 +20,7 @@
 import ormsgpack
 
 from mdmanifest.ranges import ITEMS
-from mdseam import fingerprint
+from meadowdock.runtime import fingerprint
 
 WHOLE, ROUTING = "whole", "routing"
 ROUTING_FIELDS = ("kind", "name", "spec", "version")
--- a/packages/mdmanifest/mdmanifest/ranges.py
+++ b/packages/mdmanifest/mdmanifest/ranges.py
@@ -10,7 +10,7 @@
 
 import ormsgpack
 
-from mdseam import fingerprint
+from meadowdock.runtime import fingerprint
 
 SECTIONS = ("services", "budgets", "load", "ways")
 ITEMS = "items"
--- a/packages/mdmodel/mdmodel/actor.py
+++ b/packages/mdmodel/mdmodel/actor.py
@@ -18,8 +18,8 @@
 from mdmodel.messages import Ending, Event, EventKind, Outcome
 from mdmodel.process import Implementation, ModelMembers, make_node, make_store, packed
 from mdregister import NoQuorum, OutcomeUnknown
-from mdseam import SECOND, now
-from mdwire import ConnectionFailed, Rejected
+from meadowdock.rpc import ConnectionFailed, Rejected
+from meadowdock.runtime import SECOND, now
 
 KEY = "k"
 DEADLINE = 2 * SECOND
--- a/packages/mdmodel/mdmodel/process.py
+++ b/packages/mdmodel/mdmodel/process.py
@@ -12,7 +12,7 @@
 
 from mdconf.members import Members
 from mdconf.store import Store
-from mdseam import MemoryDisk, sealed
+from meadowdock.runtime import MemoryDisk, sealed
 
 
 def no_log(*_: object, **__: object) -> None:
--- a/packages/mdmodel/mdmodel/replica.py
+++ b/packages/mdmodel/mdmodel/replica.py
@@ -9,7 +9,7 @@
 from mdconf.store import Store
 from mdmodel.process import Implementation, make_node, make_store, packed
 from mdregister.acceptor import AcceptorState
-from mdwire import Rejected
+from meadowdock.rpc import Rejected
 
 HANDLERS = {"register": "on_register", "member.adopt": "on_adopt", "member.keys": "on_keys"}
 
--- a/packages/mdproxy/mdproxy/__main__.py
+++ b/packages/mdproxy/mdproxy/__main__.py
@@ -1,8 +1,8 @@
 """The mdproxy daemon's command line."""
 
-from mdboot import command
-from mdnode import start
 from mdproxy.part import Part
+from meadowdock.process import start
+from meadowdock.settings import command
 
 main = command("mdproxy", start(Part))
 
--- a/packages/mdproxy/mdproxy/call.py
+++ b/packages/mdproxy/mdproxy/call.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from mdverdict import NOT_RUN, RAN, Shedding, shedding
+from meadowdock.outcome import NOT_RUN, RAN, Shedding, shedding
 
 HOP = {
     b"connection",
--- a/packages/mdproxy/mdproxy/delivery.py
+++ b/packages/mdproxy/mdproxy/delivery.py
@@ -8,8 +8,8 @@
 
 from mdmanifest import Ways
 from mdproxy.staging import Stager
-from mdseam import MILLI, now, rest, until
-from mdwire import ConnectionFailed, Handlers, Rejected
+from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
+from meadowdock.runtime import MILLI, now, rest, until
 
 # Parts of apply_us, within which an acknowledged change is in force. Together, with the member that
 # acknowledged gone and one more silent, they are less than half of it.
--- a/packages/mdproxy/mdproxy/endpoints.py
+++ b/packages/mdproxy/mdproxy/endpoints.py
@@ -11,8 +11,8 @@
 import ormsgpack
 
 from mdload import Gauge, rho
-from mdseam import MILLI, SECOND, PauseDetector, now
-from mdwire import derive
+from meadowdock.rpc import derive
+from meadowdock.runtime import MILLI, SECOND, PauseDetector, now
 
 BEAT = 500 * MILLI
 WINDOW = 1_500 * MILLI  # three beats
--- a/packages/mdproxy/mdproxy/gatepart.py
+++ b/packages/mdproxy/mdproxy/gatepart.py
@@ -11,7 +11,7 @@
 from mdproxy.endpoints import Denied, Endpoint
 from mdproxy.part import Part
 from mdproxy.tries import Tries
-from mdseam import MILLI, SECOND, HttpConnectionFailed, now, rest, until
+from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
 
 LEFT_MAX = (
     1_000  # instances that left and are remembered, so that a late beat can't bring them back
--- a/packages/mdproxy/mdproxy/part.py
+++ b/packages/mdproxy/mdproxy/part.py
@@ -8,7 +8,6 @@
 
 import trio
 
-import mdnode
 from mdhttp import HungUp, Reply, Table, TooLarge
 from mdload import LoadList, Node
 from mdmanifest import GUEST
@@ -18,9 +17,10 @@
 from mdproxy.keys import Keys
 from mdproxy.tries import Tries
 from mdproxy.walk import Walker
-from mdseam import MILLI, SECOND, fingerprint, now, rest, until
-from mdverdict import MAY_HAVE_RUN, NOT_RUN, Shedding, shedding
-from mdwire import ConnectionFailed, Handlers, Rejected
+from meadowdock import process
+from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, Shedding, shedding
+from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
+from meadowdock.runtime import MILLI, SECOND, fingerprint, now, rest, until
 
 BEAT_CORE = 500 * MILLI
 YOUNG_BEAT = 150 * MILLI  # until the first load list
@@ -32,7 +32,7 @@
 MARGIN = 20 * MILLI  # a neighbour ends its try this much before the home's due
 
 
-class Part(mdnode.Part):
+class Part(process.Part):
     """Invariants: lists only go up in (epoch, seq), from epoch_floor on, which is None until a
     registry told its highest epoch; walker.ways is delivery's active version."""
 
--- a/packages/mdproxy/mdproxy/staging.py
+++ b/packages/mdproxy/mdproxy/staging.py
@@ -10,8 +10,8 @@
 import mditems
 from mdmanifest import ROUTING, Ways, assemble, unpack_chunk
 from mdmanifest.fetch import Fetch, Fetcher, answer_request
-from mdnode import KNOWN
-from mdseam import now
+from meadowdock.process import KNOWN
+from meadowdock.runtime import now
 
 HEDGE_PART = 20  # of apply_us: the wait for a silent member before the next is asked
 FETCH_PART = 2  # of apply_us: one fetch; what it found is kept for the next
--- a/packages/mdproxy/mdproxy/walk.py
+++ b/packages/mdproxy/mdproxy/walk.py
@@ -10,10 +10,10 @@
 from mdload import Choice, Home, LoadList, Wheel, choose
 from mdproxy.call import Answer, passed_on
 from mdproxy.endpoints import BadAnswer, check_answer, told_load
-from mdseam import MILLI, HttpConnectionFailed, now, until
-from mdslab import Slab
-from mdverdict import NOT_RUN, TABLE
-from mdwire import ConnectionFailed, Rejected
+from meadowdock.outcome import NOT_RUN, TABLE
+from meadowdock.rpc import ConnectionFailed, Rejected
+from meadowdock.runtime import MILLI, HttpConnectionFailed, now, until
+from meadowdock.runtime.slab import Slab
 
 FIRST_HOLD = 50 * MILLI  # how long a call holds a slot, until one of its way was seen
 SMOOTHED = 8
--- a/packages/mdreg/mdreg/__main__.py
+++ b/packages/mdreg/mdreg/__main__.py
@@ -1,8 +1,8 @@
 """The mdreg daemon's command line."""
 
-from mdboot import command
-from mdnode import start
 from mdreg.part import Part
+from meadowdock.process import start
+from meadowdock.settings import command
 
 main = command("mdreg", start(Part))
 
--- a/packages/mdreg/mdreg/lease.py
+++ b/packages/mdreg/mdreg/lease.py
@@ -25,8 +25,8 @@
     ReleaseLease,
     RenewLease,
 )
-from mdseam import MILLI, SECOND, now, until
-from mdwire import ConnectionFailed, Rejected
+from meadowdock.rpc import ConnectionFailed, Rejected
+from meadowdock.runtime import MILLI, SECOND, now, until
 
 SHORTEST, LONGEST = SECOND, 2 * SECOND  # a lease; load lists are stale after the longest
 ASK_WAIT = SECOND
--- a/packages/mdreg/mdreg/part.py
+++ b/packages/mdreg/mdreg/part.py
@@ -4,13 +4,13 @@
 
 import trio
 
-import mdnode
 from mdconf.lease_messages import COLLECTOR_KEY
 from mdhttp import Table
 from mdreg.duty import ranking
 from mdreg.lease import Lease, duration_of
-from mdseam import MILLI, PauseDetector, now, rest, until
-from mdwire import Handlers, Rejected
+from meadowdock import process
+from meadowdock.rpc import Handlers, Rejected
+from meadowdock.runtime import MILLI, PauseDetector, now, rest, until
 
 BEAT = 500 * MILLI
 ALIVE = 1_250 * MILLI  # two beats missed
@@ -36,7 +36,7 @@
     }
 
 
-class Part(mdnode.Part):
+class Part(process.Part):
     """Invariants: roster and regs hold the newest beat of each address; epoch is not None
     iff this process holds the collector's lease at this moment, under that epoch; seq goes up
     within an epoch; reclaiming is True from the end of an own lease until another's is known."""
--- a/packages/mdregister/mdregister/acceptor.py
+++ b/packages/mdregister/mdregister/acceptor.py
@@ -7,7 +7,7 @@
 import ormsgpack
 import trio
 
-from mdseam import fingerprint, sealed, unsealed
+from meadowdock.runtime import fingerprint, sealed, unsealed
 
 ZERO = (0, "")
 
--- a/packages/mdregister/mdregister/proposer.py
+++ b/packages/mdregister/mdregister/proposer.py
@@ -8,7 +8,7 @@
 
 from mdregister.acceptor import ZERO
 from mdregister.quorum import VoterSets
-from mdseam import MILLI, SECOND, now, rest, until
+from meadowdock.runtime import MILLI, SECOND, now, rest, until
 
 READ_WAIT = 100 * MILLI
 FIRST_WAIT, LONGEST_WAIT = 8 * MILLI, 400 * MILLI  # between the tries of a change
--- a/packages/mdsim/mdsim/disk.py
+++ b/packages/mdsim/mdsim/disk.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from mdseam import MemoryDisk, rest
+from meadowdock.runtime import MemoryDisk, rest
 
 
 class SimDisk(MemoryDisk):
--- a/packages/mdsim/mdsim/faults.py
+++ b/packages/mdsim/mdsim/faults.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from mdseam import MILLI, SECOND, now, rest, until
+from meadowdock.runtime import MILLI, SECOND, now, rest, until
 
 STORM = 20 * SECOND
 # kind -> (weight in the draw, what it does with (day, place, span))
--- a/packages/mdsim/mdsim/net.py
+++ b/packages/mdsim/mdsim/net.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from mdseam import SECOND, Address, HttpConnectionFailed, now, rest, until
 from mdsim.wires import SimWires
+from meadowdock.runtime import SECOND, Address, HttpConnectionFailed, now, rest, until
 
 
 class Web:
--- a/packages/mdsim/mdsim/scale/faults.py
+++ b/packages/mdsim/mdsim/scale/faults.py
@@ -4,10 +4,10 @@
 
 from functools import partial
 
-from mdseam import SECOND, now, rest
 from mdsim.scale.fleet import Hollow
 from mdsim.scale.places import CHANGED_WAIT_US, VOTERS
 from mdsim.world import run
+from meadowdock.runtime import SECOND, now, rest
 
 
 def trouble(kind: str, n: int, seed: int = 1) -> dict:
--- a/packages/mdsim/mdsim/scale/lists.py
+++ b/packages/mdsim/mdsim/scale/lists.py
@@ -8,9 +8,9 @@
 from mdsim.scale.fleet import Hollow, listed
 from mdsim.scale.places import places
 from mdsim.world import run
-from mdwire import Peer
-from mdwire.frame import LENGTH, Proof
-from mdwire.link import CALL, pack, unpack
+from meadowdock.rpc import Peer
+from meadowdock.rpc.frame import LENGTH, Proof
+from meadowdock.rpc.link import CALL, pack, unpack
 
 LIST_SIZES = (75, 150, 300, 600, 1200)
 SMALL_FLEET = 6
--- a/packages/mdsim/mdsim/scale/meter.py
+++ b/packages/mdsim/mdsim/scale/meter.py
@@ -6,9 +6,9 @@
 
 import trio
 
-from mdseam import SECOND, now
-from mdwire.frame import LENGTH, SEAL
-from mdwire.link import CALL, unpack
+from meadowdock.rpc.frame import LENGTH, SEAL
+from meadowdock.rpc.link import CALL, unpack
+from meadowdock.runtime import SECOND, now
 
 GREETING = "greeting"
 ANY_METHOD = "any"  # of bytes whose frames weren't opened
--- a/packages/mdsim/mdsim/scenario.py
+++ b/packages/mdsim/mdsim/scenario.py
@@ -12,12 +12,12 @@
 import mdaudit
 from mdhttp import Table
 from mdlib import Endpoint, Record
-from mdseam import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest, until
 from mdsim.checkers import verify
 from mdsim.faults import KINDS, draw
 from mdsim.history import Asked, History, Operated, Ran
 from mdsim.net import SimNet
 from mdsim.world import run
+from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest, until
 
 CALM = 17 * SECOND
 BUSY, QUIET = 60 * MILLI, 150 * MILLI  # mean gap between calls at one machine
--- a/packages/mdsim/mdsim/standin/caller.py
+++ b/packages/mdsim/mdsim/standin/caller.py
@@ -6,9 +6,9 @@
 
 import trio
 
-from mdseam import MILLI, now
 from mdsim.standin.messages import Malformed, Reader, chunked
 from mdsim.standin.records import Asked
+from meadowdock.runtime import MILLI, now
 
 
 def request_bytes(method, target, rows, body, in_chunks):
--- a/packages/mdsim/mdsim/standin/connection.py
+++ b/packages/mdsim/mdsim/standin/connection.py
@@ -5,8 +5,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from mdseam import now
 from mdsim.standin.messages import Malformed, Reader
+from meadowdock.runtime import now
 
 
 @dataclass(eq=False)
--- a/packages/mdsim/mdsim/standin/endpoint.py
+++ b/packages/mdsim/mdsim/standin/endpoint.py
@@ -7,11 +7,11 @@
 import trio
 
 from mdgate.reactor import Reactor
-from mdseam import MILLI, SECOND, now, rest
 from mdsim.standin.connection import Conn, Job
 from mdsim.standin.faults import FaultyAnswers
 from mdsim.standin.messages import chunked, stamp_of
 from mdsim.standin.records import Ran
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
 class StandIn(FaultyAnswers):
--- a/packages/mdsim/mdsim/standin/faults.py
+++ b/packages/mdsim/mdsim/standin/faults.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mdseam import MILLI, rest
+from meadowdock.runtime import MILLI, rest
 
 FAULTS = [
     *("reset", "close", "silence", "short", "short_head", "garbage", "unstamped", "nameless"),
--- a/packages/mdsim/mdsim/wires.py
+++ b/packages/mdsim/mdsim/wires.py
@@ -8,7 +8,7 @@
 import trio
 
 from mdgate.wires import LINGER, READ
-from mdseam import Address, now, until
+from meadowdock.runtime import Address, now, until
 
 WINDOW = 262_144  # bytes on the way or unread at the other end; more is held by the sender
 END, RESET = b"", None
--- a/packages/mdsim/mdsim/world.py
+++ b/packages/mdsim/mdsim/world.py
@@ -10,20 +10,20 @@
 
 import trio
 
-from mdboot import checked
 from mdconf.part import Part as Conf
 from mdgate import Dialect, Reactor
 from mdlib import Client, Endpoint
-from mdlog import Log
-from mdnode import Node
 from mdproxy.gatepart import GatePart
 from mdproxy.part import Part as Proxy
 from mdreg.part import Part as Reg
-from mdseam import MILLI, SECOND, Seams, now, rest
 from mdsim.disk import SimDisk
 from mdsim.net import SimNet, Web
 from mdsim.standin import Ledger, StandIn, StandInCaller
-from mdwire import ConnectionFailed
+from meadowdock.logs import Log
+from meadowdock.process import Node
+from meadowdock.rpc import ConnectionFailed
+from meadowdock.runtime import MILLI, SECOND, Seams, now, rest
+from meadowdock.settings import checked
 
 PARTS = {"mdproxy": Proxy, "mdreg": Reg, "mdconf": Conf}
 KEY = "5a" * 32
--- a/packages/mdsoak/mdsoak/cuts.py
+++ b/packages/mdsoak/mdsoak/cuts.py
@@ -15,7 +15,7 @@
 
 from mdgate import Wires
 from mdgate.wires import Wire
-from mdseam import MILLI, Address, Net, rest
+from meadowdock.runtime import MILLI, Address, Net, rest
 
 LOOK_EVERY = 20 * MILLI
 
--- a/packages/mdsoak/mdsoak/daemon.py
+++ b/packages/mdsoak/mdsoak/daemon.py
@@ -11,15 +11,15 @@
 
 import trio
 
-from mdboot import Boot, load
 from mdgate import Dialect
 from mdhttp import Reply, Table
-from mdnode import Node
-from mdnode import signals as watch_signals
 from mdproxy.endpoints import Denied
 from mdproxy.gatepart import GatePart
-from mdseam import Disk, NoDisk, Seams
 from mdsoak.cuts import CutNet, Cuts
+from meadowdock.process import Node
+from meadowdock.process import signals as watch_signals
+from meadowdock.runtime import Disk, NoDisk, Seams
+from meadowdock.settings import Boot, load
 
 BEATS_PORT = 7403
 DIALECT = Dialect(stamp=b"md-stamp")
--- a/packages/mdsoak/mdsoak/traffic.py
+++ b/packages/mdsoak/mdsoak/traffic.py
@@ -13,10 +13,10 @@
 
 from mdgate import Reactor, Wires
 from mdgate.wires import Wire
-from mdseam import MILLI, SECOND, HttpConnectionFailed, Net, now, rest, until
 from mdsim.standin import Ledger, StandIn, StandInCaller
 from mdsoak.daemon import BEATS_PORT, DIALECT
 from mdsoak.fleet import GATE_PORT, SERVICE, SLOTS
+from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, Net, now, rest, until
 
 BEAT_EVERY = 250 * MILLI
 ORDER_EVERY = 400 * MILLI
--- a/packages/mdview/mdview/__init__.py
+++ b/packages/mdview/mdview/__init__.py
@@ -13,8 +13,8 @@
 
 import immutables
 
-from mdseam import MILLI, SECOND, PauseDetector, now
-from mdwire import ConnectionFailed, Handlers, Rejected, Rhythm
+from meadowdock.rpc import ConnectionFailed, Handlers, Rejected, Rhythm
+from meadowdock.runtime import MILLI, SECOND, PauseDetector, now
 
 VIEW_MAX, SHELF_MAX, SAMPLE = 10, 32, 5
 TURN = 500 * MILLI
--- a/packages/mdnode/mdnode/__init__.py
+++ b/packages/process/meadowdock/process/__init__.py
@@ -11,10 +11,10 @@
 import trio
 
 from mdhttp import App, Reply, Table
-from mdlog import Log
-from mdseam import MILLI, SECOND, Disk, Net, NoDisk, Seams, now, rest, until
 from mdview import Entry, View
-from mdwire import Links, Peer, serve
+from meadowdock.logs import Log
+from meadowdock.rpc import Links, Peer, serve
+from meadowdock.runtime import MILLI, SECOND, Disk, Net, NoDisk, Seams, now, rest, until
 
 LINGER = 1_200 * MILLI  # still serving, for the platform probes ready only once a second
 QUIET = 200 * MILLI
--- a/packages/mdwire/mdwire/__init__.py
+++ b/packages/rpc/meadowdock/rpc/__init__.py
@@ -3,9 +3,9 @@
 A link carries calls one way: the side that opened it asks, the other answers.
 """
 
-from mdwire.frame import Proof, derive, read_frame, write_frame
-from mdwire.link import ConnectionFailed, Handlers, Link, Links, Peer, Rejected, serve
-from mdwire.rhythm import Rhythm
+from meadowdock.rpc.frame import Proof, derive, read_frame, write_frame
+from meadowdock.rpc.link import ConnectionFailed, Handlers, Link, Links, Peer, Rejected, serve
+from meadowdock.rpc.rhythm import Rhythm
 
 __all__ = [
     "ConnectionFailed",
--- a/packages/mdwire/mdwire/link.py
+++ b/packages/rpc/meadowdock/rpc/link.py
@@ -13,9 +13,9 @@
 import ormsgpack
 import trio
 
-from mdseam import MILLI, SECOND, now, until
-from mdslab import Slab
-from mdwire.frame import Proof, Reader, derive, read_frame, write_frame
+from meadowdock.rpc.frame import Proof, Reader, derive, read_frame, write_frame
+from meadowdock.runtime import MILLI, SECOND, now, until
+from meadowdock.runtime.slab import Slab
 
 MAGIC = "md1"
 GREETING_WAIT = SECOND
--- a/packages/mdwire/mdwire/rhythm.py
+++ b/packages/rpc/meadowdock/rpc/rhythm.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from mdseam import MILLI, fingerprint, now, rest
+from meadowdock.runtime import MILLI, fingerprint, now, rest
 
 GRID = 100 * MILLI
 
--- a/packages/mdseam/mdseam/__init__.py
+++ b/packages/runtime/meadowdock/runtime/__init__.py
@@ -14,8 +14,8 @@
 
 import trio
 
-from mdseam.disk import Disk, MemoryDisk, NoDisk, sealed, unsealed
-from mdseam.net import Address, HttpConnectionFailed, Net
+from meadowdock.runtime.disk import Disk, MemoryDisk, NoDisk, sealed, unsealed
+from meadowdock.runtime.net import Address, HttpConnectionFailed, Net
 
 SECOND = 1_000_000
 MILLI = 1_000
--- a/packages/mdseam/mdseam/http_client.py
+++ b/packages/runtime/meadowdock/runtime/http_client.py
@@ -10,7 +10,7 @@
 import httptools
 import trio
 
-from mdseam.http_messages import (
+from meadowdock.runtime.http_messages import (
     CONNECTION_ERRORS,
     NAME,
     READ,
--- a/packages/mdseam/mdseam/http_requests.py
+++ b/packages/runtime/meadowdock/runtime/http_requests.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from mdseam.http_messages import TARGET, Head, Refused, named, path_of, tokens
+from meadowdock.runtime.http_messages import TARGET, Head, Refused, named, path_of, tokens
 
 
 class RequestReader(Head):
--- a/packages/mdseam/mdseam/http_server.py
+++ b/packages/runtime/meadowdock/runtime/http_server.py
@@ -10,8 +10,15 @@
 
 import trio
 
-from mdseam.http_messages import CONNECTION_ERRORS, READ, Headers, Refused, head_of, tokens
-from mdseam.http_requests import RequestReader
+from meadowdock.runtime.http_messages import (
+    CONNECTION_ERRORS,
+    READ,
+    Headers,
+    Refused,
+    head_of,
+    tokens,
+)
+from meadowdock.runtime.http_requests import RequestReader
 
 IDLE = 60.0  # s: between requests, and for a request's head
 LATECOMERS = 0.3  # s: a connection that was taken before the listener closed may still ask
--- a/packages/mdseam/mdseam/net.py
+++ b/packages/runtime/meadowdock/runtime/net.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from mdseam.http_client import HttpConnection, HttpConnectionFailed
-from mdseam.http_server import App, serve_http
+from meadowdock.runtime.http_client import HttpConnection, HttpConnectionFailed
+from meadowdock.runtime.http_server import App, serve_http
 
 ANSWER_MAX = 4 << 20  # bytes of a response's body
 
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -4,8 +4,8 @@
 
 from test_items import route, service
 
-from mdseam import MILLI, SECOND, now, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 SEEDS = (1, 2, 3)
 LIMITS = {
--- a/tests/golden_facts.py
+++ b/tests/golden_facts.py
@@ -29,16 +29,16 @@
 from test_items import route, service
 
 import mdaudit
-from mdboot import BootErrors, load
 from mdconf.lease_messages import AcquireLease, LeaseGranted, LeaseRecord, ReleaseLease, RenewLease
 from mdconf.store import Store
 from mdlib.record import Got, Record
-from mdlog import CATALOGUE
-from mdseam import MILLI, SECOND, MemoryDisk, now, rest
 from mdsim import SimDisk, run
 from mdsim.wires import SimWire
-from mdwire import ConnectionFailed, Link, Peer, Proof, Rejected, serve
-from mdwire.link import Handlers, greet, pack, unpack
+from meadowdock.logs import CATALOGUE
+from meadowdock.rpc import ConnectionFailed, Link, Peer, Proof, Rejected, serve
+from meadowdock.rpc.link import Handlers, greet, pack, unpack
+from meadowdock.runtime import MILLI, SECOND, MemoryDisk, now, rest
+from meadowdock.settings import BootErrors, load
 
 GOLDEN = Path(__file__).parent / "golden"
 SEED = 7
--- a/tests/mesh.py
+++ b/tests/mesh.py
@@ -4,7 +4,7 @@
 
 from facts import manifest
 
-from mdseam import MILLI, rest
+from meadowdock.runtime import MILLI, rest
 
 
 def answers(took_us=10 * MILLI, journal=None):
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from mdseam import MILLI, SECOND, HttpConnectionFailed, now, rest, until
+from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
 
 OPERATOR_HOST = "10.9.9.9"  # cut off from nobody
 SILENCE = SECOND  # of a member, after which the next one is asked
--- a/tests/overloads.py
+++ b/tests/overloads.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from mdseam import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 RETRY_PART = 3  # a caller waits for Retry-After up to this part of the time that it has left
 
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -7,7 +7,7 @@
 from test_gate_rules import LONG, works
 from test_items import route
 
-from mdseam import MILLI, now, rest
+from meadowdock.runtime import MILLI, now, rest
 
 ONCE_LONG = route("oncelong", prefix="/oncelong/", repeat="once")
 ONE_SLOT = {"slots": 1, "work_us": works(long=800, oncelong=800)}
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -14,7 +14,7 @@
 from mdgate.patience import Patience
 from mdgate.wait_queue import WaitQueue
 from mdgate.waits import ServiceWaits
-from mdseam import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
 def call(rank=0, urgency=None, aim_due=SECOND, **facts):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,10 +10,10 @@
 from test_items import route
 
 from mdgate.peers import CANCEL
-from mdseam import MILLI, SECOND, now, rest
 from mdsim.standin import FAULTS
 from mdsim.world import World
-from mdwire import ConnectionFailed, Rejected
+from meadowdock.rpc import ConnectionFailed, Rejected
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 ID = b"md-call"
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -12,8 +12,8 @@
 from mesh import configured
 
 import mdaudit
-from mdseam import SECOND, now, rest
 from mdsim import run
+from meadowdock.runtime import SECOND, now, rest
 
 
 def changed(number):
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -9,11 +9,11 @@
 
 from mdhttp import Reply
 from mdlib import Endpoint
-from mdseam import MILLI, SECOND, now, rest
 from mdsim import run
 from mdsim.checkers import second_tries
 from mdsim.history import Asked, History
-from mdverdict import TABLE
+from meadowdock.outcome import TABLE
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
 async def raw(world, method, path, body=None, headers=()):
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -13,8 +13,8 @@
 from mdconf.contact import HelloAnswer
 from mdconf.items import Outdated
 from mdregister import NoQuorum
-from mdseam import MILLI, SECOND, now, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 AT_ONCE = 500 * MILLI
 ON_THE_WAY = 50 * MILLI  # of a request and its answer
--- a/tests/test_day_digests.py
+++ b/tests/test_day_digests.py
@@ -10,7 +10,6 @@
 from overloads import offer, worker
 from test_overload import LONG, SHORT, SLOTS, items_of
 
-from mdseam import SECOND
 from mdsim.__main__ import Commands
 from mdsim.digest import (
     CanonicalTrace,
@@ -19,6 +18,7 @@
     read_digests,
     write_digests,
 )
+from meadowdock.runtime import SECOND
 
 GOLDEN = Path(__file__).parent / "golden"
 DAYS = read_digests(GOLDEN / "day_digests.json")
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -16,8 +16,8 @@
 from mdmanifest.fetch import CACHE_MAX, FRAME, Fetch, Fetcher, PackedCache, answer_request
 from mdmanifest.packed import checksum
 from mdproxy.staging import Stager
-from mdseam import MILLI, SECOND, fingerprint, now, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, fingerprint, now, rest
 
 APPLY = 2 * SECOND
 SLOW_LINK = 3_250_000 // 8  # bytes a second
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -5,8 +5,8 @@
 import os
 import re
 
-from mdlog import CATALOGUE
-from mdverdict import SECOND, TABLE
+from meadowdock.logs import CATALOGUE
+from meadowdock.outcome import SECOND, TABLE
 
 DOCS = os.path.join(os.path.dirname(__file__), "..", "docs")
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -7,7 +7,7 @@
 from test_items import route, service
 
 from mdload import Node
-from mdseam import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
 def hosts(world):
--- a/tests/test_gate_http.py
+++ b/tests/test_gate_http.py
@@ -7,7 +7,7 @@
 
 from mdgate.http import Answers, Requests
 from mditems import DEFAULT_LIMITS
-from mdseam import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 HEAD = b"Host: h.example\r\nmd-call: raw-1\r\n"
 
--- a/tests/test_gate_rules.py
+++ b/tests/test_gate_rules.py
@@ -10,7 +10,7 @@
 from mdgate.callers import KEEP_S, KEPT
 from mdgate.gate import EARLY
 from mdload import LoadList, Node
-from mdseam import MILLI, SECOND, Address, now, rest
+from meadowdock.runtime import MILLI, SECOND, Address, now, rest
 
 TRIES = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
 LOW = route("low", prefix="/low/", priority=3, aim_us=SECOND)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -17,8 +17,8 @@
 from mdmodel import NEVER, RecordedCall, SequentialModel, linearizable, unexplained_keys
 from mdreg.lease import Lease
 from mdregister import NoQuorum, OutcomeUnknown, Proposer, holds_majorities
-from mdseam import MILLI, SECOND, HttpConnectionFailed, now, rest, until
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
 
 # ---------------------------------------------------------------- the checker itself
 
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from mdproxy.walk import FIRST_HOLD, REMEMBERED, Holding
-from mdseam import MILLI
+from meadowdock.runtime import MILLI
 
 
 def call(way):
--- a/tests/test_http_seam.py
+++ b/tests/test_http_seam.py
@@ -9,7 +9,7 @@
 import trio
 
 from mdhttp import App, Reply, Table
-from mdseam import HttpConnectionFailed, Net
+from meadowdock.runtime import HttpConnectionFailed, Net
 
 HOST = "127.0.0.1"
 ASKED = b"GET /told HTTP/1.1\r\nHost: x\r\n\r\n"
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -8,9 +8,9 @@
 import trio
 from gates import SEEDS, asked, gated, listed
 
-from mdseam import MILLI, SECOND, now, rest
 from mdview import VIEW_MAX, Entry, View
-from mdwire import serve
+from meadowdock.rpc import serve
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 REGISTRIES_LATER = 450 * MILLI  # as seen: they came up so much later than the proxies
 
--- a/tests/test_items_change.py
+++ b/tests/test_items_change.py
@@ -10,8 +10,8 @@
 
 import mdaudit
 import mditems
-from mdseam import MILLI, SECOND, now, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
 async def change(world, items, core=0):
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -14,7 +14,12 @@
     # -S: nothing but what is asked, since a site's own additions may import anything
     paths = [*map(str, PACKAGES.iterdir()), *filter(None, sys.path)]
     found = subprocess.run(
-        [sys.executable, "-S", "-c", f"from mdboot import lean\nlean.spare()\n{program}"],
+        [
+            sys.executable,
+            "-S",
+            "-c",
+            f"from meadowdock.settings import lean\nlean.spare()\n{program}",
+        ],
         env={**os.environ, "PYTHONPATH": os.pathsep.join(paths)},
         capture_output=True,
         text=True,
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -19,10 +19,10 @@
     ReleaseLease,
     RenewLease,
 )
-from mdseam import MILLI, SECOND, now, rest
 from mdsim import run
 from mdsim.world import WALL, Clock
-from mdwire import ConnectionFailed, Rejected
+from meadowdock.rpc import ConnectionFailed, Rejected
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 DURATION = 2 * SECOND
 TAKEOVER = 5 * SECOND
--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -12,8 +12,8 @@
 
 from mdmanifest import SIZE_MAX, Ways, checked, cut
 from mdproxy.delivery import SWITCH_ALONE_PART
-from mdseam import MILLI, SECOND, now, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
 def errors_of(facts):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -6,9 +6,9 @@
 
 from mesh import configured, hosts
 
-from mdseam import SECOND, rest
 from mdsim import run
 from mdview import SHELF_MAX, VIEW_MAX, Entry, View
+from meadowdock.runtime import SECOND, rest
 
 
 def entry(address, incarnation=1, beat=0, role="mdproxy", leaving=False):
--- a/tests/test_members_auto.py
+++ b/tests/test_members_auto.py
@@ -9,12 +9,12 @@
 from facts import manifest, way
 from mesh import configured
 
-from mdboot import checked
 from mdconf.store import Store
 from mdregister import Proposer
-from mdseam import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest
 from mdsim import run
 from mdsim.world import KEY
+from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest
+from meadowdock.settings import checked
 
 SEEDS = range(1, 5)
 
--- a/tests/test_members_change.py
+++ b/tests/test_members_change.py
@@ -8,8 +8,8 @@
 from mesh import configured, first_with_a_blank_disk, hosts, serving
 
 from mdconf.store import rescue
-from mdseam import SECOND, HttpConnectionFailed, rest
 from mdsim import run
+from meadowdock.runtime import SECOND, HttpConnectionFailed, rest
 
 
 def changed(number):
--- a/tests/test_members_losses.py
+++ b/tests/test_members_losses.py
@@ -10,8 +10,8 @@
 
 from mdconf.store import Store
 from mdregister import Place, Tolerance, VoterSets
-from mdseam import MILLI, SECOND, MemoryDisk, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, MemoryDisk, rest
 
 
 def log_nothing(*_, **__):
--- a/tests/test_model_register.py
+++ b/tests/test_model_register.py
@@ -13,7 +13,7 @@
 from mdmodel import Append, Explorer, Implementation, ModelMembers, MoveMembers, Read, Scenario
 from mdregister import NO_LOSSES, Acceptor, VoterSets
 from mdregister.acceptor import AcceptorState
-from mdseam import fingerprint
+from meadowdock.runtime import fingerprint
 
 CHANGES = (Append("a", rounds=2), Append("b", rounds=2))
 RACE = Scenario(CHANGES, faults=0)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -10,8 +10,8 @@
 from mesh import configured, hosts
 
 from mdlib import Got, Record
-from mdseam import MILLI, Disk, MemoryDisk, now, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, Disk, MemoryDisk, now, rest
 
 S = 1_000_000
 STAGES = ["arriving", "waiting", "at the endpoint", "spilled"]
--- a/tests/test_order_times.py
+++ b/tests/test_order_times.py
@@ -10,8 +10,8 @@
 from test_items import service
 from test_items_change import founded
 
-from mdseam import MILLI, SECOND, now, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 SEEDS = range(4)
 SLOW = SECOND
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -9,7 +9,7 @@
 from overloads import Demand, most_in_aim, offer, worker
 from test_items import route, service
 
-from mdseam import MILLI, SECOND
+from meadowdock.runtime import MILLI, SECOND
 
 SLOTS, SPAN = 17, 4 * SECOND
 # twice what the endpoint can do; the long requests are of the lowest rank, as on the days that
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from mdboot import BootErrors, checked, is_plain, schema_errors
+from meadowdock.settings import BootErrors, checked, is_plain, schema_errors
 
 FOLDER = Path(__file__).parent.parent / "platform"
 sys.path.insert(0, str(FOLDER))
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -10,8 +10,8 @@
 from mesh import configured, first_with_a_blank_disk
 
 from mdregister import Acceptor, NoQuorum, OutcomeUnknown, Proposer
-from mdseam import SECOND, MemoryDisk, now, rest
 from mdsim import SimDisk, run
+from meadowdock.runtime import SECOND, MemoryDisk, now, rest
 
 
 class Trio:
--- a/tests/test_register_contention.py
+++ b/tests/test_register_contention.py
@@ -10,8 +10,8 @@
 from mesh import configured
 
 from mdregister import Acceptor, NoQuorum, OutcomeUnknown, Proposer
-from mdseam import MILLI, SECOND, now, rest
 from mdsim import SimDisk, run
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 STEP = 5 * MILLI  # a write takes four steps
 SLOW = 25
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -11,8 +11,8 @@
 
 from mdconf import plans, repair
 from mdconf.store import Store
-from mdseam import MILLI, SECOND, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, rest
 
 
 def changed(number):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,8 +21,8 @@
     services_of,
     told_by,
 )
-from mdwire import Links, Peer, serve
-from mdwire.frame import Proof
+from meadowdock.rpc import Links, Peer, serve
+from meadowdock.rpc.frame import Proof
 
 DOCS = os.path.join(os.path.dirname(__file__), "..", "docs")
 SECONDS = 10  # of counted's window
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -8,9 +8,9 @@
 import pytest
 import trio
 
-from mdwire import Handlers, Links, Peer, Proof, read_frame, serve
-from mdwire.frame import Reader
-from mdwire.link import Sender
+from meadowdock.rpc import Handlers, Links, Peer, Proof, read_frame, serve
+from meadowdock.rpc.frame import Reader
+from meadowdock.rpc.link import Sender
 
 KEY = b"k" * 32
 
--- a/tests/test_state_machines.py
+++ b/tests/test_state_machines.py
@@ -19,9 +19,9 @@
 from mdmanifest import cut_items
 from mdmodel.process import Implementation, ModelMembers, make_node, make_store, voters_record
 from mdregister import NoQuorum, OutcomeUnknown
-from mdseam import MILLI, SECOND, now, rest
 from mdsim import run
-from mdwire import ConnectionFailed
+from meadowdock.rpc import ConnectionFailed
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 EXAMPLES = {"derandomize": True, "database": None, "deadline": None, "print_blob": False}
 HONEST = settings(**EXAMPLES, max_examples=40, stateful_step_count=15)
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -9,8 +9,8 @@
 
 from mdhttp import Reply, Table
 from mdreg.part import Part
-from mdseam import MILLI, SECOND, HttpConnectionFailed, now, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest
 
 
 def test_a_proxy_restarted_under_load_loses_no_call():
--- a/tests/test_trail.py
+++ b/tests/test_trail.py
@@ -14,9 +14,9 @@
 import mdaudit
 from mdconf import repair, trail, trail_transfer
 from mdconf.trail import RECORDS, SEGMENTS, TrailState
-from mdseam import MILLI, SECOND, MemoryDisk, rest
 from mdsim import SimDisk, run
-from mdwire import Rejected
+from meadowdock.rpc import Rejected
+from meadowdock.runtime import MILLI, SECOND, MemoryDisk, rest
 
 PUBLIC = SIGNING_KEY.as_dict(private=False)
 SHORT = 8  # records in a segment, where a test needs many segments
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -7,8 +7,8 @@
 from returns.pipeline import is_successful
 
 from mdload import Node
-from mdseam import MILLI, SECOND, rest
 from mdsim import run
+from meadowdock.runtime import MILLI, SECOND, rest
 
 
 async def first_keeps_the_old(world, new):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,9 +7,9 @@
 import pytest
 import trio
 
-from mdseam import MILLI, SECOND, now, rest
 from mdsim import SimNet, run
-from mdwire import ConnectionFailed, Handlers, Links, Peer, Rejected, serve
+from meadowdock.rpc import ConnectionFailed, Handlers, Links, Peer, Rejected, serve
+from meadowdock.runtime import MILLI, SECOND, now, rest
 
 KEY = b"k" * 32
 
@@ -115,7 +115,7 @@
 
 
 def test_a_call_that_came_after_its_due_is_not_handled_even_if_its_cancel_was_lost(monkeypatch):
-    monkeypatch.setattr("mdwire.link.Link.cancel", lambda *_: None)
+    monkeypatch.setattr("meadowdock.rpc.link.Link.cancel", lambda *_: None)
 
     async def scenario(world):
         links, ran, _ = await pair(world)
--- a/tests/trail_facts.py
+++ b/tests/trail_facts.py
@@ -15,7 +15,7 @@
 import mdaudit
 from mdconf.store import Store
 from mdconf.trail import RECORDS, TrailState, by_segment, record_file
-from mdseam import MemoryDisk, fingerprint, sealed
+from meadowdock.runtime import MemoryDisk, fingerprint, sealed
 
 SIGNING_KEY = mdaudit.signing_key(b"k" * 32)
 LENGTHS = (300, 3_000, 30_000)
