--- a/packages/mdconf/mdconf/__main__.py
+++ b/packages/config_store/meadowdock/config_store/__main__.py
@@ -5,8 +5,8 @@
 import fire
 import trio
 
-from mdconf.part import Part
-from mdconf.store import rescue as rescue_disk
+from meadowdock.config_store.part import Part
+from meadowdock.config_store.store import rescue as rescue_disk
 from meadowdock.process import start
 from meadowdock.runtime import Disk
 from meadowdock.settings import command, load
--- a/packages/mdconf/mdconf/change.py
+++ b/packages/config_store/meadowdock/config_store/change.py
@@ -4,15 +4,15 @@
 
 import trio
 
-from mdconf.record import (
+from meadowdock.config_store.record import (
     begun_change,
     ended_change,
     newcomers_of,
     reverted_change,
     voter_sets_of,
 )
-from mdconf.store import disk_failures_rejected
-from mdregister import OutcomeUnknown, VoterSets
+from meadowdock.config_store.store import disk_failures_rejected
+from meadowdock.consensus import OutcomeUnknown, VoterSets
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import now, until
 
--- a/packages/mdconf/mdconf/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from mdmanifest import WHOLE
-from mdmanifest.fetch import Fetch, Fetcher, PackedCache, answer_request
+from meadowdock.configuration import WHOLE
+from meadowdock.configuration.fetch import Fetch, Fetcher, PackedCache, answer_request
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import MILLI, now, until
 
--- a/packages/mdconf/mdconf/contact.py
+++ b/packages/config_store/meadowdock/config_store/contact.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from mdregister import NoQuorum
+from meadowdock.consensus import NoQuorum
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLI, now, rest
 
--- a/packages/mdconf/mdconf/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -5,8 +5,8 @@
 
 import trio
 
-from mdconf.store import HEAD
-from mdregister import Lost, NoQuorum, OutcomeUnknown
+from meadowdock.config_store.store import HEAD
+from meadowdock.consensus import Lost, NoQuorum, OutcomeUnknown
 from meadowdock.runtime import MILLI, SECOND, now, rest, until
 
 LOOK_EVERY = 20 * MILLI
--- a/packages/mdconf/mdconf/items.py
+++ b/packages/config_store/meadowdock/config_store/items.py
@@ -12,11 +12,11 @@
 import ormsgpack
 import trio
 
-import mditems
-from mdconf.store import HEAD, disk_failures_rejected
 from mdhttp import Reply
-from mdmanifest import SIZE_MAX, cut_items
-from mdregister import NoQuorum, OutcomeUnknown
+from meadowdock.config_store.store import HEAD, disk_failures_rejected
+from meadowdock.configuration import SIZE_MAX, cut_items
+from meadowdock.configuration import items as config_items
+from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import MILLI, fingerprint, now, rest, until
 
@@ -75,7 +75,7 @@
         groups = {name: self.groups[name] for name in names if name in self.groups}
         bodies = await self.bring([name for name in names if name not in groups], deadline)
         groups |= {name: ormsgpack.unpackb(body)[1] for name, body in bodies.items()}
-        held = {mditems.key_of(item): item for name in names for item in groups[name]}
+        held = {config_items.key_of(item): item for name in names for item in groups[name]}
         if head["version"] >= self.version:
             self.version, self.names, self.groups, self.held = head["version"], names, groups, held
         return held
@@ -98,20 +98,20 @@
     async def read_now(self, deadline):
         """As read, without the check of contact."""
         head = await self.part.read_head(deadline)
-        return head["version"], mditems.standing(await self.at(head, deadline))
+        return head["version"], config_items.standing(await self.at(head, deadline))
 
     # ------------------------------------------------------------ changes
 
     async def change(self, items):
         """The head's version, once a quorum holds the change.
 
-        Raises mditems.Invalid, mditems.VersionConflict or NoQuorum: none of it holds, or
+        Raises config_items.Invalid, config_items.VersionConflict or NoQuorum: none of it holds, or
         OutcomeUnknown: it may hold."""
-        errors = mditems.check(items)
+        errors = config_items.check(items)
         if errors:
-            raise mditems.Invalid(errors)
+            raise config_items.Invalid(errors)
         await self.part.contact.check()
-        call = Call([mditems.clean(item) for item in items])
+        call = Call([config_items.clean(item) for item in items])
         self.waiting.append(call)
         if not self.busy:
             self.busy = True
@@ -174,8 +174,8 @@
         merged, refused = held, {}
         for place, call in enumerate(calls):
             try:
-                merged, _ = mditems.merge(merged, call.items)
-            except (mditems.Invalid, mditems.VersionConflict) as cause:
+                merged, _ = config_items.merge(merged, call.items)
+            except (config_items.Invalid, config_items.VersionConflict) as cause:
                 refused[place] = cause
         if merged is not held:
             head = await self.put(head, merged, deadline)
@@ -270,9 +270,9 @@
             return Reply(400, {"code": "malformed", "detail": 'wanted: {"items": [...]}'})
         try:
             version = await self.change(items)
-        except mditems.Invalid as invalid:
+        except config_items.Invalid as invalid:
             return Reply(422, {"code": "invalid", "errors": invalid.errors})
-        except mditems.VersionConflict as conflict:
+        except config_items.VersionConflict as conflict:
             return Reply(409, version_conflict(conflict))
         return Reply(200, {"state": "accepted", "version": version})
 
--- a/packages/mdconf/mdconf/lease.py
+++ b/packages/config_store/meadowdock/config_store/lease.py
@@ -12,7 +12,7 @@
 
 from dataclasses import replace
 
-from mdconf.lease_messages import (
+from meadowdock.config_store.lease_messages import (
     ACQUIRE,
     COLLECTOR_KEY,
     LEASE_HELD,
@@ -26,7 +26,7 @@
     ReleaseLease,
     RenewLease,
 )
-from mdregister import Lost, NoQuorum, OutcomeUnknown
+from meadowdock.consensus import Lost, NoQuorum, OutcomeUnknown
 from meadowdock.rpc import Handlers, Rejected
 from meadowdock.runtime import MILLI, now
 
--- a/packages/mdconf/mdconf/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, replace
 
-from mdconf.record import with_places
-from mdregister import Place
+from meadowdock.config_store.record import with_places
+from meadowdock.consensus import Place
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import now, rest
 
--- a/packages/mdconf/mdconf/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -5,15 +5,15 @@
 
 import json
 
-from mdconf.change import Conflict, MemberChange
-from mdconf.liveness import Liveness
-from mdconf.policy import Observed, choose_voters, wanted_voters
-from mdconf.record import places_of
-from mdconf.timing import MembershipTiming
-from mdconf.transfer import Transfer
-from mdconf.votes import Votes
 from mdhttp import Reply
-from mdregister import NoQuorum, OutcomeUnknown, Place, Tolerance, VoterSets
+from meadowdock.config_store.change import Conflict, MemberChange
+from meadowdock.config_store.liveness import Liveness
+from meadowdock.config_store.policy import Observed, choose_voters, wanted_voters
+from meadowdock.config_store.record import places_of
+from meadowdock.config_store.timing import MembershipTiming
+from meadowdock.config_store.transfer import Transfer
+from meadowdock.config_store.votes import Votes
+from meadowdock.consensus import NoQuorum, OutcomeUnknown, Place, Tolerance, VoterSets
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLI, SECOND, PauseDetector, now, rest
 
--- a/packages/mdconf/mdconf/part.py
+++ b/packages/config_store/meadowdock/config_store/part.py
@@ -8,22 +8,21 @@
 
 import trio
 
-import mdaudit
-from mdconf.chunks import Chunks
-from mdconf.contact import NoContact, QuorumContact
-from mdconf.handover import Handover
-from mdconf.items import Items
-from mdconf.lease import LeaseRegister
-from mdconf.members import Members
-from mdconf.plans import NO_HEAD, Plans
-from mdconf.repair import Repairer
-from mdconf.status import status_of
-from mdconf.store import HEAD, Store, disk_failures_rejected
-from mdconf.trail_transfer import TrailTransfer
 from mdhttp import Reply, Table, TooLarge
-from mdmanifest import SIZE_MAX, assemble
-from mdregister import NoQuorum, OutcomeUnknown
-from meadowdock import process
+from meadowdock import audit, process
+from meadowdock.config_store.chunks import Chunks
+from meadowdock.config_store.contact import NoContact, QuorumContact
+from meadowdock.config_store.handover import Handover
+from meadowdock.config_store.items import Items
+from meadowdock.config_store.lease import LeaseRegister
+from meadowdock.config_store.members import Members
+from meadowdock.config_store.plans import NO_HEAD, Plans
+from meadowdock.config_store.repair import Repairer
+from meadowdock.config_store.status import status_of
+from meadowdock.config_store.store import HEAD, Store, disk_failures_rejected
+from meadowdock.config_store.trail_transfer import TrailTransfer
+from meadowdock.configuration import SIZE_MAX, assemble
+from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLI, SECOND, now, rest, until
 
@@ -87,7 +86,7 @@
     @cached_property
     def audit_key(self):
         """The key that signs audit records."""
-        return mdaudit.signing_key(self.node.boot.fleet_key)
+        return audit.signing_key(self.node.boot.fleet_key)
 
     @property
     def operate_wait(self):
@@ -116,7 +115,7 @@
     async def change_items(self, items):
         """The head's version, once a quorum holds the change. items: mditems' form.
 
-        Raises mditems.Invalid, mditems.VersionConflict or NoQuorum (surely not done), or
+        Raises meadowdock.configuration.items.Invalid, meadowdock.configuration.items.VersionConflict or NoQuorum (surely not done), or
         OutcomeUnknown."""
         if not self.store.record or self.too_few():
             raise NoQuorum("members")
@@ -375,15 +374,15 @@
 
     def audit_record(self, old, facts, plan, version):
         """The signed record of a change."""
-        return mdaudit.sign(
+        return audit.sign(
             self.audit_key,
             {
                 "version": version,
                 "plan": plan,
                 "base": facts["base"],
-                "ranges": mdaudit.name(" ".join(facts["ranges"])),
+                "ranges": audit.name(" ".join(facts["ranges"])),
                 "at": str(self.node.seams.wall()),
-                "former": mdaudit.name(old["record"]) if old.get("record") else "",
+                "former": audit.name(old["record"]) if old.get("record") else "",
             },
         )
 
--- a/packages/mdconf/mdconf/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -7,14 +7,14 @@
 
 import ormsgpack
 
-import mdaudit
-from mdconf import repair
-from mdconf.items import Outdated, item_ranges, own_ranges
-from mdconf.store import HEAD
 from mdhttp import Reply
-from mditems import standing
-from mdmanifest import SIZE_MAX, checked, cut, difference
-from mdregister import NoQuorum, OutcomeUnknown
+from meadowdock import audit
+from meadowdock.config_store import repair
+from meadowdock.config_store.items import Outdated, item_ranges, own_ranges
+from meadowdock.config_store.store import HEAD
+from meadowdock.configuration import SIZE_MAX, checked, cut, difference
+from meadowdock.configuration.items import standing
+from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.runtime import SECOND, fingerprint, now
 
 HISTORY = repair.RANGES_KEPT  # versions whose plans the head names
@@ -188,7 +188,7 @@
             if kept == version:
                 return plan
         record = await self.part.trail.record(version, deadline)
-        return mdaudit.read(record)["plan"] if record else None
+        return audit.read(record)["plan"] if record else None
 
     async def version_ranges(self, head, version):
         """The chunks of a former version, or None if they are not known any more."""
--- a/packages/mdconf/mdconf/policy.py
+++ b/packages/config_store/meadowdock/config_store/policy.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-from mdregister import Place, Tolerance
+from meadowdock.consensus import Place, Tolerance
 
 SMALL_FLEET = 5  # up to so many processes all are voters
 
--- a/packages/mdconf/mdconf/record.py
+++ b/packages/config_store/meadowdock/config_store/record.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from mdregister import NO_LOSSES, Place, VoterSets
+from meadowdock.consensus import NO_LOSSES, Place, VoterSets
 
 
 def voter_sets_of(record, tolerance=NO_LOSSES):
--- a/packages/mdconf/mdconf/repair.py
+++ b/packages/config_store/meadowdock/config_store/repair.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from mdregister import Lost
+from meadowdock.consensus import Lost
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import SECOND, fingerprint, now, rest
 
--- a/packages/mdconf/mdconf/status.py
+++ b/packages/config_store/meadowdock/config_store/status.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mdregister import NoQuorum
+from meadowdock.consensus import NoQuorum
 from meadowdock.runtime import MILLI, SECOND, now
 
 READ_WITHIN = SECOND
--- a/packages/mdconf/mdconf/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -7,9 +7,9 @@
 import ormsgpack
 import trio
 
-from mdconf.record import voter_sets_of
-from mdconf.trail import AuditTrail
-from mdregister import NO_LOSSES, Acceptor, VoterSets
+from meadowdock.config_store.record import voter_sets_of
+from meadowdock.config_store.trail import AuditTrail
+from meadowdock.consensus import NO_LOSSES, Acceptor, VoterSets
 from meadowdock.rpc import Rejected
 from meadowdock.runtime import SECOND, fingerprint, now, sealed, unsealed
 
--- a/packages/mdconf/mdconf/trail.py
+++ b/packages/config_store/meadowdock/config_store/trail.py
@@ -13,8 +13,8 @@
 import ormsgpack
 import trio
 
-import mdaudit
-from mdregister import each
+from meadowdock import audit
+from meadowdock.consensus import each
 from meadowdock.runtime import fingerprint, sealed, unsealed
 
 SEGMENT = 64  # records, about 40 KB: one segment is also the most that one message carries
@@ -69,7 +69,7 @@
         }
 
     def anchor(self):
-        """What mdaudit.verify has to know of the records before the first; None if there are none."""
+        """What audit.verify has to know of the records before the first; None if there are none."""
         return {"version": self.first, "former": self.former} if self.first > 1 else None
 
     def digest(self):
@@ -233,7 +233,7 @@
         """A chain that began on a disk from before the trail: its first record names none before."""
         if not self.segments and self.tail and self.first == 1:
             first = min(self.tail)
-            facts = mdaudit.read(self.tail[first])
+            facts = audit.read(self.tail[first])
             if first > 1 and facts and facts.get("former") == "":
                 await self.write_checkpoint(first, "")
 
@@ -276,7 +276,7 @@
         if not records:
             return  # to be pulled before
         first = min(records)
-        await self.write_checkpoint(first, mdaudit.read(records[first])["former"])
+        await self.write_checkpoint(first, audit.read(records[first])["former"])
         for index in old:
             await self.files.remove(segment_file(index, self.segments.pop(index)))
         self.surplus += [v for v in self.tail if v < first]
@@ -301,7 +301,7 @@
 
 def digest_of(records):
     """A segment's digest: the hash of its last record, shortened."""
-    return mdaudit.name(records[max(records)])[:DIGEST]
+    return audit.name(records[max(records)])[:DIGEST]
 
 
 def unchained(records):
@@ -310,5 +310,5 @@
         version
         for version, record in records.items()
         if version + 1 in records
-        and (mdaudit.read(records[version + 1]) or {}).get("former") != mdaudit.name(record)
+        and (audit.read(records[version + 1]) or {}).get("former") != audit.name(record)
     ]
--- a/packages/mdconf/mdconf/trail_transfer.py
+++ b/packages/config_store/meadowdock/config_store/trail_transfer.py
@@ -8,10 +8,10 @@
 
 import trio
 
-import mdaudit
-from mdconf.store import disk_failures_rejected
-from mdconf.trail import SEGMENT, TrailState, by_segment
-from mdregister import NoQuorum, holds_majorities
+from meadowdock import audit
+from meadowdock.config_store.store import disk_failures_rejected
+from meadowdock.config_store.trail import SEGMENT, TrailState, by_segment
+from meadowdock.consensus import NoQuorum, holds_majorities
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLI, SECOND, now, rest, until
 
@@ -210,5 +210,5 @@
 
 def is_record(version, record):
     """Whether a text is the record of that version."""
-    facts = mdaudit.read(record)
+    facts = audit.read(record)
     return facts is not None and facts["version"] == version
--- a/packages/mdconf/mdconf/transfer.py
+++ b/packages/config_store/meadowdock/config_store/transfer.py
@@ -4,8 +4,8 @@
 
 import trio
 
-from mdconf.record import newcomers_of, voter_sets_of
-from mdregister import NoQuorum, OutcomeUnknown, VoterSets
+from meadowdock.config_store.record import newcomers_of, voter_sets_of
+from meadowdock.consensus import NoQuorum, OutcomeUnknown, VoterSets
 
 KEYS_AT_ONCE = 16  # keys
 
--- a/packages/mdconf/mdconf/votes.py
+++ b/packages/config_store/meadowdock/config_store/votes.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from mdconf.store import disk_failures_rejected
-from mdregister import Lost, Proposer
+from meadowdock.config_store.store import disk_failures_rejected
+from meadowdock.consensus import Lost, Proposer
 from meadowdock.rpc import Handlers, Rejected
 
 
--- a/packages/mdmanifest/mdmanifest/fetch.py
+++ b/packages/configuration/meadowdock/configuration/fetch.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from mdmanifest.packed import WHOLE, CorruptChunk, pack_chunk, unpack_chunk
+from meadowdock.configuration.packed import WHOLE, CorruptChunk, pack_chunk, unpack_chunk
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import SECOND, fingerprint, now, until
 
--- a/packages/mditems/mditems/__init__.py
+++ b/packages/configuration/meadowdock/configuration/items/__init__.py
@@ -4,9 +4,23 @@
 None when dropped, "source": str}. source is the text it came as, kept verbatim and never read.
 """
 
-from mditems.check import Invalid, check, clean
-from mditems.merge import ItemVersion, VersionConflict, as_sent, key_of, merge, standing
-from mditems.table import DEFAULT_LIMITS, Limits, ParsedChunk, Route, Table, parse_chunk
+from meadowdock.configuration.items.check import Invalid, check, clean
+from meadowdock.configuration.items.merge import (
+    ItemVersion,
+    VersionConflict,
+    as_sent,
+    key_of,
+    merge,
+    standing,
+)
+from meadowdock.configuration.items.table import (
+    DEFAULT_LIMITS,
+    Limits,
+    ParsedChunk,
+    Route,
+    Table,
+    parse_chunk,
+)
 
 __all__ = [
     "DEFAULT_LIMITS",
--- a/packages/mditems/mditems/merge.py
+++ b/packages/configuration/meadowdock/configuration/items/merge.py
@@ -6,7 +6,7 @@
 
 import ormsgpack
 
-from mditems.check import ERRORS_MAX, Invalid
+from meadowdock.configuration.items.check import ERRORS_MAX, Invalid
 from meadowdock.runtime import fingerprint
 
 SUPERSEDED_MAX = 8  # versions below the standing one whose content is remembered, for each item
@@ -86,7 +86,7 @@
     []
     >>> merge(held, [{**drop, "spec": {}}])
     Traceback (most recent call last):
-    mditems.merge.VersionConflict: service 'a' version 3
+    meadowdock.configuration.items.merge.VersionConflict: service 'a' version 3
     """
     updates, won, conflicts = {}, {}, []
     for item in items:
--- a/packages/mdmanifest/mdmanifest/packed.py
+++ b/packages/configuration/meadowdock/configuration/packed.py
@@ -4,7 +4,7 @@
 operators' verbatim text of each item, what is remembered of its former versions, and dropped items. Both are deterministic, so pieces
 of one chunk may come from several members.
 
->>> from mdmanifest.ranges import seal_range
+>>> from meadowdock.configuration.ranges import seal_range
 >>> item = {"kind": "service", "name": "a", "version": 1, "spec": {}, "source": "{ }"}
 >>> name, body = seal_range("items", [item])
 >>> unpack_chunk(name, pack_chunk(name, body, WHOLE), WHOLE) == body
@@ -19,7 +19,7 @@
 
 import ormsgpack
 
-from mdmanifest.ranges import ITEMS
+from meadowdock.configuration.ranges import ITEMS
 from meadowdock.runtime import fingerprint
 
 WHOLE, ROUTING = "whole", "routing"
--- a/packages/mdmanifest/mdmanifest/ranges.py
+++ b/packages/configuration/meadowdock/configuration/ranges.py
@@ -1,7 +1,7 @@
 """A manifest as a list of immutable ranges, each known by its fingerprint.
 
 Cuts depend on the items' own names, so a change touches only the ranges that hold it. The section
-"items" (configuration by items, `mditems`) is cut by itself and comes after the manifest's own.
+"items" (configuration by items, `meadowdock.configuration.items`) is cut by itself and comes after the manifest's own.
 """
 
 from __future__ import annotations
--- a/packages/mdmanifest/mdmanifest/ways.py
+++ b/packages/configuration/meadowdock/configuration/ways.py
@@ -8,8 +8,8 @@
 
 import immutables
 
-import mditems
-from mdmanifest.check import LOAD
+from meadowdock.configuration import items as config_items
+from meadowdock.configuration.check import LOAD
 
 GUEST = "guest"  # the name of callers that hold no token
 CLEAN = re.compile(r"^(/[A-Za-z0-9_~:@!$&'()*+,;=-][A-Za-z0-9._~:@!$&'()*+,;=-]*)+/?$")
@@ -35,7 +35,7 @@
     def __init__(self, version, facts):
         self.version = version
         self.load = facts["load"] or LOAD  # none before the first manifest by operators
-        self.items = mditems.Table(version, facts.get("items", ()))
+        self.items = config_items.Table(version, facts.get("items", ()))
         self.services = immutables.Map({s["name"]: s for s in facts["services"]})
         stages = {
             b["name"]: [(b[s]["wait_us"], b[s]["tries"]) for s in ("arrival", "spill", "endpoint")]
--- a/packages/mdregister/mdregister/__init__.py
+++ b/packages/consensus/meadowdock/consensus/__init__.py
@@ -4,9 +4,9 @@
 promised its ballot, and writes the new value to a durable quorum under the same ballot.
 """
 
-from mdregister.acceptor import Acceptor, Lost, each
-from mdregister.proposer import NoQuorum, OutcomeUnknown, Proposer
-from mdregister.quorum import NO_LOSSES, Place, Tolerance, VoterSets, holds_majorities
+from meadowdock.consensus.acceptor import Acceptor, Lost, each
+from meadowdock.consensus.proposer import NoQuorum, OutcomeUnknown, Proposer
+from meadowdock.consensus.quorum import NO_LOSSES, Place, Tolerance, VoterSets, holds_majorities
 
 __all__ = [
     "Acceptor",
--- a/packages/mdregister/mdregister/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from mdregister.acceptor import ZERO
-from mdregister.quorum import VoterSets
+from meadowdock.consensus.acceptor import ZERO
+from meadowdock.consensus.quorum import VoterSets
 from meadowdock.runtime import MILLI, SECOND, now, rest, until
 
 READ_WAIT = 100 * MILLI
--- a/packages/mdctl/mdctl/__main__.py
+++ b/packages/mdctl/mdctl/__main__.py
@@ -13,9 +13,9 @@
 import fire
 from returns.pipeline import is_successful
 
-import mdaudit
 from mdctl.client import OutcomeUnknown, Unreachable, ask
-from mdmanifest import checked
+from meadowdock import audit
+from meadowdock.configuration import checked
 from meadowdock.settings import VERSION
 
 REFUSED, USAGE, UNCLEAR = 1, 2, 3
@@ -84,8 +84,8 @@
         facts = _facts(file, ("version", "key", "records")) if file else self._ask("GET", "/audit")
         trusted = _facts(key, ("kty", "crv", "x")) if key else facts["key"]
         try:
-            wrong = mdaudit.verify(facts["records"], trusted, facts["version"], facts.get("anchor"))
-        except (ValueError, mdaudit.JoseError) as cause:
+            wrong = audit.verify(facts["records"], trusted, facts["version"], facts.get("anchor"))
+        except (ValueError, audit.JoseError) as cause:
             print(f"mdctl: the key can't be used: {cause}", file=sys.stderr)
             sys.exit(USAGE)
         if out:
--- a/packages/mdgate/mdgate/gate.py
+++ b/packages/mdgate/mdgate/gate.py
@@ -16,8 +16,8 @@
 from mdgate.invariants import Invariants
 from mdgate.outlets import Pool
 from mdgate.peers import CARRIED, Peers
-from mditems import DEFAULT_LIMITS
 from mdload import Choice, Home, LoadList, Wheel, choose
+from meadowdock.configuration.items import DEFAULT_LIMITS
 from meadowdock.runtime import MILLI, SECOND, now
 
 RETRY_LEAST = 20 * MILLI
--- a/packages/mdmodel/mdmodel/actor.py
+++ b/packages/mdmodel/mdmodel/actor.py
@@ -13,11 +13,11 @@
 import ormsgpack
 import trio
 
-from mdconf.change import Conflict
 from mdmodel.kernel import Kernel
 from mdmodel.messages import Ending, Event, EventKind, Outcome
 from mdmodel.process import Implementation, ModelMembers, make_node, make_store, packed
-from mdregister import NoQuorum, OutcomeUnknown
+from meadowdock.config_store.change import Conflict
+from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import SECOND, now
 
--- a/packages/mdmodel/mdmodel/process.py
+++ b/packages/mdmodel/mdmodel/process.py
@@ -10,8 +10,8 @@
 import ormsgpack
 import trio
 
-from mdconf.members import Members
-from mdconf.store import Store
+from meadowdock.config_store.members import Members
+from meadowdock.config_store.store import Store
 from meadowdock.runtime import MemoryDisk, sealed
 
 
--- a/packages/mdmodel/mdmodel/replica.py
+++ b/packages/mdmodel/mdmodel/replica.py
@@ -6,9 +6,9 @@
 
 import ormsgpack
 
-from mdconf.store import Store
 from mdmodel.process import Implementation, make_node, make_store, packed
-from mdregister.acceptor import AcceptorState
+from meadowdock.config_store.store import Store
+from meadowdock.consensus.acceptor import AcceptorState
 from meadowdock.rpc import Rejected
 
 HANDLERS = {"register": "on_register", "member.adopt": "on_adopt", "member.keys": "on_keys"}
--- a/packages/mdproxy/mdproxy/gatepart.py
+++ b/packages/mdproxy/mdproxy/gatepart.py
@@ -7,10 +7,10 @@
 import trio
 
 from mdgate import Gate, Reactor, Wires
-from mdmanifest.check import LOAD
 from mdproxy.endpoints import Denied, Endpoint
 from mdproxy.part import Part
 from mdproxy.tries import Tries
+from meadowdock.configuration.check import LOAD
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
 
 LEFT_MAX = (
--- a/packages/mdproxy/mdproxy/part.py
+++ b/packages/mdproxy/mdproxy/part.py
@@ -10,7 +10,6 @@
 
 from mdhttp import HungUp, Reply, Table, TooLarge
 from mdload import LoadList, Node
-from mdmanifest import GUEST
 from mdproxy.call import Answer, Call, passed_on
 from mdproxy.delivery import Delivery
 from mdproxy.endpoints import BEAT, WINDOW, Book, Denied
@@ -18,6 +17,7 @@
 from mdproxy.tries import Tries
 from mdproxy.walk import Walker
 from meadowdock import process
+from meadowdock.configuration import GUEST
 from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, Shedding, shedding
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLI, SECOND, fingerprint, now, rest, until
--- a/packages/mdproxy/mdproxy/staging.py
+++ b/packages/mdproxy/mdproxy/staging.py
@@ -7,9 +7,9 @@
 import ormsgpack
 import trio
 
-import mditems
-from mdmanifest import ROUTING, Ways, assemble, unpack_chunk
-from mdmanifest.fetch import Fetch, Fetcher, answer_request
+from meadowdock.configuration import ROUTING, Ways, assemble, unpack_chunk
+from meadowdock.configuration import items as config_items
+from meadowdock.configuration.fetch import Fetch, Fetcher, answer_request
 from meadowdock.process import KNOWN
 from meadowdock.runtime import now
 
@@ -125,7 +125,7 @@
         return ways.with_chunks(head["version"], chunks)
 
     def parse(self, name):
-        return mditems.parse_chunk(ormsgpack.unpackb(self.body(name))[1])
+        return config_items.parse_chunk(ormsgpack.unpackb(self.body(name))[1])
 
     def body(self, name):
         return unpack_chunk(name, self.chunks[name], ROUTING)
--- a/packages/mdsim/mdsim/scenario.py
+++ b/packages/mdsim/mdsim/scenario.py
@@ -9,7 +9,6 @@
 
 import trio
 
-import mdaudit
 from mdhttp import Table
 from mdlib import Endpoint, Record
 from mdsim.checkers import verify
@@ -17,6 +16,7 @@
 from mdsim.history import Asked, History, Operated, Ran
 from mdsim.net import SimNet
 from mdsim.world import run
+from meadowdock import audit
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest, until
 
 CALM = 17 * SECOND
@@ -273,7 +273,7 @@
     async def check_trail(self, core):
         status, told = await self.world.operate("GET", "/audit", core=core)
         if status == 200:
-            self.history.trail = mdaudit.verify(
+            self.history.trail = audit.verify(
                 told["records"], told["key"], told["version"], told["anchor"]
             )
 
--- a/packages/mdsim/mdsim/world.py
+++ b/packages/mdsim/mdsim/world.py
@@ -10,17 +10,17 @@
 
 import trio
 
-from mdconf.part import Part as Conf
 from mdgate import Dialect, Reactor
 from mdlib import Client, Endpoint
 from mdproxy.gatepart import GatePart
 from mdproxy.part import Part as Proxy
-from mdreg.part import Part as Reg
 from mdsim.disk import SimDisk
 from mdsim.net import SimNet, Web
 from mdsim.standin import Ledger, StandIn, StandInCaller
+from meadowdock.config_store.part import Part as Conf
 from meadowdock.logs import Log
 from meadowdock.process import Node
+from meadowdock.registry.part import Part as Reg
 from meadowdock.rpc import ConnectionFailed
 from meadowdock.runtime import MILLI, SECOND, Seams, now, rest
 from meadowdock.settings import checked
--- a/packages/process/meadowdock/process/__init__.py
+++ b/packages/process/meadowdock/process/__init__.py
@@ -11,8 +11,8 @@
 import trio
 
 from mdhttp import App, Reply, Table
-from mdview import Entry, View
 from meadowdock.logs import Log
+from meadowdock.membership import Entry, View
 from meadowdock.rpc import Links, Peer, serve
 from meadowdock.runtime import MILLI, SECOND, Disk, Net, NoDisk, Seams, now, rest, until
 
--- a/packages/mdreg/mdreg/__main__.py
+++ b/packages/registry/meadowdock/registry/__main__.py
@@ -1,7 +1,7 @@
 """The mdreg daemon's command line."""
 
-from mdreg.part import Part
 from meadowdock.process import start
+from meadowdock.registry.part import Part
 from meadowdock.settings import command
 
 main = command("mdreg", start(Part))
--- a/packages/mdreg/mdreg/lease.py
+++ b/packages/registry/meadowdock/registry/lease.py
@@ -1,4 +1,4 @@
-"""The holder's side of a lease that the register grants (mdconf/lease.py).
+"""The holder's side of a lease that the register grants (meadowdock/config_store/lease.py).
 
 Trade-off of the duration. It is the longest that nobody holds the lease after the holder died, on
 top of nothing else: while it runs out, the other registries notice the silence (1.25 s) and settle
@@ -14,7 +14,7 @@
 
 import trio
 
-from mdconf.lease_messages import (
+from meadowdock.config_store.lease_messages import (
     ACQUIRE,
     LEASE_HELD,
     LEASE_LOST,
--- a/packages/mdreg/mdreg/part.py
+++ b/packages/registry/meadowdock/registry/part.py
@@ -4,11 +4,11 @@
 
 import trio
 
-from mdconf.lease_messages import COLLECTOR_KEY
 from mdhttp import Table
-from mdreg.duty import ranking
-from mdreg.lease import Lease, duration_of
 from meadowdock import process
+from meadowdock.config_store.lease_messages import COLLECTOR_KEY
+from meadowdock.registry.duty import ranking
+from meadowdock.registry.lease import Lease, duration_of
 from meadowdock.rpc import Handlers, Rejected
 from meadowdock.runtime import MILLI, PauseDetector, now, rest, until
 
--- a/tests/golden_facts.py
+++ b/tests/golden_facts.py
@@ -28,12 +28,18 @@
 from test_gate_http import raw
 from test_items import route, service
 
-import mdaudit
-from mdconf.lease_messages import AcquireLease, LeaseGranted, LeaseRecord, ReleaseLease, RenewLease
-from mdconf.store import Store
 from mdlib.record import Got, Record
 from mdsim import SimDisk, run
 from mdsim.wires import SimWire
+from meadowdock import audit
+from meadowdock.config_store.lease_messages import (
+    AcquireLease,
+    LeaseGranted,
+    LeaseRecord,
+    ReleaseLease,
+    RenewLease,
+)
+from meadowdock.config_store.store import Store
 from meadowdock.logs import CATALOGUE
 from meadowdock.rpc import ConnectionFailed, Link, Peer, Proof, Rejected, serve
 from meadowdock.rpc.link import Handlers, greet, pack, unpack
@@ -104,13 +110,13 @@
 
 def audit_chain(length):
     """{version: signed record}"""
-    key, records, former = mdaudit.signing_key(FLEET_KEY), {}, ""
+    key, records, former = audit.signing_key(FLEET_KEY), {}, ""
     for version in range(1, length + 1):
         facts = {"version": version, "plan": f"{version:032x}", "base": version - 1}
-        records[version] = mdaudit.sign(
+        records[version] = audit.sign(
             key, {**facts, "ranges": "r", "at": str(1_700_000_000_000_000), "former": former}
         )
-        former = mdaudit.name(records[version])
+        former = audit.name(records[version])
     return records
 
 
@@ -482,7 +488,7 @@
     assert status == 200, audit
     status, told = await world.operate("GET", "/manifest", core=core)
     assert status == 200, told
-    faults = mdaudit.verify(audit["records"], audit["key"], audit["version"], audit["anchor"])
+    faults = audit.verify(audit["records"], audit["key"], audit["version"], audit["anchor"])
     return {"audit": audit, "manifest": told, "faults": faults}
 
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -11,8 +11,8 @@
 from facts import manifest, way
 from mesh import configured
 
-import mdaudit
 from mdsim import run
+from meadowdock import audit
 from meadowdock.runtime import SECOND, now, rest
 
 
@@ -23,9 +23,9 @@
 def chain(length=4, key=b"k" * 32):
     records = []
     for version in range(1, length + 1):
-        former = mdaudit.name(records[-1]) if records else ""
+        former = audit.name(records[-1]) if records else ""
         facts = {"version": version, "plan": f"p{version}", "former": former}
-        records.append(mdaudit.sign(mdaudit.signing_key(key), facts))
+        records.append(audit.sign(audit.signing_key(key), facts))
     return records
 
 
@@ -35,7 +35,7 @@
     return ".".join([head, chain(4, b"z" * 32)[3].split(".")[1], seal])
 
 
-FOREIGN = mdaudit.sign(mdaudit.signing_key(b"x" * 32), {"version": 2, "former": ""})
+FOREIGN = audit.sign(audit.signing_key(b"x" * 32), {"version": 2, "former": ""})
 FALSE = {
     "altered": (lambda r: [*r[:3], altered(r[3])], "record 4 was altered"),
     "missing": (lambda r: [r[0], *r[2:]], "record 2 is missing"),
@@ -46,7 +46,7 @@
     "of another chain": (
         lambda r: [
             r[0],
-            mdaudit.sign(mdaudit.signing_key(b"k" * 32), {"version": 2, "former": "00"}),
+            audit.sign(audit.signing_key(b"k" * 32), {"version": 2, "former": "00"}),
             *r[2:],
         ],
         "record 2 does not follow the one before it",
@@ -57,17 +57,17 @@
 
 @pytest.mark.parametrize("how", FALSE)
 def test_a_false_trail_is_named(how):
-    public = mdaudit.signing_key(b"k" * 32).as_dict(private=False)
+    public = audit.signing_key(b"k" * 32).as_dict(private=False)
     records = chain()
-    assert mdaudit.verify(records, public, 4) == []
+    assert audit.verify(records, public, 4) == []
     spoil, said = FALSE[how]
-    assert said in mdaudit.verify(spoil(records), public, 4)
+    assert said in audit.verify(spoil(records), public, 4)
 
 
 async def trail(world, core=0):
     status, told = await world.operate("GET", "/audit", core=core)
     assert status == 200
-    assert mdaudit.verify(told["records"], told["key"], told["version"], told["anchor"]) == []
+    assert audit.verify(told["records"], told["key"], told["version"], told["anchor"]) == []
     return told
 
 
@@ -88,7 +88,7 @@
                 for number in range(3):
                     nursery.start_soon(change, 10 * turn + number)
         told = await trail(world, 1)
-        plans = {f["version"]: f["plan"] for f in map(mdaudit.read, told["records"])}
+        plans = {f["version"]: f["plan"] for f in map(audit.read, told["records"])}
         assert told["version"] == max(accepted)
         assert {v: plans[v] for v in accepted} == accepted
 
@@ -128,7 +128,7 @@
 
 
 def test_mdctl_checks_an_exported_trail_with_a_key_of_ones_own(tmp_path):
-    key = mdaudit.signing_key(b"k" * 32).as_dict(private=False)
+    key = audit.signing_key(b"k" * 32).as_dict(private=False)
     records = chain()
     trailed, trusted = tmp_path / "trail.json", tmp_path / "key.json"
     trusted.write_text(json.dumps(key))
@@ -153,6 +153,6 @@
         )
         assert await world.configure(changed(1), 1) == 2
         told = await trail(world, 2)
-        assert [mdaudit.read(r)["version"] for r in told["records"]] == [2]
+        assert [audit.read(r)["version"] for r in told["records"]] == [2]
 
     run(scenario)
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -10,10 +10,10 @@
 from test_items import service
 from test_items_change import accepted, change, founded, standing
 
-from mdconf.contact import HelloAnswer
-from mdconf.items import Outdated
-from mdregister import NoQuorum
 from mdsim import run
+from meadowdock.config_store.contact import HelloAnswer
+from meadowdock.config_store.items import Outdated
+from meadowdock.consensus import NoQuorum
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
 AT_ONCE = 500 * MILLI
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -10,13 +10,27 @@
 import trio
 from test_items import dropped, route, service
 
-import mditems
-from mdconf.chunks import Chunks
-from mdmanifest import ROUTING, WHOLE, CorruptChunk, cut_items, pack_chunk, unpack_chunk
-from mdmanifest.fetch import CACHE_MAX, FRAME, Fetch, Fetcher, PackedCache, answer_request
-from mdmanifest.packed import checksum
 from mdproxy.staging import Stager
 from mdsim import run
+from meadowdock.config_store.chunks import Chunks
+from meadowdock.configuration import (
+    ROUTING,
+    WHOLE,
+    CorruptChunk,
+    cut_items,
+    pack_chunk,
+    unpack_chunk,
+)
+from meadowdock.configuration import items as config_items
+from meadowdock.configuration.fetch import (
+    CACHE_MAX,
+    FRAME,
+    Fetch,
+    Fetcher,
+    PackedCache,
+    answer_request,
+)
+from meadowdock.configuration.packed import checksum
 from meadowdock.runtime import MILLI, SECOND, fingerprint, now, rest
 
 APPLY = 2 * SECOND
@@ -243,7 +257,7 @@
         version = await world.set_items(many(1400)[440:])
         took = await in_force(world, version)
         received = max(world.web.received[h] - before[h] for h in world.application)
-        items = {mditems.key_of(item): item for item in [service("desk"), *many(1400)]}
+        items = {config_items.key_of(item): item for item in [service("desk"), *many(1400)]}
         whole = sum(len(body) for _, body in cut_items(items))
         assert 0 < largest < FRAME
         assert received < whole // 5, (received, whole, took)
@@ -408,7 +422,7 @@
 
 def chunk_of(count, size=0):
     items = [{**item, "source": item["source"] + "x" * size} for item in many(count)]
-    return max(cut_items({mditems.key_of(i): i for i in items}), key=lambda made: len(made[1]))
+    return max(cut_items({config_items.key_of(i): i for i in items}), key=lambda made: len(made[1]))
 
 
 def test_a_packed_chunk_is_small_the_same_everywhere_and_refused_when_altered():
@@ -427,8 +441,8 @@
 
 def test_what_no_proxy_needs_does_not_travel():
     items = [route("kept", 2), route("gone", 2)]
-    held, _ = mditems.merge({}, [service("desk"), *items])
-    held, _ = mditems.merge(held, [route("kept", 3), dropped(items[1], 3)])
+    held, _ = config_items.merge({}, [service("desk"), *items])
+    held, _ = config_items.merge(held, [route("kept", 3), dropped(items[1], 3)])
     ((name, body),) = cut_items(held)
     assert b"superseded" in body
     sent = ormsgpack.unpackb(unpack_chunk(name, pack_chunk(name, body, ROUTING), ROUTING))[1]
@@ -514,16 +528,16 @@
 def test_a_table_made_from_a_former_one_is_the_same_as_one_made_anew():
     clash = [route("a", 3, prefix="/same/"), route("b", 5, prefix="/same/")]
     chunks = {
-        "one": mditems.parse_chunk([clash[0], service("desk")]),
-        "two": mditems.parse_chunk([clash[1], route("c", host="other")]),
+        "one": config_items.parse_chunk([clash[0], service("desk")]),
+        "two": config_items.parse_chunk([clash[1], route("c", host="other")]),
     }
-    first = mditems.Table(1, []).with_chunks(2, chunks)
+    first = config_items.Table(1, []).with_chunks(2, chunks)
     assert first.find(b"h.example", b"/same/").name == "b"
     second = first.with_chunks(3, {"one": chunks["one"]})
     assert second.find(b"h.example", b"/same/").name == "a"
     assert second.find(b"other", b"/p/") is None
     assert (second.version, second.services) == (3, {"desk": {}})
-    anew = mditems.Table(3, [clash[0], service("desk")])
+    anew = config_items.Table(3, [clash[0], service("desk")])
     assert (second.routes, second.services, second.limits) == (
         anew.routes,
         anew.services,
--- a/tests/test_gate_http.py
+++ b/tests/test_gate_http.py
@@ -6,7 +6,7 @@
 from gates import SEEDS, all_done, asked, gate_of, gated
 
 from mdgate.http import Answers, Requests
-from mditems import DEFAULT_LIMITS
+from meadowdock.configuration.items import DEFAULT_LIMITS
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
 HEAD = b"Host: h.example\r\nmd-call: raw-1\r\n"
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -15,9 +15,9 @@
 from test_register import Trio
 
 from mdmodel import NEVER, RecordedCall, SequentialModel, linearizable, unexplained_keys
-from mdreg.lease import Lease
-from mdregister import NoQuorum, OutcomeUnknown, Proposer, holds_majorities
 from mdsim import run
+from meadowdock.consensus import NoQuorum, OutcomeUnknown, Proposer, holds_majorities
+from meadowdock.registry.lease import Lease
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
 
 # ---------------------------------------------------------------- the checker itself
@@ -264,7 +264,7 @@
 
 
 def test_a_planted_second_content_under_one_version_is_found(monkeypatch):
-    merge = importlib.import_module("mditems.merge")
+    merge = importlib.import_module("meadowdock.configuration.items.merge")
     combine = merge.combine
 
     def silent(former, item):
@@ -276,7 +276,7 @@
 
 
 def test_a_planted_snapshot_without_drops_is_found(monkeypatch):
-    items = importlib.import_module("mdconf.items")
+    items = importlib.import_module("meadowdock.config_store.items")
     cut_items = items.cut_items
 
     def without_drops(held):
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -8,7 +8,7 @@
 import trio
 from gates import SEEDS, asked, gated, listed
 
-from mdview import VIEW_MAX, Entry, View
+from meadowdock.membership import VIEW_MAX, Entry, View
 from meadowdock.rpc import serve
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
--- a/tests/test_items_change.py
+++ b/tests/test_items_change.py
@@ -8,9 +8,9 @@
 from mesh import configured
 from test_items import dropped, limits, route, service
 
-import mdaudit
-import mditems
 from mdsim import run
+from meadowdock import audit
+from meadowdock.configuration import items as config_items
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
@@ -27,11 +27,11 @@
 async def standing(world, core=0):
     status, told = await world.operate("GET", "/items", core=core)
     assert status == 200, told
-    return {mditems.key_of(item): item for item in told["items"]}
+    return {config_items.key_of(item): item for item in told["items"]}
 
 
 def by_key(*items):
-    return {mditems.key_of(item): item for item in items}
+    return {config_items.key_of(item): item for item in items}
 
 
 async def founded(world):
@@ -143,7 +143,7 @@
         for core in range(3):
             status, told = await change(world, items, core)
             assert (status, told["code"]) == (409, "version_conflict")
-            kind, name = mditems.key_of(items[1])
+            kind, name = config_items.key_of(items[1])
             listed = {"kind": kind, "name": name, "version": items[1]["version"]}
             assert told["items"] == [listed]
             for call in taken:
@@ -199,9 +199,7 @@
         highest = max(version for version, _ in told)
         assert held["route", "shared"]["spec"]["prefix"] == f"/v{highest}/"
         _, trail = await world.operate("GET", "/audit")
-        assert (
-            mdaudit.verify(trail["records"], trail["key"], trail["version"], trail["anchor"]) == []
-        )
+        assert audit.verify(trail["records"], trail["key"], trail["version"], trail["anchor"]) == []
         assert len(trail["records"]) == trail["version"]
 
     run(scenario, seed, application=())
--- a/tests/test_items_model.py
+++ b/tests/test_items_model.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from test_items import service
 
-import mditems
-from mditems.merge import SUPERSEDED_MAX
+from meadowdock.configuration import items as config_items
+from meadowdock.configuration.items.merge import SUPERSEDED_MAX
 
 
 def item(name, version, content):
@@ -55,13 +55,13 @@
 def merged(held, call):
     """(held after the call, whether it was acknowledged)"""
     try:
-        return mditems.merge(held, call)[0], True
-    except mditems.VersionConflict:
+        return config_items.merge(held, call)[0], True
+    except config_items.VersionConflict:
         return held, False
 
 
 def shown(held):
-    return {i["name"]: (i["version"], content_of(i)) for i in mditems.standing(held)}
+    return {i["name"]: (i["version"], content_of(i)) for i in config_items.standing(held)}
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
@@ -95,7 +95,7 @@
 def test_what_is_remembered_does_not_depend_on_the_order(orders):
     held = {}
     for order in orders:
-        held, _ = mditems.merge(held, [order])
+        held, _ = config_items.merge(held, [order])
     versions = [version for version, _ in held["service", "a"]["superseded"]]
     top = 2 * SUPERSEDED_MAX - 1
     assert versions == list(range(top - 1, top - 1 - SUPERSEDED_MAX, -1))
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -8,8 +8,10 @@
 import trio
 from mesh import hosts, serving
 
-from mdconf.lease import DRIFT, LeaseRegister
-from mdconf.lease_messages import (
+from mdsim import run
+from mdsim.world import WALL, Clock
+from meadowdock.config_store.lease import DRIFT, LeaseRegister
+from meadowdock.config_store.lease_messages import (
     COLLECTOR_KEY,
     LEASE_HELD,
     LEASE_LOST,
@@ -19,8 +21,6 @@
     ReleaseLease,
     RenewLease,
 )
-from mdsim import run
-from mdsim.world import WALL, Clock
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,7 +7,7 @@
 from mesh import configured, hosts
 
 from mdsim import run
-from mdview import SHELF_MAX, VIEW_MAX, Entry, View
+from meadowdock.membership import SHELF_MAX, VIEW_MAX, Entry, View
 from meadowdock.runtime import SECOND, rest
 
 
--- a/tests/test_members_auto.py
+++ b/tests/test_members_auto.py
@@ -9,10 +9,10 @@
 from facts import manifest, way
 from mesh import configured
 
-from mdconf.store import Store
-from mdregister import Proposer
 from mdsim import run
 from mdsim.world import KEY
+from meadowdock.config_store.store import Store
+from meadowdock.consensus import Proposer
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest
 from meadowdock.settings import checked
 
--- a/tests/test_members_losses.py
+++ b/tests/test_members_losses.py
@@ -8,9 +8,9 @@
 import trio
 from test_members_auto import SEEDS, Fleet, changed, configure, read_back
 
-from mdconf.store import Store
-from mdregister import Place, Tolerance, VoterSets
 from mdsim import run
+from meadowdock.config_store.store import Store
+from meadowdock.consensus import Place, Tolerance, VoterSets
 from meadowdock.runtime import MILLI, SECOND, MemoryDisk, rest
 
 
--- a/tests/test_model_register.py
+++ b/tests/test_model_register.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-import mdconf.change
-import mdconf.store
-import mdconf.transfer
-from mdconf.store import Store
+import meadowdock.config_store.change
+import meadowdock.config_store.store
+import meadowdock.config_store.transfer
 from mdmodel import Append, Explorer, Implementation, ModelMembers, MoveMembers, Read, Scenario
-from mdregister import NO_LOSSES, Acceptor, VoterSets
-from mdregister.acceptor import AcceptorState
+from meadowdock.config_store.store import Store
+from meadowdock.consensus import NO_LOSSES, Acceptor, VoterSets
+from meadowdock.consensus.acceptor import AcceptorState
 from meadowdock.runtime import fingerprint
 
 CHANGES = (Append("a", rounds=2), Append("b", rounds=2))
@@ -71,7 +71,11 @@
         sets = [record["next"] or record["voters"]] if record else []
         return VoterSets.of(sets, tolerance=tolerance)
 
-    for module in (mdconf.store, mdconf.transfer, mdconf.change):
+    for module in (
+        meadowdock.config_store.store,
+        meadowdock.config_store.transfer,
+        meadowdock.config_store.change,
+    ):
         monkeypatch.setattr(module, "voter_sets_of", new_voters_alone)
 
 
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -8,8 +8,8 @@
 import pytest
 import trio
 
-from mdconf.contact import NoContact
-from mdregister import NoQuorum, OutcomeUnknown
+from meadowdock.config_store.contact import NoContact
+from meadowdock.consensus import NoQuorum, OutcomeUnknown
 
 sys.path.append(str(Path(__file__).parent.parent / "platform"))
 from mdplatform import conf  # noqa: E402
--- a/tests/test_platform_items.py
+++ b/tests/test_platform_items.py
@@ -11,9 +11,9 @@
 import trio
 
 from mdhttp import App
-from mditems import Invalid, check, merge, standing
 from mdproxy.endpoints import Denied
-from mdregister import NoQuorum, OutcomeUnknown
+from meadowdock.configuration.items import Invalid, check, merge, standing
+from meadowdock.consensus import NoQuorum, OutcomeUnknown
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
--- a/tests/test_register_contention.py
+++ b/tests/test_register_contention.py
@@ -9,8 +9,8 @@
 from facts import manifest, way
 from mesh import configured
 
-from mdregister import Acceptor, NoQuorum, OutcomeUnknown, Proposer
 from mdsim import SimDisk, run
+from meadowdock.consensus import Acceptor, NoQuorum, OutcomeUnknown, Proposer
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
 STEP = 5 * MILLI  # a write takes four steps
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -9,9 +9,9 @@
 from facts import manifest, way
 from mesh import configured
 
-from mdconf import plans, repair
-from mdconf.store import Store
 from mdsim import run
+from meadowdock.config_store import plans, repair
+from meadowdock.config_store.store import Store
 from meadowdock.runtime import MILLI, SECOND, rest
 
 
--- a/tests/test_state_machines.py
+++ b/tests/test_state_machines.py
@@ -13,13 +13,13 @@
 from test_items import service
 from test_model_register import plant_new_voters_alone
 
-import mditems
-from mdconf.change import Conflict
-from mditems.merge import SUPERSEDED_MAX
-from mdmanifest import cut_items
 from mdmodel.process import Implementation, ModelMembers, make_node, make_store, voters_record
-from mdregister import NoQuorum, OutcomeUnknown
 from mdsim import run
+from meadowdock.config_store.change import Conflict
+from meadowdock.configuration import cut_items
+from meadowdock.configuration import items as config_items
+from meadowdock.configuration.items.merge import SUPERSEDED_MAX
+from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.rpc import ConnectionFailed
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
@@ -225,8 +225,8 @@
     def order(self, name, version, content):
         expected = self.taken.get((name, version), content) == content
         try:
-            self.held, _ = mditems.merge(self.held, [item_of(name, version, content)])
-        except mditems.VersionConflict:
+            self.held, _ = config_items.merge(self.held, [item_of(name, version, content)])
+        except config_items.VersionConflict:
             assert not expected
         else:
             assert expected
@@ -235,7 +235,7 @@
     @rule()
     def transfer(self):
         bodies = [ormsgpack.unpackb(body)[1] for _, body in self.chunks()]
-        self.held = {mditems.key_of(item): item for items in bodies for item in items}
+        self.held = {config_items.key_of(item): item for items in bodies for item in items}
 
     @invariant()
     def the_highest_version_stands(self):
@@ -243,7 +243,7 @@
         for (name, version), content in sorted(self.taken.items()):
             top[name] = version, content
         shown = {
-            i["name"]: (i["version"], i["spec"]["health"]) for i in mditems.standing(self.held)
+            i["name"]: (i["version"], i["spec"]["health"]) for i in config_items.standing(self.held)
         }
         assert shown == {n: (v, f"/{c}") for n, (v, c) in top.items() if c}
 
@@ -262,8 +262,8 @@
     def order(self, name, version, content):
         expected = self.taken.get((name, version), content) == content
         try:
-            self.held, _ = mditems.merge(self.held, [item_of(name, version, content)])
-        except mditems.VersionConflict:
+            self.held, _ = config_items.merge(self.held, [item_of(name, version, content)])
+        except config_items.VersionConflict:
             pass
         assert expected
 
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -8,8 +8,8 @@
 from returns.pipeline import is_successful
 
 from mdhttp import Reply, Table
-from mdreg.part import Part
 from mdsim import run
+from meadowdock.registry.part import Part
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest
 
 
--- a/tests/test_trail.py
+++ b/tests/test_trail.py
@@ -11,10 +11,10 @@
 from test_items import dropped, route, service
 from trail_facts import SIGNING_KEY, chain, measure, opened, write_former_layout
 
-import mdaudit
-from mdconf import repair, trail, trail_transfer
-from mdconf.trail import RECORDS, SEGMENTS, TrailState
 from mdsim import SimDisk, run
+from meadowdock import audit
+from meadowdock.config_store import repair, trail, trail_transfer
+from meadowdock.config_store.trail import RECORDS, SEGMENTS, TrailState
 from meadowdock.rpc import Rejected
 from meadowdock.runtime import MILLI, SECOND, MemoryDisk, rest
 
@@ -42,7 +42,7 @@
 async def checked_audit(world, core, version):
     status, told = await world.operate("GET", "/audit", core=core)
     assert (status, told.get("version")) == (200, version), told
-    assert mdaudit.verify(told["records"], told["key"], version, told["anchor"]) == []
+    assert audit.verify(told["records"], told["key"], version, told["anchor"]) == []
     return told
 
 
@@ -110,7 +110,7 @@
             held = await store.trail.read(wanted)
             assert held == wanted
             anchor = store.trail.state().anchor()
-            assert mdaudit.verify(list(held.values()), PUBLIC, len(records), anchor) == []
+            assert audit.verify(list(held.values()), PUBLIC, len(records), anchor) == []
             await store.trail.seal()  # what the power loss left half done is ended
             wanted = {v: r for v, r in records.items() if v >= store.trail.first}
         assert len(on_disk(disk, SEGMENTS)) == min(kept, 4)
@@ -160,9 +160,9 @@
         assert len(on_disk(disk, SEGMENTS)) + len(on_disk(disk, RECORDS)) == 3 + 4
         kept = list((await again.trail.read(range(1, 101))).values())
         anchor = again.trail.state().anchor()
-        assert mdaudit.verify(kept, PUBLIC, 100, anchor) == []
-        assert mdaudit.verify(kept[1:], PUBLIC, 100, anchor) == ["record 73 is missing"]
-        assert mdaudit.verify(kept, PUBLIC, 100, {**anchor, "former": "00"}) == [
+        assert audit.verify(kept, PUBLIC, 100, anchor) == []
+        assert audit.verify(kept[1:], PUBLIC, 100, anchor) == ["record 73 is missing"]
+        assert audit.verify(kept, PUBLIC, 100, {**anchor, "former": "00"}) == [
             "record 73 does not follow the one before it"
         ]
         await again.trail.put({1: records[1]})  # what was dropped does not come back
--- a/tests/trail_facts.py
+++ b/tests/trail_facts.py
@@ -12,12 +12,12 @@
 import ormsgpack
 import trio
 
-import mdaudit
-from mdconf.store import Store
-from mdconf.trail import RECORDS, TrailState, by_segment, record_file
+from meadowdock import audit
+from meadowdock.config_store.store import Store
+from meadowdock.config_store.trail import RECORDS, TrailState, by_segment, record_file
 from meadowdock.runtime import MemoryDisk, fingerprint, sealed
 
-SIGNING_KEY = mdaudit.signing_key(b"k" * 32)
+SIGNING_KEY = audit.signing_key(b"k" * 32)
 LENGTHS = (300, 3_000, 30_000)
 MISSED = 10
 
@@ -32,11 +32,11 @@
         "version": version,
         "plan": plan_of(version),
         "base": version - 1,
-        "ranges": mdaudit.name(str(version)),
+        "ranges": audit.name(str(version)),
         "at": str(1_700_000_000_000_000 + version),
         "former": former,
     }
-    return mdaudit.sign(SIGNING_KEY, facts)
+    return audit.sign(SIGNING_KEY, facts)
 
 
 def chain(length, first=1, former=""):
@@ -44,7 +44,7 @@
     records = {}
     for version in range(first, first + length):
         records[version] = record(version, former)
-        former = mdaudit.name(records[version])
+        former = audit.name(records[version])
     return records
 
 
@@ -103,7 +103,7 @@
 
 
 async def measure(length):
-    from mdconf.plans import HISTORY
+    from meadowdock.config_store.plans import HISTORY
 
     records = chain(length)
     disk = CountingDisk()
