--- a/packages/mdlib/mdlib/endpoint.py
+++ b/packages/client/meadowdock/client/endpoint.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from mdhttp import App, Reply, Table
-from mdlib.record import Got
+from meadowdock.admin_http import App, Reply, Table
+from meadowdock.client.record import Got
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
 
 
--- a/packages/mdlib/mdlib/record.py
+++ b/packages/client/meadowdock/client/record.py
@@ -19,7 +19,7 @@
 
 import ormsgpack
 
-from mdhttp import Reply
+from meadowdock.admin_http import Reply
 from meadowdock.runtime import MemoryDisk, fingerprint, sealed, unsealed
 
 MOST = 10_000
--- a/packages/config_store/meadowdock/config_store/items.py
+++ b/packages/config_store/meadowdock/config_store/items.py
@@ -12,7 +12,7 @@
 import ormsgpack
 import trio
 
-from mdhttp import Reply
+from meadowdock.admin_http import Reply
 from meadowdock.config_store.store import HEAD, disk_failures_rejected
 from meadowdock.configuration import SIZE_MAX, cut_items
 from meadowdock.configuration import items as config_items
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -5,7 +5,7 @@
 
 import json
 
-from mdhttp import Reply
+from meadowdock.admin_http import Reply
 from meadowdock.config_store.change import Conflict, MemberChange
 from meadowdock.config_store.liveness import Liveness
 from meadowdock.config_store.policy import Observed, choose_voters, wanted_voters
--- a/packages/config_store/meadowdock/config_store/part.py
+++ b/packages/config_store/meadowdock/config_store/part.py
@@ -8,8 +8,8 @@
 
 import trio
 
-from mdhttp import Reply, Table, TooLarge
 from meadowdock import audit, process
+from meadowdock.admin_http import Reply, Table, TooLarge
 from meadowdock.config_store.chunks import Chunks
 from meadowdock.config_store.contact import NoContact, QuorumContact
 from meadowdock.config_store.handover import Handover
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -7,8 +7,8 @@
 
 import ormsgpack
 
-from mdhttp import Reply
 from meadowdock import audit
+from meadowdock.admin_http import Reply
 from meadowdock.config_store import repair
 from meadowdock.config_store.items import Outdated, item_ranges, own_ranges
 from meadowdock.config_store.store import HEAD
--- a/packages/mdgate/mdgate/admission.py
+++ b/packages/forwarding/meadowdock/forwarding/admission.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-from mdgate.call import Call
-from mdgate.patience import Patience
-from mdgate.wait_queue import WaitQueue
-from mdgate.waits import ServiceWaits, urgency_of
+from meadowdock.forwarding.call import Call
+from meadowdock.forwarding.patience import Patience
+from meadowdock.forwarding.wait_queue import WaitQueue
+from meadowdock.forwarding.waits import ServiceWaits, urgency_of
 
 INTERVALS = 2  # of the load list, over which the slots held by other calls are averaged
 FIRST_SPAN_US = 500_000  # until a configuration is in force
--- a/packages/mdgate/mdgate/callers.py
+++ b/packages/forwarding/meadowdock/forwarding/callers.py
@@ -5,8 +5,8 @@
 import json
 from collections import deque
 
-from mdgate.call import Refused, Served
-from mdgate.http import Requests, status_line
+from meadowdock.forwarding.call import Refused, Served
+from meadowdock.forwarding.http import Requests, status_line
 from meadowdock.runtime import SECOND, now
 
 LINE_MAX = 64  # requests under way on one connection; more wait in the kernel
--- a/packages/mdgate/mdgate/figures.py
+++ b/packages/forwarding/meadowdock/forwarding/figures.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from mdgate.call import Call
+from meadowdock.forwarding.call import Call
 from meadowdock.runtime import MILLI, SECOND, now
 
 REPORT_EVERY = SECOND
--- a/packages/mdgate/mdgate/gate.py
+++ b/packages/forwarding/meadowdock/forwarding/gate.py
@@ -1,6 +1,6 @@
 """The gate: where calls arrive, where each goes, and what its caller is told.
 
-The policy is mdload's, as in mdproxy.walk; here a call is a continuation in turns, never awaited.
+The policy is meadowdock.load_sharing's, as in meadowdock.proxy.walk; here a call is a continuation in turns, never awaited.
 """
 
 from __future__ import annotations
@@ -8,16 +8,16 @@
 from dataclasses import replace
 from functools import partial
 
-from mdgate.admission import Admission
-from mdgate.call import Call, Refused, Served, Unknown
-from mdgate.callers import Caller
-from mdgate.figures import FiguresLog
-from mdgate.http import head_of
-from mdgate.invariants import Invariants
-from mdgate.outlets import Pool
-from mdgate.peers import CARRIED, Peers
-from mdload import Choice, Home, LoadList, Wheel, choose
 from meadowdock.configuration.items import DEFAULT_LIMITS
+from meadowdock.forwarding.admission import Admission
+from meadowdock.forwarding.call import Call, Refused, Served, Unknown
+from meadowdock.forwarding.callers import Caller
+from meadowdock.forwarding.figures import FiguresLog
+from meadowdock.forwarding.http import head_of
+from meadowdock.forwarding.invariants import Invariants
+from meadowdock.forwarding.outlets import Pool
+from meadowdock.forwarding.peers import CARRIED, Peers
+from meadowdock.load_sharing import Choice, Home, LoadList, Wheel, choose
 from meadowdock.runtime import MILLI, SECOND, now
 
 RETRY_LEAST = 20 * MILLI
--- a/packages/mdgate/mdgate/invariants.py
+++ b/packages/forwarding/meadowdock/forwarding/invariants.py
@@ -5,9 +5,9 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from mdgate.admission import Admission
-from mdgate.call import Call
-from mdgate.figures import RankFigures
+from meadowdock.forwarding.admission import Admission
+from meadowdock.forwarding.call import Call
+from meadowdock.forwarding.figures import RankFigures
 from meadowdock.runtime import SECOND
 
 LOG_EVERY = SECOND  # a violation of one kind is logged once in so long
--- a/packages/mdgate/mdgate/outlets.py
+++ b/packages/forwarding/meadowdock/forwarding/outlets.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-from mdgate.call import Refused, Served
-from mdgate.http import Answers, answer_head
+from meadowdock.forwarding.call import Refused, Served
+from meadowdock.forwarding.http import Answers, answer_head
 from meadowdock.runtime import MILLI, SECOND, now
 
 ALIVE = 8 * SECOND  # an idle connection is used no longer, if the endpoint says nothing
--- a/packages/mdgate/mdgate/peers.py
+++ b/packages/forwarding/meadowdock/forwarding/peers.py
@@ -10,7 +10,7 @@
 
 import ormsgpack
 
-from mdgate.call import Call, Refused, Served, Unknown
+from meadowdock.forwarding.call import Call, Refused, Served, Unknown
 from meadowdock.rpc.frame import FRAME_MAX, LENGTH, SEAL, Proof, derive
 from meadowdock.rpc.link import Lag
 from meadowdock.runtime import MILLI, SECOND, PauseDetector, now
--- a/packages/mdgate/mdgate/wait_queue.py
+++ b/packages/forwarding/meadowdock/forwarding/wait_queue.py
@@ -4,7 +4,7 @@
 
 import heapq
 
-from mdgate.call import Call
+from meadowdock.forwarding.call import Call
 
 
 class WaitQueue:
--- a/packages/mdgate/mdgate/waits.py
+++ b/packages/forwarding/meadowdock/forwarding/waits.py
@@ -13,7 +13,7 @@
 import math
 from collections.abc import Mapping
 
-from mdgate.call import Call
+from meadowdock.forwarding.call import Call
 
 FIRST_HOLD_US = 50_000  # taken for how long a call holds a slot, until one was seen
 MEAN_GAIN, DEVIATION_GAIN = 16, 8  # smoothing, as of a round trip's time in RFC 6298, but slower
--- a/packages/mdload/mdload/__init__.py
+++ b/packages/load_sharing/meadowdock/load_sharing/__init__.py
@@ -7,8 +7,8 @@
 0.976
 """
 
-from mdload.gauge import Gauge, rho
-from mdload.policy import (
+from meadowdock.load_sharing.gauge import Gauge, rho
+from meadowdock.load_sharing.policy import (
     ACCEPTING,
     OFFLOADING,
     PASSIVE,
@@ -20,7 +20,7 @@
     choose,
     state,
 )
-from mdload.sizing import best_omega, relocation_overhead
+from meadowdock.load_sharing.sizing import best_omega, relocation_overhead
 
 __all__ = [
     "ACCEPTING",
--- a/packages/mdload/mdload/model.py
+++ b/packages/load_sharing/meadowdock/load_sharing/model.py
@@ -1,7 +1,7 @@
 """The paper's model of section V, to choose omega by: calls that hold resources, blocking, lists.
 
 Not the daemons: thousands of calls in flight over simulated hours, which only this model reaches.
-The policy it runs is the daemons' own `choose`. `python -m mdload.model` prints the tables.
+The policy it runs is the daemons' own `choose`. `python -m meadowdock.load_sharing.model` prints the tables.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import random
 from dataclasses import dataclass
 
-from mdload.policy import Home, LoadList, Node, Wheel, choose
+from meadowdock.load_sharing.policy import Home, LoadList, Node, Wheel, choose
 
 
 @dataclass(frozen=True)
--- a/packages/mdfleet/mdfleet/caller.py
+++ b/packages/mdfleet/mdfleet/caller.py
@@ -15,7 +15,7 @@
 import trio
 from returns.pipeline import is_successful
 
-from mdlib import Client
+from meadowdock.client import Client
 from meadowdock.runtime import SECOND, HttpConnectionFailed, Net, now, rest, until
 
 
--- a/packages/mdfleet/mdfleet/standin.py
+++ b/packages/mdfleet/mdfleet/standin.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from mdlib import Endpoint, Record
+from meadowdock.client import Endpoint, Record
 from meadowdock.runtime import Disk, Net, rest
 
 KNOBS = {
--- a/packages/mdsim/mdsim/net.py
+++ b/packages/mdsim/mdsim/net.py
@@ -148,7 +148,7 @@
         self.made_wires = []
 
     def wires(self, nursery, reactor):
-        """Connections of raw bytes, as mdgate.wires has them."""
+        """Connections of raw bytes, as meadowdock.forwarding.wires has them."""
         self.made_wires.append(SimWires(self, nursery, reactor))
         return self.made_wires[-1]
 
--- a/packages/mdsim/mdsim/scenario.py
+++ b/packages/mdsim/mdsim/scenario.py
@@ -9,14 +9,14 @@
 
 import trio
 
-from mdhttp import Table
-from mdlib import Endpoint, Record
 from mdsim.checkers import verify
 from mdsim.faults import KINDS, draw
 from mdsim.history import Asked, History, Operated, Ran
 from mdsim.net import SimNet
 from mdsim.world import run
 from meadowdock import audit
+from meadowdock.admin_http import Table
+from meadowdock.client import Endpoint, Record
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest, until
 
 CALM = 17 * SECOND
--- a/packages/mdsim/mdsim/standin/endpoint.py
+++ b/packages/mdsim/mdsim/standin/endpoint.py
@@ -6,11 +6,11 @@
 
 import trio
 
-from mdgate.reactor import Reactor
 from mdsim.standin.connection import Conn, Job
 from mdsim.standin.faults import FaultyAnswers
 from mdsim.standin.messages import chunked, stamp_of
 from mdsim.standin.records import Ran
+from meadowdock.forwarding.reactor import Reactor
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
--- a/packages/mdsim/mdsim/wires.py
+++ b/packages/mdsim/mdsim/wires.py
@@ -1,4 +1,4 @@
-"""mdgate.wires in memory: connections of raw bytes over the simulated web."""
+"""meadowdock.forwarding.wires in memory: connections of raw bytes over the simulated web."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import trio
 
-from mdgate.wires import LINGER, READ
+from meadowdock.forwarding.wires import LINGER, READ
 from meadowdock.runtime import Address, now, until
 
 WINDOW = 262_144  # bytes on the way or unread at the other end; more is held by the sender
@@ -19,7 +19,7 @@
 
 
 class SimWire:
-    """One end, with mdgate.wires.Wire's interface. Invariants: inbox is in order, each entry with
+    """One end, with meadowdock.forwarding.wires.Wire's interface. Invariants: inbox is in order, each entry with
     its earliest arrival (bytes, END or RESET); unread is the size of its bytes; on_end is called
     once, and not after close()."""
 
@@ -204,7 +204,7 @@
 
 
 class SimWires:
-    """The traffic of one process, with mdgate.wires.Wires' interface."""
+    """The traffic of one process, with meadowdock.forwarding.wires.Wires' interface."""
 
     def __init__(self, net, nursery, reactor):
         self.net, self.web, self.host = net, net.web, net.host
--- a/packages/mdsim/mdsim/world.py
+++ b/packages/mdsim/mdsim/world.py
@@ -10,16 +10,16 @@
 
 import trio
 
-from mdgate import Dialect, Reactor
-from mdlib import Client, Endpoint
-from mdproxy.gatepart import GatePart
-from mdproxy.part import Part as Proxy
 from mdsim.disk import SimDisk
 from mdsim.net import SimNet, Web
 from mdsim.standin import Ledger, StandIn, StandInCaller
+from meadowdock.client import Client, Endpoint
 from meadowdock.config_store.part import Part as Conf
+from meadowdock.forwarding import Dialect, Reactor
 from meadowdock.logs import Log
 from meadowdock.process import Node
+from meadowdock.proxy.gatepart import GatePart
+from meadowdock.proxy.part import Part as Proxy
 from meadowdock.registry.part import Part as Reg
 from meadowdock.rpc import ConnectionFailed
 from meadowdock.runtime import MILLI, SECOND, Seams, now, rest
--- a/packages/mdsoak/mdsoak/cuts.py
+++ b/packages/mdsoak/mdsoak/cuts.py
@@ -13,8 +13,8 @@
 
 import trio
 
-from mdgate import Wires
-from mdgate.wires import Wire
+from meadowdock.forwarding import Wires
+from meadowdock.forwarding.wires import Wire
 from meadowdock.runtime import MILLI, Address, Net, rest
 
 LOOK_EVERY = 20 * MILLI
--- a/packages/mdsoak/mdsoak/daemon.py
+++ b/packages/mdsoak/mdsoak/daemon.py
@@ -11,13 +11,13 @@
 
 import trio
 
-from mdgate import Dialect
-from mdhttp import Reply, Table
-from mdproxy.endpoints import Denied
-from mdproxy.gatepart import GatePart
 from mdsoak.cuts import CutNet, Cuts
+from meadowdock.admin_http import Reply, Table
+from meadowdock.forwarding import Dialect
 from meadowdock.process import Node
 from meadowdock.process import signals as watch_signals
+from meadowdock.proxy.endpoints import Denied
+from meadowdock.proxy.gatepart import GatePart
 from meadowdock.runtime import Disk, NoDisk, Seams
 from meadowdock.settings import Boot, load
 
--- a/packages/mdsoak/mdsoak/traffic.py
+++ b/packages/mdsoak/mdsoak/traffic.py
@@ -11,11 +11,11 @@
 
 import trio
 
-from mdgate import Reactor, Wires
-from mdgate.wires import Wire
 from mdsim.standin import Ledger, StandIn, StandInCaller
 from mdsoak.daemon import BEATS_PORT, DIALECT
 from mdsoak.fleet import GATE_PORT, SERVICE, SLOTS
+from meadowdock.forwarding import Reactor, Wires
+from meadowdock.forwarding.wires import Wire
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, Net, now, rest, until
 
 BEAT_EVERY = 250 * MILLI
--- a/packages/process/meadowdock/process/__init__.py
+++ b/packages/process/meadowdock/process/__init__.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from mdhttp import App, Reply, Table
+from meadowdock.admin_http import App, Reply, Table
 from meadowdock.logs import Log
 from meadowdock.membership import Entry, View
 from meadowdock.rpc import Links, Peer, serve
--- a/packages/mdproxy/mdproxy/__init__.py
+++ b/packages/proxy/meadowdock/proxy/__init__.py
@@ -1,5 +1,5 @@
 """The helper on each application machine."""
 
-from mdproxy.part import Part
+from meadowdock.proxy.part import Part
 
 __all__ = ["Part"]
--- a/packages/mdproxy/mdproxy/__main__.py
+++ b/packages/proxy/meadowdock/proxy/__main__.py
@@ -1,7 +1,7 @@
 """The mdproxy daemon's command line."""
 
-from mdproxy.part import Part
 from meadowdock.process import start
+from meadowdock.proxy.part import Part
 from meadowdock.settings import command
 
 main = command("mdproxy", start(Part))
--- a/packages/mdproxy/mdproxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from mdproxy.staging import Stager
 from meadowdock.configuration import Ways
+from meadowdock.proxy.staging import Stager
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLI, now, rest, until
 
--- a/packages/mdproxy/mdproxy/endpoints.py
+++ b/packages/proxy/meadowdock/proxy/endpoints.py
@@ -10,7 +10,7 @@
 
 import ormsgpack
 
-from mdload import Gauge, rho
+from meadowdock.load_sharing import Gauge, rho
 from meadowdock.rpc import derive
 from meadowdock.runtime import MILLI, SECOND, PauseDetector, now
 
--- a/packages/mdproxy/mdproxy/gatepart.py
+++ b/packages/proxy/meadowdock/proxy/gatepart.py
@@ -6,11 +6,11 @@
 
 import trio
 
-from mdgate import Gate, Reactor, Wires
-from mdproxy.endpoints import Denied, Endpoint
-from mdproxy.part import Part
-from mdproxy.tries import Tries
 from meadowdock.configuration.check import LOAD
+from meadowdock.forwarding import Gate, Reactor, Wires
+from meadowdock.proxy.endpoints import Denied, Endpoint
+from meadowdock.proxy.part import Part
+from meadowdock.proxy.tries import Tries
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
 
 LEFT_MAX = (
--- a/packages/mdproxy/mdproxy/part.py
+++ b/packages/proxy/meadowdock/proxy/part.py
@@ -8,17 +8,17 @@
 
 import trio
 
-from mdhttp import HungUp, Reply, Table, TooLarge
-from mdload import LoadList, Node
-from mdproxy.call import Answer, Call, passed_on
-from mdproxy.delivery import Delivery
-from mdproxy.endpoints import BEAT, WINDOW, Book, Denied
-from mdproxy.keys import Keys
-from mdproxy.tries import Tries
-from mdproxy.walk import Walker
 from meadowdock import process
+from meadowdock.admin_http import HungUp, Reply, Table, TooLarge
 from meadowdock.configuration import GUEST
+from meadowdock.load_sharing import LoadList, Node
 from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, Shedding, shedding
+from meadowdock.proxy.call import Answer, Call, passed_on
+from meadowdock.proxy.delivery import Delivery
+from meadowdock.proxy.endpoints import BEAT, WINDOW, Book, Denied
+from meadowdock.proxy.keys import Keys
+from meadowdock.proxy.tries import Tries
+from meadowdock.proxy.walk import Walker
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLI, SECOND, fingerprint, now, rest, until
 
--- a/packages/mdproxy/mdproxy/walk.py
+++ b/packages/proxy/meadowdock/proxy/walk.py
@@ -7,10 +7,10 @@
 
 import trio
 
-from mdload import Choice, Home, LoadList, Wheel, choose
-from mdproxy.call import Answer, passed_on
-from mdproxy.endpoints import BadAnswer, check_answer, told_load
+from meadowdock.load_sharing import Choice, Home, LoadList, Wheel, choose
 from meadowdock.outcome import NOT_RUN, TABLE
+from meadowdock.proxy.call import Answer, passed_on
+from meadowdock.proxy.endpoints import BadAnswer, check_answer, told_load
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLI, HttpConnectionFailed, now, until
 from meadowdock.runtime.slab import Slab
@@ -67,7 +67,7 @@
         self.node, self.book, self.tries = node, book, tries
         self.slab = Slab()
         self.lists = LoadList()
-        self.told_nodes = {}  # service -> tuple of mdload.Node, of the latest list
+        self.told_nodes = {}  # service -> tuple of meadowdock.load_sharing.Node, of the latest list
         self.left_out = set()  # (service, neighbour) that had no room, until the next list
         self.wheels = {}
         self.holdings = {}
--- a/packages/registry/meadowdock/registry/part.py
+++ b/packages/registry/meadowdock/registry/part.py
@@ -4,8 +4,8 @@
 
 import trio
 
-from mdhttp import Table
 from meadowdock import process
+from meadowdock.admin_http import Table
 from meadowdock.config_store.lease_messages import COLLECTOR_KEY
 from meadowdock.registry.duty import ranking
 from meadowdock.registry.lease import Lease, duration_of
--- a/tests/golden_facts.py
+++ b/tests/golden_facts.py
@@ -28,10 +28,10 @@
 from test_gate_http import raw
 from test_items import route, service
 
-from mdlib.record import Got, Record
 from mdsim import SimDisk, run
 from mdsim.wires import SimWire
 from meadowdock import audit
+from meadowdock.client.record import Got, Record
 from meadowdock.config_store.lease_messages import (
     AcquireLease,
     LeaseGranted,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,13 +7,19 @@
 from test_gate_rules import HIGH, LOW, believe_hold, works
 from test_items import route
 
-from mdgate.admission import ROUTES_REMEMBERED, Admission
-from mdgate.call import Call
-from mdgate.figures import RankFigures
-from mdgate.invariants import IDLE_SLOT, LATE_FIRST, QUEUE_STANDS, SLOTS_DIFFER, Invariants
-from mdgate.patience import Patience
-from mdgate.wait_queue import WaitQueue
-from mdgate.waits import ServiceWaits
+from meadowdock.forwarding.admission import ROUTES_REMEMBERED, Admission
+from meadowdock.forwarding.call import Call
+from meadowdock.forwarding.figures import RankFigures
+from meadowdock.forwarding.invariants import (
+    IDLE_SLOT,
+    LATE_FIRST,
+    QUEUE_STANDS,
+    SLOTS_DIFFER,
+    Invariants,
+)
+from meadowdock.forwarding.patience import Patience
+from meadowdock.forwarding.wait_queue import WaitQueue
+from meadowdock.forwarding.waits import ServiceWaits
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -9,9 +9,9 @@
 from test_gate_faults import TRIES, budgeted, hosts
 from test_items import route
 
-from mdgate.peers import CANCEL
 from mdsim.standin import FAULTS
 from mdsim.world import World
+from meadowdock.forwarding.peers import CANCEL
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -10,7 +10,6 @@
 import trio
 from test_items import dropped, route, service
 
-from mdproxy.staging import Stager
 from mdsim import run
 from meadowdock.config_store.chunks import Chunks
 from meadowdock.configuration import (
@@ -31,6 +30,7 @@
     answer_request,
 )
 from meadowdock.configuration.packed import checksum
+from meadowdock.proxy.staging import Stager
 from meadowdock.runtime import MILLI, SECOND, fingerprint, now, rest
 
 APPLY = 2 * SECOND
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -6,7 +6,7 @@
 from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items, listed
 from test_items import route, service
 
-from mdload import Node
+from meadowdock.load_sharing import Node
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
--- a/tests/test_gate_faults.py
+++ b/tests/test_gate_faults.py
@@ -348,7 +348,7 @@
 
 
 def test_a_hundred_neighbours_that_answer_nothing_are_passed_over_in_one_turn():
-    from mdload import LoadList, Node
+    from meadowdock.load_sharing import LoadList, Node
 
     async def scenario(world):
         home, good = hosts(world)
--- a/tests/test_gate_http.py
+++ b/tests/test_gate_http.py
@@ -5,8 +5,8 @@
 import pytest
 from gates import SEEDS, all_done, asked, gate_of, gated
 
-from mdgate.http import Answers, Requests
 from meadowdock.configuration.items import DEFAULT_LIMITS
+from meadowdock.forwarding.http import Answers, Requests
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
 HEAD = b"Host: h.example\r\nmd-call: raw-1\r\n"
--- a/tests/test_gate_rules.py
+++ b/tests/test_gate_rules.py
@@ -7,9 +7,9 @@
 from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items
 from test_items import route, service
 
-from mdgate.callers import KEEP_S, KEPT
-from mdgate.gate import EARLY
-from mdload import LoadList, Node
+from meadowdock.forwarding.callers import KEEP_S, KEPT
+from meadowdock.forwarding.gate import EARLY
+from meadowdock.load_sharing import LoadList, Node
 from meadowdock.runtime import MILLI, SECOND, Address, now, rest
 
 TRIES = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -4,7 +4,7 @@
 
 from types import SimpleNamespace
 
-from mdproxy.walk import FIRST_HOLD, REMEMBERED, Holding
+from meadowdock.proxy.walk import FIRST_HOLD, REMEMBERED, Holding
 from meadowdock.runtime import MILLI
 
 
--- a/tests/test_http_seam.py
+++ b/tests/test_http_seam.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from mdhttp import App, Reply, Table
+from meadowdock.admin_http import App, Reply, Table
 from meadowdock.runtime import HttpConnectionFailed, Net
 
 HOST = "127.0.0.1"
--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -10,9 +10,9 @@
 from mesh import configured, hosts, serving
 from returns.pipeline import is_successful
 
-from mdproxy.delivery import SWITCH_ALONE_PART
 from mdsim import run
 from meadowdock.configuration import SIZE_MAX, Ways, checked, cut
+from meadowdock.proxy.delivery import SWITCH_ALONE_PART
 from meadowdock.runtime import MILLI, SECOND, now, rest
 
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -9,8 +9,8 @@
 from facts import manifest
 from mesh import configured, hosts
 
-from mdlib import Got, Record
 from mdsim import run
+from meadowdock.client import Got, Record
 from meadowdock.runtime import MILLI, Disk, MemoryDisk, now, rest
 
 S = 1_000_000
--- a/tests/test_platform_items.py
+++ b/tests/test_platform_items.py
@@ -10,10 +10,10 @@
 import pytest
 import trio
 
-from mdhttp import App
-from mdproxy.endpoints import Denied
+from meadowdock.admin_http import App
 from meadowdock.configuration.items import Invalid, check, merge, standing
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
+from meadowdock.proxy.endpoints import Denied
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -4,8 +4,17 @@
 
 import pytest
 
-from mdload import Home, LoadList, Node, Wheel, best_omega, choose, relocation_overhead, state
-from mdload.model import Setting, blocking
+from meadowdock.load_sharing import (
+    Home,
+    LoadList,
+    Node,
+    Wheel,
+    best_omega,
+    choose,
+    relocation_overhead,
+    state,
+)
+from meadowdock.load_sharing.model import Setting, blocking
 
 PHI, OMEGA, STALE = 0.8, 0.9, 2_000_000
 
--- a/tests/test_reactor.py
+++ b/tests/test_reactor.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mdgate.reactor import Reactor
+from meadowdock.forwarding.reactor import Reactor
 
 
 class Outlet:
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -7,8 +7,8 @@
 from mesh import configured, hosts, serving
 from returns.pipeline import is_successful
 
-from mdhttp import Reply, Table
 from mdsim import run
+from meadowdock.admin_http import Reply, Table
 from meadowdock.registry.part import Part
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest
 
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -6,8 +6,8 @@
 from mesh import answers, counts, hosts, serving
 from returns.pipeline import is_successful
 
-from mdload import Node
 from mdsim import run
+from meadowdock.load_sharing import Node
 from meadowdock.runtime import MILLI, SECOND, rest
 
 
