--- a/packages/mdctl/mdctl/__main__.py
+++ b/packages/cli/meadowdock/cli/__main__.py
@@ -13,8 +13,8 @@
 import fire
 from returns.pipeline import is_successful
 
-from mdctl.client import OutcomeUnknown, Unreachable, ask
 from meadowdock import audit
+from meadowdock.cli.client import OutcomeUnknown, Unreachable, ask
 from meadowdock.configuration import checked
 from meadowdock.settings import VERSION
 
--- a/packages/mdfleet/mdfleet/__main__.py
+++ b/packages/local_fleet/meadowdock/local_fleet/__main__.py
@@ -9,9 +9,9 @@
 
 import fire
 
-from mdfleet.fleet import Fleet, Taken, load_topology
-from mdfleet.measure import large_change, measure, overload
-from mdfleet.report import summary, table
+from meadowdock.local_fleet.fleet import Fleet, Taken, load_topology
+from meadowdock.local_fleet.measure import large_change, measure, overload
+from meadowdock.local_fleet.report import summary, table
 from meadowdock.settings import VERSION
 
 
--- a/packages/mdfleet/mdfleet/fleet.py
+++ b/packages/local_fleet/meadowdock/local_fleet/fleet.py
@@ -124,7 +124,9 @@
             "journal": os.path.join(self.folder, f"journal-{host}-{port}.jsonl"),
             "record": os.path.join(self.folder, f"record-{host}"),
         }
-        handle = self.spawn(name, ["mdfleet.standin", json.dumps(spec)], subprocess.PIPE)
+        handle = self.spawn(
+            name, ["meadowdock.local_fleet.standin", json.dumps(spec)], subprocess.PIPE
+        )
         return name, handle
 
     def taken(self):
@@ -324,7 +326,7 @@
             path = os.path.join(self.folder, f"{label}-{index}.json")
             with open(path, "w", encoding="utf-8") as file:
                 json.dump(spec, file)
-            handles.append(self.spawn(f"{label}-{index}", ["mdfleet.caller", path]))
+            handles.append(self.spawn(f"{label}-{index}", ["meadowdock.local_fleet.caller", path]))
         return handles
 
     def rows(self, label="load"):
--- a/packages/mdfleet/mdfleet/measure.py
+++ b/packages/local_fleet/meadowdock/local_fleet/measure.py
@@ -9,8 +9,8 @@
 import os
 import time
 
-from mdfleet.fleet import HERE
-from mdfleet.report import figures, summary, table
+from meadowdock.local_fleet.fleet import HERE
+from meadowdock.local_fleet.report import figures, summary, table
 
 SETTLE, STEADY, SLOW, BACK, DRAIN, RESTART = 4, 15, 10, 8, 8, 10
 
--- a/packages/mdmodel/mdmodel/__init__.py
+++ b/packages/model_checker/meadowdock/model_checker/__init__.py
@@ -1,16 +1,16 @@
 """Model checking of the register with its membership, over the real acceptor and proposer code."""
 
-from mdmodel.actor import Append, MoveMembers, Read
-from mdmodel.explorer import Explorer, Report, Scenario
-from mdmodel.linearizability import (
+from meadowdock.model_checker.actor import Append, MoveMembers, Read
+from meadowdock.model_checker.explorer import Explorer, Report, Scenario
+from meadowdock.model_checker.linearizability import (
     NEVER,
     RecordedCall,
     SequentialModel,
     linearizable,
     unexplained_keys,
 )
-from mdmodel.messages import Breach, Choice, Ending, Outcome
-from mdmodel.process import Implementation, ModelMembers
+from meadowdock.model_checker.messages import Breach, Choice, Ending, Outcome
+from meadowdock.model_checker.process import Implementation, ModelMembers
 
 __all__ = [
     "NEVER",
--- a/packages/mdmodel/mdmodel/actor.py
+++ b/packages/model_checker/meadowdock/model_checker/actor.py
@@ -13,11 +13,17 @@
 import ormsgpack
 import trio
 
-from mdmodel.kernel import Kernel
-from mdmodel.messages import Ending, Event, EventKind, Outcome
-from mdmodel.process import Implementation, ModelMembers, make_node, make_store, packed
 from meadowdock.config_store.change import Conflict
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
+from meadowdock.model_checker.kernel import Kernel
+from meadowdock.model_checker.messages import Ending, Event, EventKind, Outcome
+from meadowdock.model_checker.process import (
+    Implementation,
+    ModelMembers,
+    make_node,
+    make_store,
+    packed,
+)
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import SECOND, now
 
--- a/packages/mdmodel/mdmodel/explorer.py
+++ b/packages/model_checker/meadowdock/model_checker/explorer.py
@@ -17,12 +17,20 @@
 
 import ormsgpack
 
-from mdmodel.actor import Actors, View
-from mdmodel.invariants import Ended, broken_invariant
-from mdmodel.kernel import Kernel
-from mdmodel.messages import Action, Breach, Choice, Ending, Event, EventKind, Flight
-from mdmodel.process import Implementation, packed, voters_record
-from mdmodel.replica import Replicas, ReplicaState
+from meadowdock.model_checker.actor import Actors, View
+from meadowdock.model_checker.invariants import Ended, broken_invariant
+from meadowdock.model_checker.kernel import Kernel
+from meadowdock.model_checker.messages import (
+    Action,
+    Breach,
+    Choice,
+    Ending,
+    Event,
+    EventKind,
+    Flight,
+)
+from meadowdock.model_checker.process import Implementation, packed, voters_record
+from meadowdock.model_checker.replica import Replicas, ReplicaState
 
 
 @dataclass(frozen=True)
--- a/packages/mdmodel/mdmodel/invariants.py
+++ b/packages/model_checker/meadowdock/model_checker/invariants.py
@@ -5,9 +5,9 @@
 from itertools import combinations
 from typing import NamedTuple
 
-from mdmodel.actor import KEY, MoveMembers, Operation
-from mdmodel.messages import Ending, Outcome
-from mdmodel.replica import ReplicaState
+from meadowdock.model_checker.actor import KEY, MoveMembers, Operation
+from meadowdock.model_checker.messages import Ending, Outcome
+from meadowdock.model_checker.replica import ReplicaState
 
 
 class Ended(NamedTuple):
--- a/packages/mdmodel/mdmodel/replica.py
+++ b/packages/model_checker/meadowdock/model_checker/replica.py
@@ -6,9 +6,9 @@
 
 import ormsgpack
 
-from mdmodel.process import Implementation, make_node, make_store, packed
 from meadowdock.config_store.store import Store
 from meadowdock.consensus.acceptor import AcceptorState
+from meadowdock.model_checker.process import Implementation, make_node, make_store, packed
 from meadowdock.rpc import Rejected
 
 HANDLERS = {"register": "on_register", "member.adopt": "on_adopt", "member.keys": "on_keys"}
--- a/packages/mdsim/mdsim/__main__.py
+++ b/packages/simulator/meadowdock/simulator/__main__.py
@@ -16,17 +16,17 @@
 
 import fire
 
-from mdsim.checkers import lags, returned
-from mdsim.digest import (
+from meadowdock.simulator.checkers import lags, returned
+from meadowdock.simulator.digest import (
     differing,
     digests,
     read_digests,
     write_digests,
 )
-from mdsim.faults import draw
-from mdsim.overload import curve, table
-from mdsim.scale import scale
-from mdsim.scenario import live, shorten
+from meadowdock.simulator.faults import draw
+from meadowdock.simulator.overload import curve, table
+from meadowdock.simulator.scale import scale
+from meadowdock.simulator.scenario import live, shorten
 
 
 def day(seed):
--- a/packages/mdsim/mdsim/digest.py
+++ b/packages/simulator/meadowdock/simulator/digest.py
@@ -17,8 +17,8 @@
 from pathlib import Path
 from typing import Any
 
-from mdsim.history import History
-from mdsim.scenario import live
+from meadowdock.simulator.history import History
+from meadowdock.simulator.scenario import live
 
 HASH_SEED = "0"  # on some days the order of a set of strings decides who is told first
 
--- a/packages/mdsim/mdsim/net.py
+++ b/packages/simulator/meadowdock/simulator/net.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from mdsim.wires import SimWires
 from meadowdock.runtime import SECOND, Address, HttpConnectionFailed, now, rest, until
+from meadowdock.simulator.wires import SimWires
 
 
 class Web:
--- a/packages/mdsim/mdsim/overload.py
+++ b/packages/simulator/meadowdock/simulator/overload.py
@@ -10,9 +10,9 @@
 
 import trio
 
-from mdsim.scenario import manifest
-from mdsim.world import run
 from meadowdock.runtime import MILLI, SECOND, now, rest, until
+from meadowdock.simulator.scenario import manifest
+from meadowdock.simulator.world import run
 
 STEP = 200  # us; a call served at home takes a proxy about 13 turns
 HOSTS, SLOTS, TOOK = 4, 4, 20 * MILLI  # each endpoint can do 200 calls a second
--- a/packages/mdsim/mdsim/scale/__init__.py
+++ b/packages/simulator/meadowdock/simulator/scale/__init__.py
@@ -11,12 +11,12 @@
 - figures, text, tables, timed_tables, break_table, page: the report
 """
 
-from mdsim.scale.count import counted
-from mdsim.scale.faults import trouble
-from mdsim.scale.fitting import crossing, fit, told_by
-from mdsim.scale.meter import Meter, Metered
-from mdsim.scale.page import TABLES, filled, scale
-from mdsim.scale.places import places, services_of
+from meadowdock.simulator.scale.count import counted
+from meadowdock.simulator.scale.faults import trouble
+from meadowdock.simulator.scale.fitting import crossing, fit, told_by
+from meadowdock.simulator.scale.meter import Meter, Metered
+from meadowdock.simulator.scale.page import TABLES, filled, scale
+from meadowdock.simulator.scale.places import places, services_of
 
 __all__ = [
     "TABLES",
--- a/packages/mdsim/mdsim/scale/break_table.py
+++ b/packages/simulator/meadowdock/simulator/scale/break_table.py
@@ -4,7 +4,7 @@
 
 import math
 
-from mdsim.scale.figures import (
+from meadowdock.simulator.scale.figures import (
     at_all,
     collector_percent,
     good_runs,
@@ -14,9 +14,9 @@
     whole_of_proxy,
     whole_of_role,
 )
-from mdsim.scale.fitting import crossing, fit, told_by
-from mdsim.scale.places import TARGET
-from mdsim.scale.text import markdown, shown
+from meadowdock.simulator.scale.fitting import crossing, fit, told_by
+from meadowdock.simulator.scale.places import TARGET
+from meadowdock.simulator.scale.text import markdown, shown
 
 WAVE_US = 0.9e6  # for staging on all proxies
 FRAMES_A_STAGE = 2
--- a/packages/mdsim/mdsim/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -7,11 +7,11 @@
 from collections.abc import Container
 from functools import partial
 
-from mdsim.scale.fleet import Hollow
-from mdsim.scale.meter import group_of
-from mdsim.scale.places import CHANGED_WAIT_US
-from mdsim.world import run
 from meadowdock.runtime import SECOND, now, rest
+from meadowdock.simulator.scale.fleet import Hollow
+from meadowdock.simulator.scale.meter import group_of
+from meadowdock.simulator.scale.places import CHANGED_WAIT_US
+from meadowdock.simulator.world import run
 
 WINDOW = 10 * SECOND
 
--- a/packages/mdsim/mdsim/scale/faults.py
+++ b/packages/simulator/meadowdock/simulator/scale/faults.py
@@ -4,10 +4,10 @@
 
 from functools import partial
 
-from mdsim.scale.fleet import Hollow
-from mdsim.scale.places import CHANGED_WAIT_US, VOTERS
-from mdsim.world import run
 from meadowdock.runtime import SECOND, now, rest
+from meadowdock.simulator.scale.fleet import Hollow
+from meadowdock.simulator.scale.places import CHANGED_WAIT_US, VOTERS
+from meadowdock.simulator.world import run
 
 
 def trouble(kind: str, n: int, seed: int = 1) -> dict:
--- a/packages/mdsim/mdsim/scale/figures.py
+++ b/packages/simulator/meadowdock/simulator/scale/figures.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from mdsim.scale.fitting import fit, told_by
+from meadowdock.simulator.scale.fitting import fit, told_by
 
 MOSTLY_LISTED = 0.9  # of the endpoints: real runs below this share are left out
 LISTS_S = 2  # lists a second
--- a/packages/mdsim/mdsim/scale/fitting.py
+++ b/packages/simulator/meadowdock/simulator/scale/fitting.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from functools import partial
 
-from mdsim.scale.places import TARGET
+from meadowdock.simulator.scale.places import TARGET
 
 
 def line(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
--- a/packages/mdsim/mdsim/scale/fleet.py
+++ b/packages/simulator/meadowdock/simulator/scale/fleet.py
@@ -6,11 +6,11 @@
 
 import trio
 
-from mdsim.net import SimNet
-from mdsim.scale.meter import Meter, Metered, metered
-from mdsim.scale.places import VOTERS, manifest, places
-from mdsim.world import owner
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator.net import SimNet
+from meadowdock.simulator.scale.meter import Meter, Metered, metered
+from meadowdock.simulator.scale.places import VOTERS, manifest, places
+from meadowdock.simulator.world import owner
 
 SETTLING = 6 * SECOND  # past every first greeting and the first epoch
 CHANGE_WITHIN = 30 * SECOND
--- a/packages/mdsim/mdsim/scale/lists.py
+++ b/packages/simulator/meadowdock/simulator/scale/lists.py
@@ -5,12 +5,12 @@
 import time
 from functools import partial
 
-from mdsim.scale.fleet import Hollow, listed
-from mdsim.scale.places import places
-from mdsim.world import run
 from meadowdock.rpc import Peer
 from meadowdock.rpc.frame import LENGTH, Proof
 from meadowdock.rpc.link import CALL, pack, unpack
+from meadowdock.simulator.scale.fleet import Hollow, listed
+from meadowdock.simulator.scale.places import places
+from meadowdock.simulator.world import run
 
 LIST_SIZES = (75, 150, 300, 600, 1200)
 SMALL_FLEET = 6
--- a/packages/mdsim/mdsim/scale/loopback.py
+++ b/packages/simulator/meadowdock/simulator/scale/loopback.py
@@ -10,14 +10,14 @@
 
 import trio
 
-from mdsim.scale.fleet import stand_in
-from mdsim.scale.meter import ANY_METHOD, Meter, Unread, metered
-from mdsim.scale.places import VOTERS, manifest, places
-from mdsim.world import KEY, PARTS
 from meadowdock.logs import Log
 from meadowdock.process import Node
 from meadowdock.runtime import MILLI, SECOND, Disk, Net, NoDisk, Seams, now, rest
 from meadowdock.settings import checked
+from meadowdock.simulator.scale.fleet import stand_in
+from meadowdock.simulator.scale.meter import ANY_METHOD, Meter, Unread, metered
+from meadowdock.simulator.scale.places import VOTERS, manifest, places
+from meadowdock.simulator.world import KEY, PARTS
 
 current_node = ContextVar("current_node", default=None)
 LOOPBACK_NET = "127.91"
--- a/packages/mdsim/mdsim/scale/measure.py
+++ b/packages/simulator/meadowdock/simulator/scale/measure.py
@@ -4,11 +4,11 @@
 
 import multiprocessing
 
-from mdsim.scale.count import counted
-from mdsim.scale.faults import FAULTS, trouble
-from mdsim.scale.lists import list_costs
-from mdsim.scale.places import TARGET
-from mdsim.scale.processes import timed
+from meadowdock.simulator.scale.count import counted
+from meadowdock.simulator.scale.faults import FAULTS, trouble
+from meadowdock.simulator.scale.lists import list_costs
+from meadowdock.simulator.scale.places import TARGET
+from meadowdock.simulator.scale.processes import timed
 
 SIZES = (12, 24, 34, 60, 120)
 REAL_SIZES = (1, 8, 16, 24, 34, 60)
--- a/packages/mdsim/mdsim/scale/page.py
+++ b/packages/simulator/meadowdock/simulator/scale/page.py
@@ -8,13 +8,13 @@
 
 import leather
 
-from mdsim.scale.break_table import break_table
-from mdsim.scale.figures import good_runs, proxy_percent, sizes_of, whole_of_proxy
-from mdsim.scale.fitting import fit, told_by
-from mdsim.scale.measure import measure
-from mdsim.scale.places import TARGET
-from mdsim.scale.tables import counted_table, fault_table, hop_table, state_table
-from mdsim.scale.timed_tables import held_table, timed_table
+from meadowdock.simulator.scale.break_table import break_table
+from meadowdock.simulator.scale.figures import good_runs, proxy_percent, sizes_of, whole_of_proxy
+from meadowdock.simulator.scale.fitting import fit, told_by
+from meadowdock.simulator.scale.measure import measure
+from meadowdock.simulator.scale.places import TARGET
+from meadowdock.simulator.scale.tables import counted_table, fault_table, hop_table, state_table
+from meadowdock.simulator.scale.timed_tables import held_table, timed_table
 
 PLOT_STEP = 16  # nodes
 TABLES = {
--- a/packages/mdsim/mdsim/scale/processes.py
+++ b/packages/simulator/meadowdock/simulator/scale/processes.py
@@ -10,9 +10,9 @@
 
 import trio
 
-from mdsim.scale.fleet import listed
-from mdsim.scale.loopback import Loopback, TaskTimes, measure_window, resident_mb
-from mdsim.scale.places import CHANGED_WAIT_US, CORE, INITIAL_WAIT_US, VOTERS
+from meadowdock.simulator.scale.fleet import listed
+from meadowdock.simulator.scale.loopback import Loopback, TaskTimes, measure_window, resident_mb
+from meadowdock.simulator.scale.places import CHANGED_WAIT_US, CORE, INITIAL_WAIT_US, VOTERS
 
 SETTLED_SHARE = 0.99  # of the endpoints, on the lists during the window
 SWITCH_INTERVAL = 0.0005  # s
--- a/packages/mdsim/mdsim/scale/tables.py
+++ b/packages/simulator/meadowdock/simulator/scale/tables.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from mdsim.scale.figures import at_all, sizes_of, whole_of_proxy
-from mdsim.scale.fitting import fit
-from mdsim.scale.places import CORE, TARGET
-from mdsim.scale.text import formula, markdown, shown
+from meadowdock.simulator.scale.figures import at_all, sizes_of, whole_of_proxy
+from meadowdock.simulator.scale.fitting import fit
+from meadowdock.simulator.scale.places import CORE, TARGET
+from meadowdock.simulator.scale.text import formula, markdown, shown
 
 # role, mechanism, what carries it, what it is counted by
 ROWS = (
--- a/packages/mdsim/mdsim/scale/timed_tables.py
+++ b/packages/simulator/meadowdock/simulator/scale/timed_tables.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from mdsim.scale.figures import (
+from meadowdock.simulator.scale.figures import (
     collector_percent,
     good_runs,
     proxy_percent,
     sizes_of,
     whole_of_proxy,
 )
-from mdsim.scale.fitting import crossing, fit, told_by
-from mdsim.scale.places import TARGET
-from mdsim.scale.text import formula, markdown, shown, shown_series
+from meadowdock.simulator.scale.fitting import crossing, fit, told_by
+from meadowdock.simulator.scale.places import TARGET
+from meadowdock.simulator.scale.text import formula, markdown, shown, shown_series
 
 ONE_CORE = 100  # percent
 TIMES = (  # key of a timed run, role, unit, bound
--- a/packages/mdsim/mdsim/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -9,15 +9,15 @@
 
 import trio
 
-from mdsim.checkers import verify
-from mdsim.faults import KINDS, draw
-from mdsim.history import Asked, History, Operated, Ran
-from mdsim.net import SimNet
-from mdsim.world import run
 from meadowdock import audit
 from meadowdock.admin_http import Table
 from meadowdock.client import Endpoint, Record
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest, until
+from meadowdock.simulator.checkers import verify
+from meadowdock.simulator.faults import KINDS, draw
+from meadowdock.simulator.history import Asked, History, Operated, Ran
+from meadowdock.simulator.net import SimNet
+from meadowdock.simulator.world import run
 
 CALM = 17 * SECOND
 BUSY, QUIET = 60 * MILLI, 150 * MILLI  # mean gap between calls at one machine
--- a/packages/mdsim/mdsim/standin/__init__.py
+++ b/packages/simulator/meadowdock/simulator/standin/__init__.py
@@ -2,10 +2,10 @@
 endpoint that fails in every way that one can, and a caller. Both keep journals, which a ledger
 holds against each other."""
 
-from mdsim.standin.caller import StandInCaller
-from mdsim.standin.endpoint import StandIn
-from mdsim.standin.faults import FAULTS
-from mdsim.standin.ledger import Ledger
-from mdsim.standin.records import Asked
+from meadowdock.simulator.standin.caller import StandInCaller
+from meadowdock.simulator.standin.endpoint import StandIn
+from meadowdock.simulator.standin.faults import FAULTS
+from meadowdock.simulator.standin.ledger import Ledger
+from meadowdock.simulator.standin.records import Asked
 
 __all__ = ["FAULTS", "Asked", "Ledger", "StandIn", "StandInCaller"]
--- a/packages/mdsim/mdsim/standin/caller.py
+++ b/packages/simulator/meadowdock/simulator/standin/caller.py
@@ -6,9 +6,9 @@
 
 import trio
 
-from mdsim.standin.messages import Malformed, Reader, chunked
-from mdsim.standin.records import Asked
 from meadowdock.runtime import MILLI, now
+from meadowdock.simulator.standin.messages import Malformed, Reader, chunked
+from meadowdock.simulator.standin.records import Asked
 
 
 def request_bytes(method, target, rows, body, in_chunks):
--- a/packages/mdsim/mdsim/standin/connection.py
+++ b/packages/simulator/meadowdock/simulator/standin/connection.py
@@ -5,8 +5,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from mdsim.standin.messages import Malformed, Reader
 from meadowdock.runtime import now
+from meadowdock.simulator.standin.messages import Malformed, Reader
 
 
 @dataclass(eq=False)
--- a/packages/mdsim/mdsim/standin/endpoint.py
+++ b/packages/simulator/meadowdock/simulator/standin/endpoint.py
@@ -6,12 +6,12 @@
 
 import trio
 
-from mdsim.standin.connection import Conn, Job
-from mdsim.standin.faults import FaultyAnswers
-from mdsim.standin.messages import chunked, stamp_of
-from mdsim.standin.records import Ran
 from meadowdock.forwarding.reactor import Reactor
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator.standin.connection import Conn, Job
+from meadowdock.simulator.standin.faults import FaultyAnswers
+from meadowdock.simulator.standin.messages import chunked, stamp_of
+from meadowdock.simulator.standin.records import Ran
 
 
 class StandIn(FaultyAnswers):
--- a/packages/mdsim/mdsim/standin/ledger.py
+++ b/packages/simulator/meadowdock/simulator/standin/ledger.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mdsim.standin.messages import stamp_of
+from meadowdock.simulator.standin.messages import stamp_of
 
 # statuses that promise that nothing ran
 PROMISES = (408, 421, 429, 503)
--- a/packages/mdsim/mdsim/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -10,9 +10,6 @@
 
 import trio
 
-from mdsim.disk import SimDisk
-from mdsim.net import SimNet, Web
-from mdsim.standin import Ledger, StandIn, StandInCaller
 from meadowdock.client import Client, Endpoint
 from meadowdock.config_store.part import Part as Conf
 from meadowdock.forwarding import Dialect, Reactor
@@ -24,6 +21,9 @@
 from meadowdock.rpc import ConnectionFailed
 from meadowdock.runtime import MILLI, SECOND, Seams, now, rest
 from meadowdock.settings import checked
+from meadowdock.simulator.disk import SimDisk
+from meadowdock.simulator.net import SimNet, Web
+from meadowdock.simulator.standin import Ledger, StandIn, StandInCaller
 
 PARTS = {"mdproxy": Proxy, "mdreg": Reg, "mdconf": Conf}
 KEY = "5a" * 32
--- a/packages/mdsoak/mdsoak/__main__.py
+++ b/packages/soak/meadowdock/soak/__main__.py
@@ -9,7 +9,7 @@
 
 import fire
 
-from mdsoak.soak import Plan, soak
+from meadowdock.soak.soak import Plan, soak
 
 
 class Commands:
--- a/packages/mdsoak/mdsoak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon of a soak: python -m mdsoak.daemon ROLE BOOT_FILE CUTS_FILE.
+"""One daemon of a soak: python -m meadowdock.soak.daemon ROLE BOOT_FILE CUTS_FILE.
 
 The product's own node and part; mdproxy with a gate, in the product's own names, and a door for the
 beats of its endpoint, which are JSON of GatePart.endpoint_beat's facts.
@@ -11,7 +11,6 @@
 
 import trio
 
-from mdsoak.cuts import CutNet, Cuts
 from meadowdock.admin_http import Reply, Table
 from meadowdock.forwarding import Dialect
 from meadowdock.process import Node
@@ -20,6 +19,7 @@
 from meadowdock.proxy.gatepart import GatePart
 from meadowdock.runtime import Disk, NoDisk, Seams
 from meadowdock.settings import Boot, load
+from meadowdock.soak.cuts import CutNet, Cuts
 
 BEATS_PORT = 7403
 DIALECT = Dialect(stamp=b"md-stamp")
--- a/packages/mdsoak/mdsoak/fleet.py
+++ b/packages/soak/meadowdock/soak/fleet.py
@@ -6,8 +6,8 @@
 import os
 import subprocess
 
-from mdfleet.fleet import Fleet
-from mdsoak.cuts import write_cuts
+from meadowdock.local_fleet.fleet import Fleet
+from meadowdock.soak.cuts import write_cuts
 
 GATE_PORT, SERVICE, SLOTS = 7405, "desk", 6
 RESERVE = 60  # retries that the fleet may make beyond its ratio, in a window
@@ -52,7 +52,7 @@
 
     def start_daemon(self, role: str, host: str) -> subprocess.Popen:
         """Start one process of a role."""
-        argv = ["mdsoak.daemon", role, self.boot(role, host), self.cuts_file]
+        argv = ["meadowdock.soak.daemon", role, self.boot(role, host), self.cuts_file]
         return self.spawn(f"{role}-{host}", argv)
 
     def cut(self, pairs: list[tuple[str, str]]) -> None:
--- a/packages/mdsoak/mdsoak/soak.py
+++ b/packages/soak/meadowdock/soak/soak.py
@@ -7,10 +7,10 @@
 
 import trio
 
-from mdsoak.fleet import SoakFleet, topology
-from mdsoak.traffic import DEADLINE_MS, Traffic, first_items
-from mdsoak.troubles import Trouble, draw
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.soak.fleet import SoakFleet, topology
+from meadowdock.soak.traffic import DEADLINE_MS, Traffic, first_items
+from meadowdock.soak.troubles import Trouble, draw
 
 RECOVERY_S = 3.0
 CALM_S = 2.0
--- a/packages/mdsoak/mdsoak/traffic.py
+++ b/packages/soak/meadowdock/soak/traffic.py
@@ -11,12 +11,12 @@
 
 import trio
 
-from mdsim.standin import Ledger, StandIn, StandInCaller
-from mdsoak.daemon import BEATS_PORT, DIALECT
-from mdsoak.fleet import GATE_PORT, SERVICE, SLOTS
 from meadowdock.forwarding import Reactor, Wires
 from meadowdock.forwarding.wires import Wire
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, Net, now, rest, until
+from meadowdock.simulator.standin import Ledger, StandIn, StandInCaller
+from meadowdock.soak.daemon import BEATS_PORT, DIALECT
+from meadowdock.soak.fleet import GATE_PORT, SERVICE, SLOTS
 
 BEAT_EVERY = 250 * MILLI
 ORDER_EVERY = 400 * MILLI
--- a/packages/mddrill/mddrill/__main__.py
+++ b/packages/zone_drill/meadowdock/zone_drill/__main__.py
@@ -11,8 +11,8 @@
 import fire
 import trio
 
-from mddrill.drill import EXTRAS, HOWS, Drill
-from mdfleet.fleet import load_topology
+from meadowdock.local_fleet.fleet import load_topology
+from meadowdock.zone_drill.drill import EXTRAS, HOWS, Drill
 
 
 def drill(folder="run", hall="a", how="kill", seconds=3, skip=""):
--- a/packages/mddrill/mddrill/drill.py
+++ b/packages/zone_drill/meadowdock/zone_drill/drill.py
@@ -9,11 +9,11 @@
 
 import trio
 
-from mdctl.client import OutcomeUnknown, Unreachable, ask
-from mdfleet.caller import fetch
-from mdsim.checkers import in_force, no_step_back
-from mdsim.history import Asked, History, Operated
+from meadowdock.cli.client import OutcomeUnknown, Unreachable, ask
+from meadowdock.local_fleet.caller import fetch
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, Net, now, rest, until
+from meadowdock.simulator.checkers import in_force, no_step_back
+from meadowdock.simulator.history import Asked, History, Operated
 
 RETURN_WITHIN = 15 * SECOND
 EXTRAS = ("leaving", "slow", "garbage", "hurried", "race")
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -6,7 +6,7 @@
 import os
 import socket
 
-from mdfleet.fleet import Fleet
+from meadowdock.local_fleet.fleet import Fleet
 
 RESERVING = 254, 7399  # host and port that no fleet uses: who listens there has the net
 FLEET_HOSTS = 1, 11, 12
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -4,8 +4,8 @@
 
 from test_items import route, service
 
-from mdsim import run
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
 
 SEEDS = (1, 2, 3)
 LIMITS = {
--- a/tests/golden_facts.py
+++ b/tests/golden_facts.py
@@ -28,8 +28,6 @@
 from test_gate_http import raw
 from test_items import route, service
 
-from mdsim import SimDisk, run
-from mdsim.wires import SimWire
 from meadowdock import audit
 from meadowdock.client.record import Got, Record
 from meadowdock.config_store.lease_messages import (
@@ -45,6 +43,8 @@
 from meadowdock.rpc.link import Handlers, greet, pack, unpack
 from meadowdock.runtime import MILLI, SECOND, MemoryDisk, now, rest
 from meadowdock.settings import BootErrors, load
+from meadowdock.simulator import SimDisk, run
+from meadowdock.simulator.wires import SimWire
 
 GOLDEN = Path(__file__).parent / "golden"
 SEED = 7
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -9,11 +9,11 @@
 from test_gate_faults import TRIES, budgeted, hosts
 from test_items import route
 
-from mdsim.standin import FAULTS
-from mdsim.world import World
 from meadowdock.forwarding.peers import CANCEL
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator.standin import FAULTS
+from meadowdock.simulator.world import World
 
 ID = b"md-call"
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -11,9 +11,9 @@
 from facts import manifest, way
 from mesh import configured
 
-from mdsim import run
 from meadowdock import audit
 from meadowdock.runtime import SECOND, now, rest
+from meadowdock.simulator import run
 
 
 def changed(number):
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -7,13 +7,13 @@
 from mesh import answers, configured, counts, hosts, serving
 from returns.pipeline import is_successful
 
-from mdsim import run
-from mdsim.checkers import second_tries
-from mdsim.history import Asked, History
 from meadowdock.admin_http import Reply
 from meadowdock.client import Endpoint
 from meadowdock.outcome import TABLE
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
+from meadowdock.simulator.checkers import second_tries
+from meadowdock.simulator.history import Asked, History
 
 
 async def raw(world, method, path, body=None, headers=()):
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from mdsim.checkers import CHECKS, verify
-from mdsim.history import Asked, History, Operated, Ran
+from meadowdock.simulator.checkers import CHECKS, verify
+from meadowdock.simulator.history import Asked, History, Operated, Ran
 
 S = 1_000_000
 
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -10,11 +10,11 @@
 from test_items import service
 from test_items_change import accepted, change, founded, standing
 
-from mdsim import run
 from meadowdock.config_store.contact import HelloAnswer
 from meadowdock.config_store.items import Outdated
 from meadowdock.consensus import NoQuorum
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
 
 AT_ONCE = 500 * MILLI
 ON_THE_WAY = 50 * MILLI  # of a request and its answer
--- a/tests/test_day_digests.py
+++ b/tests/test_day_digests.py
@@ -10,15 +10,15 @@
 from overloads import offer, worker
 from test_overload import LONG, SHORT, SLOTS, items_of
 
-from mdsim.__main__ import Commands
-from mdsim.digest import (
+from meadowdock.runtime import SECOND
+from meadowdock.simulator.__main__ import Commands
+from meadowdock.simulator.digest import (
     CanonicalTrace,
     add_log,
     digests,
     read_digests,
     write_digests,
 )
-from meadowdock.runtime import SECOND
 
 GOLDEN = Path(__file__).parent / "golden"
 DAYS = read_digests(GOLDEN / "day_digests.json")
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from mdsim.checkers import returned, verify
-from mdsim.faults import KINDS, MAJOR, Fault
-from mdsim.scenario import KNOBS, Day, live
-from mdsim.world import run
+from meadowdock.simulator.checkers import returned, verify
+from meadowdock.simulator.faults import KINDS, MAJOR, Fault
+from meadowdock.simulator.scenario import KNOBS, Day, live
+from meadowdock.simulator.world import run
 
 S = 1_000_000
 
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -10,7 +10,6 @@
 import trio
 from test_items import dropped, route, service
 
-from mdsim import run
 from meadowdock.config_store.chunks import Chunks
 from meadowdock.configuration import (
     ROUTING,
@@ -32,6 +31,7 @@
 from meadowdock.configuration.packed import checksum
 from meadowdock.proxy.staging import Stager
 from meadowdock.runtime import MILLI, SECOND, fingerprint, now, rest
+from meadowdock.simulator import run
 
 APPLY = 2 * SECOND
 SLOW_LINK = 3_250_000 // 8  # bytes a second
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -7,8 +7,8 @@
 from mesh import answers, configured, hosts, serving
 from returns.pipeline import is_successful
 
-from mdsim import run
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
 
 GOOD = {"service": "desk", "address": "10.0.1.1:8000", "incarnation": "i", "capacity": 4}
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 from fleets import free_net
 
-from mdfleet.fleet import Fleet, Taken
+from meadowdock.local_fleet.fleet import Fleet, Taken
 
 
 def topology(net):
--- a/tests/test_freeze.py
+++ b/tests/test_freeze.py
@@ -7,8 +7,8 @@
 from mesh import answers, configured, counts, hosts, serving
 from returns.pipeline import is_successful
 
-from mdsim import run
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
 
 
 def test_a_woken_proxy_confirms_its_version_before_it_serves():
--- a/tests/test_gate_faults.py
+++ b/tests/test_gate_faults.py
@@ -6,8 +6,8 @@
 from gates import SEEDS, all_done, asked, gate_of, gated, items, listed
 from test_items import route
 
-from mdsim.standin import FAULTS
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator.standin import FAULTS
 
 TRIES = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
 REPEATED = {  # a run whose answer is useless: what may be repeated is
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -14,11 +14,17 @@
 from test_order_races import trouble
 from test_register import Trio
 
-from mdmodel import NEVER, RecordedCall, SequentialModel, linearizable, unexplained_keys
-from mdsim import run
 from meadowdock.consensus import NoQuorum, OutcomeUnknown, Proposer, holds_majorities
+from meadowdock.model_checker import (
+    NEVER,
+    RecordedCall,
+    SequentialModel,
+    linearizable,
+    unexplained_keys,
+)
 from meadowdock.registry.lease import Lease
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
+from meadowdock.simulator import run
 
 # ---------------------------------------------------------------- the checker itself
 
--- a/tests/test_items_change.py
+++ b/tests/test_items_change.py
@@ -8,10 +8,10 @@
 from mesh import configured
 from test_items import dropped, limits, route, service
 
-from mdsim import run
 from meadowdock import audit
 from meadowdock.configuration import items as config_items
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
 
 
 async def change(world, items, core=0):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -8,8 +8,6 @@
 import trio
 from mesh import hosts, serving
 
-from mdsim import run
-from mdsim.world import WALL, Clock
 from meadowdock.config_store.lease import DRIFT, LeaseRegister
 from meadowdock.config_store.lease_messages import (
     COLLECTOR_KEY,
@@ -23,6 +21,8 @@
 )
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
+from meadowdock.simulator.world import WALL, Clock
 
 DURATION = 2 * SECOND
 TAKEOVER = 5 * SECOND
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -7,9 +7,9 @@
 from mesh import answers, configured, counts, hosts, serving
 from returns.pipeline import is_successful
 
-from mdsim import run
-from mdsim.overload import Processors, curve
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
+from meadowdock.simulator.overload import Processors, curve
 
 
 async def offer(world, host, gap_us, until_us, found, path="/balances/1", **call):
--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -10,10 +10,10 @@
 from mesh import configured, hosts, serving
 from returns.pipeline import is_successful
 
-from mdsim import run
 from meadowdock.configuration import SIZE_MAX, Ways, checked, cut
 from meadowdock.proxy.delivery import SWITCH_ALONE_PART
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
 
 
 def errors_of(facts):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -6,9 +6,9 @@
 
 from mesh import configured, hosts
 
-from mdsim import run
 from meadowdock.membership import SHELF_MAX, VIEW_MAX, Entry, View
 from meadowdock.runtime import SECOND, rest
+from meadowdock.simulator import run
 
 
 def entry(address, incarnation=1, beat=0, role="mdproxy", leaving=False):
--- a/tests/test_members_auto.py
+++ b/tests/test_members_auto.py
@@ -9,12 +9,12 @@
 from facts import manifest, way
 from mesh import configured
 
-from mdsim import run
-from mdsim.world import KEY
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import Proposer
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest
 from meadowdock.settings import checked
+from meadowdock.simulator import run
+from meadowdock.simulator.world import KEY
 
 SEEDS = range(1, 5)
 
--- a/tests/test_members_change.py
+++ b/tests/test_members_change.py
@@ -7,9 +7,9 @@
 from facts import manifest, way
 from mesh import configured, first_with_a_blank_disk, hosts, serving
 
-from mdsim import run
 from meadowdock.config_store.store import rescue
 from meadowdock.runtime import SECOND, HttpConnectionFailed, rest
+from meadowdock.simulator import run
 
 
 def changed(number):
--- a/tests/test_members_losses.py
+++ b/tests/test_members_losses.py
@@ -8,10 +8,10 @@
 import trio
 from test_members_auto import SEEDS, Fleet, changed, configure, read_back
 
-from mdsim import run
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import Place, Tolerance, VoterSets
 from meadowdock.runtime import MILLI, SECOND, MemoryDisk, rest
+from meadowdock.simulator import run
 
 
 def log_nothing(*_, **__):
--- a/tests/test_model_register.py
+++ b/tests/test_model_register.py
@@ -9,10 +9,18 @@
 import meadowdock.config_store.change
 import meadowdock.config_store.store
 import meadowdock.config_store.transfer
-from mdmodel import Append, Explorer, Implementation, ModelMembers, MoveMembers, Read, Scenario
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import NO_LOSSES, Acceptor, VoterSets
 from meadowdock.consensus.acceptor import AcceptorState
+from meadowdock.model_checker import (
+    Append,
+    Explorer,
+    Implementation,
+    ModelMembers,
+    MoveMembers,
+    Read,
+    Scenario,
+)
 from meadowdock.runtime import fingerprint
 
 CHANGES = (Append("a", rounds=2), Append("b", rounds=2))
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -9,9 +9,9 @@
 from facts import manifest
 from mesh import configured, hosts
 
-from mdsim import run
 from meadowdock.client import Got, Record
 from meadowdock.runtime import MILLI, Disk, MemoryDisk, now, rest
+from meadowdock.simulator import run
 
 S = 1_000_000
 STAGES = ["arriving", "waiting", "at the endpoint", "spilled"]
--- a/tests/test_order_times.py
+++ b/tests/test_order_times.py
@@ -10,8 +10,8 @@
 from test_items import service
 from test_items_change import founded
 
-from mdsim import run
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
 
 SEEDS = range(4)
 SLOW = SECOND
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -8,7 +8,7 @@
 import pytest
 from fleets import small_fleet
 
-from mdfleet.fleet import get
+from meadowdock.local_fleet.fleet import get
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -9,9 +9,9 @@
 from facts import manifest, way
 from mesh import configured, first_with_a_blank_disk
 
-from mdsim import SimDisk, run
 from meadowdock.consensus import Acceptor, NoQuorum, OutcomeUnknown, Proposer
 from meadowdock.runtime import SECOND, MemoryDisk, now, rest
+from meadowdock.simulator import SimDisk, run
 
 
 class Trio:
--- a/tests/test_register_contention.py
+++ b/tests/test_register_contention.py
@@ -9,9 +9,9 @@
 from facts import manifest, way
 from mesh import configured
 
-from mdsim import SimDisk, run
 from meadowdock.consensus import Acceptor, NoQuorum, OutcomeUnknown, Proposer
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import SimDisk, run
 
 STEP = 5 * MILLI  # a write takes four steps
 SLOW = 25
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -9,10 +9,10 @@
 from facts import manifest, way
 from mesh import configured
 
-from mdsim import run
 from meadowdock.config_store import plans, repair
 from meadowdock.config_store.store import Store
 from meadowdock.runtime import MILLI, SECOND, rest
+from meadowdock.simulator import run
 
 
 def changed(number):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,9 @@
 import trio
 import trio.testing
 
-from mdsim.scale import (
+from meadowdock.rpc import Links, Peer, serve
+from meadowdock.rpc.frame import Proof
+from meadowdock.simulator.scale import (
     TABLES,
     Meter,
     Metered,
@@ -21,8 +23,6 @@
     services_of,
     told_by,
 )
-from meadowdock.rpc import Links, Peer, serve
-from meadowdock.rpc.frame import Proof
 
 DOCS = os.path.join(os.path.dirname(__file__), "..", "docs")
 SECONDS = 10  # of counted's window
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -5,9 +5,9 @@
 import pytest
 from fleets import free_net
 
-from mdsoak.fleet import topology
-from mdsoak.soak import Plan, soak
-from mdsoak.troubles import LONGEST_S, MOST_AT_ONCE, draw
+from meadowdock.soak.fleet import topology
+from meadowdock.soak.soak import Plan, soak
+from meadowdock.soak.troubles import LONGEST_S, MOST_AT_ONCE, draw
 
 CORE, PROXIES = list(topology("127.0.0")["core"]), list(topology("127.0.0")["application"])
 SECONDS = 6.0
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -12,7 +12,7 @@
 import pytest
 from fleets import small_fleet
 
-from mdfleet.fleet import get
+from meadowdock.local_fleet.fleet import get
 
 BIG = b'{"pad": "' + b"x" * (5 << 20) + b'"}'
 
--- a/tests/test_state_machines.py
+++ b/tests/test_state_machines.py
@@ -13,15 +13,21 @@
 from test_items import service
 from test_model_register import plant_new_voters_alone
 
-from mdmodel.process import Implementation, ModelMembers, make_node, make_store, voters_record
-from mdsim import run
 from meadowdock.config_store.change import Conflict
 from meadowdock.configuration import cut_items
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration.items.merge import SUPERSEDED_MAX
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
+from meadowdock.model_checker.process import (
+    Implementation,
+    ModelMembers,
+    make_node,
+    make_store,
+    voters_record,
+)
 from meadowdock.rpc import ConnectionFailed
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import run
 
 EXAMPLES = {"derandomize": True, "database": None, "deadline": None, "print_blob": False}
 HONEST = settings(**EXAMPLES, max_examples=40, stateful_step_count=15)
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -7,10 +7,10 @@
 from mesh import configured, hosts, serving
 from returns.pipeline import is_successful
 
-from mdsim import run
 from meadowdock.admin_http import Reply, Table
 from meadowdock.registry.part import Part
 from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest
+from meadowdock.simulator import run
 
 
 def test_a_proxy_restarted_under_load_loses_no_call():
--- a/tests/test_trail.py
+++ b/tests/test_trail.py
@@ -11,12 +11,12 @@
 from test_items import dropped, route, service
 from trail_facts import SIGNING_KEY, chain, measure, opened, write_former_layout
 
-from mdsim import SimDisk, run
 from meadowdock import audit
 from meadowdock.config_store import repair, trail, trail_transfer
 from meadowdock.config_store.trail import RECORDS, SEGMENTS, TrailState
 from meadowdock.rpc import Rejected
 from meadowdock.runtime import MILLI, SECOND, MemoryDisk, rest
+from meadowdock.simulator import SimDisk, run
 
 PUBLIC = SIGNING_KEY.as_dict(private=False)
 SHORT = 8  # records in a segment, where a test needs many segments
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -6,9 +6,9 @@
 from mesh import answers, counts, hosts, serving
 from returns.pipeline import is_successful
 
-from mdsim import run
 from meadowdock.load_sharing import Node
 from meadowdock.runtime import MILLI, SECOND, rest
+from meadowdock.simulator import run
 
 
 async def first_keeps_the_old(world, new):
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -9,8 +9,8 @@
 from mesh import counts, hosts, serving
 from returns.pipeline import is_successful
 
-from mdsim import run
 from meadowdock.runtime import SECOND, fingerprint, now, rest
+from meadowdock.simulator import run
 
 
 def test_call_is_served_at_home_by_its_way_and_name():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,9 +7,9 @@
 import pytest
 import trio
 
-from mdsim import SimNet, run
 from meadowdock.rpc import ConnectionFailed, Handlers, Links, Peer, Rejected, serve
 from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.simulator import SimNet, run
 
 KEY = b"k" * 32
 
