--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -30,7 +30,7 @@
 
 rm -rf target/lib.new
 mkdir -p target/lib.new
-for folder in packages/*/ platform/mdplatform/; do
+for folder in packages/*/ platform/platform_adapter/; do
     name=$(basename "$folder")
     case "$folder" in
         packages/*) source=$folder$name ;;
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -12,7 +12,7 @@
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 
 sys.path.append(str(Path(__file__).parent.parent / "platform"))
-from mdplatform import conf  # noqa: E402
+from platform_adapter import conf  # noqa: E402
 
 MODIFY, FETCH = "/api/config/modify", "/api/config/fetch"
 
--- a/tests/test_platform_items.py
+++ b/tests/test_platform_items.py
@@ -17,10 +17,10 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
-from mdplatform import items  # noqa: E402
-from mdplatform.beats import BEAT_MAX, beats, readiness  # noqa: E402
-from mdplatform.conf import control  # noqa: E402
-from mdplatform.doors import doors_at  # noqa: E402
+from platform_adapter import items  # noqa: E402
+from platform_adapter.beats import BEAT_MAX, beats, readiness  # noqa: E402
+from platform_adapter.conf import control  # noqa: E402
+from platform_adapter.doors import doors_at  # noqa: E402
 
 
 def entry(kind, name, version, **spec):
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -15,9 +15,9 @@
 FOLDER = Path(__file__).parent.parent / "platform"
 sys.path.insert(0, str(FOLDER))
 
-from mdplatform.main import take_over  # noqa: E402
-from mdplatform.settings import Settings, load  # noqa: E402
-from mdplatform.times import as_us  # noqa: E402
+from platform_adapter.main import take_over  # noqa: E402
+from platform_adapter.settings import Settings, load  # noqa: E402
+from platform_adapter.times import as_us  # noqa: E402
 
 EXAMPLE = """
 [localNode]
@@ -199,7 +199,7 @@
 
 def test_a_good_boot_needs_no_schema_checker(file):
     program = (
-        "import sys; from mdplatform.settings import Settings;"
+        "import sys; from platform_adapter.settings import Settings;"
         f"Settings('mdproxy', {str(file)!r});"
         "print([m for m in ('jsonschema', 'fire', 'mdconf', 'mdreg') if m in sys.modules])"
     )
