--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -29,17 +29,12 @@
 fi
 
 rm -rf target/lib.new
-mkdir -p target/lib.new
-for folder in packages/*/ platform/platform_adapter/; do
-    name=$(basename "$folder")
-    case "$folder" in
-        packages/*) source=$folder$name ;;
-        *) source=${folder%/} ;;
-    esac
-    if [ -e "$source/__init__.py" ] || [ -e "$source/main.py" ]; then
-        cp -R "$source" "target/lib.new/$name"
-    fi
+mkdir -p target/lib.new/meadowdock
+# The packages share one import name; here they share one folder as well.
+for folder in packages/*/meadowdock/*/; do
+    cp -R "${folder%/}" "target/lib.new/meadowdock/$(basename "$folder")"
 done
+cp -R platform/platform_adapter target/lib.new/platform_adapter
 find target/lib.new -name __pycache__ -prune -exec rm -rf {} +
 rm -rf target/lib
 mv target/lib.new target/lib
--- a/packages/local_fleet/meadowdock/local_fleet/fleet.py
+++ b/packages/local_fleet/meadowdock/local_fleet/fleet.py
@@ -21,6 +21,13 @@
 HERE = os.path.join(os.path.dirname(__file__), "topologies")
 
 
+# The package that is run for each program's name.
+PROGRAM_PACKAGES = {
+    "mdproxy": "meadowdock.proxy",
+    "mdreg": "meadowdock.registry",
+    "mdconf": "meadowdock.config_store",
+}
+
 CORE_PORTS, PORTS = (7410, 7411, 7420, 7421), (7400, 7401, 8000)
 
 
@@ -108,7 +115,9 @@
         return path
 
     def start_daemon(self, role, host):
-        return self.spawn(f"{role}-{host}", [role, "run", "--boot", self.boot(role, host)])
+        return self.spawn(
+            f"{role}-{host}", [PROGRAM_PACKAGES[role], "run", "--boot", self.boot(role, host)]
+        )
 
     def start_endpoint(self, host, port=8000):
         _, service, capacity, mean_us = self.application[host]
@@ -168,7 +177,7 @@
 
     def ctl(self, *words, given=None):
         found = subprocess.run(
-            [sys.executable, "-m", "mdctl", f"--core={','.join(self.conf_http)}", *words],
+            [sys.executable, "-m", "meadowdock.cli", f"--core={','.join(self.conf_http)}", *words],
             input=given,
             capture_output=True,
             text=True,
--- a/packages/soak/meadowdock/soak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -13,6 +13,7 @@
 
 from meadowdock.admin_http import Reply, Table
 from meadowdock.forwarding import Dialect
+from meadowdock.local_fleet.fleet import PROGRAM_PACKAGES
 from meadowdock.process import Node
 from meadowdock.process import signals as watch_signals
 from meadowdock.proxy.endpoints import Denied
@@ -50,7 +51,7 @@
 
 def part_of(role: str) -> type:
     """The part that a role is."""
-    return SoakProxy if role == "mdproxy" else import_module(f"{role}.part").Part
+    return SoakProxy if role == "mdproxy" else import_module(f"{PROGRAM_PACKAGES[role]}.part").Part
 
 
 async def serve(boot: Boot, cuts_file: str) -> None:
--- a/tests/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -120,7 +120,7 @@
 
 def ctl(*words):
     return subprocess.run(
-        [sys.executable, "-m", "mdctl", "audit", *words],
+        [sys.executable, "-m", "meadowdock.cli", "audit", *words],
         capture_output=True,
         text=True,
         check=False,
--- a/tests/test_contact.py
+++ b/tests/config_store/test_contact.py
@@ -5,10 +5,10 @@
 import pytest
 import trio
 from facts import manifest, way
+from item_builders import service
+from item_changes import accepted, change, founded, standing
 from mesh import configured
 from orders import ask, ask_and_follow, order
-from test_items import service
-from test_items_change import accepted, change, founded, standing
 
 from meadowdock.config_store.contact import HelloAnswer
 from meadowdock.config_store.items import Outdated
--- a/tests/test_items_change.py
+++ b/tests/config_store/test_items_change.py
@@ -5,8 +5,9 @@
 import pytest
 import trio
 from facts import manifest, way
+from item_builders import dropped, limits, route, service
+from item_changes import accepted, change, founded, standing
 from mesh import configured
-from test_items import dropped, limits, route, service
 
 from meadowdock import audit
 from meadowdock.configuration import items as config_items
@@ -14,33 +15,10 @@
 from meadowdock.simulator import run
 
 
-async def change(world, items, core=0):
-    return await world.operate("POST", "/items", {"items": items}, core)
-
-
-async def accepted(world, items, core=0):
-    status, told = await change(world, items, core)
-    assert (status, told.get("state")) == (200, "accepted"), told
-    return told["version"]
-
-
-async def standing(world, core=0):
-    status, told = await world.operate("GET", "/items", core=core)
-    assert status == 200, told
-    return {config_items.key_of(item): item for item in told["items"]}
-
-
 def by_key(*items):
     return {config_items.key_of(item): item for item in items}
 
 
-async def founded(world):
-    """The core alone: no manifest was ever set."""
-    await world.whole()
-    for host in world.core:
-        await world.eventually(lambda h=host: not world.node("mdconf", h).not_ready())
-
-
 def test_what_was_set_is_read_back_verbatim_at_every_member():
     async def scenario(world):
         await founded(world)
--- a/tests/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -6,6 +6,7 @@
 
 import pytest
 import trio
+from lease_checks import holders, isolate, one_holder
 from mesh import hosts, serving
 
 from meadowdock.config_store.lease import DRIFT, LeaseRegister
@@ -29,21 +30,6 @@
 DAY = 86_400 * SECOND
 
 
-def registries(world):
-    return [p for name, p in world.processes.items() if name.startswith("mdreg") and p.node]
-
-
-def holders(world):
-    """{host: epoch} of all that believe at this moment that their lease is valid."""
-    found = {p.host: p.node.part.epoch for p in registries(world) if p.node.part}
-    return {host: epoch for host, epoch in found.items() if epoch is not None}
-
-
-async def one_holder(world):
-    await world.eventually(lambda: len(holders(world)) == 1)
-    return next(iter(holders(world).items()))
-
-
 async def watch(world, seen):
     """Fails the run at the first moment with two holders. seen: all epochs, in order."""
     while True:
@@ -62,12 +48,6 @@
     return seen
 
 
-def isolate(world, host):
-    for other in [*world.core, *world.application]:
-        if other != host:
-            world.web.cut(host, other)
-
-
 @pytest.mark.parametrize("seed", range(8))
 def test_a_holder_cut_off_from_the_majority_stops_before_another_acquires(seed):
     async def scenario(world):
--- a/tests/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -6,7 +6,7 @@
 
 import pytest
 import trio
-from test_members_auto import SEEDS, Fleet, changed, configure, read_back
+from core_fleet import SEEDS, Fleet, changed, configure, read_back
 
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import Place, Tolerance, VoterSets
--- a/tests/test_order_races.py
+++ b/tests/config_store/test_order_races.py
@@ -6,9 +6,10 @@
 
 import pytest
 import trio
+from item_builders import service
+from item_changes import founded
+from order_faults import trouble
 from orders import order
-from test_items import service
-from test_items_change import founded
 
 from meadowdock.runtime import MILLI, SECOND, rest
 from meadowdock.simulator import run
@@ -31,31 +32,6 @@
         await rest(world.rng.randrange(200) * MILLI)
 
 
-async def trouble(world):
-    """Cuts, lost power and frozen processes, one after the other."""
-    while True:
-        away = world.core[world.rng.randrange(3)]
-        pairs = [(a, b) for a in world.core for b in world.core if away in (a, b) and a != b]
-        kind = world.rng.randrange(3)
-        if kind == 0:
-            one_way = world.rng.random() < 0.5
-            for a, b in pairs:
-                if not one_way or a == away:
-                    world.web.cut(a, b, both=False)
-            await rest(world.rng.randrange(1500) * MILLI)
-            world.web.mend(pairs)
-        elif kind == 1:
-            world.power_off("mdconf", away)
-            await rest(world.rng.randrange(500) * MILLI)
-            await world.start("mdconf", away)
-        else:
-            process = world.processes[f"mdconf@{away}"]
-            process.freeze()
-            await rest(world.rng.randrange(1000) * MILLI)
-            process.wake()
-        await rest(world.rng.randrange(600) * MILLI)
-
-
 @pytest.mark.parametrize("seed", range(6))
 def test_at_most_one_content_is_acknowledged_under_one_number(seed):
     async def scenario(world):
--- a/tests/test_order_times.py
+++ b/tests/config_store/test_order_times.py
@@ -6,9 +6,9 @@
 
 import pytest
 import trio
+from item_builders import service
+from item_changes import founded
 from orders import order
-from test_items import service
-from test_items_change import founded
 
 from meadowdock.runtime import MILLI, SECOND, now, rest
 from meadowdock.simulator import run
--- a/tests/test_trail.py
+++ b/tests/config_store/test_trail.py
@@ -7,8 +7,8 @@
 import pytest
 import trio
 from facts import manifest, way
+from item_builders import dropped, route, service
 from mesh import configured, first_with_a_blank_disk
-from test_items import dropped, route, service
 from trail_facts import SIGNING_KEY, chain, measure, opened, write_former_layout
 
 from meadowdock import audit
--- a/tests/test_items_model.py
+++ b/tests/configuration/test_items_model.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_items import service
+from item_builders import service
 
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration.items.merge import SUPERSEDED_MAX
--- a/tests/test_abandoned.py
+++ b/tests/forwarding/test_abandoned.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
+from gate_beliefs import LONG, works
 from gates import SEEDS, gate_of, gated, items, leaks
-from test_gate_rules import LONG, works
-from test_items import route
+from item_builders import route
 
 from meadowdock.runtime import MILLI, now, rest
 
--- a/tests/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
+from gate_beliefs import HIGH, LOW, believe_hold, works
 from gates import all_done, asked, gate_of, gated, items
-from test_gate_rules import HIGH, LOW, believe_hold, works
-from test_items import route
+from item_builders import route
 
 from meadowdock.forwarding.admission import ROUTES_REMEMBERED, Admission
 from meadowdock.forwarding.call import Call
--- a/tests/test_answers.py
+++ b/tests/forwarding/test_answers.py
@@ -6,8 +6,8 @@
 import pytest
 import trio
 from gates import SEEDS, all_done, asked, gate_of, gated
-from test_gate_faults import TRIES, budgeted, hosts
-from test_items import route
+from item_builders import route
+from retry_counts import TRIES, budgeted, hosts
 
 from meadowdock.forwarding.peers import CANCEL
 from meadowdock.rpc import ConnectionFailed, Rejected
--- a/tests/test_gate.py
+++ b/tests/forwarding/test_gate.py
@@ -4,7 +4,7 @@
 
 import pytest
 from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items, listed
-from test_items import route, service
+from item_builders import route, service
 
 from meadowdock.load_sharing import Node
 from meadowdock.runtime import MILLI, SECOND, now, rest
--- a/tests/test_gate_faults.py
+++ b/tests/forwarding/test_gate_faults.py
@@ -4,12 +4,12 @@
 
 import pytest
 from gates import SEEDS, all_done, asked, gate_of, gated, items, listed
-from test_items import route
+from item_builders import route
+from retry_counts import TRIES, budgeted, hosts
 
 from meadowdock.runtime import MILLI, SECOND, now, rest
 from meadowdock.simulator.standin import FAULTS
 
-TRIES = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
 REPEATED = {  # a run whose answer is useless: what may be repeated is
     *("reset", "close", "short", "short_head", "garbage", "unstamped", "nameless", "mixed_up"),
     *("encoded", "unframed", "own_503"),
@@ -17,15 +17,6 @@
 WHOLE = {"twice", "twice_late", "twice_soon", "spare", "spare_late", "slow"}
 
 
-def hosts(world):
-    return list(world.application)
-
-
-async def budgeted(world):
-    """Older than a window, so that the reserve of second tries is there."""
-    await rest(2 * TRIES["window_us"])
-
-
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("spilled", (False, True))
 def test_each_fault_of_an_endpoint(fault, spilled):
--- a/tests/test_gate_http.py
+++ b/tests/forwarding/test_gate_http.py
@@ -4,6 +4,7 @@
 
 import pytest
 from gates import SEEDS, all_done, asked, gate_of, gated
+from raw_bytes import hosts, raw
 
 from meadowdock.configuration.items import DEFAULT_LIMITS
 from meadowdock.forwarding.http import Answers, Requests
@@ -12,31 +13,6 @@
 HEAD = b"Host: h.example\r\nmd-call: raw-1\r\n"
 
 
-def hosts(world):
-    return list(world.application)
-
-
-async def raw(world, data, wait=SECOND):
-    """The bytes sent as they are; gives (status or None, was the connection closed)."""
-    caller = await world.caller(hosts(world)[0])
-    answers = []
-
-    class Any:
-        def on_data(self, data):
-            answers.append(data)
-
-        def on_end(self, cause):
-            answers.append(None)
-
-    caller.wire.owner = Any()
-    caller.wire.send(data)
-    await rest(wait)
-    closed = None in answers
-    text = b"".join(a for a in answers if a)
-    caller.wire.close()
-    return (int(text.split()[1]) if text else None), closed, text
-
-
 SMUGGLED = {
     "two lengths": b"POST /p/x HTTP/1.1\r\n%sContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
     "length and chunks": b"POST /p/x HTTP/1.1\r\n%sContent-Length: 5\r\n"
--- a/tests/test_gate_rules.py
+++ b/tests/forwarding/test_gate_rules.py
@@ -4,8 +4,9 @@
 
 import pytest
 import trio
+from gate_beliefs import HIGH, LONG, LOW, believe_hold, hold, hosts, works
 from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items
-from test_items import route, service
+from item_builders import route, service
 
 from meadowdock.forwarding.callers import KEEP_S, KEPT
 from meadowdock.forwarding.gate import EARLY
@@ -13,21 +14,6 @@
 from meadowdock.runtime import MILLI, SECOND, Address, now, rest
 
 TRIES = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
-LOW = route("low", prefix="/low/", priority=3, aim_us=SECOND)
-HIGH = route("high", prefix="/high/", priority=0, aim_us=SECOND)
-LONG = route("long", prefix="/long/", priority=3, timeout_us=20 * SECOND)
-
-
-def hosts(world):
-    return list(world.application)
-
-
-def hold(world):
-    """From here on the load and the lists are the test's own."""
-    for host in hosts(world):
-        part = world.part("mdproxy", host)
-        part.book.measure = lambda at, share: {}
-        part.walker.listed = lambda lists, told: None
 
 
 def address_of(host):
@@ -59,14 +45,6 @@
     return [host_of[ran.instance] for ran in world.ledger.runs(made.id)]
 
 
-def believe_hold(gate, mean_us, service="desk"):
-    """The gate's estimate of how long a call of whatever kind holds a slot."""
-    for prefixes in gate.table.routes.values():
-        for known in prefixes.values():
-            hold = gate.admission.waits(service).hold(known.name)
-            hold.known, hold.mean_us, hold.deviation_us = True, mean_us, 0
-
-
 async def batch(world, host, count):
     """Who ran each of so many calls, one after the other."""
     calls = [await asked(world, host) for _ in range(count)]
@@ -81,11 +59,6 @@
     return calls
 
 
-def works(**by_first):
-    """work_us by the first part of a call's path, in milliseconds."""
-    return lambda job: by_first.get(job.target.split(b"/")[1].decode(), 10) * MILLI
-
-
 # ---------------------------------------------------------------- zones
 
 
--- a/tests/test_fleet.py
+++ b/tests/local_fleet/test_fleet.py
@@ -28,8 +28,8 @@
     mine = free_net()
     code = f"import os; os.getpid = lambda: {os.getpid()}; import fleets; print(fleets.free_net())"
     other = [sys.executable, "-c", code]
-    folder = os.path.dirname(__file__)
-    ended = subprocess.run(other, cwd=folder, capture_output=True, text=True, check=True)
+    paths = {**os.environ, "PYTHONPATH": os.pathsep.join(filter(None, sys.path))}
+    ended = subprocess.run(other, env=paths, capture_output=True, text=True, check=True)
     assert ended.stdout.strip() not in ("", mine)
 
 
@@ -55,7 +55,14 @@
     )
     with socket.create_server((f"{net}.1", 7420)):
         told = subprocess.run(
-            [sys.executable, "-m", "mdfleet", "load", str(file), f"--folder={tmp_path / 'run'}"],
+            [
+                sys.executable,
+                "-m",
+                "meadowdock.local_fleet",
+                "load",
+                str(file),
+                f"--folder={tmp_path / 'run'}",
+            ],
             capture_output=True,
             text=True,
             check=False,
--- a/tests/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -8,11 +8,11 @@
 
 import pytest
 import trio
-from test_items import service
-from test_items_change import founded
-from test_lease import holders, isolate, one_holder
-from test_order_races import trouble
-from test_register import Trio
+from item_builders import service
+from item_changes import founded
+from lease_checks import holders, isolate, one_holder
+from order_faults import trouble
+from three_acceptors import Trio
 
 from meadowdock.consensus import NoQuorum, OutcomeUnknown, Proposer, holds_majorities
 from meadowdock.model_checker import (
--- a/tests/test_model_register.py
+++ b/tests/model_checker/test_model_register.py
@@ -5,12 +5,10 @@
 from dataclasses import dataclass, replace
 
 import pytest
+from planted_faults import plant_new_voters_alone
 
-import meadowdock.config_store.change
-import meadowdock.config_store.store
-import meadowdock.config_store.transfer
 from meadowdock.config_store.store import Store
-from meadowdock.consensus import NO_LOSSES, Acceptor, VoterSets
+from meadowdock.consensus import Acceptor
 from meadowdock.consensus.acceptor import AcceptorState
 from meadowdock.model_checker import (
     Append,
@@ -72,21 +70,6 @@
         self.acceptor = VolatilePromise(self.files, log)
 
 
-def plant_new_voters_alone(monkeypatch):
-    """Planted: while members change, a quorum is one of the new voters."""
-
-    def new_voters_alone(record, tolerance=NO_LOSSES):
-        sets = [record["next"] or record["voters"]] if record else []
-        return VoterSets.of(sets, tolerance=tolerance)
-
-    for module in (
-        meadowdock.config_store.store,
-        meadowdock.config_store.transfer,
-        meadowdock.config_store.change,
-    ):
-        monkeypatch.setattr(module, "voter_sets_of", new_voters_alone)
-
-
 class AnyVersion(ModelMembers):
     """Planted: a ballot of a former configuration is still voted on."""
 
--- a/tests/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -10,8 +10,8 @@
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
-from test_items import service
-from test_model_register import plant_new_voters_alone
+from item_builders import service
+from planted_faults import plant_new_voters_alone
 
 from meadowdock.config_store.change import Conflict
 from meadowdock.configuration import cut_items
--- a/tests/test_platform_control.py
+++ b/tests/platform/test_platform_control.py
@@ -11,7 +11,7 @@
 from meadowdock.config_store.contact import NoContact
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 
-sys.path.append(str(Path(__file__).parent.parent / "platform"))
+sys.path.append(str(Path(__file__).parents[2] / "platform"))
 from platform_adapter import conf  # noqa: E402
 
 MODIFY, FETCH = "/api/config/modify", "/api/config/fetch"
--- a/tests/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -15,7 +15,7 @@
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.proxy.endpoints import Denied
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
+sys.path.insert(0, str(Path(__file__).parents[2] / "platform"))
 
 from platform_adapter import items  # noqa: E402
 from platform_adapter.beats import BEAT_MAX, beats, readiness  # noqa: E402
--- a/tests/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -12,7 +12,7 @@
 
 from meadowdock.settings import BootErrors, checked, is_plain, schema_errors
 
-FOLDER = Path(__file__).parent.parent / "platform"
+FOLDER = Path(__file__).parents[2] / "platform"
 sys.path.insert(0, str(FOLDER))
 
 from platform_adapter.main import take_over  # noqa: E402
--- a/tests/test_deploy.py
+++ b/tests/project/test_deploy.py
@@ -8,7 +8,7 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SHELL_WORDS = {"if", "then", "else", "elif", "while", "until", "do", "fi", "done", "esac", "{", "}"}
 BUILTINS = {"[", "set", "read", "case", "for", "exit", "echo", "printf", "command", ":"}
 SEPARATOR = re.compile(r"\|\||&&|[|;\n]|\$\(|-exec ")
--- a/tests/test_docs.py
+++ b/tests/project/test_docs.py
@@ -8,7 +8,7 @@
 from meadowdock.logs import CATALOGUE
 from meadowdock.outcome import SECOND, TABLE
 
-DOCS = os.path.join(os.path.dirname(__file__), "..", "docs")
+DOCS = os.path.join(os.path.dirname(__file__), "..", "..", "docs")
 
 
 def rows(name):
--- a/tests/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-PLUGIN_FOLDER = Path(__file__).parent.parent / ".ci"
+PLUGIN_FOLDER = Path(__file__).parents[2] / ".ci"
 TESTS = """
 import pytest
 
--- a/tests/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -8,7 +8,7 @@
 import ormsgpack
 import pytest
 import trio
-from test_items import dropped, route, service
+from item_builders import dropped, route, service
 
 from meadowdock.config_store.chunks import Chunks
 from meadowdock.configuration import (
--- a/tests/test_boot.py
+++ b/tests/settings/test_boot.py
@@ -7,6 +7,8 @@
 
 import pytest
 
+from meadowdock.local_fleet.fleet import PROGRAM_PACKAGES
+
 GOOD = """
 host = "127.0.0.1"
 hall = "a"
@@ -17,10 +19,9 @@
 """ % ("ab" * 32)
 
 
-def command(*words):
-    found = subprocess.run(
-        [sys.executable, "-m", *words], capture_output=True, text=True, timeout=30, check=False
-    )
+def command(program, *words):
+    argv = [sys.executable, "-m", PROGRAM_PACKAGES[program], *words]
+    found = subprocess.run(argv, capture_output=True, text=True, timeout=30, check=False)
     return found.returncode, found.stdout, found.stderr
 
 
--- a/tests/test_lean.py
+++ b/tests/settings/test_lean.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-PACKAGES = Path(__file__).parent.parent / "packages"
+PACKAGES = Path(__file__).parents[2] / "packages"
 
 
 def told(program):
--- a/tests/test_day_digests.py
+++ b/tests/simulator/test_day_digests.py
@@ -7,8 +7,8 @@
 
 import pytest
 from gates import gated
+from overload_demands import LONG, SHORT, SLOTS, items_of
 from overloads import offer, worker
-from test_overload import LONG, SHORT, SLOTS, items_of
 
 from meadowdock.runtime import SECOND
 from meadowdock.simulator.__main__ import Commands
@@ -20,7 +20,7 @@
     write_digests,
 )
 
-GOLDEN = Path(__file__).parent / "golden"
+GOLDEN = Path(__file__).parents[1] / "golden"
 DAYS = read_digests(GOLDEN / "day_digests.json")
 GATED = read_digests(GOLDEN / "gated_overload_digests.json")
 FAST_SEEDS = ("44", "48", "30")  # the days that take the least time
--- a/tests/test_overload.py
+++ b/tests/simulator/test_overload.py
@@ -5,39 +5,16 @@
 from dataclasses import replace
 
 import pytest
-from gates import LIMITS, SEEDS, gated
-from overloads import Demand, most_in_aim, offer, worker
-from test_items import route, service
-
-from meadowdock.runtime import MILLI, SECOND
-
-SLOTS, SPAN = 17, 4 * SECOND
-# twice what the endpoint can do; the long requests are of the lowest rank, as on the days that
-# earned least, and short ones of a higher rank use a third of the slots
-LONG = Demand(b"/long/", 160, 150 * MILLI, 0.3, 400 * MILLI, 1500 * MILLI, 2)
-SHORT = Demand(b"/short/", 340, 15 * MILLI, 0.5, 60 * MILLI, 200 * MILLI, 0, retries=0)
+from gates import SEEDS, gated
+from overload_demands import LONG, SHORT, SLOTS, SPAN, items_of
+from overloads import most_in_aim, offer, worker
 
+from meadowdock.runtime import MILLI
 
 # the same works, but no rank tells them apart
 SHORT_ALIKE = replace(SHORT, priority=LONG.priority, aim_us=200 * MILLI, due_us=400 * MILLI)
 
 
-def items_of(*demands):
-    return [
-        service("desk"),
-        *(
-            route(
-                d.prefix.strip(b"/").decode(),
-                prefix=d.prefix.decode(),
-                aim_us=d.aim_us,
-                priority=d.priority,
-            )
-            for d in demands
-        ),
-        LIMITS,
-    ]
-
-
 def overloaded(seed, demands, slots=SLOTS, application=("desk", None, None)):
     async def scenario(world):
         return await offer(world, list(world.application), demands, SPAN, seed)
--- a/tests/test_scale.py
+++ b/tests/simulator/test_scale.py
@@ -24,7 +24,7 @@
     told_by,
 )
 
-DOCS = os.path.join(os.path.dirname(__file__), "..", "docs")
+DOCS = os.path.join(os.path.dirname(__file__), "..", "..", "docs")
 SECONDS = 10  # of counted's window
 REGS, ROUNDS = 5, 20  # mdregs; a list each 0.5 s
 
--- a/tests/test_whole.py
+++ b/tests/simulator/test_whole.py
@@ -38,8 +38,9 @@
 def test_same_seed_same_trace_in_any_process():
     argv = [sys.executable, "-c", "import test_whole as t; print(t.run(t.busy_minute, 7))"]
     here = os.path.dirname(__file__)
+    paths = {**os.environ, "PYTHONPATH": os.pathsep.join(filter(None, sys.path))}
     told = {
-        subprocess.check_output(argv, cwd=here, env={**os.environ, "PYTHONHASHSEED": seed})
+        subprocess.check_output(argv, cwd=here, env={**paths, "PYTHONHASHSEED": seed})
         for seed in ("1", "2")
     }
     assert told == {run(busy_minute, 7).encode() + b"\n"}
--- a/tests/gates.py
+++ b/tests/support/gates.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from test_items import route, service
+from item_builders import route, service
 
 from meadowdock.runtime import MILLI, SECOND, now, rest
 from meadowdock.simulator import run
--- a/tests/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -1,7 +1,7 @@
 """What the golden files of tests/golden are made of: stored files, rpc messages, HTTP answers,
 settings and events of the code as it is.
 
-python tests/golden_facts.py --write    # makes the golden files anew
+python tests/support/golden_facts.py --write    # makes the golden files anew
 
 The golden files stand for what deployed processes have stored and speak. Write them anew only if a
 format is meant to change, and keep the former disks as a second set: they must still be read.
@@ -24,9 +24,9 @@
 from facts import manifest, way
 from gates import items as gate_items
 from gates import listed
+from item_builders import route, service
 from mesh import answers, configured
-from test_gate_http import raw
-from test_items import route, service
+from raw_bytes import raw
 
 from meadowdock import audit
 from meadowdock.client.record import Got, Record
@@ -46,7 +46,7 @@
 from meadowdock.simulator import SimDisk, run
 from meadowdock.simulator.wires import SimWire
 
-GOLDEN = Path(__file__).parent / "golden"
+GOLDEN = Path(__file__).parents[1] / "golden"
 SEED = 7
 FLEET_KEY = b"k" * 32
 CORE, APPLICATION = 3, ("desk", "desk", "paper")
--- /dev/null
+++ b/tests/support/lease_checks.py
@@ -0,0 +1,24 @@
+"""Who holds the load collector's lease, and that it is one at most."""
+
+from __future__ import annotations
+
+
+def registries(world):
+    return [p for name, p in world.processes.items() if name.startswith("mdreg") and p.node]
+
+
+def holders(world):
+    """{host: epoch} of all that believe at this moment that their lease is valid."""
+    found = {p.host: p.node.part.epoch for p in registries(world) if p.node.part}
+    return {host: epoch for host, epoch in found.items() if epoch is not None}
+
+
+async def one_holder(world):
+    await world.eventually(lambda: len(holders(world)) == 1)
+    return next(iter(holders(world).items()))
+
+
+def isolate(world, host):
+    for other in [*world.core, *world.application]:
+        if other != host:
+            world.web.cut(host, other)
--- /dev/null
+++ b/tests/support/retry_counts.py
@@ -0,0 +1,16 @@
+"""How often calls ran, and where, against the retry budget."""
+
+from __future__ import annotations
+
+from meadowdock.runtime import SECOND, rest
+
+TRIES = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
+
+
+def hosts(world):
+    return list(world.application)
+
+
+async def budgeted(world):
+    """Older than a window, so that the reserve of second tries is there."""
+    await rest(2 * TRIES["window_us"])
