--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -561,7 +561,8 @@
 
 
 async def play_gates(world):
-    """{"answers": raw answers of a gate's door, "links": ..., "http": ...}"""
+    """{"answers": raw answers of a gate's door, "statuses": with what was counted, "links": ...,
+    "http": ...}"""
     made, conversations = {}, Conversations()
     await world.whole()
     member = world.node(STORING_ROLE, world.core[0])
@@ -581,7 +582,9 @@
         case: {"status": status, "closed": closed, "bytes": data.decode("latin-1")}
         for case, (status, closed, data) in made.items()
     }
-    return {"answers": answers, **conversations.told()}
+    hosts = list(world.application)
+    statuses = [await http_answer(world, f"{host}:7400", "GET", "/md/status") for host in hosts]
+    return {"answers": answers, "statuses": statuses, **conversations.told()}
 
 
 def played_gates():
