--- a/tests/simulator/test_day_digests.py
+++ b/tests/simulator/test_day_digests.py
@@ -64,7 +64,7 @@
     golden = tmp_path / "golden.json"
     write_digests(golden, {"days": {"1": "same", "2": "former"}})
     monkeypatch.setattr(
-        "mdsim.__main__.digests", lambda *_: {"days": {"1": "same", "2": "new", "3": "new"}}
+        "meadowdock.simulator.__main__.digests", lambda *_: {"days": {"1": "same", "2": "new", "3": "new"}}
     )
     with pytest.raises(SystemExit) as ended:
         Commands().digest(seeds=3, check=golden)
@@ -75,7 +75,7 @@
 def test_the_check_passes_over_equal_digests(tmp_path, monkeypatch):
     golden = tmp_path / "golden.json"
     write_digests(golden, {"days": {"1": "same"}})
-    monkeypatch.setattr("mdsim.__main__.digests", lambda *_: {"days": {"1": "same"}})
+    monkeypatch.setattr("meadowdock.simulator.__main__.digests", lambda *_: {"days": {"1": "same"}})
     with pytest.raises(SystemExit) as ended:
         Commands().digest(seeds=1, check=golden)
     assert ended.value.code == 0
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -484,12 +484,12 @@
 
 async def read_back(world, core):
     """What one member tells operators of the revision in force and the audit trail."""
-    status, audit = await world.operate("GET", "/audit", core=core)
-    assert status == 200, audit
+    status, trail = await world.operate("GET", "/audit", core=core)
+    assert status == 200, trail
     status, told = await world.operate("GET", "/manifest", core=core)
     assert status == 200, told
-    faults = audit.verify(audit["records"], audit["key"], audit["version"], audit["anchor"])
-    return {"audit": audit, "manifest": told, "faults": faults}
+    faults = audit.verify(trail["records"], trail["key"], trail["version"], trail["anchor"])
+    return {"audit": trail, "manifest": told, "faults": faults}
 
 
 # ---------------------------------------------------------------- gates, byte by byte
