--- a/packages/config_store/meadowdock/config_store/contact.py
+++ b/packages/config_store/meadowdock/config_store/contact.py
@@ -59,15 +59,15 @@
     gave after this member had lost its quorum; so two members never send an operator back and
     forth unless one of them found its quorum again."""
 
-    def __init__(self, part):
-        self.part = part
+    def __init__(self, daemon):
+        self.daemon = daemon
 
     def fresh(self, writing=True):
         """A quorum answered lately. writing: and their disks can be written."""
-        there = self.part.reachable().values()
-        fresh_us = FRESH_ROUNDS * self.part.timing.hear_us
+        there = self.daemon.reachable().values()
+        fresh_us = FRESH_ROUNDS * self.daemon.timing.hear_us
         disks = [h.disk for h in there if now() - h.at < fresh_us and (h.well or not writing)]
-        return self.part.proposer is not None and self.part.proposer.quorum(disks)
+        return self.daemon.proposer is not None and self.daemon.proposer.quorum(disks)
 
     async def check(self, writing=True):
         """Returns if a quorum is in touch, after asking the members at once if none answered
@@ -77,15 +77,15 @@
         answers = await self.probe(writing)
         if self.fresh(writing):
             return
-        if self.part.store.record:
-            self.part.note_no_quorum()
+        if self.daemon.store.record:
+            self.daemon.note_no_quorum()
         able = [answer.doors for answer in answers if answer.may_take_over]
-        raise NoContact(self.part.node.seams.rng.choice(able) if able else {})
+        raise NoContact(self.daemon.node.seams.rng.choice(able) if able else {})
 
     async def probe(self, writing):
         """Answers of all other members, as far as they come before a quorum is in touch."""
-        answers, node = [], self.part.node
-        wait = min(node.boot.contact_us // PROBE_SHARE, self.part.timing.ask_us)
+        answers, node = [], self.daemon.node
+        wait = min(node.boot.contact_us // PROBE_SHARE, self.daemon.timing.ask_us)
         deadline = now() + wait
         asker = {"link": node.boot.link}
 
@@ -94,13 +94,13 @@
                 facts = await node.links.call(address, "member.hello", asker, deadline)
             except (ConnectionFailed, Rejected):
                 return
-            self.part.note_hello(address, facts)
+            self.daemon.note_hello(address, facts)
             answers.append(HelloAnswer.of(facts))
             if self.fresh(writing):
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            for address in sorted(self.part.others().values()):
+            for address in sorted(self.daemon.others().values()):
                 nursery.start_soon(one, address)
         return answers
 
@@ -108,7 +108,7 @@
         """What `work()` gives. Once no quorum is in touch any more it is cancelled, and the
         error that `lost()` gives is raised."""
         scope, done = trio.CancelScope(), trio.Event()
-        self.part.node.nursery.start_soon(self.cancel_when_lost, scope, done, writing)
+        self.daemon.node.nursery.start_soon(self.cancel_when_lost, scope, done, writing)
         try:
             with scope:
                 return await work()
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -18,33 +18,33 @@
     """Of Part. Invariant: once retired, this member accepts no write, so what secure_state found
     on the others' disks is all that this one has acknowledged."""
 
-    def __init__(self, part):
-        self.part = part
+    def __init__(self, daemon):
+        self.daemon = daemon
         self.retired = False
 
     def replaceable(self):
         """Is a change of members under way, or would the policy put a spare in this one's place?"""
-        part = self.part
-        if part.store.record["next"] is not None:
+        daemon = self.daemon
+        if daemon.store.record["next"] is not None:
             return True
-        target = part.target()
-        return target is not None and part.node.boot.link not in target
+        target = daemon.target()
+        return target is not None and daemon.node.boot.link not in target
 
     async def leave_membership(self, deadline):
         """Wait for a spare to take this voter's place, as long as one can. The others know by
         member.hello that this process is leaving, and change the members."""
-        store = self.part.store
+        store = self.daemon.store
         while store.voter and self.replaceable() and now() < deadline:
             await rest(LOOK_EVERY)
 
     async def secure_state(self, deadline):
         """Make sure that what this disk accepted is on a durable quorum without it. Gives up at
         the deadline, or at once if too few others answer."""
-        store = self.part.store
+        store = self.daemon.store
         if not store.voter:
             return
         others = store.voter_sets.without(store.disk)
-        answering = {heard.disk for heard in self.part.reachable().values()}
+        answering = {heard.disk for heard in self.daemon.reachable().values()}
         if not others.is_durable(answering):
             return  # without this member there are no writes anyway
         self.retired = True
@@ -61,13 +61,13 @@
 
     async def secure_keys(self, enough, deadline):
         """Each key's newest accepted pair on a durable quorum without this member."""
-        acceptor, limit = self.part.store.acceptor, trio.CapacityLimiter(AT_ONCE)
+        acceptor, limit = self.daemon.store.acceptor, trio.CapacityLimiter(AT_ONCE)
 
         async def secure(key):
             async with limit:
                 try:
                     ballot, _ = acceptor.read(key)
-                    await self.part.proposer.secure(key, ballot, enough, deadline)
+                    await self.daemon.proposer.secure(key, ballot, enough, deadline)
                 except (Lost, NoQuorum, OutcomeUnknown):
                     pass  # the other keys can still be secured
 
@@ -77,12 +77,12 @@
 
     async def secure_files(self, enough, deadline):
         """The chunks of the head on a durable quorum without this member."""
-        head = self.part.store.acceptor.read(HEAD)[1]
+        head = self.daemon.store.acceptor.read(HEAD)[1]
         if head is None:
             return
-        bodies = await self.part.fetch(sorted(set(head["ranges"])))
+        bodies = await self.daemon.fetch(sorted(set(head["ranges"])))
 
         def held(members):
-            return enough(self.part.store.voter_sets, members)
+            return enough(self.daemon.store.voter_sets, members)
 
-        await self.part.spread(bodies, deadline, held)
+        await self.daemon.spread(bodies, deadline, held)
--- a/packages/config_store/meadowdock/config_store/items.py
+++ b/packages/config_store/meadowdock/config_store/items.py
@@ -59,8 +59,8 @@
 
     handlers = Handlers()
 
-    def __init__(self, part):
-        self.part = part
+    def __init__(self, daemon):
+        self.daemon = daemon
         self.version, self.names, self.groups, self.held = 0, [], {}, {}
         self.waiting, self.busy = [], False
         self.sent = False
@@ -82,14 +82,14 @@
 
     async def bring(self, names, deadline):
         """{name: body} of chunks, all of them. Raises NoQuorum."""
-        bodies = await self.part.chunks.fetch(names, deadline)
+        bodies = await self.daemon.chunks.fetch(names, deadline)
         if len(bodies) < len(names):
             raise NoQuorum("chunks")
         return bodies
 
     async def read(self, deadline):
         """(version, standing items), from a quorum read. Raises NoQuorum."""
-        contact = self.part.contact
+        contact = self.daemon.contact
         await contact.check(writing=False)
         return await contact.keep(
             lambda: self.read_now(deadline), lambda: NoQuorum("items"), writing=False
@@ -97,7 +97,7 @@
 
     async def read_now(self, deadline):
         """As read, without the check of contact."""
-        head = await self.part.read_head(deadline)
+        head = await self.daemon.read_head(deadline)
         return head["version"], config_items.standing(await self.at(head, deadline))
 
     # ------------------------------------------------------------ changes
@@ -110,13 +110,13 @@
         errors = config_items.check(items)
         if errors:
             raise config_items.Invalid(errors)
-        await self.part.contact.check()
+        await self.daemon.contact.check()
         call = Call([config_items.clean(item) for item in items])
         self.waiting.append(call)
         if not self.busy:
             self.busy = True
-            self.part.node.nursery.start_soon(self.run)
-        with until(now() + self.part.answer_wait + PER_ITEM * len(items)):
+            self.daemon.node.nursery.start_soon(self.run)
+        with until(now() + self.daemon.answer_wait + PER_ITEM * len(items)):
             await call.done.wait()
         if call.outcome is None:
             if call in self.waiting:
@@ -144,7 +144,7 @@
 
     async def round_in_contact(self, calls):
         """As `round`; cut short once no quorum is in touch any more."""
-        contact, self.sent = self.part.contact, False
+        contact, self.sent = self.daemon.contact, False
         await contact.check()
         return await contact.keep(lambda: self.round(calls), self.lost)
 
@@ -156,7 +156,7 @@
         """The outcome of each call, in order. Each is judged by itself, after those before it.
 
         Raises NoQuorum only if no new head was sent to any member, else OutcomeUnknown."""
-        deadline = now() + self.part.operate_wait
+        deadline = now() + self.daemon.operate_wait
         while True:
             try:
                 return await self.round_once(calls, deadline)
@@ -165,11 +165,11 @@
                     raise self.lost() from None
             except NoQuorum:
                 raise self.lost() from None
-            await rest(self.part.node.seams.rng.randrange(1, 10) * MILLI)
+            await rest(self.daemon.node.seams.rng.randrange(1, 10) * MILLI)
 
     async def round_once(self, calls, deadline):
         """One pass of a round. Raises Outdated if another changed the head meanwhile."""
-        head = await self.part.read_head(deadline)
+        head = await self.daemon.read_head(deadline)
         held = await self.at(head, deadline)
         merged, refused = held, {}
         for place, call in enumerate(calls):
@@ -181,41 +181,41 @@
             head = await self.put(head, merged, deadline)
         elif len(refused) < len(calls):
             # what a read found may be on fewer disks than an acknowledgement needs
-            await self.part.proposer.change(HEAD, lambda old: old, deadline)
+            await self.daemon.proposer.change(HEAD, lambda old: old, deadline)
         return [refused.get(place, head["version"]) for place in range(len(calls))]
 
     async def put(self, head, merged, deadline):
         """The head with these items, known to a majority. Raises Outdated if it is another now."""
-        part = self.part
-        ranges = await part.node.seams.apart(cut_items, merged)
+        daemon = self.daemon
+        ranges = await daemon.node.seams.apart(cut_items, merged)
         names = [name for name, _ in ranges]
         facts = {
             "base": head["version"],
             "ranges": [*own_ranges(head), *names],
             "items": len(names),
-            "made": part.node.seams.wall(),
-            "by": part.proposer.name,
+            "made": daemon.node.seams.wall(),
+            "by": daemon.proposer.name,
         }
         body = ormsgpack.packb(facts)
         plan = fingerprint(body)
         # the others are on a majority since the head that names them
         new = {name: body for name, body in ranges if name not in self.groups}
-        part.chunks.remember(new)
+        daemon.chunks.remember(new)
         # what the new head no longer holds, as for a confirm
         records = {head["version"]: head["record"]} if head.get("record") else {}
         await self.spread({**new, plan: body}, records, deadline)
-        await part.node.seams.apart(lambda: part.audit_key)  # its libraries load at first use
-        made = await self.send_head(part.plans.next_head(plan, facts), deadline)
-        part.know(made)
-        part.node.log(605, plan=plan, version=made["version"])
-        part.node.nursery.start_soon(part.deliver, made)
+        await daemon.node.seams.apart(lambda: daemon.audit_key)  # its libraries load at first use
+        made = await self.send_head(daemon.plans.next_head(plan, facts), deadline)
+        daemon.know(made)
+        daemon.node.log(605, plan=plan, version=made["version"])
+        daemon.node.nursery.start_soon(daemon.deliver, made)
         return made
 
     async def send_head(self, make, deadline):
         """Change the head, and note whether a member may have accepted it."""
         before, self.sent = self.sent, True
         try:
-            return await self.part.proposer.change(HEAD, make, deadline)
+            return await self.daemon.proposer.change(HEAD, make, deadline)
         except NoQuorum:
             self.sent = before  # surely nothing was written by this one
             raise
@@ -230,9 +230,9 @@
             for start in range(0, len(held), CHUNK):
                 last = start + CHUNK >= len(held)
                 put = [held[start : start + CHUNK], records if last else {}]
-                await self.part.node.links.call(address, "items.put", put, deadline)
+                await self.daemon.node.links.call(address, "items.put", put, deadline)
 
-        await self.part.on_majority(lambda: self.keep(bodies.values(), records), there, deadline)
+        await self.daemon.on_majority(lambda: self.keep(bodies.values(), records), there, deadline)
 
     async def keep(self, bodies, records):
         """On the disk here, side by side. Raises the OSError of one that could not be written."""
@@ -246,8 +246,8 @@
 
         async with trio.open_nursery() as nursery:
             for body in bodies:
-                nursery.start_soon(one, self.part.store.put_blob, body)
-            nursery.start_soon(one, self.part.store.trail.put, records)
+                nursery.start_soon(one, self.daemon.store.put_blob, body)
+            nursery.start_soon(one, self.daemon.store.trail.put, records)
         if causes:
             raise causes[0]
 
@@ -255,7 +255,7 @@
     async def on_put(self, peer, args):
         """Keep chunks and audit records that another member sends."""
         bodies, records = [bytes(body) for body in args[0]], args[1]
-        self.part.chunks.remember({fingerprint(body): body for body in bodies})
+        self.daemon.chunks.remember({fingerprint(body): body for body in bodies})
         with disk_failures_rejected():
             await self.keep(bodies, records)
 
@@ -278,7 +278,7 @@
 
     async def make_read(self, request):
         """GET /items"""
-        version, items = await self.read(now() + self.part.read_wait)
+        version, items = await self.read(now() + self.daemon.read_wait)
         return Reply(200, {"version": version, "items": items})
 
 
--- a/packages/config_store/meadowdock/config_store/lease.py
+++ b/packages/config_store/meadowdock/config_store/lease.py
@@ -61,13 +61,13 @@
 
     handlers = Handlers()
 
-    def __init__(self, part):
-        self.part = part
+    def __init__(self, daemon):
+        self.daemon = daemon
         self.first_seen = FirstSeen()
 
     def begin(self):
         """Once the acceptor is loaded: sees each record as soon as this member accepts it."""
-        acceptor = self.part.store.acceptor
+        acceptor = self.daemon.store.acceptor
         acceptor.kept = self.note
         self.note(COLLECTOR_KEY, self.accepted_here(COLLECTOR_KEY))
 
@@ -79,7 +79,7 @@
     def accepted_here(self, key):
         """The value that this member accepted for a key, or None."""
         try:
-            return self.part.store.acceptor.read(key)[1]
+            return self.daemon.store.acceptor.read(key)[1]
         except Lost:
             return None
 
@@ -111,10 +111,10 @@
             record = None if old is None else LeaseRecord.decode(old)
             return transition(record, request).encode()
 
-        if not self.part.store.record:
+        if not self.daemon.store.record:
             raise Rejected(NO_MAJORITY)
         try:
-            value = await self.part.proposer.change(request.key, make, now() + CHANGE_WAIT)
+            value = await self.daemon.proposer.change(request.key, make, now() + CHANGE_WAIT)
         except (NoQuorum, OutcomeUnknown):
             raise Rejected(NO_MAJORITY) from None
         record = LeaseRecord.decode(value)
--- a/packages/config_store/meadowdock/config_store/part.py
+++ b/packages/config_store/meadowdock/config_store/part.py
@@ -39,7 +39,7 @@
     outcome: object = None
 
 
-class Part(Members, process.Part):
+class Part(Members, process.Daemon):
     """One mdconf: a voter or spare of the register, and the listener for operators."""
 
     table = Table()
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -27,34 +27,34 @@
 
 
 class Plans:
-    """The handlers of /plan, /confirm and /manifest. part: the member that serves them."""
+    """The handlers of /plan, /confirm and /manifest. daemon: the member that serves them."""
 
-    def __init__(self, part):
-        self.part = part
+    def __init__(self, daemon):
+        self.daemon = daemon
 
     async def make_plan(self, request):
         """POST /plan"""
         from returns.pipeline import is_successful  # here: a daemon without plans is spared it
 
         data = await request.body(SIZE_MAX)
-        found = await self.part.node.seams.apart(checked, data)
+        found = await self.daemon.node.seams.apart(checked, data)
         if not is_successful(found):
             return Reply(422, {"code": "invalid", "errors": found.failure()})
         facts = found.unwrap()
-        head = await self.part.read_head(now() + self.part.operate_wait)
-        old = await self.part.manifest_of(own_ranges(head)) if own_ranges(head) else EMPTY
-        ranges = await self.part.node.seams.apart(cut, facts)
+        head = await self.daemon.read_head(now() + self.daemon.operate_wait)
+        old = await self.daemon.manifest_of(own_ranges(head)) if own_ranges(head) else EMPTY
+        ranges = await self.daemon.node.seams.apart(cut, facts)
         changes = difference(old, facts)
         items = item_ranges(head)
         names = [*(name for name, _ in ranges), *items]
         if names == head["ranges"]:
             return Reply(200, {"plan": None, "base": head["version"], "changes": changes})
-        made = self.part.node.seams.wall()
+        made = self.daemon.node.seams.wall()
         planned = {"base": head["version"], "ranges": names, "items": len(items), "made": made}
         body = ormsgpack.packb(planned)
         plan = fingerprint(body)
-        await self.part.spread({**dict(ranges), plan: body}, now() + 2 * self.part.operate_wait)
-        self.part.node.log(604, plan=plan, base=head["version"])
+        await self.daemon.spread({**dict(ranges), plan: body}, now() + 2 * self.daemon.operate_wait)
+        self.daemon.node.log(604, plan=plan, base=head["version"])
         return Reply(
             200,
             {
@@ -68,7 +68,7 @@
 
     async def plan_facts(self, plan):
         """What a plan says, or None if it is not known."""
-        bodies = await self.part.fetch([plan])
+        bodies = await self.daemon.fetch([plan])
         return ormsgpack.unpackb(bodies[plan]) if plan in bodies else None
 
     async def make_confirm(self, request):
@@ -79,43 +79,43 @@
             return Reply(400, {"code": "malformed"})
         if not is_fingerprint(plan):
             return PLAN_UNKNOWN
-        head = await self.part.read_head(now() + self.part.operate_wait)
+        head = await self.daemon.read_head(now() + self.daemon.operate_wait)
         version = kept_version(head, plan)
         if version:
             # what a read found may be on fewer disks than an acknowledgement needs
-            deadline = now() + self.part.operate_wait
-            await self.part.proposer.change(HEAD, lambda old: old, deadline)
+            deadline = now() + self.daemon.operate_wait
+            await self.daemon.proposer.change(HEAD, lambda old: old, deadline)
             return confirmed(plan, version)
         facts = await self.plan_facts(plan)
         if facts is None:
             return PLAN_UNKNOWN
-        deadline = now() + self.part.operate_wait
+        deadline = now() + self.daemon.operate_wait
         version = await self.applied(head, plan, facts, deadline)
         if version:
             return confirmed(plan, version)
-        bodies = await self.part.fetch([*sorted(set(facts["ranges"])), plan])
+        bodies = await self.daemon.fetch([*sorted(set(facts["ranges"])), plan])
         if len(bodies) < len({*facts["ranges"], plan}):
             raise NoQuorum("range files")
-        await self.part.spread(bodies, deadline)
+        await self.daemon.spread(bodies, deadline)
         if head.get("record"):
             # what the new head no longer holds; if the head is another by then, the plan is too
-            await self.part.spread_audit({head["version"]: head["record"]}, deadline)
+            await self.daemon.spread_audit({head["version"]: head["record"]}, deadline)
         try:
-            head = await self.part.proposer.change(HEAD, self.next_head(plan, facts), deadline)
+            head = await self.daemon.proposer.change(HEAD, self.next_head(plan, facts), deadline)
         except Outdated as outdated:
             # an earlier try of this very change may have been made, and others after it
             version = await self.applied_after_all(outdated.head, plan, facts)
             if version:
                 return confirmed(plan, version)
-            if facts["base"] + 1 < self.part.store.trail.first:
+            if facts["base"] + 1 < self.daemon.store.trail.first:
                 return plan_expired(plan)  # whether it was made can't be told any more
             return await self.outdated(plan, facts, outdated.head)
         except Expired:
             return plan_expired(plan)
-        self.part.know(head)
+        self.daemon.know(head)
         version = kept_version(head, plan)
-        self.part.node.log(605, plan=plan, version=version)
-        self.part.node.nursery.start_soon(self.part.deliver, head)
+        self.daemon.node.log(605, plan=plan, version=version)
+        self.daemon.node.nursery.start_soon(self.daemon.deliver, head)
         return confirmed(plan, version)
 
     def next_head(self, plan, facts):
@@ -136,14 +136,14 @@
                 "items": facts.get("items", 0),  # so many of the ranges, the last, hold items
                 "plan": plan,
                 "history": [*head["history"], [version, plan]][-HISTORY:],
-                "record": self.part.audit_record(head, facts, plan, version),
+                "record": self.daemon.audit_record(head, facts, plan, version),
             }
 
         return make
 
     def expired(self, facts):
         """Whether a plan is older than a plan may be."""
-        return self.part.node.seams.wall() - facts.get("made", 0) > repair.PLAN_LIFE
+        return self.daemon.node.seams.wall() - facts.get("made", 0) > repair.PLAN_LIFE
 
     async def outdated(self, plan, facts, head):
         """The answer to a plan whose base is no longer the head."""
@@ -152,8 +152,8 @@
         changed = None
         try:
             if base is not None:
-                old = await self.part.manifest_of(base) if base else EMPTY
-                changed = difference(old, await self.part.manifest_of(newer) if newer else EMPTY)
+                old = await self.daemon.manifest_of(base) if base else EMPTY
+                changed = difference(old, await self.daemon.manifest_of(newer) if newer else EMPTY)
         except NoQuorum:
             pass  # too old: its range files are gone
         return Reply(
@@ -178,7 +178,7 @@
     async def applied_after_all(self, head, plan, facts):
         """As `applied`, of a plan whose head may have been sent to members already."""
         try:
-            return await self.applied(head, plan, facts, now() + self.part.operate_wait)
+            return await self.applied(head, plan, facts, now() + self.daemon.operate_wait)
         except NoQuorum:
             raise OutcomeUnknown(plan) from None
 
@@ -187,7 +187,7 @@
         for kept, plan in head["history"]:
             if kept == version:
                 return plan
-        record = await self.part.trail.record(version, deadline)
+        record = await self.daemon.trail.record(version, deadline)
         return audit.read(record)["plan"] if record else None
 
     async def version_ranges(self, head, version):
@@ -195,7 +195,7 @@
         if version == 0:
             return []
         try:
-            plan = await self.plan_of(head, version, now() + self.part.operate_wait)
+            plan = await self.plan_of(head, version, now() + self.daemon.operate_wait)
         except NoQuorum:
             return None
         facts = await self.plan_facts(plan) if plan else None
@@ -209,10 +209,12 @@
             return PLAN_UNKNOWN
         # a whole round under a new ballot: whatever was under way is in it, or never will be
         head = (
-            await self.part.proposer.change(HEAD, lambda old: old, now() + self.part.operate_wait)
+            await self.daemon.proposer.change(
+                HEAD, lambda old: old, now() + self.daemon.operate_wait
+            )
             or NO_HEAD
         )
-        version = await self.applied(head, plan, facts, now() + self.part.operate_wait)
+        version = await self.applied(head, plan, facts, now() + self.daemon.operate_wait)
         if version:
             state = "confirmed"
         elif head["version"] != facts["base"]:
@@ -232,15 +234,15 @@
 
     async def make_read_back(self, request):
         """GET /manifest"""
-        head = await self.part.read_head(now() + self.part.operate_wait)
+        head = await self.daemon.read_head(now() + self.daemon.operate_wait)
         own, items = (
             own_ranges(head),
-            await self.part.items.at(head, now() + self.part.operate_wait),
+            await self.daemon.items.at(head, now() + self.daemon.operate_wait),
         )
         facts = {
             "version": head["version"],
             "plan": head["plan"],
-            "manifest": await self.part.manifest_of(own) if own else EMPTY,
+            "manifest": await self.daemon.manifest_of(own) if own else EMPTY,
         }
         return Reply(200, {**facts, "items": standing(items)} if items else facts)
 
--- a/packages/config_store/meadowdock/config_store/status.py
+++ b/packages/config_store/meadowdock/config_store/status.py
@@ -11,47 +11,47 @@
 PROXY_FIELDS = ("hall", "incarnation", "version", "cut_off", "endpoints", "counts")
 
 
-async def status_of(part):
+async def status_of(daemon):
     """The body of GET /status. `majority` says whether `head` is a quorum's word or only the newest
     version that this member knows."""
-    head, majority = await known_head(part)
-    members = await members_of(part)
-    await part.refresh_rosters()
+    head, majority = await known_head(daemon)
+    members = await members_of(daemon)
+    await daemon.refresh_rosters()
     return {
         "head": head["version"],
         "majority": majority,
         "members": members,
-        "members_change": (part.store.record or {}).get("next"),
-        "disk_here": part.store.files.wrong() or "good",
-        "mended_here": dict(part.repairer.counts),
-        "catching_up": {"audit_records": len(part.store.trail.missing(head["version"]))},
+        "members_change": (daemon.store.record or {}).get("next"),
+        "disk_here": daemon.store.files.wrong() or "good",
+        "mended_here": dict(daemon.repairer.counts),
+        "catching_up": {"audit_records": len(daemon.store.trail.missing(head["version"]))},
         "regs": {
             address: {field: roster[field] for field in REGISTRY_FIELDS}
-            for address, roster in part.rosters.items()
+            for address, roster in daemon.rosters.items()
         },
         "proxies": {
             address: {field: beat[field] for field in PROXY_FIELDS}
-            for address, beat in sorted(newest_beats(part.rosters).items())
+            for address, beat in sorted(newest_beats(daemon.rosters).items())
         },
     }
 
 
-async def known_head(part):
+async def known_head(daemon):
     """(head, whether a quorum gave it)"""
     try:
-        await part.contact.check(writing=False)
-        return await part.read_head(now() + READ_WITHIN), True
+        await daemon.contact.check(writing=False)
+        return await daemon.read_head(now() + READ_WITHIN), True
     except NoQuorum:
-        return part.head, False
+        return daemon.head, False
 
 
-async def members_of(part):
+async def members_of(daemon):
     """{address: its disk, and whether it answers under that disk now}"""
-    hello = await part.ask_others("member.hello", None, now() + HELLO_WITHIN)
+    hello = await daemon.ask_others("member.hello", None, now() + HELLO_WITHIN)
     answering = {disk for disk, answer in hello.items() if answer["disk"] == disk}
     return {
-        address: {"disk": disk, "answers": disk == part.store.disk or disk in answering}
-        for disk, address in part.store.everybody.items()
+        address: {"disk": disk, "answers": disk == daemon.store.disk or disk in answering}
+        for disk, address in daemon.store.everybody.items()
     }
 
 
--- a/packages/process/meadowdock/process/__init__.py
+++ b/packages/process/meadowdock/process/__init__.py
@@ -26,13 +26,13 @@
 
 
 @probes.on("GET", "/live")
-async def live(part, request):
+async def live(daemon, request):
     return Reply(200, {"live": True})
 
 
 @probes.on("GET", "/ready")
-async def ready(part, request):
-    why = part.node.not_ready()
+async def ready(daemon, request):
+    why = daemon.node.not_ready()
     return Reply(503 if why else 200, {"ready": not why, "why": why})
 
 
@@ -44,7 +44,7 @@
     return made
 
 
-class Part:
+class Daemon:
     """What a daemon adds to a node; these do nothing unless it has something to do there."""
 
     async def begin(self):
@@ -66,7 +66,7 @@
 
 class Node:
     """One daemon. Invariants: stopping goes from False to True once; stopped is set after it;
-    apps[0] is the app of boot.http, the others those of the part's further doors."""
+    apps[0] is the app of boot.http, the others those of the daemon's further doors."""
 
     def __init__(self, boot, seams, nursery, log=None):
         self.boot, self.seams, self.nursery = boot, seams, nursery
@@ -83,11 +83,11 @@
         self.http_over = trio.Event()
         self.linger = getattr(boot, "linger_us", LINGER)
         self.stop_within = getattr(boot, "stop_us", STOP_WITHIN)
-        self.part = self.app = None
+        self.daemon = self.app = None
         self.apps = []
 
     def not_ready(self):
-        return [*(["stopping"] if self.stopping else []), *self.part.not_ready()]
+        return [*(["stopping"] if self.stopping else []), *self.daemon.not_ready()]
 
     async def forever(self, name, loop):
         """Keep a loop going: an unexpected breakdown is logged and the loop begins anew."""
@@ -99,13 +99,13 @@
                 self.log(105, task=name, cause=repr(group.exceptions[:3]))
             await rest(200 * MILLI)
 
-    async def run(self, make_part, task_status=trio.TASK_STATUS_IGNORED):
-        part = self.part = make_part(self)
-        self.app = App(with_probes(part.table), part, self.log)
-        further = {a: App(table, part, self.log) for a, table in part.doors().items()}
+    async def run(self, make_daemon, task_status=trio.TASK_STATUS_IGNORED):
+        daemon = self.daemon = make_daemon(self)
+        self.app = App(with_probes(daemon.table), daemon, self.log)
+        further = {a: App(table, daemon, self.log) for a, table in daemon.doors().items()}
         self.apps = [self.app, *further.values()]
-        await part.begin()
-        handlers = part.answers() | View.handlers.bound(self.view)
+        await daemon.begin()
+        handlers = daemon.answers() | View.handlers.bound(self.view)
         nursery = self.nursery
         boot, seams = self.boot, self.seams
         await nursery.start(
@@ -120,7 +120,7 @@
                 log=self.log,
             ),
         )
-        for name, loop in {"view": self.view.run, **part.loops()}.items():
+        for name, loop in {"view": self.view.run, **daemon.loops()}.items():
             nursery.start_soon(self.forever, name, loop)
         await nursery.start(self.serve_http, {self.boot.http: self.app, **further})
         self.log(101, role=boot.role, link=boot.link, http=boot.http, hall=boot.hall)
@@ -151,12 +151,12 @@
                 async def hurried():
                     await self.hurry.wait()
                     self.log(104)
-                    self.part.hurried()
+                    self.daemon.hurried()
                     nursery.cancel_scope.cancel()
 
                 nursery.start_soon(hurried)
                 linger_due = now() + self.linger
-                await self.part.leaving()
+                await self.daemon.leaving()
                 await self.view.farewell()
                 await rest(linger_due - now())
                 # callers that pay no heed to ready: the door isn't closed in their faces while
@@ -166,7 +166,7 @@
                     and now() < self.stop_due - SECOND
                 ):
                     await rest(QUIET // 4)
-                await self.part.drained()
+                await self.daemon.drained()
                 for app in self.apps:
                     await app.idle()
                 nursery.cancel_scope.cancel()
@@ -187,23 +187,23 @@
             (node.hurry if node.asked.is_set() else node.asked).set()
 
 
-async def daemon(boot, make_part):
+async def run_daemon(boot, make_daemon):
     async with trio.open_nursery() as nursery:
         node = Node(boot, seams_of(boot), nursery)
         nursery.start_soon(signals, node)
-        await node.run(make_part)
+        await node.run(make_daemon)
 
 
-def start(make_part):
+def start(make_daemon):
     def run(boot):
         # threads that check or assemble a large manifest let the loop have its turn sooner
         sys.setswitchinterval(0.0005)
         linecache.clearcache()  # attrs put the text of each method there that it made
         gc.collect()
         gc.freeze()  # what is loaded by now stays; no collection looks at it again
-        trio.run(daemon, boot, make_part)
+        trio.run(run_daemon, boot, make_daemon)
 
     return run
 
 
-__all__ = ["LINGER", "SECOND", "STOP_WITHIN", "Node", "Part", "daemon", "start"]
+__all__ = ["LINGER", "SECOND", "STOP_WITHIN", "Node", "Daemon", "run_daemon", "start"]
--- a/packages/proxy/meadowdock/proxy/part.py
+++ b/packages/proxy/meadowdock/proxy/part.py
@@ -32,7 +32,7 @@
 MARGIN = 20 * MILLI  # a neighbour ends its try this much before the home's due
 
 
-class Part(process.Part):
+class Part(process.Daemon):
     """Invariants: lists only go up in (epoch, seq), from epoch_floor on, which is None until a
     registry told its highest epoch; walker.ways is delivery's active version."""
 
--- a/packages/registry/meadowdock/registry/part.py
+++ b/packages/registry/meadowdock/registry/part.py
@@ -36,7 +36,7 @@
     }
 
 
-class Part(process.Part):
+class Part(process.Daemon):
     """Invariants: roster and regs hold the newest beat of each address; epoch is not None
     iff this process holds the collector's lease at this moment, under that epoch; seq goes up
     within an epoch; reclaiming is True from the end of an own lease until another's is known."""
--- a/packages/simulator/meadowdock/simulator/scale/__init__.py
+++ b/packages/simulator/meadowdock/simulator/scale/__init__.py
@@ -1,6 +1,6 @@
 """How the cost of control grows with the fleet, and the page docs/CAPACITY.md that shows it.
 
-A hollow node is the daemons' own Node and Part without traffic. Frames and bytes are counted on
+A hollow node is the daemons' own Node and Daemon without traffic. Frames and bytes are counted on
 the virtual clock (exact under a seed); processor time and memory are taken over loopback sockets,
 all proxies in one process and all core nodes in another.
 
--- a/packages/simulator/meadowdock/simulator/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -25,10 +25,10 @@
     """A fleet at rest for one window, then one change of its configuration."""
     fleet = Hollow(world, n)
     await fleet.up()
-    collector = next(node for node in fleet.core("mdreg") if node.part.epoch is not None)
-    rounds, before = collector.part.seq, fleet.meter.taken()
+    collector = next(node for node in fleet.core("mdreg") if node.daemon.epoch is not None)
+    rounds, before = collector.daemon.seq, fleet.meter.taken()
     await rest(window)
-    rounds, steady = collector.part.seq - rounds, fleet.meter.since(before)
+    rounds, steady = collector.daemon.seq - rounds, fleet.meter.since(before)
     states, links = states_of(fleet), links_of(fleet)
     before = fleet.meter.taken()
     took, _ = await fleet.change(CHANGED_WAIT_US)
@@ -55,11 +55,11 @@
 
 def states_of(fleet):
     """Mean bytes of what each role holds."""
-    chunks = fleet.proxies()[0].part.delivery.stager.chunks
+    chunks = fleet.proxies()[0].daemon.delivery.stager.chunks
     return {
         "mdproxy": statistics.mean(map(state_of_proxy, fleet.proxies())),
-        "mdreg": statistics.mean(packed(node.part.roster) for node in fleet.core("mdreg")),
-        "mdconf": statistics.mean(packed(node.part.rosters) for node in fleet.core("mdconf")),
+        "mdreg": statistics.mean(packed(node.daemon.roster) for node in fleet.core("mdreg")),
+        "mdconf": statistics.mean(packed(node.daemon.rosters) for node in fleet.core("mdconf")),
         "manifest": sum(map(len, chunks.values())),
     }
 
@@ -67,7 +67,7 @@
 def state_of_proxy(node):
     """Bytes of a proxy's load lists and membership view."""
     entries = [state.entry for state in node.view.entries.values()]
-    return packed(node.part.walker.told_nodes) + packed(entries)
+    return packed(node.daemon.walker.told_nodes) + packed(entries)
 
 
 def links_of(fleet):
--- a/packages/simulator/meadowdock/simulator/scale/fleet.py
+++ b/packages/simulator/meadowdock/simulator/scale/fleet.py
@@ -48,16 +48,16 @@
 
 async def stand_in(node, service):
     """An endpoint that is always there and idle, told to the proxy's book without a socket."""
-    book, host = node.part.book, node.boot.host
+    book, host = node.daemon.book, node.boot.host
     token = book.enrol(service, f"{host}:8000", "hollow", HOLLOW_CAPACITY, now(), node.seams.wall())
     while not node.stopping:
         book.beat(token, HOLLOW_CAPACITY, False, 0.1, now())
         await rest(HOLLOW_HEARTBEAT)
 
 
-def listed(part):
+def listed(daemon):
     """How many endpoints a proxy has on its load lists."""
-    return sum(map(len, part.walker.told_nodes.values()))
+    return sum(map(len, daemon.walker.told_nodes.values()))
 
 
 class Hollow:
@@ -109,12 +109,12 @@
     def whole(self):
         """Whether every proxy lists every endpoint that runs."""
         proxies = self.proxies()
-        return all(listed(proxy.part) == len(proxies) for proxy in proxies)
+        return all(listed(proxy.daemon) == len(proxies) for proxy in proxies)
 
     def in_force(self, version, among=None):
         """Whether a configuration is in force on all proxies, or on those given."""
         nodes = self.proxies() if among is None else among
-        return all(node.part.delivery.version >= version for node in nodes)
+        return all(node.daemon.delivery.version >= version for node in nodes)
 
     async def change(self, wait_us, core=0, among=None):
         """One change, from the operator's confirm until it is in force: (seconds, version)."""
--- a/packages/simulator/meadowdock/simulator/scale/lists.py
+++ b/packages/simulator/meadowdock/simulator/scale/lists.py
@@ -25,20 +25,20 @@
     """Lists of each size, given to one proxy of a small fleet."""
     fleet = Hollow(world, SMALL_FLEET)
     await fleet.up()
-    part = fleet.proxies()[0].part
+    daemon = fleet.proxies()[0].daemon
     proofs = [Proof(b"k" * 32, b"out") for _ in range(2)]
-    return [await cost_of_list(part, proofs, n, times) for n in sizes]
+    return [await cost_of_list(daemon, proofs, n, times) for n in sizes]
 
 
-async def cost_of_list(part, proofs, n, times):
+async def cost_of_list(daemon, proofs, n, times):
     """Mean costs of a list of n endpoints."""
     sender, receiver = proofs
     peer = Peer("collector", "10.0.0.1:7411")
     nodes = {
         f"{host}:7401": {service: [0.1, "hollow", False]} for host, service in places(n)[1].items()
     }
-    message = {"epoch": part.walker.lists.epoch, "nodes": nodes}
-    first = part.walker.lists.seq + 1
+    message = {"epoch": daemon.walker.lists.epoch, "nodes": nodes}
+    first = daemon.walker.lists.seq + 1
     begun = time.process_time()
     frames = [
         sender.seal(pack([CALL, [1, 1], "load.list", {**message, "seq": seq}, 1, 1]))
@@ -46,9 +46,9 @@
     ]
     made = time.process_time()
     for frame in frames:
-        await part.on_list(peer, unpack(receiver.open(frame[LENGTH:]))[3])
+        await daemon.on_list(peer, unpack(receiver.open(frame[LENGTH:]))[3])
     taken = time.process_time()
-    assert listed(part) == n
+    assert listed(daemon) == n
     return {
         "nodes": n,
         "tell_us": (made - begun) * 1e6 / times,
--- a/packages/simulator/meadowdock/simulator/scale/processes.py
+++ b/packages/simulator/meadowdock/simulator/scale/processes.py
@@ -40,7 +40,7 @@
             await loopback.start("mdconf", host)
         found = await measure_window(loopback, at, window, times)
         nodes = loopback.nodes.values()
-        collector = [node.boot.name for node in nodes if getattr(node.part, "epoch", None)]
+        collector = [node.boot.name for node in nodes if getattr(node.daemon, "epoch", None)]
         while not ended.is_set():
             await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
@@ -59,7 +59,7 @@
         await trio.sleep(3)
         await loopback.configure(INITIAL_WAIT_US)
         before_window = max(0, at - time.time() - 1)
-        await wait_for(lambda: all(listed(node.part) == n for node in nodes), before_window)
+        await wait_for(lambda: all(listed(node.daemon) == n for node in nodes), before_window)
         late = max(0, time.time() - at)
         shares = []
         nursery.start_soon(watch_lists, nodes, n, shares)
@@ -81,7 +81,7 @@
 async def watch_lists(nodes, n, shares):
     """Note again and again which share of the endpoints the proxies list."""
     while True:
-        shares.append(statistics.mean(listed(node.part) / n for node in nodes))
+        shares.append(statistics.mean(listed(node.daemon) / n for node in nodes))
         await trio.sleep(0.5)
 
 
@@ -91,7 +91,7 @@
     version = await loopback.configure(CHANGED_WAIT_US)
     nodes = loopback.nodes.values()
     in_force = await wait_for(
-        lambda: all(node.part.delivery.version >= version for node in nodes), 30
+        lambda: all(node.daemon.delivery.version >= version for node in nodes), 30
     )
     return time.monotonic() - begun if in_force else None
 
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -277,8 +277,8 @@
     def node(self, role, host):
         return self.processes[f"{role}@{host}"].node
 
-    def part(self, role, host):
-        return self.node(role, host).part
+    def daemon(self, role, host):
+        return self.node(role, host).daemon
 
     # ------------------------------------------------------------ endpoints and callers
 
@@ -360,8 +360,8 @@
             "sequence": sequence,
             **facts,
         }
-        if proxy.node.part is not None:
-            proxy.enter(lambda: proxy.node.part.endpoint_beat(told))
+        if proxy.node.daemon is not None:
+            proxy.enter(lambda: proxy.node.daemon.endpoint_beat(told))
 
     async def caller(self, host, address=None):
         """A caller's connection from this machine to its gate; failed is set if it came to none."""
--- a/packages/soak/meadowdock/soak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -28,12 +28,12 @@
 
 
 @beats.on("POST", "/beat")
-async def beat(part: SoakProxy, request: object) -> Reply:
+async def beat(daemon: SoakProxy, request: object) -> Reply:
     """A beat of the endpoint beside."""
     import json
 
     try:
-        part.endpoint_beat(json.loads(await request.body(1 << 16)))
+        daemon.endpoint_beat(json.loads(await request.body(1 << 16)))
     except Denied as denied:
         return Reply(denied.status, {"code": denied.code})
     return Reply(200, {})
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -111,7 +111,7 @@
                 await world.eventually(lambda c=conf: not c.not_ready(), within=15 * SECOND)
         await rest(8 * SECOND)
         for host in world.core:  # and each copy is whole by itself, mended by digests
-            assert world.part("mdconf", host).store.trail.state().tail == [1, 2, 3, 4, 5, 6]
+            assert world.daemon("mdconf", host).store.trail.state().tail == [1, 2, 3, 4, 5, 6]
         world.kill(f"mdconf@{world.core[0]}")
         assert len((await trail(world, 1))["records"]) == 7
 
@@ -145,8 +145,8 @@
 def test_a_folder_from_before_the_trail_is_read_and_begins_it_with_its_next_change():
     async def scenario(world):
         await configured(world)
-        part = world.part("mdconf", world.core[0])
-        await part.proposer.change(  # as the first landing wrote it
+        daemon = world.daemon("mdconf", world.core[0])
+        await daemon.proposer.change(  # as the first landing wrote it
             "manifest/head",
             lambda head: {k: v for k, v in head.items() if k != "record"},
             now() + SECOND,
--- a/tests/config_store/test_contact.py
+++ b/tests/config_store/test_contact.py
@@ -138,7 +138,7 @@
 
     async def scenario(world):
         await founded(world)
-        items = world.part("mdconf", world.core[0]).items
+        items = world.daemon("mdconf", world.core[0]).items
 
         async def outrun(head, merged, deadline):
             items.sent = True
@@ -159,17 +159,17 @@
     async def scenario(world):
         await configured(world)
         _, planned = await world.operate("POST", "/plan", manifest([way("new", "/balances")]))
-        part = world.part("mdconf", world.core[0])
+        daemon = world.daemon("mdconf", world.core[0])
 
         async def outrun(key, make, deadline):
-            part.proposer.change = real
-            raise Outdated({**part.head, "version": part.head["version"] + 1})
+            daemon.proposer.change = real
+            raise Outdated({**daemon.head, "version": daemon.head["version"] + 1})
 
         async def lost(*_):
             raise NoQuorum("trail")
 
-        real, part.proposer.change = part.proposer.change, outrun
-        part.plans.plan_of = lost
+        real, daemon.proposer.change = daemon.proposer.change, outrun
+        daemon.plans.plan_of = lost
         status, told = await world.operate("POST", "/confirm", {"plan": planned["plan"]})
         assert (status, told["code"]) == (504, "unclear")
 
@@ -181,9 +181,9 @@
 
     async def scenario(world):
         await founded(world)
-        part = world.part("mdconf", world.core[0])
-        part.heard = {}
-        assert not part.contact.fresh()
+        daemon = world.daemon("mdconf", world.core[0])
+        daemon.heard = {}
+        assert not daemon.contact.fresh()
         assert await accepted(world, [service("desk")]) == 1
 
     run(scenario, application=())
@@ -220,7 +220,7 @@
 
     async def scenario(world):
         await founded(world)
-        proposer = world.part("mdconf", world.core[0]).proposer
+        proposer = world.daemon("mdconf", world.core[0]).proposer
         real, outrun = proposer.ask, []
 
         async def ask_outrun(member, method, args, *more):
--- a/tests/config_store/test_items_change.py
+++ b/tests/config_store/test_items_change.py
@@ -346,9 +346,9 @@
         assert [w["name"] for w in after["manifest"]["ways"]] == ["new"]
         for host in world.application:
             await world.eventually(
-                lambda h=host: world.part("mdproxy", h).delivery.version == 4, within=2 * SECOND
+                lambda h=host: world.daemon("mdproxy", h).delivery.version == 4, within=2 * SECOND
             )
-            ways = world.part("mdproxy", host).delivery.active.ways
+            ways = world.daemon("mdproxy", host).delivery.active.ways
             assert ways.way("guest", "GET", "/balances")[0].name == "new"
             assert ways.items.find(b"h.example", b"/p/x").version == 2
 
@@ -371,7 +371,7 @@
 
     async def scenario(world):
         await founded(world)
-        proxies = [world.part("mdproxy", host) for host in world.application]
+        proxies = [world.daemon("mdproxy", host) for host in world.application]
         sent = [service("desk"), *(route(f"r{n}", prefix=f"/{n}/") for n in range(500)), limits()]
         for turn in range(3):
             sent[1] = route("r0", 2 + turn, prefix=f"/turn{turn}/")
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -168,7 +168,7 @@
         process.node.links.call = call
         await world.eventually(lambda: process.frozen is not None)
         await rest(20 * SECOND)
-        proxies = [world.part("mdproxy", h) for h in hosts(world)]
+        proxies = [world.daemon("mdproxy", h) for h in hosts(world)]
         assert all(p.walker.lists.epoch > epoch for p in proxies)
         woken_at = now()
         process.wake()
@@ -203,7 +203,7 @@
         host, epoch = await one_holder(world)
         await watched(world)
         await rest(2 * SECOND)
-        lease = world.part("mdreg", host).lease
+        lease = world.daemon("mdreg", host).lease
         silent = lease.preferred
         links = world.node("mdreg", host).links
         original = links.call
@@ -245,7 +245,7 @@
     async def scenario(world):
         await world.whole()
         host, epoch = await one_holder(world)
-        lease = world.part("mdreg", host).lease
+        lease = world.daemon("mdreg", host).lease
         asked = {}
         original = lease.ask
 
@@ -268,7 +268,7 @@
         await world.whole()
         host, epoch = await one_holder(world)
         await watched(world)
-        lease = world.part("mdreg", host).lease
+        lease = world.daemon("mdreg", host).lease
         # just renewed, so that waiting for its end takes longest
         renewal = lease.held
         await world.eventually(lambda: lease.held is not renewal)
@@ -303,7 +303,7 @@
         await serving(world)
         host, epoch = await one_holder(world)
         await watched(world)
-        proxy = world.part("mdproxy", hosts(world)[0])
+        proxy = world.daemon("mdproxy", hosts(world)[0])
         for other in world.core[:2]:
             world.power_off("mdconf", other)
         await rest(DURATION)
@@ -357,10 +357,10 @@
         await world.start("mdproxy", place)
         assert (await send()).code == "epoch_unknown"
         del world.meddle["reg.beat"]
-        await world.eventually(lambda: world.part("mdproxy", place).epoch_floor is not None)
+        await world.eventually(lambda: world.daemon("mdproxy", place).epoch_floor is not None)
         assert (await send()).code == "old_epoch"
         del world.meddle["load.list"]
-        await world.eventually(lambda: world.part("mdproxy", place).walker.lists.epoch > old)
+        await world.eventually(lambda: world.daemon("mdproxy", place).walker.lists.epoch > old)
 
     run(scenario)
 
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -353,7 +353,7 @@
         fleet = Fleet(world, core=3)
         await fleet.founded()
         for host in fleet.hosts:  # nobody gets further than the first step
-            world.part("mdconf", host).transfer_files = forever
+            world.daemon("mdconf", host).transfer_files = forever
         await world.start("mdconf", "10.0.3.1")
         await world.eventually(lambda: fleet.store(fleet.hosts[0]).record["next"])
         world.power_off("mdconf", "10.0.3.1")
@@ -486,15 +486,15 @@
     async def scenario(world):
         await configured(world)
         host = world.core[0]
-        part = world.part("mdconf", world.core[1])
-        record = part.store.record
+        daemon = world.daemon("mdconf", world.core[1])
+        record = daemon.store.record
         world.power_off("mdconf", host)
         world.lose_disk("mdconf", host)
-        world.part("mdconf", world.core[2]).changing = part.changing = 1  # they don't mend it
+        world.daemon("mdconf", world.core[2]).changing = daemon.changing = 1  # they don't mend it
         await world.start("mdconf", host)
-        world.part("mdconf", host).changing = 1
-        await world.eventually(lambda: world.part("mdconf", host).store.record)
-        told = await part.broadcast_to(
+        world.daemon("mdconf", host).changing = 1
+        await world.eventually(lambda: world.daemon("mdconf", host).store.record)
+        told = await daemon.broadcast_to(
             record["voters"], "member.keys", record, now() + SECOND, lambda answers: False
         )
         assert set(told) == {d for d, a in record["voters"].items() if a != f"{host}:7421"}
@@ -506,29 +506,29 @@
     async def scenario(world):
         fleet = Fleet(world, core=3)
         await fleet.founded()
-        part = world.part("mdconf", fleet.hosts[0])
-        disks = dict(part.store.record["voters"])
-        part.changing = 1
+        daemon = world.daemon("mdconf", fleet.hosts[0])
+        disks = dict(daemon.store.record["voters"])
+        daemon.changing = 1
         for host in fleet.hosts[1:]:
-            world.part("mdconf", host).changing = 1
+            world.daemon("mdconf", host).changing = 1
 
         def begin(r):
             return {"version": r["version"] + 1, "voters": r["voters"], "next": disks}
 
-        first = await part.step_members(begin, now() + SECOND)
+        first = await daemon.step_members(begin, now() + SECOND)
 
         async def meanwhile(due):
             """The other ends the change, and begins the next."""
-            await part.step_members(
+            await daemon.step_members(
                 lambda r: {"version": r["version"] + 1, "voters": disks, "next": None}, due
             )
-            await part.step_members(begin, due)
+            await daemon.step_members(begin, due)
 
-        part.transfer_files = meanwhile
+        daemon.transfer_files = meanwhile
         with pytest.raises(Exception, match="another_change"):
-            await part.end_known(first, now() + 2 * SECOND)
-        assert part.store.record["next"] == disks
-        assert part.store.record["version"] == first["version"] + 2
+            await daemon.end_known(first, now() + 2 * SECOND)
+        assert daemon.store.record["next"] == disks
+        assert daemon.store.record["version"] == first["version"] + 2
 
     run(scenario)
 
@@ -537,11 +537,11 @@
     async def scenario(world):
         fleet = Fleet(world, core=3)
         await fleet.founded()
-        part = world.part("mdconf", fleet.hosts[0])
+        daemon = world.daemon("mdconf", fleet.hosts[0])
         for n in range(100):
-            await part.proposer.change(f"duty/{n}", lambda old, n=n: n, now() + SECOND)
+            await daemon.proposer.change(f"duty/{n}", lambda old, n=n: n, now() + SECOND)
         begun = now()
-        await part.transfer_state(now() + 5 * SECOND)
+        await daemon.transfer_state(now() + 5 * SECOND)
         assert now() - begun <= 600 * MILLI
 
     run(scenario)
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -303,7 +303,7 @@
         await change_begun(world, fleet)
         behind = fleet.store(fleet.hosts[2])
         for host in fleet.hosts:
-            world.part("mdconf", host).repairer.compare = nothing
+            world.daemon("mdconf", host).repairer.compare = nothing
         repaired = break_off(behind.acceptor, "write")
         assert await configure(world, 1, fleet.hosts[0]) == 1
         world.power_off("mdconf", fleet.hosts[4])
@@ -429,9 +429,9 @@
         stopped, other, behind = fleet.hosts
         assert await configure(world, 1, stopped) == 1
         store = fleet.store(behind)
-        world.part("mdconf", behind).mend = forever
+        world.daemon("mdconf", behind).mend = forever
         for host in fleet.hosts:
-            world.part("mdconf", host).repairer.compare = nothing
+            world.daemon("mdconf", host).repairer.compare = nothing
         undo = [break_off(store.acceptor, "write"), break_off(store, "put_blob")]
         assert await configure(world, 2, stopped) == 2
         assert store.acceptor.read("manifest/head")[1]["version"] == 1
--- a/tests/config_store/test_repair.py
+++ b/tests/config_store/test_repair.py
@@ -24,21 +24,21 @@
 
 
 def counts(world, host):
-    return world.part("mdconf", host).repairer.counts
+    return world.daemon("mdconf", host).repairer.counts
 
 
 def test_a_start_on_a_rotten_key_goes_on_as_another_disk_and_asks_for_its_place():
     async def scenario(world):
         await configured(world)
         host = world.core[0]
-        former = world.part("mdconf", host).store.disk
+        former = world.daemon("mdconf", host).store.disk
         world.power_off("mdconf", host)
         world.disks["mdconf", host].rot(files(world, host, "key")[-1])
         await world.start("mdconf", host)
         conf = world.node("mdconf", host)
-        assert conf.part.store.disk != former
-        assert not conf.part.store.voter
-        assert files(world, host, "aside-" + conf.part.store.disk)  # nothing is thrown away
+        assert conf.daemon.store.disk != former
+        assert not conf.daemon.store.voter
+        assert files(world, host, "aside-" + conf.daemon.store.disk)  # nothing is thrown away
         await world.eventually(lambda: not conf.not_ready(), within=15 * SECOND)
         world.kill(f"mdconf@{world.core[1]}")
         assert await world.configure(changed(1), core=2) == 2
@@ -50,7 +50,7 @@
     async def scenario(world):
         await configured(world)
         host = world.core[0]
-        store = world.part("mdconf", host).store
+        store = world.daemon("mdconf", host).store
         former, cells = store.disk, dict(store.acceptor.states)
         world.power_off("mdconf", host)
         disk = world.disks["mdconf", host]
@@ -88,7 +88,7 @@
 def test_a_member_that_lags_is_mended_by_digests_while_nothing_changes():
     async def scenario(world):
         await configured(world)
-        acceptors = [world.part("mdconf", h).store.acceptor for h in world.core]
+        acceptors = [world.daemon("mdconf", h).store.acceptor for h in world.core]
         for acceptor in acceptors[1:]:  # a majority accepted, the write to the first was lost
             await acceptor.prepare("duty/spare", (7, "p"))
             await acceptor.write("duty/spare", (7, "p"), {"epoch": 3})
@@ -103,7 +103,7 @@
     async def scenario(world):
         await configured(world)
         host = world.core[0]
-        own = world.part("mdconf", host)
+        own = world.daemon("mdconf", host)
         ballot, value = own.store.acceptor.read("manifest/head")
         await own.store.acceptor.prepare("manifest/head", (ballot[0] + 9, "x"))
         await own.repairer.mend_keys(
--- a/tests/config_store/test_trail.py
+++ b/tests/config_store/test_trail.py
@@ -47,7 +47,7 @@
 
 
 def trail_at(world, host):
-    return world.part("mdconf", host).store.trail
+    return world.daemon("mdconf", host).store.trail
 
 
 def on_disk(disk, folder):
@@ -300,18 +300,18 @@
         for host in (other, third):
             world.web.cut(old, host)
         await world.start("mdconf", old)
-        part = world.part("mdconf", old)
+        daemon = world.daemon("mdconf", old)
         status, told = await world.operate("GET", "/manifest", core=0)
         assert (status, told["code"]) == (503, "no_majority")
         with pytest.raises(Rejected, match="no_majority"):
-            await part.on_head(None, 0)
+            await daemon.on_head(None, 0)
         world.power_off("mdconf", other)
         world.lose_disk("mdconf", other)
         world.web.heal()
         await world.start("mdconf", other)
         await world.eventually(lambda: not world.node("mdconf", other).not_ready())
         leaders = [line["of"] for _, line in world.trace.events(607)]
-        assert leaders == [part.node.boot.name]
+        assert leaders == [daemon.node.boot.name]
         assert (await world.operate("GET", "/manifest", core=0))[1]["version"] == 61
         world.kill(f"mdconf@{third}")  # the only one that had seen all of it
         assert len((await checked_audit(world, 0, 61))["records"]) == 61
@@ -369,7 +369,7 @@
                 await world.start("mdconf", host)
             for host in world.core:
                 await world.eventually(lambda h=host: not world.node("mdconf", h).not_ready())
-        head = await world.part("mdconf", world.core[0]).read_head(10**12)
+        head = await world.daemon("mdconf", world.core[0]).read_head(10**12)
         assert len(head["history"]) == repair.RANGES_KEPT
 
     run(scenario, application=())
@@ -409,7 +409,7 @@
         for turn in range(2):  # whichever is asked first
             for name in on_disk(disk, SEGMENTS):
                 disk.rot(name)
-            world.part("mdconf", world.core[0]).trail.turn = turn
+            world.daemon("mdconf", world.core[0]).trail.turn = turn
             status, told = await world.operate("POST", "/confirm", {"plan": plan})
             assert (status, told.get("version")) == (200, version), told
             await rest(2 * SECOND)
@@ -440,17 +440,17 @@
 def test_a_head_with_256_pairs_from_the_former_version_is_read_and_shortened():
     async def scenario(world):
         await configured(world)
-        part = world.part("mdconf", world.core[0])
+        daemon = world.daemon("mdconf", world.core[0])
         pairs = [[v, f"{v:032x}"] for v in range(2, 257)]
 
         def former(head):
             return {**head, "version": 256, "history": [*head["history"], *pairs]}
 
-        await part.proposer.change("manifest/head", former, 10**12)
+        await daemon.proposer.change("manifest/head", former, 10**12)
         status, told = await world.operate("POST", "/confirm", {"plan": f"{7:032x}"}, 1)
         assert (status, told["version"]) == (200, 7)
         assert await world.configure(changed(1), 1) == 257
-        assert len((await part.read_head(10**12))["history"]) == repair.RANGES_KEPT
+        assert len((await daemon.read_head(10**12))["history"]) == repair.RANGES_KEPT
 
     run(scenario, application=())
 
--- a/tests/configuration/test_manifest.py
+++ b/tests/configuration/test_manifest.py
@@ -175,7 +175,9 @@
         at = now()
         version = await world.configure(manifest([way("x", "/balances")]))
         await world.eventually(
-            lambda: all(world.part("mdproxy", h).delivery.version == version for h in hosts(world)),
+            lambda: all(
+                world.daemon("mdproxy", h).delivery.version == version for h in hosts(world)
+            ),
             2 * SECOND,
         )
         switched = [t for t, line in world.trace.events(502) if line["version"] == version]
@@ -192,7 +194,9 @@
         version = await world.configure(manifest([way("x", "/balances")]))
         world.kill(f"mdconf@{world.core[0]}")  # right after the acknowledgement
         took = await world.eventually(
-            lambda: all(world.part("mdproxy", h).delivery.version == version for h in hosts(world))
+            lambda: all(
+                world.daemon("mdproxy", h).delivery.version == version for h in hosts(world)
+            )
         )
         assert took < 2 * SECOND
 
@@ -225,11 +229,11 @@
     async def scenario(world):
         host = await first_cut_off(world)
         version = await world.configure(manifest([way("x", "/balances")]))
-        assert world.part("mdproxy", host).delivery.version == 1 or version == 1
+        assert world.daemon("mdproxy", host).delivery.version == 1 or version == 1
         status, lines, _ = await world.http(host, "GET", f"{host}:7400", "/balances/1")
         assert (status, lines[b"md-cut-off"]) == (200, b"1")
         world.web.heal()
-        await world.eventually(lambda: world.part("mdproxy", host).delivery.version == version)
+        await world.eventually(lambda: world.daemon("mdproxy", host).delivery.version == version)
         status, lines, _ = await world.http(host, "GET", f"{host}:7400", "/balances/1")
         assert b"md-cut-off" not in lines
 
@@ -245,7 +249,7 @@
         for core in world.core:
             world.web.cut(core, other)
         assert await world.configure(manifest([way("x", "/balances")])) == 2
-        await world.eventually(lambda: world.part("mdproxy", mine).delivery.version == 2)
+        await world.eventually(lambda: world.daemon("mdproxy", mine).delivery.version == 2)
         for core in world.core:
             world.web.cut(core, mine)
         world.kill(f"mdproxy@{mine}")
@@ -253,17 +257,17 @@
         world.web.cut(mine, other)
         await world.start("mdproxy", mine)
         world.web.mend({(mine, other), (other, mine)})
-        part = world.part("mdproxy", mine)
+        daemon = world.daemon("mdproxy", mine)
         view = world.node("mdproxy", other).view
-        part.node.view.merge([view.me], now())
+        daemon.node.view.merge([view.me], now())
         await rest(3 * SECOND)
-        assert part.delivery.newest == 1  # staged, and not in force
+        assert daemon.delivery.newest == 1  # staged, and not in force
         status, _, told = await world.http(mine, "GET", f"{mine}:7400", "/balances/1")
         assert (status, told["code"]) == (503, "no_manifest")
         status, _, told = await world.http(mine, "GET", f"{mine}:7400", "/ready")
         assert "the core hasn't confirmed a manifest here yet" in told["why"]
         world.web.heal()
-        await world.eventually(lambda: part.delivery.version == 2)
+        await world.eventually(lambda: daemon.delivery.version == 2)
 
     run(scenario, application=("desk", "desk"))
 
@@ -272,19 +276,19 @@
     async def scenario(world):
         await configured(world)
         mine, other = hosts(world)
-        part = world.part("mdproxy", mine)
+        daemon = world.daemon("mdproxy", mine)
         for core in world.core:
-            world.part("mdconf", core).node.links.call_all = no_switch(
-                world.part("mdconf", core).node.links.call_all, f"{mine}:7401"
+            world.daemon("mdconf", core).node.links.call_all = no_switch(
+                world.daemon("mdconf", core).node.links.call_all, f"{mine}:7401"
             )
         assert await world.configure(manifest([way("x", "/balances")])) == 2
-        there = world.part("mdproxy", other).delivery
-        await world.eventually(lambda: there.version == part.delivery.newest == 2, every=MILLI)
-        assert part.delivery.version == 1
-        staged_at = part.delivery.staged.since
+        there = world.daemon("mdproxy", other).delivery
+        await world.eventually(lambda: there.version == daemon.delivery.newest == 2, every=MILLI)
+        assert daemon.delivery.version == 1
+        staged_at = daemon.delivery.staged.since
         world.node("mdproxy", mine).view.merge([world.node("mdproxy", other).view.me], now())
-        await world.eventually(lambda: part.delivery.version == 2, every=MILLI)
-        alone = part.node.boot.apply_us // SWITCH_ALONE_PART
+        await world.eventually(lambda: daemon.delivery.version == 2, every=MILLI)
+        alone = daemon.node.boot.apply_us // SWITCH_ALONE_PART
         assert now() - staged_at < alone // 2
 
     run(scenario, application=("desk", "desk"))
@@ -294,15 +298,15 @@
     async def scenario(world):
         await configured(world)
         mine = hosts(world)[0]
-        part = world.part("mdproxy", mine)
+        daemon = world.daemon("mdproxy", mine)
         for core in world.core:
-            links = world.part("mdconf", core).node.links
+            links = world.daemon("mdconf", core).node.links
             links.call_all = no_switch(links.call_all, f"{mine}:7401")
-        part.delivery.switch_told(2)
-        assert part.delivery.version == 1
+        daemon.delivery.switch_told(2)
+        assert daemon.delivery.version == 1
         at = now()
         assert await world.configure(manifest([way("x", "/balances")])) == 2
-        await world.eventually(lambda: part.delivery.version == 2, every=MILLI)
+        await world.eventually(lambda: daemon.delivery.version == 2, every=MILLI)
         assert now() - at < 100 * MILLI
 
     run(scenario, application=("desk",))
@@ -320,7 +324,7 @@
     async def scenario(world):
         host = await first_cut_off(world)
         version = await world.configure(manifest([way("x", "/balances")]))
-        await world.eventually(lambda: world.part("mdproxy", host).delivery.version == version)
+        await world.eventually(lambda: world.daemon("mdproxy", host).delivery.version == version)
 
     run(scenario, application=("desk", "desk"))
 
@@ -346,7 +350,7 @@
         await configured(world)
         facts = manifest([way("x", "/balances")])
         plan = (await world.operate("POST", "/plan", facts))[1]["plan"]
-        store = world.part("mdconf", world.core[0]).store
+        store = world.daemon("mdconf", world.core[0]).store
         original = store.acceptor.write
 
         async def cut_while_writing(key, ballot, value):
@@ -405,7 +409,7 @@
         version = await world.configure(manifest([way("x", "/balances")]))
         await rest(2 * SECOND)
         world.web.heal()
-        delivery = world.part("mdproxy", host).delivery
+        delivery = world.daemon("mdproxy", host).delivery
         await world.eventually(lambda: not delivery.cut_off)
         took = await world.eventually(lambda: delivery.version == version, every=MILLI)
         assert took < 50 * MILLI
@@ -417,13 +421,13 @@
     async def scenario(world):
         await serving(world)
         host = hosts(world)[0]
-        delivery = world.part("mdproxy", host).delivery
-        for part in (world.part("mdconf", c) for c in world.core):
+        delivery = world.daemon("mdproxy", host).delivery
+        for daemon in (world.daemon("mdconf", c) for c in world.core):
 
             async def nobody_delivers(head):
                 await rest(0)
 
-            part.deliver = nobody_delivers
+            daemon.deliver = nobody_delivers
         begun = now()
         for number in range(8):
             await world.configure(manifest([way(f"w{number}", "/balances")]), number % 3)
@@ -442,7 +446,7 @@
         async def call():
             told.append((await world.http(host, "GET", f"{host}:7400", "/balances/1"))[1])
 
-        world.part("mdproxy", host).walker.book.by_address[f"{host}:8000"].capacity = 9
+        world.daemon("mdproxy", host).walker.book.by_address[f"{host}:8000"].capacity = 9
         version = await world.configure(manifest([way("x", "/balances")]))
         async with trio.open_nursery() as nursery:
             for _ in range(700):
--- a/tests/consensus/test_register.py
+++ b/tests/consensus/test_register.py
@@ -173,9 +173,9 @@
         await configured(world)
         host = await first_with_a_blank_disk(world)
         conf = world.node("mdconf", host)
-        await world.eventually(lambda: conf.part.store.record is not None)
+        await world.eventually(lambda: conf.daemon.store.record is not None)
         assert conf.not_ready() == ["this disk is no member, or not fully yet"]
-        assert not conf.part.store.voter
+        assert not conf.daemon.store.voter
         status, told = await world.operate("GET", "/manifest")  # it still serves operators
         assert (status, told["version"]) == (200, 1)
         assert await world.configure(manifest([way("new", "/balances")])) == 2
@@ -213,7 +213,7 @@
         world.web.cut(world.core[0], world.core[1])
         world.web.cut(world.core[0], world.core[2])
         for core in (1, 2):
-            await world.part("mdconf", world.core[core]).store.acceptor.prepare(
+            await world.daemon("mdconf", world.core[core]).store.acceptor.prepare(
                 "manifest/head", (50, "somebody")
             )
         at = now()
--- a/tests/forwarding/test_gate.py
+++ b/tests/forwarding/test_gate.py
@@ -184,10 +184,10 @@
         home, b, c, d = hosts(world)
         gate = gate_of(world, home)
         for host in hosts(world):  # no news but the test's own
-            gate_at = world.part("mdproxy", host)
+            gate_at = world.daemon("mdproxy", host)
             gate_at.book.measure = lambda at, share: {}
             gate_at.listed = lambda lists, told: None
-        world.part("mdproxy", home).walker.listed = lambda lists, told: None
+        world.daemon("mdproxy", home).walker.listed = lambda lists, told: None
         omega, phi = gate.load["omega"], gate.load["phi"]
         low, mid = phi / 2, (phi + omega) / 2
         assert await batch(world, home, low, {b: low, c: low}) == [home] * 6
@@ -200,8 +200,8 @@
         # none accepts: home keeps
         assert await batch(world, home, omega, {b: mid, c: omega, d: mid}) == [home] * 6
         # no home
-        world.part("mdproxy", home).book.lose(
-            world.part("mdproxy", home).book.by_address[f"{home}:8000"], "test"
+        world.daemon("mdproxy", home).book.lose(
+            world.daemon("mdproxy", home).book.by_address[f"{home}:8000"], "test"
         )
         world.ends[home].left = True
         ran = await batch(world, home, None, {b: low, c: low, d: mid})
@@ -397,7 +397,7 @@
         home = hosts(world)[0]
         caller = await world.caller(home)
         world.ends[home].left = True  # no beats of its own any more
-        book = world.part("mdproxy", home).book
+        book = world.daemon("mdproxy", home).book
         book.lose(book.by_address[f"{home}:8000"], "test")
         made = caller.ask()  # waits: nobody is there
         await rest(20 * MILLI)
@@ -414,7 +414,7 @@
         old = world.ends[home]
         new_life = {"instance": "i-new"}
         world.beat(home, old, 50, **new_life)
-        book = world.part("mdproxy", home).book
+        book = world.daemon("mdproxy", home).book
         assert book.by_address[old.address].incarnation == "i-new"
         world.beat(home, old, 60)
         assert book.by_address[old.address].incarnation == "i-new"
--- a/tests/forwarding/test_gate_faults.py
+++ b/tests/forwarding/test_gate_faults.py
@@ -161,9 +161,9 @@
         long = (await world.caller(host)).ask(b"/long/x", due_ms=10_000)
         await rest(100 * MILLI)
         end.process.freeze()
-        await world.eventually(lambda: not world.part("mdproxy", host).book.by_address)
+        await world.eventually(lambda: not world.daemon("mdproxy", host).book.by_address)
         end.process.wake()
-        await world.eventually(lambda: world.part("mdproxy", host).book.by_address)
+        await world.eventually(lambda: world.daemon("mdproxy", host).book.by_address)
         for _ in range(3):
             assert (await asked(world, host)).status == 200
         await long.done.wait()
--- a/tests/forwarding/test_gate_rules.py
+++ b/tests/forwarding/test_gate_rules.py
@@ -186,7 +186,7 @@
     """Each endpoint says that it is so full, until over is set."""
     while not over.is_set():
         for host in hosts(world):
-            for endpoint in world.part("mdproxy", host).book.by_address.values():
+            for endpoint in world.daemon("mdproxy", host).book.by_address.values():
                 endpoint.told, endpoint.told_at = told[0], now()
         await rest(50 * MILLI)
 
@@ -400,8 +400,8 @@
         assert len(there.admission.queues["desk"]) == 1 and not ran_at(world, made)
         tell(world, guest, {full: 0.1, free: 0.1})
         world.ends[full].left = True
-        part, at = world.part("mdproxy", full), now()
-        part.endpoint_leave(world.ends[full].instance.decode())
+        daemon, at = world.daemon("mdproxy", full), now()
+        daemon.endpoint_leave(world.ends[full].instance.decode())
         await made.done.wait()
         assert made.status == 200 and ran_at(world, made) == [free]
         assert now() - at < 50 * MILLI
@@ -429,7 +429,7 @@
         for n in range(2):
             calls.append((await world.caller(home)).ask(b"/once/%d" % n))
         await rest(20 * MILLI)
-        gate, book = gate_of(world, home), world.part("mdproxy", home).book
+        gate, book = gate_of(world, home), world.daemon("mdproxy", home).book
         line, endpoint = gate.admission.queues["desk"], book.home("desk")
         assert len(line) == 2
         place = gate.place
@@ -487,7 +487,7 @@
     world.kill(f"mdproxy@{host}")
     await rest(100 * MILLI)
     await world.start("mdproxy", host)
-    return world.part("mdproxy", host)
+    return world.daemon("mdproxy", host)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -496,10 +496,10 @@
         host = hosts(world)[0]
         end = world.ends[host]
         health(world, host, 200)
-        part = await begun_anew(world, host)
+        daemon = await begun_anew(world, host)
         began = now()
-        await world.eventually(lambda: part.book.by_address, within=500 * MILLI)
-        endpoint = part.book.by_address[end.address]
+        await world.eventually(lambda: daemon.book.by_address, within=500 * MILLI)
+        endpoint = daemon.book.by_address[end.address]
         assert (endpoint.incarnation, endpoint.capacity) == (end.instance.decode(), 4)
         made = await asked(world, host, target=b"/once/x")
         assert made.status == 200
@@ -507,7 +507,7 @@
         await rest(SECOND - (now() - began))
         enrolled = len(world.trace.events(401))
         world.beat(host, end, 1000, capacity=3)
-        assert part.book.by_address[end.address] is endpoint and endpoint.capacity == 3
+        assert daemon.book.by_address[end.address] is endpoint and endpoint.capacity == 3
         assert len(world.trace.events(401)) == enrolled
         made = await asked(world, host, target=b"/once/y")
         assert made.status == 200 and gate_of(world, host).pools == {id(endpoint): pool}
@@ -521,15 +521,15 @@
         host = hosts(world)[0]
         slots = {"no slots": b"", "none": b"0,0,0", "no number": b"0,0,many"}.get(case, b"0,0,4")
         health(world, host, 503 if case == "unwell" else 200, slots)
-        part = await begun_anew(world, host)
+        daemon = await begun_anew(world, host)
         if case == "left":
-            part.endpoint_leave(world.ends[host].instance.decode())
-        found = part.found_beside
+            daemon.endpoint_leave(world.ends[host].instance.decode())
+        found = daemon.found_beside
         answers = []
-        part.found_beside = lambda *facts: (answers.append(facts), found(*facts))
-        await world.eventually(lambda: not part.not_ready())
+        daemon.found_beside = lambda *facts: (answers.append(facts), found(*facts))
+        await world.eventually(lambda: not daemon.not_ready())
         await rest(SECOND)
-        assert answers and not part.book.by_address
+        assert answers and not daemon.book.by_address
         made = await asked(world, host)
         assert made.status == 503 and not ran_at(world, made)
 
@@ -539,7 +539,7 @@
 def test_without_a_list_a_fresh_node_knows_the_others_from_beats_until_the_first_list():
     async def scenario(world):
         guest, *ends = hosts(world)
-        reg = world.part("mdreg", world.core[0])
+        reg = world.daemon("mdreg", world.core[0])
         collect = reg.collect
 
         async def nothing():
@@ -550,7 +550,7 @@
         await rest(100 * MILLI)
         began = now()
         await world.start("mdproxy", guest)
-        walker, gate = world.part("mdproxy", guest).walker, gate_of(world, guest)
+        walker, gate = world.daemon("mdproxy", guest).walker, gate_of(world, guest)
         wanted = {address_of(h) for h in ends}
         await world.eventually(
             lambda: {n.address for n in gate.told_nodes.get("desk", ())} == wanted
@@ -570,8 +570,8 @@
         real = gate.told_nodes
         assert {n.address for n in real["desk"]} == wanted
         # and none comes after one
-        part = world.part("mdproxy", guest)
-        part.learn_nodes([{"10.9.9.9:7401": {"desk": [0.0, "x", False, "b"]}}] * 3)
+        daemon = world.daemon("mdproxy", guest)
+        daemon.learn_nodes([{"10.9.9.9:7401": {"desk": [0.0, "x", False, "b"]}}] * 3)
         assert gate.told_nodes is real
 
     gated(scenario, application=("", "desk", "desk"))
@@ -617,7 +617,7 @@
             world.web.heal()
         else:
             await world.start("mdproxy", bad)
-            await world.eventually(lambda: world.part("mdproxy", bad).book.by_address)
+            await world.eventually(lambda: world.daemon("mdproxy", bad).book.by_address)
             await world.eventually(
                 lambda: address_of(bad) in {n.address for n in gate.told_nodes["desk"]}
             )
@@ -650,7 +650,7 @@
     async def scenario(world):
         guest, home = hosts(world)
         held = await occupied(world, home, 50 * MILLI)
-        part, reg = world.part("mdproxy", home), world.part("mdreg", world.core[0])
+        daemon, reg = world.daemon("mdproxy", home), world.daemon("mdreg", world.core[0])
         seen, ended = [], trio.Event()
 
         async def watch():
@@ -659,11 +659,11 @@
                     n.address for n in gate_of(world, guest).told_nodes.get("desk", ())
                 }
                 on_roster = address_of(home) in reg.roster
-                seen.append((part.node.stopping, part.closing.is_set(), on_roster, listed))
+                seen.append((daemon.node.stopping, daemon.closing.is_set(), on_roster, listed))
                 await rest(5 * MILLI)
 
         async def doors():
-            await part.closing.wait()
+            await daemon.closing.wait()
             at_close.append(address_of(home) in reg.roster)
 
         world.nursery.start_soon(watch)
--- a/tests/load_sharing/test_load.py
+++ b/tests/load_sharing/test_load.py
@@ -78,14 +78,14 @@
 def test_the_collector_sends_one_list_an_interval_under_one_epoch():
     async def scenario(world):
         await serving(world)
-        proxies = [world.part("mdproxy", h) for h in hosts(world)]
+        proxies = [world.daemon("mdproxy", h) for h in hosts(world)]
         await rest(3 * SECOND)
         first = [(p.walker.lists.epoch, p.walker.lists.seq) for p in proxies]
         await rest(5 * SECOND)
         then = [(p.walker.lists.epoch, p.walker.lists.seq) for p in proxies]
         assert len({epoch for epoch, _ in first + then}) == 1
         assert all(9 <= b[1] - a[1] <= 11 for a, b in zip(first, then, strict=True))
-        holders = [h for h in world.core if world.part("mdreg", h).epoch is not None]
+        holders = [h for h in world.core if world.daemon("mdreg", h).epoch is not None]
         assert len(holders) == 1
 
     run(scenario)
@@ -94,10 +94,10 @@
 def test_a_dead_collector_is_replaced_under_a_higher_epoch_and_an_old_list_is_refused():
     async def scenario(world):
         await serving(world)
-        holder = next(h for h in world.core if world.part("mdreg", h).epoch is not None)
-        old = world.part("mdreg", holder).epoch
+        holder = next(h for h in world.core if world.daemon("mdreg", h).epoch is not None)
+        old = world.daemon("mdreg", holder).epoch
         world.kill(f"mdreg@{holder}")
-        proxy = world.part("mdproxy", hosts(world)[0])
+        proxy = world.daemon("mdproxy", hosts(world)[0])
         took = await world.eventually(lambda: proxy.walker.lists.epoch > old)
         assert took < 6 * SECOND
         other = next(h for h in world.core if h != holder)
@@ -156,7 +156,7 @@
         await rest(2 * SECOND)
         told = {
             n.address: n.rho
-            for n in world.part("mdproxy", hosts(world)[0]).walker.told_nodes["desk"]
+            for n in world.daemon("mdproxy", hosts(world)[0]).walker.told_nodes["desk"]
         }
         assert told[f"{hosts(world)[1]}:7401"] == 0.85
         assert told[f"{hosts(world)[0]}:7401"] == 0.0
@@ -184,13 +184,13 @@
         process = world.processes[f"mdproxy@{host}"]
         process.processors = slow = Processors(1, step_us=30 * MILLI)
         world.nursery.start_soon(slow.run)
-        part = world.part("mdproxy", host)
-        await world.eventually(part.behind)
+        daemon = world.daemon("mdproxy", host)
+        await world.eventually(daemon.behind)
         status, lines, told = await world.http(host, "POST", f"{host}:7400", "/withdrawals", {})
         assert (status, told["code"], lines[b"retry-after"]) == (503, "busy", b"1")
         assert lines[b"md-verdict"] == b"not-run"
         process.processors = None
-        await world.eventually(lambda: not part.behind())
+        await world.eventually(lambda: not daemon.behind())
         assert is_successful(await world.client(host).call("GET", "/balances/1"))
         assert [got.path for got in journal] == ["/balances/1"]
 
--- a/tests/load_sharing/test_ways.py
+++ b/tests/load_sharing/test_ways.py
@@ -20,9 +20,9 @@
     await rest(SECOND)
     version = await world.configure(new)
     await rest(2 * SECOND)
-    assert world.part("mdproxy", host).delivery.version < version
+    assert world.daemon("mdproxy", host).delivery.version < version
     for other in hosts(world)[1:]:
-        assert world.part("mdproxy", other).delivery.version == version
+        assert world.daemon("mdproxy", other).delivery.version == version
         world.web.mend([(host, other), (other, host)])
     return host
 
@@ -64,7 +64,7 @@
         journal = []
         await serving(world, journal)
         host, other = hosts(world)
-        walker = world.part("mdproxy", host).walker
+        walker = world.daemon("mdproxy", host).walker
         old = walker.told_nodes["desk"]
         world.kill(f"endpoint@{other}:8000")
         await world.endpoint(other, "desk", answers(10 * MILLI, journal))
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -70,7 +70,7 @@
         for host in hosts(world):
             await world.start("mdproxy", host)
         proxies = {f"{h}:7401" for h in hosts(world)}
-        left = world.part("mdreg", world.core[2])
+        left = world.daemon("mdreg", world.core[2])
         await world.eventually(lambda: proxies <= set(left.roster))
         for host in hosts(world):
             view = world.node("mdproxy", host).view
@@ -84,7 +84,7 @@
         await configured(world)
         host = hosts(world)[0]
         address = f"{host}:7401"
-        reg = world.part("mdreg", world.core[0])
+        reg = world.daemon("mdreg", world.core[0])
         first = reg.roster[address][0]["incarnation"]
         world.kill(f"mdproxy@{host}")
         assert await world.eventually(lambda: address not in reg.roster) <= 3 * SECOND
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -228,14 +228,14 @@
     return sent[0]["status"], dict(sent[0]["headers"]), json.loads(sent[1]["body"])
 
 
-def modify(part, body):
-    return asked(control, part, "POST", "/api/config/modify", body)
+def modify(daemon, body):
+    return asked(control, daemon, "POST", "/api/config/modify", body)
 
 
 def test_a_change_is_taken_and_read_back_and_an_invalid_one_changes_nothing():
-    part = Kept()
-    assert modify(part, change(route(), *SERVICES))[::2] == (200, {})
-    status, _, told = asked(control, part, "GET", "/api/config/fetch")
+    daemon = Kept()
+    assert modify(daemon, change(route(), *SERVICES))[::2] == (200, {})
+    status, _, told = asked(control, daemon, "GET", "/api/config/fetch")
     assert (status, len(told["resourceList"])) == (200, 3)
     for body, word in (
         (change(route(version=9, service="none", trafficSplit=...)), "none"),
@@ -243,46 +243,46 @@
         (change(route(version=9, retryCount=0)), "tries"),
         (b"{", "JSON"),
     ):
-        status, _, why = modify(part, body)
+        status, _, why = modify(daemon, body)
         assert status == 400
         assert word in why["errorMessage"]
-    assert asked(control, part, "GET", "/api/config/fetch")[2] == told
+    assert asked(control, daemon, "GET", "/api/config/fetch")[2] == told
 
 
 def test_another_content_under_a_known_version_is_a_conflict():
-    part = Kept()
-    assert modify(part, change(route(), *SERVICES))[0] == 200
-    assert modify(part, change(route(), *SERVICES))[::2] == (200, {})
-    status, _, why = modify(part, change(entry("serviceTable", "new", 1), route(retryCount=3)))
+    daemon = Kept()
+    assert modify(daemon, change(route(), *SERVICES))[0] == 200
+    assert modify(daemon, change(route(), *SERVICES))[::2] == (200, {})
+    status, _, why = modify(daemon, change(entry("serviceTable", "new", 1), route(retryCount=3)))
     assert status == 409
     assert "routeTable grind r3" in why["errorMessage"]
-    assert modify(part, change(routeTable=[drop("grind", 3)]))[0] == 409
-    told = asked(control, part, "GET", "/api/config/fetch")[2]["resourceList"]
+    assert modify(daemon, change(routeTable=[drop("grind", 3)]))[0] == 409
+    told = asked(control, daemon, "GET", "/api/config/fetch")[2]["resourceList"]
     assert route() in told
     assert "new" not in [given["metadata"].get("name") for given in told]
-    assert modify(part, change(route(version=5)))[0] == 200
-    assert modify(part, change(route()))[0] == 200  # sent again after a newer version
-    assert modify(part, change(route(retryCount=3)))[0] == 409
+    assert modify(daemon, change(route(version=5)))[0] == 200
+    assert modify(daemon, change(route()))[0] == 200  # sent again after a newer version
+    assert modify(daemon, change(route(retryCount=3)))[0] == 409
 
 
 def test_a_large_change_is_read_beside_the_loop():
-    part = Kept()
+    daemon = Kept()
     large = [entry("serviceTable", f"s{n}", 1, note="x" * 500) for n in range(100)]
-    assert modify(part, change(*large))[0] == 200
-    assert part.beside == 1
-    assert len(part.held) == 100
+    assert modify(daemon, change(*large))[0] == 200
+    assert daemon.beside == 1
+    assert len(daemon.held) == 100
 
 
 @pytest.mark.parametrize(("fails", "status"), [(NoQuorum, 503), (OutcomeUnknown, 504)])
 def test_a_register_that_doesnt_answer(fails, status):
-    part = Kept(fails)
-    got, headers, why = modify(part, change(*SERVICES))
+    daemon = Kept(fails)
+    got, headers, why = modify(daemon, change(*SERVICES))
     assert got == status
     assert why["errorMessage"]
     assert (b"retry-after" in headers) is (status == 503)
-    assert asked(control, part, "GET", "/api/config/fetch")[0] == status
-    part.store.record = None
-    assert modify(part, change(*SERVICES))[0] == 503
+    assert asked(control, daemon, "GET", "/api/config/fetch")[0] == status
+    daemon.store.record = None
+    assert modify(daemon, change(*SERVICES))[0] == 503
 
 
 class Beside:
@@ -314,17 +314,17 @@
 }
 
 
-def beat(part, facts, verb="heartbeat"):
+def beat(daemon, facts, verb="heartbeat"):
     body = facts if isinstance(facts, bytes) else json.dumps(facts).encode()
-    return asked(beats, part, "POST", f"/api/instances/i-1/{verb}", body)[0]
+    return asked(beats, daemon, "POST", f"/api/instances/i-1/{verb}", body)[0]
 
 
 def test_beats_and_the_last_word_of_an_endpoint():
-    part = Beside()
-    assert beat(part, BEAT) == 200
-    assert beat(part, {**BEAT, "state": "draining"}) == 200
-    assert beat(part, b"", "deregister") == 200
-    first, second, last = part.told
+    daemon = Beside()
+    assert beat(daemon, BEAT) == 200
+    assert beat(daemon, {**BEAT, "state": "draining"}) == 200
+    assert beat(daemon, b"", "deregister") == 200
+    first, second, last = daemon.told
     assert first == {
         "service": "mill",
         "address": "127.0.9.1:80",
@@ -353,9 +353,9 @@
     ],
 )
 def test_a_wrong_beat_is_refused(facts, status):
-    part = Beside()
-    assert beat(part, facts) == status
-    assert part.told == []
+    daemon = Beside()
+    assert beat(daemon, facts) == status
+    assert daemon.told == []
 
 
 def test_readiness_and_doors_that_share_an_address():
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -219,7 +219,7 @@
     node = SimpleNamespace(
         boot=settings.boot,
         view=SimpleNamespace(seeds=settings.boot.seeds),
-        part=SimpleNamespace(settings_changed=heard.append),
+        daemon=SimpleNamespace(settings_changed=heard.append),
     )
     changed = EXAMPLE.replace("127.0.9.2:9090", "127.0.9.3:9090").replace("9091", "9099")
     file.write_text(changed.replace('"mill"', '"forge"').replace("0.25", "0.5"))
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -223,10 +223,10 @@
             await rest(20 * MILLI)
             nursery.start_soon(give_up, 50 * MILLI)  # waits for the slot: is dropped
         await rest(SECOND)
-        part = world.part("mdproxy", hosts(world)[0])
+        daemon = world.daemon("mdproxy", hosts(world)[0])
         assert len(journal) == 1
-        assert len(part.walker.slab) == 0
-        assert [e.in_flight for e in part.book.by_address.values()] == [0]
+        assert len(daemon.walker.slab) == 0
+        assert [e.in_flight for e in daemon.book.by_address.values()] == [0]
 
     run(scenario, application=("desk",))
 
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -60,7 +60,7 @@
 
 
 def deliveries(world):
-    return [world.part("mdproxy", host).delivery for host in world.application]
+    return [world.daemon("mdproxy", host).delivery for host in world.application]
 
 
 async def in_force(world, version, within=APPLY // 2):
@@ -135,7 +135,7 @@
     async def scenario(world):
         await with_items(world, *many(300))
         for turn, host in enumerate(world.core):
-            cache = world.part("mdconf", host).chunks.packed
+            cache = world.daemon("mdconf", host).chunks.packed
             original = cache.get
 
             async def get(name, form, original=original):
@@ -159,7 +159,7 @@
         held = {name for delivery in deliveries(world) for name in delivery.stager.chunks}
         hanging, asked = True, set()
         for host in world.core:
-            cache = world.part("mdconf", host).chunks.packed
+            cache = world.daemon("mdconf", host).chunks.packed
 
             async def get(name, form, original=cache.get):
                 if form == ROUTING and hanging and name not in held:
@@ -187,7 +187,7 @@
         held, hanging, received = set(delivery.stager.chunks), set(), Counter()
         hanging_until = now() + 3 * SECOND
         for host in world.core:
-            cache = world.part("mdconf", host).chunks.packed
+            cache = world.daemon("mdconf", host).chunks.packed
 
             async def get(name, form, original=cache.get):
                 if form == ROUTING and name not in held and not hanging:
@@ -220,7 +220,7 @@
         await with_items(world, *many(300))
         wrong = 0
         for host in world.core:
-            cache = world.part("mdconf", host).chunks.packed
+            cache = world.daemon("mdconf", host).chunks.packed
 
             async def get(name, form, original=cache.get):
                 nonlocal wrong
@@ -244,8 +244,8 @@
         before = dict(world.web.received)
         largest = 0
         for host in world.core:
-            part = world.part("mdconf", host)
-            original = part.chunks.packed.get
+            daemon = world.daemon("mdconf", host)
+            original = daemon.chunks.packed.get
 
             async def get(name, form, original=original):
                 nonlocal largest
@@ -253,7 +253,7 @@
                 largest = max(largest, len(packed or b""))
                 return packed
 
-            part.chunks.packed.get = get
+            daemon.chunks.packed.get = get
         version = await world.set_items(many(1400)[440:])
         took = await in_force(world, version)
         received = max(world.web.received[h] - before[h] for h in world.application)
@@ -273,7 +273,7 @@
         await with_items(world, *many(1400))
         served, under_way, most = Counter(), Counter(), 0
         for host in world.core:
-            chunks = world.part("mdconf", host).chunks
+            chunks = world.daemon("mdconf", host).chunks
 
             async def get(name, form, host=host, original=chunks.packed.get):
                 served[host] += form == ROUTING
@@ -363,7 +363,9 @@
     async def scenario(world):
         await with_items(world, *many(300))
         await in_force(world, await world.set_items(many(300, 2)))
-        assert len(await world.part("mdconf", world.core[2]).fetch([fingerprint(b"no chunk")])) == 0
+        assert (
+            len(await world.daemon("mdconf", world.core[2]).fetch([fingerprint(b"no chunk")])) == 0
+        )
 
     run(scenario, application=PROXIES)
 
@@ -371,7 +373,7 @@
 def test_a_proxy_of_the_former_version_gets_whole_chunks():
     async def scenario(world):
         await with_items(world, *many(100))
-        names = world.part("mdconf", world.core[0]).head["ranges"]
+        names = world.daemon("mdconf", world.core[0]).head["ranges"]
         links = world.node("mdproxy", "10.0.1.1").links
         told = await links.call(f"{world.core[0]}:7421", "blob.get", names, now() + SECOND)
         assert {fingerprint(bytes(body)) for body in told.values()} == set(names)
@@ -383,7 +385,7 @@
 def test_a_member_that_lacks_chunks_gets_them_past_a_silent_one(fault):
     async def scenario(world):
         await with_items(world, *many(300))
-        mine = world.part("mdconf", world.core[0])
+        mine = world.daemon("mdconf", world.core[0])
         names = mine.head["ranges"]
         mine.chunks.fresh.clear()
         disk = world.disks["mdconf", world.core[0]]
@@ -404,7 +406,7 @@
 def test_a_disk_that_cannot_be_read_ends_no_process():
     async def scenario(world):
         await with_items(world, *many(300))
-        mine = world.part("mdconf", world.core[0])
+        mine = world.daemon("mdconf", world.core[0])
         names = mine.head["ranges"]
         mine.chunks.fresh.clear()
 
--- a/tests/proxy/test_stop.py
+++ b/tests/proxy/test_stop.py
@@ -122,11 +122,11 @@
     further = Table()
 
     @further.on("POST", "/slow")
-    async def slow(part, request):
+    async def slow(daemon, request):
         await rest(700 * MILLI)
-        return Reply(200, {"of": part.node.boot.name, "got": (await request.body()).decode()})
+        return Reply(200, {"of": daemon.node.boot.name, "got": (await request.body()).decode()})
 
-    monkeypatch.setattr(Part, "doors", lambda part: {f"{part.node.boot.host}:7419": further})
+    monkeypatch.setattr(Part, "doors", lambda daemon: {f"{daemon.node.boot.host}:7419": further})
 
     async def scenario(world):
         await world.whole()
--- a/tests/simulator/test_day_digests.py
+++ b/tests/simulator/test_day_digests.py
@@ -64,7 +64,8 @@
     golden = tmp_path / "golden.json"
     write_digests(golden, {"days": {"1": "same", "2": "former"}})
     monkeypatch.setattr(
-        "meadowdock.simulator.__main__.digests", lambda *_: {"days": {"1": "same", "2": "new", "3": "new"}}
+        "meadowdock.simulator.__main__.digests",
+        lambda *_: {"days": {"1": "same", "2": "new", "3": "new"}},
     )
     with pytest.raises(SystemExit) as ended:
         Commands().digest(seeds=3, check=golden)
--- a/tests/support/core_fleet.py
+++ b/tests/support/core_fleet.py
@@ -56,7 +56,7 @@
         return took
 
     def store(self, host):
-        return self.world.part("mdconf", host).store
+        return self.world.daemon("mdconf", host).store
 
     def running(self):
         return [h for h in self.hosts if f"mdconf@{h}" in self.world.processes]
--- a/tests/support/gate_beliefs.py
+++ b/tests/support/gate_beliefs.py
@@ -22,9 +22,9 @@
 def hold(world):
     """From here on the load and the lists are the test's own."""
     for host in hosts(world):
-        part = world.part("mdproxy", host)
-        part.book.measure = lambda at, share: {}
-        part.walker.listed = lambda lists, told: None
+        daemon = world.daemon("mdproxy", host)
+        daemon.book.measure = lambda at, share: {}
+        daemon.walker.listed = lambda lists, told: None
 
 
 def believe_hold(gate, mean_us, service="desk"):
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -79,7 +79,7 @@
 
 
 def gate_of(world, host):
-    return world.part("mdproxy", host).gate
+    return world.daemon("mdproxy", host).gate
 
 
 def violations(world):
@@ -93,8 +93,8 @@
     for name, process in world.processes.items():
         if not name.startswith("mdproxy") or process.frozen is not None:
             continue
-        part = process.node.part
-        gate, book = part.gate, part.book
+        daemon = process.node.daemon
+        gate, book = daemon.gate, daemon.book
         found += [f"{name}: call {call.id} of {call.service}" for call in gate.calls]
         found += [
             f"{name}: {e.address} {e.in_flight}" for e in book.by_address.values() if e.in_flight
@@ -103,7 +103,7 @@
         found += [f"{name}: queue {s}" for s, q in gate.admission.queues.items() if len(q)]
         found += [f"{name}: pending {a}" for a, k in gate.peers.outgoing.items() if len(k.pending)]
         found += [f"{name}: opening" for pool in gate.pools.values() if pool.opening]
-        held = [t for t in part.reactor.heap if t.act is not None and t.due > now() + 3 * SECOND]
+        held = [t for t in daemon.reactor.heap if t.act is not None and t.due > now() + 3 * SECOND]
         found += [f"{name}: timer {t.act}" for t in held]
     return found
 
@@ -124,4 +124,4 @@
 
 def busy(world, host, rho, name="desk"):
     """The node's own view of its load, held there."""
-    world.part("mdproxy", host).book.occupations[name].rho = rho
+    world.daemon("mdproxy", host).book.occupations[name].rho = rho
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -388,7 +388,7 @@
         "mdreg": world.core[0],
         "mdproxy": next(iter(world.application)),
     }
-    return {role: sorted(world.part(role, host).answers().table) for role, host in hosts.items()}
+    return {role: sorted(world.daemon(role, host).answers().table) for role, host in hosts.items()}
 
 
 async def ask_rare_methods(world, files):
--- a/tests/support/mesh.py
+++ b/tests/support/mesh.py
@@ -39,8 +39,8 @@
 
     def listed():
         return all(
-            services <= set(world.part("mdproxy", h).walker.told_nodes)
-            and sum(map(len, world.part("mdproxy", h).walker.told_nodes.values())) == len(made)
+            services <= set(world.daemon("mdproxy", h).walker.told_nodes)
+            and sum(map(len, world.daemon("mdproxy", h).walker.told_nodes.values())) == len(made)
             for h in world.application
         )
 
@@ -49,7 +49,7 @@
 
 
 def counts(world, host):
-    return world.part("mdproxy", host).walker.counts
+    return world.daemon("mdproxy", host).walker.counts
 
 
 def hosts(world):
