--- a/packages/admin_http/meadowdock/admin_http/__init__.py
+++ b/packages/admin_http/meadowdock/admin_http/__init__.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from meadowdock.runtime import now
+from meadowdock.runtime import monotonic_us
 
 TEXT = b"application/json"
 BODY_MAX = 16 << 20
@@ -141,7 +141,7 @@
         request.path = request.path.partition("?")[0]
         self.working += 1
         if request.path not in PROBES:
-            self.came_at = now()
+            self.came_at = monotonic_us()
         try:
             try:
                 reply, (data, headers) = await self.replied(request)
--- a/packages/client/meadowdock/client/client.py
+++ b/packages/client/meadowdock/client/client.py
@@ -9,7 +9,7 @@
 from returns.result import Failure, Result, Success
 
 from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, RAN, Verdict
-from meadowdock.runtime import SECOND, HttpConnectionFailed, Net, now, until
+from meadowdock.runtime import SECOND, HttpConnectionFailed, Net, deadline_scope, monotonic_us
 
 SLACK_US = SECOND  # the proxy answers within the due; this is for a proxy that doesn't
 LONGEST_US = 4 * SECOND
@@ -82,7 +82,7 @@
             sent = True
 
         cause = "no answer from the proxy"
-        with until(now() + (due_us or LONGEST_US) + SLACK_US):
+        with deadline_scope(monotonic_us() + (due_us or LONGEST_US) + SLACK_US):
             connection = await self.connection()
             try:
                 status, headers, answer = await connection.request(
--- a/packages/client/meadowdock/client/endpoint.py
+++ b/packages/client/meadowdock/client/endpoint.py
@@ -8,7 +8,14 @@
 
 from meadowdock.admin_http import App, Reply, Table
 from meadowdock.client.record import Got
-from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    HttpConnectionFailed,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
 
 
 class Endpoint:
@@ -37,7 +44,7 @@
         self.load, self.record = load or (lambda: None), record
         self.token = None
         self.draining = False
-        self.beat_us = 500 * MILLI
+        self.beat_us = 500 * MILLISECOND
         self.app = App(self.table, self, None)
         self.enrolled = trio.Event()
         self.working = 0
@@ -98,7 +105,7 @@
     async def tell(self, path, facts):
         connection = self.net.http(self.proxy)
         try:
-            with until(now() + SECOND):
+            with deadline_scope(monotonic_us() + SECOND):
                 lines = [(b"content-type", b"application/json")]
                 body = json.dumps(facts).encode()
                 status, _, answer = await connection.request("POST", path, lines, body)
@@ -115,7 +122,7 @@
                 await self.enrol()
             else:
                 await self.beat()
-            await rest(self.beat_us if self.token else self.beat_us // 2)
+            await sleep_us(self.beat_us if self.token else self.beat_us // 2)
 
     async def enrol(self):
         facts = {
@@ -146,9 +153,9 @@
         self.draining = True
         if self.token:
             await self.beat()
-        with until(now() + wait_us):
+        with deadline_scope(monotonic_us() + wait_us):
             while self.working:
-                await rest(10 * MILLI)
+                await sleep_us(10 * MILLISECOND)
 
     async def leave(self):
         if self.token:
--- a/packages/config_store/meadowdock/config_store/change.py
+++ b/packages/config_store/meadowdock/config_store/change.py
@@ -14,7 +14,7 @@
 from meadowdock.config_store.store import disk_failures_rejected
 from meadowdock.consensus import OutcomeUnknown, VoterSets
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
-from meadowdock.runtime import now, until
+from meadowdock.runtime import deadline_scope, monotonic_us
 
 MEMBERS = "members"
 
@@ -80,7 +80,7 @@
         if not newcomers:
             return False
         version, since = self.joint
-        if version == record["version"] and now() - since > 2 * self.timing.change_us:
+        if version == record["version"] and monotonic_us() - since > 2 * self.timing.change_us:
             return True
         there = self.reachable()
         return any(
@@ -109,7 +109,7 @@
         asked = [a for a in addresses if a != me and a not in silent]
         hello = await self.node.links.answers(
             {a: (a, "member.hello", {"link": me}) for a in asked},
-            min(deadline, now() + self.timing.ask_us),
+            min(deadline, monotonic_us() + self.timing.ask_us),
         )
         for address, told in hello.items():
             self.note_hello(address, told)
@@ -184,6 +184,6 @@
 
         for disk, address in sorted(members.items()):
             self.node.nursery.start_soon(one, disk, address)
-        with until(deadline):
+        with deadline_scope(deadline):
             await done.wait()
         return dict(answers)
--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -5,9 +5,9 @@
 from meadowdock.configuration import WHOLE
 from meadowdock.configuration.fetch import Fetch, Fetcher, PackedCache, answer_request
 from meadowdock.rpc import Handlers
-from meadowdock.runtime import MILLI, now, until
+from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us
 
-HEAD_START = 30 * MILLI  # of the own disk that gives nothing, before other members are asked
+HEAD_START = 30 * MILLISECOND  # of the own disk that gives nothing, before other members are asked
 FRESH_MAX = 1 << 20  # bytes
 HEDGE_PART = 20  # of apply_us: the wait for a silent member before the next is asked
 FETCH_PART = 2  # of apply_us: one fetch
@@ -40,7 +40,7 @@
 
     async def fetch(self, names, deadline=None):
         """{name: body} of those that are to be had. A disk or a member that stalls holds up nobody."""
-        limit = now() + self.node.boot.apply_us // FETCH_PART
+        limit = monotonic_us() + self.node.boot.apply_us // FETCH_PART
         deadline = limit if deadline is None else min(deadline, limit)
         members = self.fetcher.spread(self.others().values())
         found = {name: self.fresh[name] for name in names if name in self.fresh}
@@ -51,15 +51,15 @@
         if not fetch.complete.is_set():
             await self.fetcher.run(fetch, deadline)
         if not fetch.complete.is_set() and not fetch.disk_read.is_set():
-            with until(deadline):  # the other members have no more: the disk may
+            with deadline_scope(deadline):  # the other members have no more: the disk may
                 await fetch.disk_read.wait()
         return {name: fetch.found[name] for name in names if name in fetch.found}
 
     async def wait_for_disk(self, fetch, deadline):
         """As long as it gives something."""
-        while not fetch.disk_read.is_set() and now() < deadline:
+        while not fetch.disk_read.is_set() and monotonic_us() < deadline:
             found = len(fetch.found)
-            with until(now() + HEAD_START):
+            with deadline_scope(monotonic_us() + HEAD_START):
                 await fetch.disk_read.wait()
             if len(fetch.found) == found:
                 return
--- a/packages/config_store/meadowdock/config_store/contact.py
+++ b/packages/config_store/meadowdock/config_store/contact.py
@@ -13,10 +13,10 @@
 
 from meadowdock.consensus import NoQuorum
 from meadowdock.rpc import ConnectionFailed, Rejected
-from meadowdock.runtime import MILLI, now, rest
+from meadowdock.runtime import MILLISECOND, monotonic_us, sleep_us
 
 FRESH_ROUNDS = 2  # of asking: an answer counts for so long; after it members are asked once more
-LOOK_EVERY = 50 * MILLI  # while an operator's request is under way
+LOOK_EVERY = 50 * MILLISECOND  # while an operator's request is under way
 PROBE_SHARE = (
     12  # of boot.contact_us: how long members are waited for before an operator is refused
 )
@@ -66,7 +66,9 @@
         """A quorum answered lately. writing: and their disks can be written."""
         there = self.daemon.reachable().values()
         fresh_us = FRESH_ROUNDS * self.daemon.timing.hear_us
-        disks = [h.disk for h in there if now() - h.at < fresh_us and (h.well or not writing)]
+        disks = [
+            h.disk for h in there if monotonic_us() - h.at < fresh_us and (h.well or not writing)
+        ]
         return self.daemon.proposer is not None and self.daemon.proposer.quorum(disks)
 
     async def check(self, writing=True):
@@ -80,13 +82,13 @@
         if self.daemon.store.record:
             self.daemon.note_no_quorum()
         able = [answer.doors for answer in answers if answer.may_take_over]
-        raise NoContact(self.daemon.node.seams.rng.choice(able) if able else {})
+        raise NoContact(self.daemon.node.runtime.rng.choice(able) if able else {})
 
     async def probe(self, writing):
         """Answers of all other members, as far as they come before a quorum is in touch."""
         answers, node = [], self.daemon.node
         wait = min(node.boot.contact_us // PROBE_SHARE, self.daemon.timing.ask_us)
-        deadline = now() + wait
+        deadline = monotonic_us() + wait
         asker = {"link": node.boot.link}
 
         async def one(address):
@@ -119,7 +121,7 @@
     async def cancel_when_lost(self, scope, done, writing):
         """Cancel the scope once no quorum is in touch, until done is set."""
         while not done.is_set():
-            await rest(LOOK_EVERY)
+            await sleep_us(LOOK_EVERY)
             try:
                 await self.check(writing)
             except NoQuorum:
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -7,9 +7,9 @@
 
 from meadowdock.config_store.store import HEAD
 from meadowdock.consensus import Lost, NoQuorum, OutcomeUnknown
-from meadowdock.runtime import MILLI, SECOND, now, rest, until
+from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
-LOOK_EVERY = 20 * MILLI
+LOOK_EVERY = 20 * MILLISECOND
 SECURE_US = SECOND  # at most, for what only this disk may hold
 AT_ONCE = 16  # keys
 
@@ -34,8 +34,8 @@
         """Wait for a spare to take this voter's place, as long as one can. The others know by
         member.hello that this process is leaving, and change the members."""
         store = self.daemon.store
-        while store.voter and self.replaceable() and now() < deadline:
-            await rest(LOOK_EVERY)
+        while store.voter and self.replaceable() and monotonic_us() < deadline:
+            await sleep_us(LOOK_EVERY)
 
     async def secure_state(self, deadline):
         """Make sure that what this disk accepted is on a durable quorum without it. Gives up at
@@ -52,10 +52,10 @@
         def enough(voter_sets, members):
             return voter_sets.without(store.disk).is_durable(members)
 
-        with until(min(deadline, now() + SECURE_US)):
+        with deadline_scope(min(deadline, monotonic_us() + SECURE_US)):
             try:
-                await self.secure_keys(enough, min(deadline, now() + SECURE_US))
-                await self.secure_files(enough, min(deadline, now() + SECURE_US))
+                await self.secure_keys(enough, min(deadline, monotonic_us() + SECURE_US))
+                await self.secure_files(enough, min(deadline, monotonic_us() + SECURE_US))
             except (NoQuorum, OutcomeUnknown):
                 pass  # it goes all the same: the platform would end it soon
 
--- a/packages/config_store/meadowdock/config_store/items.py
+++ b/packages/config_store/meadowdock/config_store/items.py
@@ -18,9 +18,9 @@
 from meadowdock.configuration import items as config_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.rpc import Handlers
-from meadowdock.runtime import MILLI, fingerprint, now, rest, until
+from meadowdock.runtime import MILLISECOND, deadline_scope, fingerprint, monotonic_us, sleep_us
 
-PER_ITEM = 3 * MILLI  # an operator waits longer for a large call's answer
+PER_ITEM = 3 * MILLISECOND  # an operator waits longer for a large call's answer
 CHUNK = 16  # range files in one frame
 
 
@@ -116,7 +116,7 @@
         if not self.busy:
             self.busy = True
             self.daemon.node.nursery.start_soon(self.run)
-        with until(now() + self.daemon.answer_wait + PER_ITEM * len(items)):
+        with deadline_scope(monotonic_us() + self.daemon.answer_wait + PER_ITEM * len(items)):
             await call.done.wait()
         if call.outcome is None:
             if call in self.waiting:
@@ -156,16 +156,16 @@
         """The outcome of each call, in order. Each is judged by itself, after those before it.
 
         Raises NoQuorum only if no new head was sent to any member, else OutcomeUnknown."""
-        deadline = now() + self.daemon.operate_wait
+        deadline = monotonic_us() + self.daemon.operate_wait
         while True:
             try:
                 return await self.round_once(calls, deadline)
             except Outdated:
-                if now() >= deadline:
+                if monotonic_us() >= deadline:
                     raise self.lost() from None
             except NoQuorum:
                 raise self.lost() from None
-            await rest(self.daemon.node.seams.rng.randrange(1, 10) * MILLI)
+            await sleep_us(self.daemon.node.runtime.rng.randrange(1, 10) * MILLISECOND)
 
     async def round_once(self, calls, deadline):
         """One pass of a round. Raises Outdated if another changed the head meanwhile."""
@@ -187,13 +187,13 @@
     async def put(self, head, merged, deadline):
         """The head with these items, known to a majority. Raises Outdated if it is another now."""
         daemon = self.daemon
-        ranges = await daemon.node.seams.apart(cut_items, merged)
+        ranges = await daemon.node.runtime.offload(cut_items, merged)
         names = [name for name, _ in ranges]
         facts = {
             "base": head["version"],
             "ranges": [*own_ranges(head), *names],
             "items": len(names),
-            "made": daemon.node.seams.wall(),
+            "made": daemon.node.runtime.wall_us(),
             "by": daemon.proposer.name,
         }
         body = ormsgpack.packb(facts)
@@ -204,7 +204,9 @@
         # what the new head no longer holds, as for a confirm
         records = {head["version"]: head["record"]} if head.get("record") else {}
         await self.spread({**new, plan: body}, records, deadline)
-        await daemon.node.seams.apart(lambda: daemon.audit_key)  # its libraries load at first use
+        await daemon.node.runtime.offload(
+            lambda: daemon.audit_key
+        )  # its libraries load at first use
         made = await self.send_head(daemon.plans.next_head(plan, facts), deadline)
         daemon.know(made)
         daemon.node.log(605, plan=plan, version=made["version"])
@@ -278,7 +280,7 @@
 
     async def make_read(self, request):
         """GET /items"""
-        version, items = await self.read(now() + self.daemon.read_wait)
+        version, items = await self.read(monotonic_us() + self.daemon.read_wait)
         return Reply(200, {"version": version, "items": items})
 
 
--- a/packages/config_store/meadowdock/config_store/lease.py
+++ b/packages/config_store/meadowdock/config_store/lease.py
@@ -28,10 +28,10 @@
 )
 from meadowdock.consensus import Lost, NoQuorum, OutcomeUnknown
 from meadowdock.rpc import Handlers, Rejected
-from meadowdock.runtime import MILLI, now
+from meadowdock.runtime import MILLISECOND, monotonic_us
 
 DRIFT = 16  # clocks of two machines differ in rate by less than one part in so many
-CHANGE_WAIT = 900 * MILLI
+CHANGE_WAIT = 900 * MILLISECOND
 
 
 class FirstSeen:
@@ -74,7 +74,7 @@
     def note(self, key, value):
         """A value was accepted here: remember when its lease record was first seen."""
         if key == COLLECTOR_KEY and value is not None:
-            self.first_seen.at(key, LeaseRecord.decode(value), now())
+            self.first_seen.at(key, LeaseRecord.decode(value), monotonic_us())
 
     def accepted_here(self, key):
         """The value that this member accepted for a key, or None."""
@@ -114,7 +114,9 @@
         if not self.daemon.store.record:
             raise Rejected(NO_MAJORITY)
         try:
-            value = await self.daemon.proposer.change(request.key, make, now() + CHANGE_WAIT)
+            value = await self.daemon.proposer.change(
+                request.key, make, monotonic_us() + CHANGE_WAIT
+            )
         except (NoQuorum, OutcomeUnknown):
             raise Rejected(NO_MAJORITY) from None
         record = LeaseRecord.decode(value)
@@ -146,11 +148,11 @@
     def refuse_while_held(self, record, request):
         """Raises Rejected while a holder that is not the requester may believe in its lease. A
         record of a former version has no duration: the requester's is taken."""
-        first = self.first_seen.at(request.key, record, now())
+        first = self.first_seen.at(request.key, record, monotonic_us())
         if record.released or record.holder == request.holder:
             return
         duration = record.duration_us or request.duration_us
-        remaining = first + duration + duration // DRIFT - now()
+        remaining = first + duration + duration // DRIFT - monotonic_us()
         if remaining >= 0:
             raise Rejected(LEASE_HELD, epoch=record.epoch, remaining_us=remaining)
 
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -7,7 +7,7 @@
 from meadowdock.config_store.record import with_places
 from meadowdock.consensus import Place
 from meadowdock.rpc import Handlers
-from meadowdock.runtime import now, rest
+from meadowdock.runtime import monotonic_us, sleep_us
 
 
 @dataclass(frozen=True)
@@ -31,15 +31,15 @@
         """Asks every mdconf known, directly. Wanted: all hold the newest record."""
         while True:
             await self.ask_all()
-            await rest(self.timing.hear_us if self.store.record else self.timing.bootstrap_us)
+            await sleep_us(self.timing.hear_us if self.store.record else self.timing.bootstrap_us)
 
     async def ask_all(self):
         """Ask every other mdconf known; take newer records; bootstrap if this one may."""
-        self.excuse_pause(self.still.look(now()))
+        self.excuse_pause(self.still.look(monotonic_us()))
         asked = {
             a: (a, "member.hello", {"link": self.node.boot.link}) for a in self.known_addresses()
         }
-        answers = await self.node.links.answers(asked, now() + self.timing.ask_us)
+        answers = await self.node.links.answers(asked, monotonic_us() + self.timing.ask_us)
         for address, told in answers.items():
             self.note_hello(address, told)
         records = [t["record"] for t in answers.values() if t["record"]]
@@ -49,11 +49,11 @@
         elif self.may_bootstrap(answers):
             await self.bootstrap(answers)
         if self.store.record is None:
-            self.known_at = now()
+            self.known_at = monotonic_us()
 
     def known_addresses(self):
         """Addresses of all other mdconf that anybody told of, in order."""
-        self.met = {a: at for a, at in self.met.items() if now() - at < self.timing.met_us}
+        self.met = {a: at for a, at in self.met.items() if monotonic_us() - at < self.timing.met_us}
         return sorted(
             {
                 *self.founders,
@@ -73,11 +73,13 @@
     def note_hello(self, address, told):
         """Remember what another mdconf answered."""
         old = self.heard.get(address)
-        goes_on = old and old.disk == told["disk"] and now() - old.at < self.timing.silent_us
+        goes_on = (
+            old and old.disk == told["disk"] and monotonic_us() - old.at < self.timing.silent_us
+        )
         self.heard[address] = Heard(
             told["disk"],
-            old.since if goes_on else now(),
-            now(),
+            old.since if goes_on else monotonic_us(),
+            monotonic_us(),
             told["well"],
             told["leaving"],
             place_told(told),
@@ -88,23 +90,25 @@
         me = Heard(
             self.store.disk,
             self.begun,
-            now(),
+            monotonic_us(),
             self.store.files.wrong() is None,
             self.node.stopping,
             self.place,
         )
-        fresh = {a: h for a, h in self.heard.items() if now() - h.at < self.timing.silent_us}
+        fresh = {
+            a: h for a, h in self.heard.items() if monotonic_us() - h.at < self.timing.silent_us
+        }
         return {**fresh, self.node.boot.link: me}
 
     def silence(self, address):
         """How long an address has not answered."""
-        return now() - (self.heard[address].at if address in self.heard else self.begun)
+        return monotonic_us() - (self.heard[address].at if address in self.heard else self.begun)
 
     @handlers.on("member.hello")
     async def on_hello(self, peer, asker):
         """Who this member is, its record, and whether it is well, leaving and in touch with a quorum."""
         if asker and asker["link"] != self.node.boot.link:
-            self.met[asker["link"]] = now()
+            self.met[asker["link"]] = monotonic_us()
         return {
             "disk": self.store.disk,
             "record": self.store.record,
@@ -146,7 +150,7 @@
         await self.store.adopt(record)
         self.node.log(601, members=sorted(voters.values()))
         asks = {a: (a, "member.adopt", record) for a in answers}
-        await self.node.links.call_all(asks, now() + self.timing.ask_us)
+        await self.node.links.call_all(asks, monotonic_us() + self.timing.ask_us)
 
 
 def place_told(hello):
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -15,7 +15,7 @@
 from meadowdock.config_store.votes import Votes
 from meadowdock.consensus import NoQuorum, OutcomeUnknown, Place, Tolerance, VoterSets
 from meadowdock.rpc import ConnectionFailed, Rejected
-from meadowdock.runtime import MILLI, SECOND, PauseDetector, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us, sleep_us
 
 
 class Members(Liveness, Votes, Transfer, MemberChange):
@@ -32,8 +32,8 @@
         self.losses = getattr(boot, "losses", 1)
         self.store.tolerance = self.tolerance = self.losses_to_bear(boot)
         self.heard, self.met = {}, {}
-        self.begun = self.known_at = now()
-        self.still = PauseDetector(SECOND, now())
+        self.begun = self.known_at = monotonic_us()
+        self.still = PauseDetector(SECOND, monotonic_us())
         self.changing = 0
         self.joint = (0, 0)  # version of the joint configuration seen last, and since when
 
@@ -69,7 +69,7 @@
         ):
             return True
         # fewer vote than could where that lets a zone or a region be lost
-        watched = now() - self.begun >= 2 * self.timing.stable_us
+        watched = monotonic_us() - self.begun >= 2 * self.timing.stable_us
         return watched and me not in self.chosen(set(record["voters"].values()), there)
 
     def too_few(self):
@@ -82,7 +82,7 @@
             return True
         return (
             len(record["voters"]) < 2 * self.losses + 1
-            and now() - self.known_at < self.timing.start_us
+            and monotonic_us() - self.known_at < self.timing.start_us
         )
 
     def target(self):
@@ -125,7 +125,11 @@
         record, candidates = self.store.record, []
         for address in sorted(set(there) - voters):
             heard = there[address]
-            if not heard.well or heard.leaving or now() - heard.since < self.timing.stable_us:
+            if (
+                not heard.well
+                or heard.leaving
+                or monotonic_us() - heard.since < self.timing.stable_us
+            ):
                 continue
             former = record["voters"].get(heard.disk)
             if former is None:
@@ -173,7 +177,7 @@
             return None
         if record["next"] is not None:
             if self.joint[0] != record["version"]:
-                self.joint = record["version"], now()
+                self.joint = record["version"], monotonic_us()
             return (record["version"], None) if self.store.voter else None
         target = self.target()
         return None if target is None else (record["version"], target)
@@ -181,20 +185,20 @@
     async def act_loop(self):
         """One member acts: the lowest that can; each further one after a longer wait, should
         those before it be stuck."""
-        rng = self.node.seams.rng
-        kept, since, jitter = None, now(), 0
+        rng = self.node.runtime.rng
+        kept, since, jitter = None, monotonic_us(), 0
         while True:
-            await rest(50 * MILLI)
+            await sleep_us(50 * MILLISECOND)
             wish = self.wish()
             if wish != kept:
-                kept, since, jitter = wish, now(), rng.randrange(100 * MILLI)
+                kept, since, jitter = wish, monotonic_us(), rng.randrange(100 * MILLISECOND)
             if wish is None:
                 continue
             _, target = wish
             wait = self.rank() * self.timing.rank_us + (self.timing.end_us if target is None else 0)
-            if now() - since < wait + jitter:
+            if monotonic_us() - since < wait + jitter:
                 continue
-            deadline = now() + self.timing.change_us
+            deadline = monotonic_us() + self.timing.change_us
             try:
                 if target is None:
                     record = await self.end_change(deadline)
@@ -204,7 +208,10 @@
                     607, version=record["version"], members=sorted(record["voters"].values())
                 )
             except (NoQuorum, OutcomeUnknown, Conflict, ConnectionFailed, Rejected, OSError):
-                since, jitter = now(), rng.randrange(300 * MILLI)  # it is tried again
+                since, jitter = (
+                    monotonic_us(),
+                    rng.randrange(300 * MILLISECOND),
+                )  # it is tried again
 
     # ------------------------------------------------------------ operators
 
@@ -213,7 +220,7 @@
         address must be there, or nothing would change and be told as done."""
         me = self.node.boot.link
         asks = {address: (address, "member.hello", {"link": me})}
-        deadline = now() + self.timing.ask_us
+        deadline = monotonic_us() + self.timing.ask_us
         return address == me or bool(await self.node.links.answers(asks, deadline))
 
     async def make_members(self, request):
@@ -234,7 +241,7 @@
         except (ValueError, KeyError, TypeError):
             return Reply(400, {"code": "malformed", "detail": "1, 3 or 5 members by ip:port"})
         try:
-            record = await self.change_members(addresses, now() + self.timing.operator_us)
+            record = await self.change_members(addresses, monotonic_us() + self.timing.operator_us)
         except Conflict as conflict:
             return Reply(409, {"code": conflict.code, **conflict.facts})
         self.node.log(607, version=record["version"], members=sorted(record["voters"].values()))
--- a/packages/config_store/meadowdock/config_store/part.py
+++ b/packages/config_store/meadowdock/config_store/part.py
@@ -24,7 +24,7 @@
 from meadowdock.configuration import SIZE_MAX, assemble
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
-from meadowdock.runtime import MILLI, SECOND, now, rest, until
+from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
 OPERATORS = "operators"  # the product's own door
 STAGE_PARTS = (9, 20)  # of apply_us, for all proxies to stage a head; the same to switch to it
@@ -47,7 +47,7 @@
 
     def __init__(self, node):
         self.node = node
-        self.store = Store(node.seams.disk, node.seams.rng, node.log)
+        self.store = Store(node.runtime.disk, node.runtime.rng, node.log)
         self.repairer = Repairer(node, self.store, self.others, self.fetch)
         self.trail = TrailTransfer(node, self.store, self.others, self.repairer.mended)
         self.chunks = Chunks(node, self.store, self.others)
@@ -125,7 +125,7 @@
         """The standing items, by kind and name, from a quorum read. Raises NoQuorum."""
         if not self.store.record:
             raise NoQuorum("members")
-        return (await self.items.read(now() + self.read_wait))[1]
+        return (await self.items.read(monotonic_us() + self.read_wait))[1]
 
     def loops(self):
         """The loops that the node keeps going."""
@@ -194,7 +194,7 @@
             self.next_reading = Reading()
             self.node.nursery.start_soon(self.read_next, self.next_reading)
         reading = self.next_reading
-        with until(deadline):
+        with deadline_scope(deadline):
             await reading.done.wait()
         if reading.outcome is None:
             raise NoQuorum(HEAD)
@@ -207,7 +207,7 @@
         async with self.reading:
             self.next_reading = None  # who asks from here on gets the next one
             try:
-                head = await self.proposer.read(HEAD, now() + self.reading_wait) or NO_HEAD
+                head = await self.proposer.read(HEAD, monotonic_us() + self.reading_wait) or NO_HEAD
                 self.know(head)
                 reading.outcome = head
                 self.no_majority = False
@@ -235,12 +235,12 @@
             await self.store.files.look()
             if self.store.record:
                 try:
-                    head = await self.read_head(now() + SECOND)
+                    head = await self.read_head(monotonic_us() + SECOND)
                     await self.mend(head)
                     await self.repairer.sweep(head, self.plans.plan_facts)
                 except NoQuorum:
                     pass
-            await rest(SECOND)
+            await sleep_us(SECOND)
 
     async def mend(self, head):
         """Fetch the chunks of a head that are missing here."""
@@ -255,7 +255,7 @@
     async def on_head(self, peer, known):
         """A proxy's question for the current revision: a quorum read."""
         try:
-            head = await self.read_head(now() + SECOND)
+            head = await self.read_head(monotonic_us() + SECOND)
         except NoQuorum:
             raise Rejected("no_majority") from None
         if head["version"] <= known:
@@ -327,7 +327,7 @@
         waiting = set(works)
 
         async def one(disk, work):
-            with until(deadline):
+            with deadline_scope(deadline):
                 try:
                     await work
                     held.add(disk)
@@ -339,7 +339,7 @@
 
         for disk, work in works.items():
             self.node.nursery.start_soon(one, disk, work)
-        with until(deadline):
+        with deadline_scope(deadline):
             await done.wait()
         if not enough(held):
             raise NoQuorum("files")
@@ -357,7 +357,7 @@
 
     async def make_audit(self, request):
         """The kept audit records up to the head, with the key and the anchor."""
-        deadline = now() + self.operate_wait
+        deadline = monotonic_us() + self.operate_wait
         head = await self.read_head(deadline)
         state, records = await self.trail.records(head["version"], deadline)
         if head.get("record"):
@@ -381,7 +381,7 @@
                 "plan": plan,
                 "base": facts["base"],
                 "ranges": audit.name(" ".join(facts["ranges"])),
-                "at": str(self.node.seams.wall()),
+                "at": str(self.node.runtime.wall_us()),
                 "former": audit.name(old["record"]) if old.get("record") else "",
             },
         )
@@ -391,7 +391,7 @@
         bodies = await self.fetch(sorted(set(ranges)))
         if len(bodies) < len(set(ranges)):
             raise NoQuorum("range files")
-        return await self.node.seams.apart(lambda: assemble(bodies[name] for name in ranges))
+        return await self.node.runtime.offload(lambda: assemble(bodies[name] for name in ranges))
 
     # ------------------------------------------------------------ operators
 
@@ -470,12 +470,13 @@
         """Keeps the registries' rosters known."""
         while True:
             await self.refresh_rosters()
-            await rest(SECOND)
+            await sleep_us(SECOND)
 
     async def refresh_rosters(self):
         """Ask every registry for its roster once."""
         self.rosters = await self.node.links.answers(
-            {a: (a, "reg.roster", None) for a in self.node.view.core("mdreg")}, now() + 500 * MILLI
+            {a: (a, "reg.roster", None) for a in self.node.view.core("mdreg")},
+            monotonic_us() + 500 * MILLISECOND,
         )
 
     async def deliver(self, head):
@@ -484,10 +485,10 @@
         news = news_of(head)
         wait = self.node.boot.apply_us * STAGE_PARTS[0] // STAGE_PARTS[1]
         await self.node.links.call_all(
-            {a: (a, "manifest.stage", news) for a in proxies}, now() + wait
+            {a: (a, "manifest.stage", news) for a in proxies}, monotonic_us() + wait
         )
         await self.node.links.call_all(
-            {a: (a, "manifest.switch", head["version"]) for a in proxies}, now() + wait
+            {a: (a, "manifest.switch", head["version"]) for a in proxies}, monotonic_us() + wait
         )
 
 
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -15,7 +15,7 @@
 from meadowdock.configuration import SIZE_MAX, checked, cut, difference
 from meadowdock.configuration.items import standing
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
-from meadowdock.runtime import SECOND, fingerprint, now
+from meadowdock.runtime import SECOND, fingerprint, monotonic_us
 
 HISTORY = repair.RANGES_KEPT  # versions whose plans the head names
 NO_HEAD = {"version": 0, "ranges": [], "plan": "", "history": []}
@@ -37,23 +37,25 @@
         from returns.pipeline import is_successful  # here: a daemon without plans is spared it
 
         data = await request.body(SIZE_MAX)
-        found = await self.daemon.node.seams.apart(checked, data)
+        found = await self.daemon.node.runtime.offload(checked, data)
         if not is_successful(found):
             return Reply(422, {"code": "invalid", "errors": found.failure()})
         facts = found.unwrap()
-        head = await self.daemon.read_head(now() + self.daemon.operate_wait)
+        head = await self.daemon.read_head(monotonic_us() + self.daemon.operate_wait)
         old = await self.daemon.manifest_of(own_ranges(head)) if own_ranges(head) else EMPTY
-        ranges = await self.daemon.node.seams.apart(cut, facts)
+        ranges = await self.daemon.node.runtime.offload(cut, facts)
         changes = difference(old, facts)
         items = item_ranges(head)
         names = [*(name for name, _ in ranges), *items]
         if names == head["ranges"]:
             return Reply(200, {"plan": None, "base": head["version"], "changes": changes})
-        made = self.daemon.node.seams.wall()
+        made = self.daemon.node.runtime.wall_us()
         planned = {"base": head["version"], "ranges": names, "items": len(items), "made": made}
         body = ormsgpack.packb(planned)
         plan = fingerprint(body)
-        await self.daemon.spread({**dict(ranges), plan: body}, now() + 2 * self.daemon.operate_wait)
+        await self.daemon.spread(
+            {**dict(ranges), plan: body}, monotonic_us() + 2 * self.daemon.operate_wait
+        )
         self.daemon.node.log(604, plan=plan, base=head["version"])
         return Reply(
             200,
@@ -79,17 +81,17 @@
             return Reply(400, {"code": "malformed"})
         if not is_fingerprint(plan):
             return PLAN_UNKNOWN
-        head = await self.daemon.read_head(now() + self.daemon.operate_wait)
+        head = await self.daemon.read_head(monotonic_us() + self.daemon.operate_wait)
         version = kept_version(head, plan)
         if version:
             # what a read found may be on fewer disks than an acknowledgement needs
-            deadline = now() + self.daemon.operate_wait
+            deadline = monotonic_us() + self.daemon.operate_wait
             await self.daemon.proposer.change(HEAD, lambda old: old, deadline)
             return confirmed(plan, version)
         facts = await self.plan_facts(plan)
         if facts is None:
             return PLAN_UNKNOWN
-        deadline = now() + self.daemon.operate_wait
+        deadline = monotonic_us() + self.daemon.operate_wait
         version = await self.applied(head, plan, facts, deadline)
         if version:
             return confirmed(plan, version)
@@ -143,7 +145,7 @@
 
     def expired(self, facts):
         """Whether a plan is older than a plan may be."""
-        return self.daemon.node.seams.wall() - facts.get("made", 0) > repair.PLAN_LIFE
+        return self.daemon.node.runtime.wall_us() - facts.get("made", 0) > repair.PLAN_LIFE
 
     async def outdated(self, plan, facts, head):
         """The answer to a plan whose base is no longer the head."""
@@ -178,7 +180,7 @@
     async def applied_after_all(self, head, plan, facts):
         """As `applied`, of a plan whose head may have been sent to members already."""
         try:
-            return await self.applied(head, plan, facts, now() + self.daemon.operate_wait)
+            return await self.applied(head, plan, facts, monotonic_us() + self.daemon.operate_wait)
         except NoQuorum:
             raise OutcomeUnknown(plan) from None
 
@@ -195,7 +197,7 @@
         if version == 0:
             return []
         try:
-            plan = await self.plan_of(head, version, now() + self.daemon.operate_wait)
+            plan = await self.plan_of(head, version, monotonic_us() + self.daemon.operate_wait)
         except NoQuorum:
             return None
         facts = await self.plan_facts(plan) if plan else None
@@ -210,11 +212,11 @@
         # a whole round under a new ballot: whatever was under way is in it, or never will be
         head = (
             await self.daemon.proposer.change(
-                HEAD, lambda old: old, now() + self.daemon.operate_wait
+                HEAD, lambda old: old, monotonic_us() + self.daemon.operate_wait
             )
             or NO_HEAD
         )
-        version = await self.applied(head, plan, facts, now() + self.daemon.operate_wait)
+        version = await self.applied(head, plan, facts, monotonic_us() + self.daemon.operate_wait)
         if version:
             state = "confirmed"
         elif head["version"] != facts["base"]:
@@ -234,10 +236,10 @@
 
     async def make_read_back(self, request):
         """GET /manifest"""
-        head = await self.daemon.read_head(now() + self.daemon.operate_wait)
+        head = await self.daemon.read_head(monotonic_us() + self.daemon.operate_wait)
         own, items = (
             own_ranges(head),
-            await self.daemon.items.at(head, now() + self.daemon.operate_wait),
+            await self.daemon.items.at(head, monotonic_us() + self.daemon.operate_wait),
         )
         facts = {
             "version": head["version"],
--- a/packages/config_store/meadowdock/config_store/repair.py
+++ b/packages/config_store/meadowdock/config_store/repair.py
@@ -6,7 +6,7 @@
 
 from meadowdock.consensus import Lost
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
-from meadowdock.runtime import SECOND, fingerprint, now, rest
+from meadowdock.runtime import SECOND, fingerprint, monotonic_us, sleep_us
 
 PACE = SECOND
 FILES_A_TURN = 8
@@ -32,7 +32,7 @@
     async def run(self):
         """Scrub and compare at a steady pace, while this member votes."""
         while True:
-            await rest(PACE)
+            await sleep_us(PACE)
             if self.store.voter:
                 await self.scrub()
                 if self.turn % 2:
@@ -102,7 +102,7 @@
 
     async def ask(self, address, method, args):
         """Call one member."""
-        return await self.node.links.call(address, method, args, now() + COMPARE_WAIT)
+        return await self.node.links.call(address, method, args, monotonic_us() + COMPARE_WAIT)
 
     async def mend_keys(self, theirs):
         """Take newer accepted pairs, as if their writes had come late."""
--- a/packages/config_store/meadowdock/config_store/status.py
+++ b/packages/config_store/meadowdock/config_store/status.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from meadowdock.consensus import NoQuorum
-from meadowdock.runtime import MILLI, SECOND, now
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us
 
 READ_WITHIN = SECOND
-HELLO_WITHIN = 500 * MILLI
+HELLO_WITHIN = 500 * MILLISECOND
 REGISTRY_FIELDS = ("collector", "seen_epoch", "regs", "last")
 PROXY_FIELDS = ("hall", "incarnation", "version", "cut_off", "endpoints", "counts")
 
@@ -40,14 +40,14 @@
     """(head, whether a quorum gave it)"""
     try:
         await daemon.contact.check(writing=False)
-        return await daemon.read_head(now() + READ_WITHIN), True
+        return await daemon.read_head(monotonic_us() + READ_WITHIN), True
     except NoQuorum:
         return daemon.head, False
 
 
 async def members_of(daemon):
     """{address: its disk, and whether it answers under that disk now}"""
-    hello = await daemon.ask_others("member.hello", None, now() + HELLO_WITHIN)
+    hello = await daemon.ask_others("member.hello", None, monotonic_us() + HELLO_WITHIN)
     answering = {disk for disk, answer in hello.items() if answer["disk"] == disk}
     return {
         address: {"disk": disk, "answers": disk == daemon.store.disk or disk in answering}
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -11,7 +11,7 @@
 from meadowdock.config_store.trail import AuditTrail
 from meadowdock.consensus import NO_LOSSES, Acceptor, VoterSets
 from meadowdock.rpc import Rejected
-from meadowdock.runtime import SECOND, fingerprint, now, sealed, unsealed
+from meadowdock.runtime import SECOND, fingerprint, monotonic_us, sealed, unsealed
 
 RECORDS_KEPT = 2  # the newest, and one to go on from should that be damaged
 
@@ -29,7 +29,7 @@
         self.acceptor = Acceptor(self.files, log)
         self.gate = trio.Lock()  # who looks for a range file, and who removes one
         self.touched = {}  # range file -> when somebody last asked after it
-        self.begun = now()
+        self.begun = monotonic_us()
         self.adopting = trio.Lock()
         self.blank_at_start = False
         self.disk = None
@@ -126,7 +126,7 @@
     async def held(self, name):
         """As blob; and nobody removes it for two plan lives."""
         async with self.gate:
-            self.touched[name] = now()
+            self.touched[name] = monotonic_us()
             return await self.blob(name)
 
     async def missing(self, names):
@@ -145,7 +145,7 @@
     async def drop_idle(self, name, idle_us):
         """Remove a chunk that nobody asked for lately; says whether it did."""
         async with self.gate:
-            if now() - self.touched.get(name, self.begun) < idle_us:
+            if monotonic_us() - self.touched.get(name, self.begun) < idle_us:
                 return False
             await self.files.remove(f"blob/{name}")
             self.touched.pop(name, None)
@@ -168,7 +168,7 @@
     async def write(self, name, data):
         """Write a file, noting how long it takes and whether it fails."""
         token = object()
-        self.pending[token] = now()
+        self.pending[token] = monotonic_us()
         try:
             await self.disk.write(name, data)
             self.failed = None
@@ -182,7 +182,7 @@
         """Why the disk can't be relied on now, or None."""
         if self.failed:
             return f"the disk can't be written: {self.failed}"
-        if self.pending and now() - min(self.pending.values()) > self.LATE:
+        if self.pending and monotonic_us() - min(self.pending.values()) > self.LATE:
             return "the disk does not answer"
         return None
 
--- a/packages/config_store/meadowdock/config_store/timing.py
+++ b/packages/config_store/meadowdock/config_store/timing.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from meadowdock.runtime import MILLI, SECOND
+from meadowdock.runtime import MILLISECOND, SECOND
 
 CONTACT, CATCH_UP = 3 * SECOND, 4 * SECOND  # as the settings' defaults
-SHORTEST_CONTACT = 300 * MILLI
+SHORTEST_CONTACT = 300 * MILLISECOND
 
 
 @dataclass(frozen=True)
--- a/packages/config_store/meadowdock/config_store/trail_transfer.py
+++ b/packages/config_store/meadowdock/config_store/trail_transfer.py
@@ -13,14 +13,14 @@
 from meadowdock.config_store.trail import SEGMENT, TrailState, by_segment
 from meadowdock.consensus import NoQuorum, holds_majorities
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
-from meadowdock.runtime import MILLI, SECOND, now, rest, until
+from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
 PACE = SECOND
 ASK_WAIT = SECOND
-HEDGE = 200 * MILLI  # a member that has not answered by then is not waited for alone
+HEDGE = 200 * MILLISECOND  # a member that has not answered by then is not waited for alone
 CATCH_UP_WAIT = 20 * SECOND  # of one turn; what is left comes with the next
 NEWCOMER_WAIT = 2 * SECOND  # at a change of members, beyond the quorum
-AGAIN = 200 * MILLI
+AGAIN = 200 * MILLISECOND
 
 
 class TrailTransfer:
@@ -48,7 +48,7 @@
                     await self.compare()
             except OSError:
                 pass  # the disk can't be written: again with the next turn
-            await rest(PACE)
+            await sleep_us(PACE)
 
     # ------------------------------------------------------------ comparing
 
@@ -64,13 +64,13 @@
             if digest != self.trail.state().digest():
                 since = self.trail.complete_before()
                 state = TrailState(**await self.ask(address, "trail.state", since))
-                await self.catch_up(state, now() + CATCH_UP_WAIT)
+                await self.catch_up(state, monotonic_us() + CATCH_UP_WAIT)
         except (ConnectionFailed, Rejected):
             pass
 
     async def ask(self, address, method, args):
         """Call one member."""
-        return await self.node.links.call(address, method, args, now() + ASK_WAIT)
+        return await self.node.links.call(address, method, args, monotonic_us() + ASK_WAIT)
 
     @handlers.on("trail.digest")
     async def on_digest(self, peer, _):
@@ -92,7 +92,7 @@
     async def catch_up(self, state, deadline):
         """Pull what is lacking of a state, piece by piece; the number of records still lacking at
         the deadline. Raises OSError if the disk can't be written."""
-        with until(deadline):
+        with deadline_scope(deadline):
             async with self.pulling:
                 await self.trail.begin_at(state)
                 for versions in by_segment(self.trail.lacking(state)):
@@ -105,7 +105,7 @@
     async def pull(self, versions, deadline):
         """{version: record} of up to one segment. One member after the other is asked, the next once
         those before failed, or answered nothing for HEDGE."""
-        deadline = min(deadline, now() + ASK_WAIT)
+        deadline = min(deadline, monotonic_us() + ASK_WAIT)
         found, left = {}, set()
 
         async def one(address, ended):
@@ -124,11 +124,11 @@
                 ended = trio.Event()
                 left.add(ended)
                 nursery.start_soon(one, address, ended)
-                with until(min(deadline, now() + HEDGE)):
+                with deadline_scope(min(deadline, monotonic_us() + HEDGE)):
                     await ended.wait()
                 if len(found) == len(versions):
                     break
-            with until(deadline):
+            with deadline_scope(deadline):
                 while left and len(found) < len(versions):
                     await next(iter(left)).wait()
             nursery.cancel_scope.cancel()
@@ -152,7 +152,7 @@
         found = await self.trail.read(range(self.trail.first, end))
         missing = [v for v in range(self.trail.first, end) if v not in found]
         for versions in by_segment(missing):
-            if now() < deadline:
+            if monotonic_us() < deadline:
                 found |= await self.pull(versions, deadline)
         return self.trail.state(), dict(sorted(found.items()))
 
@@ -161,7 +161,7 @@
     async def states(self, deadline):
         """{disk id: TrailState} of the other members that answer."""
         asks = {d: (a, "trail.state", 0) for d, a in self.others().items()}
-        told = await self.node.links.answers(asks, min(deadline, now() + ASK_WAIT))
+        told = await self.node.links.answers(asks, min(deadline, monotonic_us() + ASK_WAIT))
         return {disk: TrailState(**facts) for disk, facts in told.items()}
 
     async def carry(self, on_majority, deadline):
@@ -180,18 +180,18 @@
 
         async def here():
             while await self.catch_up(state, deadline):
-                await rest(AGAIN)
+                await sleep_us(AGAIN)
 
         async def there(address):
             try:
                 while await self.node.links.call(address, "trail.catch_up", asked, deadline):
-                    await rest(AGAIN)
+                    await sleep_us(AGAIN)
             finally:
                 if address in newcomers:
                     newcomers[address].set()
 
         await on_majority(here, there, deadline)
-        with until(min(deadline - SECOND, now() + NEWCOMER_WAIT)):
+        with deadline_scope(min(deadline - SECOND, monotonic_us() + NEWCOMER_WAIT)):
             for ended in newcomers.values():
                 await ended.wait()
 
@@ -205,7 +205,7 @@
     async def on_catch_up(self, peer, state):
         """How many records of that state are still lacking here, after some seconds of pulling."""
         with disk_failures_rejected():
-            return await self.catch_up(TrailState(**state), now() + ASK_WAIT)
+            return await self.catch_up(TrailState(**state), monotonic_us() + ASK_WAIT)
 
 
 def is_record(version, record):
--- a/packages/config_store/meadowdock/config_store/votes.py
+++ b/packages/config_store/meadowdock/config_store/votes.py
@@ -15,12 +15,12 @@
 
     def make_proposer(self):
         """Its name is never used again: a wall clock that goes back may give an incarnation twice."""
-        life = f"{self.node.incarnation}:{self.node.seams.rng.getrandbits(64):016x}"
+        life = f"{self.node.incarnation}:{self.node.runtime.rng.getrandbits(64):016x}"
         return Proposer(
             f"{self.store.disk}:{life}",
             lambda: self.store.voter_sets,
             self.ask,
-            self.node.seams.rng,
+            self.node.runtime.rng,
             self.node.nursery,
             lambda: self.store.record["version"] if self.store.record else 0,
         )
--- a/packages/configuration/meadowdock/configuration/fetch.py
+++ b/packages/configuration/meadowdock/configuration/fetch.py
@@ -14,7 +14,7 @@
 
 from meadowdock.configuration.packed import WHOLE, CorruptChunk, pack_chunk, unpack_chunk
 from meadowdock.rpc import ConnectionFailed, Rejected
-from meadowdock.runtime import SECOND, fingerprint, now, until
+from meadowdock.runtime import SECOND, deadline_scope, fingerprint, monotonic_us
 
 METHOD, FORMER_METHOD = "chunk.get", "blob.get"
 FRAME = 16_384  # most bytes of chunks in one answer: heartbeats on the same link come between
@@ -135,7 +135,7 @@
     async def run(self, fetch, deadline):
         """Until all is found, no member has more of it, or the deadline."""
         self.frame = min(self.frame, FRAME_AT_FIRST)
-        with until(deadline):
+        with deadline_scope(deadline):
             async with trio.open_nursery() as outer:
                 outer.start_soon(cancel_when, fetch.complete, outer.cancel_scope)
                 async with trio.open_nursery() as workers:
@@ -158,7 +158,7 @@
         return sorted(turned, key=self.lately_slow)
 
     def lately_slow(self, member):
-        return member in self.slow and now() - self.slow[member] < SLOW_FOR * self.hedge_us
+        return member in self.slow and monotonic_us() - self.slow[member] < SLOW_FOR * self.hedge_us
 
     async def hedge(self, fetch, batch, members, deadline):
         """Ask one member after the other, the next as soon as the last is quiet, until one of them
@@ -166,7 +166,7 @@
         attempts = {}
         async with trio.open_nursery() as nursery:
             for member in members:
-                attempt = attempts[member] = Attempt(now())
+                attempt = attempts[member] = Attempt(monotonic_us())
                 nursery.start_soon(
                     self.attempt, fetch, batch, member, attempt, deadline, nursery.cancel_scope
                 )
@@ -179,12 +179,12 @@
         """Until it is over, or nothing came of it for a while."""
         while not attempt.over.is_set():
             wait_end = attempt.heard + self.hedge_us
-            with until(wait_end):
+            with deadline_scope(wait_end):
                 await attempt.over.wait()
-            if now() >= attempt.heard + self.hedge_us:
+            if monotonic_us() >= attempt.heard + self.hedge_us:
                 break
         if not attempt.over.is_set():
-            self.slow[member] = now()
+            self.slow[member] = monotonic_us()
             self.frame = max(FRAME_LEAST, self.frame // 4)  # it may be this process's own link
 
     async def attempt(self, fetch, batch, member, attempt, deadline, scope):
@@ -229,10 +229,10 @@
         return chunks, lacking
 
     async def request(self, member, names, offset, deadline, attempt):
-        begun = now()
+        begun = monotonic_us()
         request = {"form": self.form, "names": names, "offset": offset, "frame": self.frame}
         answer = await self.links.call(member, METHOD, request, deadline)
-        attempt.heard = now()
+        attempt.heard = monotonic_us()
         self.fit_frame(attempt.heard - begun)
         return answer
 
--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -8,13 +8,13 @@
 
 from meadowdock.consensus.acceptor import ZERO
 from meadowdock.consensus.quorum import VoterSets
-from meadowdock.runtime import MILLI, SECOND, now, rest, until
+from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
-READ_WAIT = 100 * MILLI
-FIRST_WAIT, LONGEST_WAIT = 8 * MILLI, 400 * MILLI  # between the tries of a change
+READ_WAIT = 100 * MILLISECOND
+FIRST_WAIT, LONGEST_WAIT = 8 * MILLISECOND, 400 * MILLISECOND  # between the tries of a change
 WAIT_SPANS = 16  # and no longer than so many times what a try took
-FIRST_LOOK, LONGEST_LOOK = 4 * MILLI, 80 * MILLI  # between the looks of a read
-PATIENCE, MOST_PATIENCE = 250 * MILLI, SECOND  # before a read writes again what stands apart
+FIRST_LOOK, LONGEST_LOOK = 4 * MILLISECOND, 80 * MILLISECOND  # between the looks of a read
+PATIENCE, MOST_PATIENCE = 250 * MILLISECOND, SECOND  # before a read writes again what stands apart
 
 
 class NoQuorum(Exception):
@@ -79,7 +79,7 @@
 
         for member in voters:
             self.nursery.start_soon(one, member)
-        with until(deadline):
+        with deadline_scope(deadline):
             if voters:
                 await done.wait()
         return {m: a for m, a in answers.items() if not isinstance(a, Exception)}
@@ -103,7 +103,7 @@
 
         Raises NoQuorum (surely not done) or OutcomeUnknown (may be done)."""
         lock = self.locks.setdefault(key, trio.Lock())
-        with until(deadline) as waiting:
+        with deadline_scope(deadline) as waiting:
             await lock.acquire()
         if waiting.cancelled_caught:
             raise NoQuorum(key)
@@ -116,16 +116,18 @@
         """As change, while this process changes the key nowhere else."""
         wrote, wait = False, FIRST_WAIT
         while True:
-            begun = now()
+            begun = monotonic_us()
             tried = await self.attempt(key, make, deadline, enough)
             if tried.done:
                 return tried.value
             wrote |= tried.wrote
-            wait = min(wait, max(FIRST_WAIT, WAIT_SPANS * (now() - begun)))
-            left = deadline - now() - 50 * MILLI
+            wait = min(wait, max(FIRST_WAIT, WAIT_SPANS * (monotonic_us() - begun)))
+            left = deadline - monotonic_us() - 50 * MILLISECOND
             if left <= 0:
                 raise (OutcomeUnknown if wrote else NoQuorum)(key)
-            await rest(min(self.jittered(wait if tried.heard else max(wait, 50 * MILLI)), left))
+            await sleep_us(
+                min(self.jittered(wait if tried.heard else max(wait, 50 * MILLISECOND)), left)
+            )
             wait = min(2 * wait, LONGEST_WAIT)
 
     async def secure(self, key, ballot, enough, deadline):
@@ -139,7 +141,7 @@
             )
             return newest >= ballot and enough(configuration[0], holders)
 
-        soon = min(deadline, now() + READ_WAIT)
+        soon = min(deadline, monotonic_us() + READ_WAIT)
         if not held(await self.broadcast(configuration, "read", [key], soon, held)):
             await self.change(key, lambda old: old, deadline, enough)
 
@@ -182,7 +184,7 @@
         ballot now would outrun it. So they are asked again, later each time, and what stands is
         written again only if nothing moves among them for longer than a write takes; not while
         a change from here is under way, which does the same. Raises NoQuorum."""
-        begun, look = now(), FIRST_LOOK
+        begun, look = monotonic_us(), FIRST_LOOK
         longest = (deadline - begun) * 2 // 3  # some time must be left for a ballot
         stands, since = None, begun
         patience = self.some_patience(longest)
@@ -193,27 +195,27 @@
                 configuration,
                 "read",
                 [key],
-                min(deadline, now() + READ_WAIT),
+                min(deadline, monotonic_us() + READ_WAIT),
                 lambda answers, voter_sets=voter_sets: agreed(answers, voter_sets) is not None,
             )
             same = agreed(told, voter_sets)
             if same is not None:
                 if look > FIRST_LOOK:
-                    self.bear(2 * (now() - begun), self.patience * 4 // 5)
+                    self.bear(2 * (monotonic_us() - begun), self.patience * 4 // 5)
                 return same[1]
             self.learn(answer[0] for answer in told.values())
             moved, stands = stands, highest(told)
             if moved != stands or not voter_sets.is_quorum(told):
-                since = now()
-            elif now() - since > patience and not self.changing(key):
+                since = monotonic_us()
+            elif monotonic_us() - since > patience and not self.changing(key):
                 tried = await self.attempt(key, lambda old: old, deadline)
                 if tried.done:
                     return tried.value
                 self.bear(2 * self.patience)
-                patience, since = self.some_patience(longest), now()
-            if deadline <= now():
+                patience, since = self.some_patience(longest), monotonic_us()
+            if deadline <= monotonic_us():
                 raise NoQuorum(key)
-            await rest(min(self.jittered(look), deadline - now()))
+            await sleep_us(min(self.jittered(look), deadline - monotonic_us()))
             look = min(2 * look, LONGEST_LOOK)
 
     def bear(self, *spans):
--- a/packages/forwarding/meadowdock/forwarding/callers.py
+++ b/packages/forwarding/meadowdock/forwarding/callers.py
@@ -7,7 +7,7 @@
 
 from meadowdock.forwarding.call import Refused, Served
 from meadowdock.forwarding.http import Requests, status_line
-from meadowdock.runtime import SECOND, now
+from meadowdock.runtime import SECOND, monotonic_us
 
 LINE_MAX = 64  # requests under way on one connection; more wait in the kernel
 HELD_MAX = 1 << 20  # bytes that a caller does not read
@@ -38,7 +38,7 @@
         self.line = deque()
         self.over = self.told = False
         self.begun_at = 0  # when the request that is partly read began
-        self.quiet_since = now()
+        self.quiet_since = monotonic_us()
 
     # ------------------------------------------------------------ in
 
@@ -58,7 +58,7 @@
             self.line.append(turn)
             self.say_own(turn, requests.bad, "the request can't be read")
         self.go_on()
-        at = now()
+        at = monotonic_us()
         self.quiet_since = at
         self.begun_at = (self.begun_at or at) if requests.partial else 0
         if len(self.line) >= LINE_MAX or self.wire.held_size > HELD_MAX:
@@ -139,7 +139,7 @@
             self.wire.resume()
         if not closed:
             self.go_on()
-        self.quiet_since = now()
+        self.quiet_since = monotonic_us()
 
     # ------------------------------------------------------------ time
 
--- a/packages/forwarding/meadowdock/forwarding/figures.py
+++ b/packages/forwarding/meadowdock/forwarding/figures.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from meadowdock.forwarding.call import Call
-from meadowdock.runtime import MILLI, SECOND, now
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us
 
 REPORT_EVERY = SECOND
 
@@ -39,7 +39,7 @@
 
     def __init__(self, log: Callable[..., None]) -> None:
         self.log = log
-        self.since = now()
+        self.since = monotonic_us()
         self.services: dict[str, dict[int, RankFigures]] = {}
 
     def of(self, call: Call) -> RankFigures:
@@ -102,7 +102,9 @@
                 judge(service, rank, figures, at)
             if any(figures.refused for figures in ranks.values()):
                 by_rank = {rank: summary(ranks[rank]) for rank in sorted(ranks)}
-                self.log(407, service=service, ms=length // MILLI, ranks=by_rank, **facts(service))
+                self.log(
+                    407, service=service, ms=length // MILLISECOND, ranks=by_rank, **facts(service)
+                )
 
 
 def summary(figures: RankFigures) -> dict[str, object]:
@@ -110,14 +112,14 @@
     ended = figures.in_aim + figures.late
     return {
         "arrived": figures.arrived,
-        "left_ms": figures.left_us // MILLI // max(1, figures.arrived),
+        "left_ms": figures.left_us // MILLISECOND // max(1, figures.arrived),
         "taken": figures.taken,
         "started": figures.started,
         "hopeless_starts": figures.hopeless_starts,
-        "wait_ms": figures.start_wait_us // MILLI // max(1, figures.started),
+        "wait_ms": figures.start_wait_us // MILLISECOND // max(1, figures.started),
         "in_aim": figures.in_aim,
         "late": figures.late,
-        "hold_ms": figures.hold_us // MILLI // max(1, ended),
+        "hold_ms": figures.hold_us // MILLISECOND // max(1, ended),
         "let_in": [figures.let_in_kept, figures.let_in_broken],
         "refused": dict(figures.refused),
     }
--- a/packages/forwarding/meadowdock/forwarding/gate.py
+++ b/packages/forwarding/meadowdock/forwarding/gate.py
@@ -18,10 +18,10 @@
 from meadowdock.forwarding.outlets import Pool
 from meadowdock.forwarding.peers import CARRIED, Peers
 from meadowdock.load_sharing import Choice, Home, LoadList, Wheel, choose
-from meadowdock.runtime import MILLI, SECOND, now
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us
 
-RETRY_LEAST = 20 * MILLI
-SLACK = 60 * MILLI  # after the due, an outcome from elsewhere is no longer waited for
+RETRY_LEAST = 20 * MILLISECOND
+SLACK = 60 * MILLISECOND  # after the due, an outcome from elsewhere is no longer waited for
 EARLY = 0.22  # until this part of its aim a refusal costs its caller little
 JOIN_HIGH = 0.6  # as JOIN, for ranks above the lowest: those behind them wait instead
 JOIN = 0.3  # a call joins a line if it will likely be served within this part of its aim
@@ -88,9 +88,9 @@
 
     def arrive(self, caller, request):
         """A whole request of a caller on this machine."""
-        at = self.came_at = now()
+        at = self.came_at = monotonic_us()
         if self.table is None:
-            return caller.answer_refused(request, Refused("no_manifest", 200 * MILLI))
+            return caller.answer_refused(request, Refused("no_manifest", 200 * MILLISECOND))
         host = request.host.lower().partition(b":")[0]
         route = self.table.find(host, request.target.partition(b"?")[0])
         if route is None:
@@ -171,7 +171,7 @@
     # ------------------------------------------------------------ where it goes
 
     def decide(self, call):
-        service, at = call.service, now()
+        service, at = call.service, monotonic_us()
         home = self.book.home(service)
         occupation = self.book.occupations.get(service)
         facts = Home(
@@ -228,7 +228,7 @@
         """Send a call on its way, or let it wait; it holds no slot and is nowhere yet."""
         if call.abandoned:
             return self.finish(call, Refused("cancelled", 0))
-        if now() >= call.due:
+        if monotonic_us() >= call.due:
             return self.finish(call, Unknown("no_answer") if call.maybe_run else Refused("late", 0))
         while True:
             choice, home = self.decide(call)
@@ -246,7 +246,7 @@
     def start(self, call, endpoint):
         """At the endpoint here, which has room."""
         call.endpoint = endpoint
-        at = now()
+        at = monotonic_us()
         self.figures.started(call, at)
         self.admission.started(call, at)
         self.book.enter(endpoint, at)
@@ -268,8 +268,8 @@
             call.tried.add(node.address)
             return False
         self.count("spilled")
-        call.target, call.instance, call.begun = link, node.incarnation, now()
-        self.book.spilled(call.service, 1, now())
+        call.target, call.instance, call.begun = link, node.incarnation, monotonic_us()
+        self.book.spilled(call.service, 1, monotonic_us())
         call.timer = self.reactor.at(call.due + SLACK, lambda: self.overdue(call))
         link.run(call, waits)
         return True
@@ -295,7 +295,7 @@
     def hold(self, call, home):
         """No neighbour is known to have room. It waits here if that will likely be in time; else, or
         without a home, one of the neighbours may let it wait."""
-        at = now()
+        at = monotonic_us()
         if home is not None and home.room:
             return self.start(call, home)
         if home is not None:
@@ -340,7 +340,7 @@
     def outstayed(self, call):
         """It lost its place: it goes behind those that can still end in their aim, or is refused."""
         home = self.book.home(call.service)
-        if home is not None and self.admission.may_wait_on(call, home.capacity, now()):
+        if home is not None and self.admission.may_wait_on(call, home.capacity, monotonic_us()):
             self.join(call)
         else:
             self.figures.turned_out(call)
@@ -357,7 +357,7 @@
 
     def retry_after(self, call):
         """When to come back: once those in line have probably been served, but in time."""
-        left = call.due - now()
+        left = call.due - monotonic_us()
         return max(RETRY_LEAST, min(call.retry_us or call.hold_us, left // 4))
 
     def wake(self, service):
@@ -367,14 +367,14 @@
             home = self.book.home(service)
             if home is None or not home.room:
                 break
-            call, at = self.unwait(queue.next()), now()
+            call, at = self.unwait(queue.next()), monotonic_us()
             if at > call.place_until:  # its timer comes late: this process stood still
                 self.outstayed(call)
                 continue
             self.invariants.starting(call, self.admission, at)
             self.start(call, home)
         home = self.book.home(service)
-        self.invariants.woken(service, len(queue), home is not None and home.room, now())
+        self.invariants.woken(service, len(queue), home is not None and home.room, monotonic_us())
         if len(queue) and home is None:
             self.place_waiting(service)
 
@@ -426,7 +426,7 @@
         self.calls.add(call)
         self.count("taken")
         self.figures.arrived(call)
-        if now() >= call.due:
+        if monotonic_us() >= call.due:
             return self.finish(call, Refused("late", 0))
         home = self.book.home(call.service)
         if home is None:
@@ -434,7 +434,7 @@
         if call.instance and home.incarnation != call.instance:
             others = [e for e in self.book.of(call.service) if e.incarnation == call.instance]
             home = others[0] if others else home
-        at = now()
+        at = monotonic_us()
         self.admission.rate(call, at)
         if home.room:  # then nobody is in the queue
             return self.start(call, home)
@@ -467,7 +467,7 @@
     def let_go_target(self, call):
         link, call.target = call.target, None
         if link is not None:
-            self.book.spilled(call.service, -1, now())
+            self.book.spilled(call.service, -1, monotonic_us())
         self.unwait(call)
         return link
 
@@ -505,7 +505,7 @@
         endpoint, call.endpoint = call.endpoint, None
         self.unwait(call)
         if endpoint is not None:
-            at = now()
+            at = monotonic_us()
             self.admission.freed(call, at)
             self.book.leave_slot(endpoint, at)
 
@@ -530,12 +530,14 @@
     def after_not_run(self, call, code):
         if not call.home:
             return self.finish(call, Refused(TURNED_AWAY if call.sends else code, 0))
-        if call.sends == 0 or (self.tries_left(call) and self.tries_of(call.service).permit(now())):
+        if call.sends == 0 or (
+            self.tries_left(call) and self.tries_of(call.service).permit(monotonic_us())
+        ):
             return self.place(call)
         return self.give_up(call, code)
 
     def tries_left(self, call):
-        return call.sends < call.tries and now() < call.due
+        return call.sends < call.tries and monotonic_us() < call.due
 
     def may_have_run(self, call, code):
         """Its fate is unknown: only what may be repeated goes on, within the budget."""
@@ -543,12 +545,14 @@
             return
         self.let_go_target(call)
         if code == "no_answer" and call.endpoint is not None:
-            self.admission.learn(call, now() - call.begun)  # so long at least, with nothing to show
+            self.admission.learn(
+                call, monotonic_us() - call.begun
+            )  # so long at least, with nothing to show
         self.free(call)
         self.count(f"unknown.{code}")
         call.maybe_run = True
         again = call.home and call.repeatable and not call.abandoned and code != "no_answer"
-        if again and self.tries_left(call) and self.tries_of(call.service).permit(now()):
+        if again and self.tries_left(call) and self.tries_of(call.service).permit(monotonic_us()):
             self.count("second_try")
             self.place(call)
         else:
@@ -563,7 +567,7 @@
 
     def ended(self, call, outcome):
         """An endpoint here answered."""
-        at = now()
+        at = monotonic_us()
         self.admission.learn(call, at - call.begun)
         self.figures.ended(call, at)
         self.free(call)
@@ -610,10 +614,10 @@
             "waiting": len(self.admission.queue(service)),
             "rho": round(occupation.rho, 2) if occupation is not None else None,
             "told": home.told if home is not None else None,
-            "slot_ms": self.slot_us(service) // MILLI,
-            "fleet_slot_ms": int(self.fleet_us.get(service, 0)) // MILLI,
+            "slot_ms": self.slot_us(service) // MILLISECOND,
+            "fleet_slot_ms": int(self.fleet_us.get(service, 0)) // MILLISECOND,
             "peers": {n.address: round(n.rho, 2) for n in self.told_nodes.get(service, ())},
-            "list_ms": (now() - self.lists.at) // MILLI,
+            "list_ms": (monotonic_us() - self.lists.at) // MILLISECOND,
         }
 
     def tidy(self, at):
--- a/packages/forwarding/meadowdock/forwarding/outlets.py
+++ b/packages/forwarding/meadowdock/forwarding/outlets.py
@@ -6,14 +6,14 @@
 
 from meadowdock.forwarding.call import Refused, Served
 from meadowdock.forwarding.http import Answers, answer_head
-from meadowdock.runtime import MILLI, SECOND, now
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us
 
 ALIVE = 8 * SECOND  # an idle connection is used no longer, if the endpoint says nothing
-MARGIN = 700 * MILLI  # before an endpoint closes an idle connection by itself
-OPEN_WAIT = 500 * MILLI
+MARGIN = 700 * MILLISECOND  # before an endpoint closes an idle connection by itself
+OPEN_WAIT = 500 * MILLISECOND
 ANSWER_MAX = 64 << 20
 EARLIER_MAX = 32  # calls of a connection whose second answers are known as such
-LATE = 25 * MILLI  # an endpoint ends its work at the due by itself; its answer is on the way
+LATE = 25 * MILLISECOND  # an endpoint ends its work at the due by itself; its answer is on the way
 
 
 class Outlet:
@@ -97,7 +97,7 @@
 
     def run(self, call):
         """The call holds a slot here already."""
-        at = now()
+        at = monotonic_us()
         call.begun = at
         # a call that comes again goes over another connection: on its former one a late second
         # answer couldn't be told from the new one
@@ -125,17 +125,17 @@
         if call is None or call.end is None:
             outlet.call = None
             self.keep(outlet, ALIVE)
-        elif self.endpoint.gone or self.endpoint.draining or now() >= call.due:
+        elif self.endpoint.gone or self.endpoint.draining or monotonic_us() >= call.due:
             outlet.call = None
             self.keep(outlet, ALIVE)
-            self.gate.not_run(call, "late" if now() >= call.due else "gone")
+            self.gate.not_run(call, "late" if monotonic_us() >= call.due else "gone")
         else:
             self.sending(call)
             outlet.send(call)
 
     def request_of(self, call):
         dialect = self.dialect
-        left = max(0, call.due - now()) // dialect.deadline_unit_us
+        left = max(0, call.due - monotonic_us()) // dialect.deadline_unit_us
         return b"".join(
             [
                 call.head,
@@ -198,7 +198,10 @@
         except ValueError:
             return
         if slots > 0:
-            self.endpoint.told, self.endpoint.told_at = min(1.0, (running + waiting) / slots), now()
+            self.endpoint.told, self.endpoint.told_at = (
+                min(1.0, (running + waiting) / slots),
+                monotonic_us(),
+            )
 
     def overdue(self, call):
         """The endpoint says nothing by the due: its connection can't be used again."""
@@ -229,7 +232,7 @@
         if self.endpoint.gone or alive_us <= 0 or outlet.wire.closed:
             outlet.drop()
             return
-        outlet.idle_until = now() + alive_us
+        outlet.idle_until = monotonic_us() + alive_us
         self.idle.append(outlet)
 
     def forget(self, outlet):
--- a/packages/forwarding/meadowdock/forwarding/peers.py
+++ b/packages/forwarding/meadowdock/forwarding/peers.py
@@ -13,21 +13,21 @@
 from meadowdock.forwarding.call import Call, Refused, Served, Unknown
 from meadowdock.rpc.frame import FRAME_MAX, LENGTH, SEAL, Proof, derive
 from meadowdock.rpc.link import Lag
-from meadowdock.runtime import MILLI, SECOND, PauseDetector, now
+from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us
 from meadowdock.runtime.slab import Slab
 
 MAGIC = "mdg1"
 BLANK = b"\x00" * 32
 HELLO, PROVED, CALL, SERVED, REFUSED, UNKNOWN, CANCEL, PING, PONG, TAKES_AIM = range(10)
-OPEN_WAIT = 400 * MILLI
+OPEN_WAIT = 400 * MILLISECOND
 GREETING_WAIT = 2 * OPEN_WAIT  # an opener gives up by then
-PING_EVERY = 200 * MILLI
-SILENT = 600 * MILLI  # with calls pending and nothing heard for so long, a link is given up
-QUIET = 500 * MILLI  # an address that took no link is left alone so long
+PING_EVERY = 200 * MILLISECOND
+SILENT = 600 * MILLISECOND  # with calls pending and nothing heard for so long, a link is given up
+QUIET = 500 * MILLISECOND  # an address that took no link is left alone so long
 CLOGGED = 4 << 20
 CARRIED = FRAME_MAX - 65_536  # bytes of a call or answer that a frame takes
-STILL = 300 * MILLI  # between two looks: this process itself stood still
-MARGIN = 15 * MILLI  # a neighbour ends a call this much before the home's due
+STILL = 300 * MILLISECOND  # between two looks: this process itself stood still
+MARGIN = 15 * MILLISECOND  # a neighbour ends a call this much before the home's due
 
 
 class Frames:
@@ -67,7 +67,7 @@
         self.wire = None
         self.out, self.marked, self.ready = [], False, False
         self.sealing = None
-        self.heard = now()
+        self.heard = monotonic_us()
         self.mine = peers.rng.randbytes(16)
 
     def greet_proofs(self, opener):
@@ -95,7 +95,7 @@
             self.wire.send(b"".join([self.sealing.seal(body) for body in out]))
 
     def on_data(self, data):
-        self.heard = now()
+        self.heard = monotonic_us()
         try:
             for frame in self.frames.feed(data):
                 if self.ready:
@@ -129,8 +129,8 @@
         self.takes_aim = False  # the peer's version reads a call's aim and kind behind its body
         self.over = False
         self.pinged = 0
-        peers.wires.dial(address, now() + OPEN_WAIT, self)
-        peers.reactor.at(now() + GREETING_WAIT, self.not_open)
+        peers.wires.dial(address, monotonic_us() + OPEN_WAIT, self)
+        peers.reactor.at(monotonic_us() + GREETING_WAIT, self.not_open)
 
     def not_open(self):
         if not self.ready and not self.over:
@@ -151,7 +151,7 @@
         facts = (self.mine, theirs, self.peers.name.encode(), name.encode())
         if not hmac.compare_digest(proof, derive(self.peers.key, b"answerer", *facts)):
             raise ValueError("the peer doesn't know the fleet key")
-        self.now_say([PROVED, derive(self.peers.key, b"opener", *facts), now()])
+        self.now_say([PROVED, derive(self.peers.key, b"opener", *facts), monotonic_us()])
         self.prove(None, facts)
         self.peers.quiet_until.pop(self.address, None)
         unsent, self.unsent = self.unsent, {}
@@ -169,7 +169,7 @@
 
     def send_call(self, handle, call, waits):
         """What is left of its times is told as of now, when its frame is made."""
-        at = now()
+        at = monotonic_us()
         self.say(
             [
                 CALL,
@@ -280,12 +280,12 @@
             me = self.peers.name
             self.facts = (theirs, self.mine, name.encode(), me.encode())
             proof = derive(self.peers.key, b"answerer", *self.facts)
-            self.greeted_at = now()
+            self.greeted_at = monotonic_us()
             self.now_say([PROVED, self.mine, me, proof])
             return
         if not hmac.compare_digest(frame[1], derive(self.peers.key, b"opener", *self.facts)):
             raise ValueError("the opener doesn't know the fleet key")
-        at = now()
+        at = monotonic_us()
         if at - self.greeted_at > GREETING_WAIT:
             raise ValueError("the greeting took too long")  # and calls behind it as long
         if len(frame) > 2:  # else of the former version, which told no time here
@@ -298,7 +298,7 @@
         if kind == CALL:
             _, slot, generation, left, sent_at, service, instance, repeatable, rank = frame[:9]
             join_us, wait_us, bare, id, head, body = frame[9:15]
-            at = now()
+            at = monotonic_us()
             lag = self.lag.of(sent_at, at)
             left -= lag
             handle = (slot, generation)
@@ -359,7 +359,7 @@
         self.outgoing = {}
         self.incoming = set()
         self.quiet_until = {}
-        self.still = PauseDetector(STILL, now())
+        self.still = PauseDetector(STILL, monotonic_us())
 
     def accept(self, wire):
         self.incoming.add(Incoming(self, wire))
@@ -378,7 +378,7 @@
     def ended(self, link, cause):
         if self.outgoing.get(link.address) is link:
             del self.outgoing[link.address]
-        self.quiet_until[link.address] = now() + QUIET
+        self.quiet_until[link.address] = monotonic_us() + QUIET
         self.log(202, peer=link.address, cause=str(cause))
 
     def look(self, at):
--- a/packages/forwarding/meadowdock/forwarding/reactor.py
+++ b/packages/forwarding/meadowdock/forwarding/reactor.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from meadowdock.runtime import now, until
+from meadowdock.runtime import deadline_scope, monotonic_us
 
 
 class Timer:
@@ -80,12 +80,12 @@
 
     async def run(self):
         while True:
-            self.fire(now())
+            self.fire(monotonic_us())
             while self.heap and self.heap[0].act is None:
                 heapq.heappop(self.heap)
             self.sleeping_until = self.heap[0].due if self.heap else 1 << 62
             self.news = trio.Event()
-            with until(self.sleeping_until):
+            with deadline_scope(self.sleeping_until):
                 await self.news.wait()
             self.sleeping_until = 0
             await trio.lowlevel.checkpoint()
--- a/packages/forwarding/meadowdock/forwarding/wires.py
+++ b/packages/forwarding/meadowdock/forwarding/wires.py
@@ -12,7 +12,7 @@
 import trio
 from trio.lowlevel import notify_closing, wait_readable, wait_writable
 
-from meadowdock.runtime import MILLI, SECOND, Address, now, rest, until
+from meadowdock.runtime import MILLISECOND, SECOND, Address, deadline_scope, monotonic_us, sleep_us
 
 READ = 16_384  # a larger buffer is taken from the system anew at each read
 CLOGGED = 1 << 20  # bytes held for a reader that does not read: nothing more is read from it
@@ -63,7 +63,7 @@
         self.held_size += len(data)
         if not self.writing:
             self.writing = True
-            self.stuck_since = now()
+            self.stuck_since = monotonic_us()
             self.wires.nursery.start_soon(self.drain)
 
     async def drain(self):
@@ -73,7 +73,7 @@
                 data = b"".join(self.held)
                 sent = self.sock.send(data)
                 if sent:
-                    self.stuck_since = now()
+                    self.stuck_since = monotonic_us()
                 rest_of = data[sent:]
                 self.held, self.held_size = ([rest_of] if rest_of else []), len(rest_of)
         except BlockingIOError:
@@ -111,7 +111,7 @@
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass
-        self.wires.reactor.at(now() + LINGER, self.close)
+        self.wires.reactor.at(monotonic_us() + LINGER, self.close)
 
     def close(self):
         if not self.closed:
@@ -188,7 +188,7 @@
         while True:
             await wait_readable(listener)
             if not self.take_all(listener, accept):
-                await rest(20 * MILLI)  # out of descriptors: others must close first
+                await sleep_us(20 * MILLISECOND)  # out of descriptors: others must close first
 
     def take_all(self, listener, accept):
         while True:
@@ -214,7 +214,7 @@
             sock.setblocking(False)
             if self.host:
                 sock.bind((self.host, 0))
-            with until(due):
+            with deadline_scope(due):
                 code = sock.connect_ex((address.host, address.port))
                 if code == errno.EINPROGRESS:
                     await wait_writable(sock)
--- a/packages/local_fleet/meadowdock/local_fleet/caller.py
+++ b/packages/local_fleet/meadowdock/local_fleet/caller.py
@@ -16,14 +16,21 @@
 from returns.pipeline import is_successful
 
 from meadowdock.client import Client
-from meadowdock.runtime import SECOND, HttpConnectionFailed, Net, now, rest, until
+from meadowdock.runtime import (
+    SECOND,
+    HttpConnectionFailed,
+    Net,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
 
 
 async def fetch(net, address, path, wait_us=SECOND):
     """(status, body) of one GET over a connection of its own; (0, b"") if there is no answer."""
     connection = net.http(address)
     try:
-        with until(now() + wait_us):
+        with deadline_scope(monotonic_us() + wait_us):
             status, _, body = await connection.request("GET", path, [], b"")
             return status, body
     except HttpConnectionFailed:
@@ -40,14 +47,14 @@
         self.rng = random.Random(spec["seed"])
         self.numbers = itertools.count(1)
         self.stop = trio.Event()
-        self.zero = now()
+        self.zero = monotonic_us()
         self.ready, self.clients = {}, {}
 
     async def one(self, client, stream, proxy, intended):
         key = f"{self.spec['seed']}-{next(self.numbers)}" if stream.get("keyed") else None
         body = {"amount": 1} if stream["method"] == "POST" else None
         found = await client.call(stream["method"], stream["path"], body, key=key)
-        took = now() - intended
+        took = monotonic_us() - intended
         if is_successful(found):
             code, verdict = str(found.unwrap().status), "ran"
         else:
@@ -82,10 +89,10 @@
 
     async def arrivals(self, stream, proxy, rate, token_host, others):
         """Poisson arrivals for one stream at one machine."""
-        intended = now()
+        intended = monotonic_us()
         async with trio.open_nursery() as nursery:
             while not self.stop.is_set():
-                factor = self.factor(stream, now() - self.zero)
+                factor = self.factor(stream, monotonic_us() - self.zero)
                 gap = self.rng.expovariate(max(rate * factor, 0.001)) * SECOND
                 intended += int(gap)
                 with trio.move_on_at(intended / SECOND):
@@ -121,7 +128,7 @@
             self.stop.set()
         with open(self.spec["report"], "w", encoding="utf-8") as report:
             json.dump(self.rows, report)
-        await rest(0)
+        await sleep_us(0)
 
 
 async def main(spec):
--- a/packages/local_fleet/meadowdock/local_fleet/standin.py
+++ b/packages/local_fleet/meadowdock/local_fleet/standin.py
@@ -10,7 +10,7 @@
 import trio
 
 from meadowdock.client import Endpoint, Record
-from meadowdock.runtime import Disk, Net, rest
+from meadowdock.runtime import Disk, Net, sleep_us
 
 KNOBS = {
     "mean_us": 20_000,  # mean service time, exponential
@@ -51,7 +51,7 @@
         if self.knobs["busy"]:
             return 503, {"code": "busy"}
         async with self.slots:
-            await rest(int(self.rng.expovariate(1 / self.knobs["mean_us"])))
+            await sleep_us(int(self.rng.expovariate(1 / self.knobs["mean_us"])))
             self.total += 1
             if got.key:
                 self.ran[got.key] = self.ran.get(got.key, 0) + 1
--- a/packages/membership/meadowdock/membership/__init__.py
+++ b/packages/membership/meadowdock/membership/__init__.py
@@ -14,10 +14,10 @@
 import immutables
 
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected, Rhythm
-from meadowdock.runtime import MILLI, SECOND, PauseDetector, now
+from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us
 
 VIEW_MAX, SHELF_MAX, SAMPLE = 10, 32, 5
-TURN = 500 * MILLI
+TURN = 500 * MILLISECOND
 GONE_AFTER = 4 * SECOND
 YOUNG = SECOND  # so long a view asks around quickly: with it, others may have just started too
 MET_MAX = 2_000
@@ -159,26 +159,29 @@
     @handlers.on("view.shuffle")
     async def shuffled(self, peer, entries):
         reply = self.sample()
-        self.merge((Entry(*entry) for entry in entries), now())
+        self.merge((Entry(*entry) for entry in entries), monotonic_us())
         return [list(entry) for entry in reply]
 
     async def turn(self):
         """One shuffle. Gives False if the partner didn't answer."""
         self.bump()
-        self.expire(now())
-        partner = self.partner(now())
+        self.expire(monotonic_us())
+        partner = self.partner(monotonic_us())
         if partner is None:
             return True
         try:
             told = await self.links.call(
-                partner, "view.shuffle", [list(e) for e in self.sample()], now() + TURN // 2
+                partner,
+                "view.shuffle",
+                [list(e) for e in self.sample()],
+                monotonic_us() + TURN // 2,
             )
         except (ConnectionFailed, Rejected):
             span = min(2 * self.quiet.get(partner, (0, TURN))[1], 30 * SECOND)
-            self.quiet[partner] = now() + span, span
+            self.quiet[partner] = monotonic_us() + span, span
             return False
         self.quiet.pop(partner, None)
-        self.merge((Entry(*entry) for entry in told), now())
+        self.merge((Entry(*entry) for entry in told), monotonic_us())
         return True
 
     def settled(self, age):
@@ -186,11 +189,11 @@
         return len(self.entries) > 2 and age > YOUNG and whole
 
     async def run(self):
-        born = self.still.at = now()
+        born = self.still.at = monotonic_us()
         while True:
             answered = await self.turn()
             # a young view fills fast, a settled one takes its time, a silent partner is passed by
-            turn = TURN if answered and self.settled(now() - born) else TURN // 5
+            turn = TURN if answered and self.settled(monotonic_us() - born) else TURN // 5
             await self.rhythm.rest(turn)
 
     async def farewell(self):
@@ -201,5 +204,5 @@
         news = [list(self.me)]
         await self.links.call_all(
             {a: (a, "view.shuffle", news) for a in {*chosen, *self.core("mdreg")}},
-            now() + 300 * MILLI,
+            monotonic_us() + 300 * MILLISECOND,
         )
--- a/packages/model_checker/meadowdock/model_checker/actor.py
+++ b/packages/model_checker/meadowdock/model_checker/actor.py
@@ -25,7 +25,7 @@
     packed,
 )
 from meadowdock.rpc import ConnectionFailed, Rejected
-from meadowdock.runtime import SECOND, now
+from meadowdock.runtime import SECOND, monotonic_us
 
 KEY = "k"
 DEADLINE = 2 * SECOND
@@ -205,7 +205,7 @@
         self.process.proposer.broadcast = self.counter.counted(self.process.proposer.broadcast)
         self.process.broadcast_to = self.counter.counted(self.process.broadcast_to)
         self.process.transfer_keys = one_key_at_a_time(self.process)
-        self.deadline = now() + DEADLINE
+        self.deadline = monotonic_us() + DEADLINE
         nursery.start_soon(self.work)
         await self.proceed()
 
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -74,9 +74,9 @@
 def make_node(name: str, links: object = None, nursery: trio.Nursery = None) -> SimpleNamespace:
     """As much of a node as the register's code uses."""
     boot = SimpleNamespace(link=name, hall="", members=(), seeds=("seed",), losses=1)
-    seams = SimpleNamespace(rng=random.Random(name))
+    runtime = SimpleNamespace(rng=random.Random(name))
     return SimpleNamespace(
-        boot=boot, seams=seams, links=links, nursery=nursery, incarnation=0, stopping=False
+        boot=boot, runtime=runtime, links=links, nursery=nursery, incarnation=0, stopping=False
     )
 
 
--- a/packages/process/meadowdock/process/__init__.py
+++ b/packages/process/meadowdock/process/__init__.py
@@ -14,12 +14,22 @@
 from meadowdock.logs import Log
 from meadowdock.membership import Entry, View
 from meadowdock.rpc import Links, Peer, serve
-from meadowdock.runtime import MILLI, SECOND, Disk, Net, NoDisk, Seams, now, rest, until
-
-LINGER = 1_200 * MILLI  # still serving, for the platform probes ready only once a second
-QUIET = 200 * MILLI
-LAST = 400 * MILLI  # for those who came in just before the door was closed
-STOP_WITHIN = 4_700 * MILLI  # the platform forces after about 6 s; we promise 5 s
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    Disk,
+    Net,
+    NoDisk,
+    Runtime,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
+
+LINGER = 1_200 * MILLISECOND  # still serving, for the platform probes ready only once a second
+QUIET = 200 * MILLISECOND
+LAST = 400 * MILLISECOND  # for those who came in just before the door was closed
+STOP_WITHIN = 4_700 * MILLISECOND  # the platform forces after about 6 s; we promise 5 s
 KNOWN = (OSError, ValueError, KeyError, TypeError, LookupError, RuntimeError, ArithmeticError)
 
 probes = Table()
@@ -68,15 +78,15 @@
     """One daemon. Invariants: stopping goes from False to True once; stopped is set after it;
     apps[0] is the app of boot.http, the others those of the daemon's further doors."""
 
-    def __init__(self, boot, seams, nursery, log=None):
-        self.boot, self.seams, self.nursery = boot, seams, nursery
+    def __init__(self, boot, runtime, nursery, log=None):
+        self.boot, self.runtime, self.nursery = boot, runtime, nursery
         self.log = log or Log(boot.name)
-        self.incarnation = seams.wall()
+        self.incarnation = runtime.wall_us()
         self.links = Links(
-            nursery, seams.net, boot.fleet_key, seams.rng, Peer(boot.name, boot.link), self.log
+            nursery, runtime.net, boot.fleet_key, runtime.rng, Peer(boot.name, boot.link), self.log
         )
         me = Entry(boot.link, boot.role, boot.hall, self.incarnation, 0, False, 0)
-        self.view = View(me, boot.seeds, seams.rng, self.links, self.log)
+        self.view = View(me, boot.seeds, runtime.rng, self.links, self.log)
         self.stopping = False
         self.stop_due = None
         self.asked, self.hurry, self.http_end = trio.Event(), trio.Event(), trio.Event()
@@ -97,7 +107,7 @@
                 return
             except* KNOWN as group:
                 self.log(105, task=name, cause=repr(group.exceptions[:3]))
-            await rest(200 * MILLI)
+            await sleep_us(200 * MILLISECOND)
 
     async def run(self, make_daemon, task_status=trio.TASK_STATUS_IGNORED):
         daemon = self.daemon = make_daemon(self)
@@ -107,14 +117,14 @@
         await daemon.begin()
         handlers = daemon.answers() | View.handlers.bound(self.view)
         nursery = self.nursery
-        boot, seams = self.boot, self.seams
+        boot, runtime = self.boot, self.runtime
         await nursery.start(
-            seams.net.serve_links,
+            runtime.net.serve_links,
             boot.link,
             partial(
                 serve,
                 key=boot.fleet_key,
-                rng=seams.rng,
+                rng=runtime.rng,
                 name=boot.name,
                 handlers=handlers,
                 log=self.log,
@@ -132,7 +142,7 @@
         grace = self.stop_within - self.linger
         async with trio.open_nursery() as nursery:
             for address, app in doors.items():
-                await nursery.start(self.seams.net.serve_http, app, address, self.http_end, grace)
+                await nursery.start(self.runtime.net.serve_http, app, address, self.http_end, grace)
             task_status.started()
         self.http_over.set()
 
@@ -144,8 +154,8 @@
         self.stopping = True
         for app in self.apps:
             app.closing = True
-        self.stop_due = now() + self.stop_within
-        with until(self.stop_due):
+        self.stop_due = monotonic_us() + self.stop_within
+        with deadline_scope(self.stop_due):
             async with trio.open_nursery() as nursery:
 
                 async def hurried():
@@ -155,30 +165,30 @@
                     nursery.cancel_scope.cancel()
 
                 nursery.start_soon(hurried)
-                linger_due = now() + self.linger
+                linger_due = monotonic_us() + self.linger
                 await self.daemon.leaving()
                 await self.view.farewell()
-                await rest(linger_due - now())
+                await sleep_us(linger_due - monotonic_us())
                 # callers that pay no heed to ready: the door isn't closed in their faces while
                 # there is time
                 while (
-                    now() - max(app.came_at for app in self.apps) < QUIET
-                    and now() < self.stop_due - SECOND
+                    monotonic_us() - max(app.came_at for app in self.apps) < QUIET
+                    and monotonic_us() < self.stop_due - SECOND
                 ):
-                    await rest(QUIET // 4)
+                    await sleep_us(QUIET // 4)
                 await self.daemon.drained()
                 for app in self.apps:
                     await app.idle()
                 nursery.cancel_scope.cancel()
         self.http_end.set()
-        with until(max(self.stop_due, now()) + LAST):
+        with deadline_scope(max(self.stop_due, monotonic_us()) + LAST):
             await self.http_over.wait()
         self.log(103, working=self.working())
         self.nursery.cancel_scope.cancel()
 
 
 def seams_of(boot):
-    return Seams(Net(boot.host), Disk(boot.data) if boot.data else NoDisk())
+    return Runtime(Net(boot.host), Disk(boot.data) if boot.data else NoDisk())
 
 
 async def signals(node):
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -9,7 +9,7 @@
 from meadowdock.configuration import Ways
 from meadowdock.proxy.staging import Stager
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
-from meadowdock.runtime import MILLI, now, rest, until
+from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us, sleep_us
 
 # Parts of apply_us, within which an acknowledged change is in force. Together, with the member that
 # acknowledged gone and one more silent, they are less than half of it.
@@ -18,8 +18,10 @@
 ASK_PART = 5  # for an answer
 ASK_LAST_PART = 20  # for that of the member that answered last, before others are asked
 SWITCH_ALONE_PART = 10  # after staging, without word to switch
-FREEZE = 250 * MILLI  # pulses further apart: the process stood still, others may have switched
-FIRST_CONFIRM_WAIT = 600 * MILLI
+FREEZE = (
+    250 * MILLISECOND
+)  # pulses further apart: the process stood still, others may have switched
+FIRST_CONFIRM_WAIT = 600 * MILLISECOND
 
 
 @dataclass(frozen=True)
@@ -40,7 +42,7 @@
         self.active = None  # Staged
         self.staged = None
         self.stager = Stager(node, self.former, self.on_staged)
-        self.pulse_at = now()
+        self.pulse_at = monotonic_us()
         self.cut_off = self.late = False
         self.told = 0  # the highest version that is said to be in force elsewhere
         self.last_source = None
@@ -62,14 +64,14 @@
         """Before a call: after a freeze the version is confirmed first, if the core answers."""
         self.look_at_pulse()
         if self.doubtful is not None:
-            with until(now() + FIRST_CONFIRM_WAIT):
+            with deadline_scope(monotonic_us() + FIRST_CONFIRM_WAIT):
                 await self.doubtful.wait()
 
     def look_at_pulse(self):
-        if now() - self.pulse_at > FREEZE and self.active and self.doubtful is None:
+        if monotonic_us() - self.pulse_at > FREEZE and self.active and self.doubtful is None:
             self.doubtful = trio.Event()
             self.wake()
-        self.pulse_at = now()
+        self.pulse_at = monotonic_us()
 
     def wake(self):
         self.news.set()
@@ -87,13 +89,13 @@
         while True:
             self.news = trio.Event()
             await self.confirm()
-            with until(self.next_confirm()):
+            with deadline_scope(self.next_confirm()):
                 await self.news.wait()
-                await rest(20 * MILLI)
+                await sleep_us(20 * MILLISECOND)
 
     def next_confirm(self):
         if self.failed:
-            return now() + self.part_of_apply(RETRY_PART)
+            return monotonic_us() + self.part_of_apply(RETRY_PART)
         return self.node.view.rhythm.next(self.part_of_apply(CONFIRM_PART))
 
     def part_of_apply(self, part):
@@ -138,7 +140,7 @@
             told = await self.ask([self.last_source], self.part_of_apply(ASK_LAST_PART))
             if told is not None:
                 return told
-        self.node.seams.rng.shuffle(members)
+        self.node.runtime.rng.shuffle(members)
         return await self.ask(members[:3], self.part_of_apply(ASK_PART)) or (None, None)
 
     async def ask(self, addresses, wait):
@@ -165,7 +167,7 @@
     async def ask_one(self, address, wait):
         """[(head, address)], or nothing."""
         try:
-            due = now() + wait
+            due = monotonic_us() + wait
             return [
                 (await self.node.links.call(address, "manifest.head", self.newest, due), address)
             ]
@@ -193,7 +195,7 @@
 
     async def stage_for_now(self, head, source):
         """As stage, or None if that takes long: a newer head may be there by then."""
-        with until(now() + self.part_of_apply(CONFIRM_PART)):
+        with deadline_scope(monotonic_us() + self.part_of_apply(CONFIRM_PART)):
             return await self.stage(head, source)
         return None
 
@@ -206,7 +208,7 @@
         if ways.version <= self.newest:
             return
         fresh = self.staged is None
-        since = now() if fresh else self.staged.since
+        since = monotonic_us() if fresh else self.staged.since
         self.staged = Staged(ways, head, since)
         self.node.log(501, version=ways.version, fetched=fetched)
         if self.active is not None and (self.late or ways.version <= self.told):
@@ -217,7 +219,7 @@
     async def switch_alone(self, since):
         """Without word to switch: whatever is staged by then. Changes that follow one another
         quickly don't put it off."""
-        await rest(self.part_of_apply(SWITCH_ALONE_PART))
+        await sleep_us(self.part_of_apply(SWITCH_ALONE_PART))
         if self.staged is not None and self.staged.since == since:
             self.switch(self.staged.ways.version)
 
--- a/packages/proxy/meadowdock/proxy/endpoints.py
+++ b/packages/proxy/meadowdock/proxy/endpoints.py
@@ -12,11 +12,11 @@
 
 from meadowdock.load_sharing import Gauge, rho
 from meadowdock.rpc import derive
-from meadowdock.runtime import MILLI, SECOND, PauseDetector, now
+from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us
 
-BEAT = 500 * MILLI
-WINDOW = 1_500 * MILLI  # three beats
-STILL = 250 * MILLI
+BEAT = 500 * MILLISECOND
+WINDOW = 1_500 * MILLISECOND  # three beats
+STILL = 250 * MILLISECOND
 NAME_GRACE = 5 * SECOND  # an endpoint that left may end its own calls under its name
 
 
@@ -82,7 +82,7 @@
         self.closing = []  # connections to close, by the loop that owns them
         self.last_issued = 0
         self.left = {}  # the facts of a token whose process left -> until when it is good
-        self.still = PauseDetector(STILL, now())
+        self.still = PauseDetector(STILL, monotonic_us())
         self.window = WINDOW  # an endpoint that is silent for so long is gone
 
     # ------------------------------------------------------------ tokens
@@ -111,7 +111,7 @@
             return None
         held = self.by_address.get(facts[1])
         if held is None:
-            return facts[0] if young or self.left.get(facts, 0) > now() else None
+            return facts[0] if young or self.left.get(facts, 0) > monotonic_us() else None
         # the same process may have enrolled again meanwhile: no other has its incarnation
         return facts[0] if held.identity == facts[:3] else None
 
@@ -172,8 +172,8 @@
             raise Denied(401, "bad_token")
         held = self.by_address.get(facts[1])
         if held is not None and (*held.identity, held.issued) == facts:
-            self.left = {f: until for f, until in self.left.items() if until > now()}
-            self.left[facts] = now() + NAME_GRACE
+            self.left = {f: until for f, until in self.left.items() if until > monotonic_us()}
+            self.left[facts] = monotonic_us() + NAME_GRACE
             self.lose(held, "left")
 
     def lose(self, endpoint, why):
--- a/packages/proxy/meadowdock/proxy/gatepart.py
+++ b/packages/proxy/meadowdock/proxy/gatepart.py
@@ -11,17 +11,24 @@
 from meadowdock.proxy.endpoints import Denied, Endpoint
 from meadowdock.proxy.part import Part
 from meadowdock.proxy.tries import Tries
-from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    HttpConnectionFailed,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
 
 LEFT_MAX = (
     1_000  # instances that left and are remembered, so that a late beat can't bring them back
 )
 BEATS = 3  # so many missed, an endpoint is gone
 # where no operator's manifest says otherwise: chosen by measurement on calls by host and prefix
-GATE_LOAD = {"omega": 0.8, "phi": 0.7, "interval_us": 250 * MILLI}
-QUIET = 200 * MILLI
-LOOK, LOOK_WAIT = 60 * MILLI, 300 * MILLI
-FLUSH = 50 * MILLI
+GATE_LOAD = {"omega": 0.8, "phi": 0.7, "interval_us": 250 * MILLISECOND}
+QUIET = 200 * MILLISECOND
+LOOK, LOOK_WAIT = 60 * MILLISECOND, 300 * MILLISECOND
+FLUSH = 50 * MILLISECOND
 SAFE = (
     0.6  # of the fleet's second tries: windows of nodes don't begin together, and repeats call on
 )
@@ -37,14 +44,21 @@
         super().__init__(node)
         boot = node.boot
         self.reactor = Reactor(node.log)
-        make = getattr(node.seams.net, "wires", None)
+        make = getattr(node.runtime.net, "wires", None)
         self.wires = (
             make(node.nursery, self.reactor)
             if make
             else Wires(boot.host, node.nursery, self.reactor)
         )
         self.gate = Gate(
-            self.wires, self.reactor, self.book, self.dialect, boot, node.seams.rng, node.log, self
+            self.wires,
+            self.reactor,
+            self.book,
+            self.dialect,
+            boot,
+            node.runtime.rng,
+            node.log,
+            self,
         )
         self.walker.listed = self.listed
         self.book.window = BEATS * boot.beat_us + boot.beat_us // 3
@@ -77,7 +91,7 @@
 
     async def tidy(self):
         await super().tidy()
-        self.gate.tidy(now())
+        self.gate.tidy(monotonic_us())
 
     def put_in_force(self, ways):
         if ways.load is LOAD:  # no operator has said anything of it
@@ -92,7 +106,7 @@
 
     def measure(self):
         """As the paper's level, grown by how slow the endpoint here is; with zone and mean time."""
-        told, at = super().measure(), now()
+        told, at = super().measure(), monotonic_us()
         for service, line in told.items():
             occupation = self.book.occupations[service]
             occupation.rho = min(1.0, occupation.rho * self.gate.slowness(service, at))
@@ -124,15 +138,15 @@
         """A process that has just started asks the endpoint beside who it is, since its next beat
         may be a whole interval away."""
         boot, words = self.node.boot, self.dialect
-        while boot.app and now() - self.born < boot.beat_us and not self.book.by_address:
-            await rest(LOOK)
+        while boot.app and monotonic_us() - self.born < boot.beat_us and not self.book.by_address:
+            await sleep_us(LOOK)
             service = self.gate.table.services.get(boot.service) if self.gate.table else None
             if not service or not service.get("health"):
                 continue
-            at = now()
+            at = monotonic_us()
             try:
-                with until(at + LOOK_WAIT):
-                    connection = self.node.seams.net.http(boot.app)
+                with deadline_scope(at + LOOK_WAIT):
+                    connection = self.node.runtime.net.http(boot.app)
                     status, lines, _ = await connection.request("GET", service["health"], [], b"")
                     await connection.close()
                     self.found_beside(status, {n.lower(): v for n, v in lines}, words)
@@ -145,14 +159,14 @@
         boot = self.node.boot
         well = status == 200 and instance and slots.isdigit() and int(slots)
         if well and not self.book.by_address and instance not in self.left:
-            at = now()
+            at = monotonic_us()
             self.book.hold(Endpoint(boot.service, boot.app, instance, int(slots), at, at))
             self.reactor.end_turn()
 
     def endpoint_beat(self, facts):
         """One beat of the endpoint beside. facts: service, address, instance, capacity (calls at
         once), draining, warm_us (how much longer it is slow), sequence. Raises Denied."""
-        instance, sequence, at = facts["instance"], facts["sequence"], now()
+        instance, sequence, at = facts["instance"], facts["sequence"], monotonic_us()
         if instance in self.left or sequence <= self.sequences.get(instance, -1):
             return  # late: something newer is known
         held = self.book.by_address.get(facts["address"])
@@ -203,13 +217,13 @@
         gate, last = self.gate, self.node.stop_due - SECOND
         self.leaves = True
         await self.tell_core()
-        while now() - gate.came_at < QUIET and now() < last:
-            await rest(QUIET // 4)
+        while monotonic_us() - gate.came_at < QUIET and monotonic_us() < last:
+            await sleep_us(QUIET // 4)
         self.closing.set()
-        await rest(QUIET // 4)
+        await sleep_us(QUIET // 4)
         gate.shut()
         while gate.calls or any(c.line or c.wire.held_size for c in gate.callers):
             gate.shut()
-            await rest(10 * MILLI)
-        await rest(FLUSH)
+            await sleep_us(10 * MILLISECOND)
+        await sleep_us(FLUSH)
         await super().drained()
--- a/packages/proxy/meadowdock/proxy/part.py
+++ b/packages/proxy/meadowdock/proxy/part.py
@@ -20,16 +20,23 @@
 from meadowdock.proxy.tries import Tries
 from meadowdock.proxy.walk import Walker
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
-from meadowdock.runtime import MILLI, SECOND, fingerprint, now, rest, until
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    deadline_scope,
+    fingerprint,
+    monotonic_us,
+    sleep_us,
+)
 
-BEAT_CORE = 500 * MILLI
-YOUNG_BEAT = 150 * MILLI  # until the first load list
-GATHER = 10 * MILLI  # a registry that was just heard of is seldom the only one
-PULSE = 100 * MILLI
-BEHIND = 100 * MILLI  # this process' own scheduling is so late: a new call is refused at once
+BEAT_CORE = 500 * MILLISECOND
+YOUNG_BEAT = 150 * MILLISECOND  # until the first load list
+GATHER = 10 * MILLISECOND  # a registry that was just heard of is seldom the only one
+PULSE = 100 * MILLISECOND
+BEHIND = 100 * MILLISECOND  # this process' own scheduling is so late: a new call is refused at once
 NAME = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
-HEARD = 200 * MILLI
-MARGIN = 20 * MILLI  # a neighbour ends its try this much before the home's due
+HEARD = 200 * MILLISECOND
+MARGIN = 20 * MILLISECOND  # a neighbour ends its try this much before the home's due
 
 
 class Part(process.Daemon):
@@ -43,10 +50,10 @@
         self.node = node
         boot = node.boot
         self.book = Book(boot.host, boot.fleet_key, node.log)
-        self.walker = Walker(node, self.book, Tries(boot.nodes_expected, now()))
+        self.walker = Walker(node, self.book, Tries(boot.nodes_expected, monotonic_us()))
         self.delivery = Delivery(node, self.put_in_force)
         self.keys = Keys()
-        self.asked_at = self.born = now()
+        self.asked_at = self.born = monotonic_us()
         self.late_turns = 0
         self.stale_told = False
         self.epoch_floor = None
@@ -76,8 +83,8 @@
             self.delivery.look_at_pulse()
             await self.tidy()
             wanted = self.node.view.rhythm.next(PULSE)
-            await rest(wanted - now())
-            self.late_turns = self.late_turns + 1 if now() - wanted > BEHIND else 0
+            await sleep_us(wanted - monotonic_us())
+            self.late_turns = self.late_turns + 1 if monotonic_us() - wanted > BEHIND else 0
 
     async def tidy(self):
         await self.walker.tidy()
@@ -89,7 +96,7 @@
         self.walker.ways = ways
 
     def not_ready(self):
-        age = now() - self.born
+        age = monotonic_us() - self.born
         return [
             *([] if self.delivery.active else ["the core hasn't confirmed a manifest here yet"]),
             *(["the endpoints beside were not all heard yet"] if age < BEAT + HEARD else []),
@@ -109,16 +116,16 @@
         while True:
             await self.tell_core()
             load = self.walker.ways.load if self.walker.ways else None
-            if load and now() - self.asked_at > 2 * load["interval_us"]:
+            if load and monotonic_us() - self.asked_at > 2 * load["interval_us"]:
                 self.measure()
             lists = self.walker.lists
-            stale = load and lists.stale(now(), load["stale_us"])
+            stale = load and lists.stale(monotonic_us(), load["stale_us"])
             if stale and not self.stale_told:
                 self.node.log(704, seq=self.walker.lists.seq, epoch=self.walker.lists.epoch)
             self.stale_told = bool(stale)
-            with until(self.node.view.rhythm.next(BEAT_CORE if lists.seq else YOUNG_BEAT)):
+            with deadline_scope(self.node.view.rhythm.next(BEAT_CORE if lists.seq else YOUNG_BEAT)):
                 await self.registry_came.wait()
-                await rest(GATHER)
+                await sleep_us(GATHER)
             self.registry_came = trio.Event()
 
     async def tell_core(self):
@@ -151,7 +158,7 @@
         }
         regs = self.node.view.core("mdreg")
         self.beaten = set(regs)
-        answers, deadline = [], now() + BEAT_CORE
+        answers, deadline = [], monotonic_us() + BEAT_CORE
 
         async def beat_to(registry):
             try:
@@ -177,7 +184,7 @@
             self.walker.listed(LoadList(), by_service(max(told, key=len)))
 
     def measure(self):
-        at = now()
+        at = monotonic_us()
         self.asked_at = at
         return self.book.measure(at, self.walker.ways.load["share"])
 
@@ -198,7 +205,9 @@
             raise Rejected("old_epoch", epoch=known)
         if (told["epoch"], told["seq"]) <= (lists.epoch, lists.seq):
             return {}
-        self.walker.listed(LoadList(told["epoch"], told["seq"], now()), by_service(told["nodes"]))
+        self.walker.listed(
+            LoadList(told["epoch"], told["seq"], monotonic_us()), by_service(told["nodes"])
+        )
         return {}
 
     # ------------------------------------------------------------ endpoints
@@ -245,8 +254,8 @@
             facts["address"],
             facts["incarnation"],
             facts["capacity"],
-            now(),
-            self.node.seams.wall(),
+            monotonic_us(),
+            self.node.runtime.wall_us(),
         )
         return Reply(200, {"token": token, "beat_us": BEAT, "window_us": WINDOW})
 
@@ -262,7 +271,7 @@
                 facts["capacity"],
                 facts.get("draining", False),
                 facts.get("load"),
-                now(),
+                monotonic_us(),
             )
         except Denied as denied:
             return said(denied)
@@ -313,7 +322,7 @@
         call = made if isinstance(made, Call) else None
         if call:
             self.walker.count("calls")
-            self.walker.tries.request(now())
+            self.walker.tries.request(monotonic_us())
             made = await self.watched(call, request)
         if request.header(b"md-repeat") and isinstance(made, Shedding) and made.verdict is NOT_RUN:
             # what is refused here may have run where it was sent before
@@ -331,7 +340,7 @@
         ways = self.walker.ways
         caller, token = GUEST, request.header(b"md-token")
         if token is not None:
-            young = now() - self.born < WINDOW
+            young = monotonic_us() - self.born < WINDOW
             caller = (
                 self.book.caller(token, young) if request.peer in self.node.boot.local else None
             )
@@ -355,7 +364,7 @@
             return shedding("malformed", "query")
         total = min(way.total_us, int(due_us)) if due_us is not None else way.total_us
         if self.node.stop_due is not None:
-            total = min(total, self.node.stop_due - now() - 100 * MILLI)
+            total = min(total, self.node.stop_due - monotonic_us() - 100 * MILLISECOND)
             if total <= 0:
                 return shedding("stopping")
         self.calls += 1
@@ -369,7 +378,7 @@
             body=body,
             way=way,
             version=ways.version,
-            due=now() + total,
+            due=monotonic_us() + total,
             key=key,
             repeat=repeat is not None,
             cut_off=self.delivery.cut_off,
@@ -382,7 +391,7 @@
             print_of = fingerprint(
                 b"\0".join([call.method.encode(), call.target_path.encode(), call.body])
             )
-            known = self.keys.begin(call.caller, call.key, print_of, now())
+            known = self.keys.begin(call.caller, call.key, print_of, monotonic_us())
             if isinstance(known, str):
                 return shedding(known)
             if known is not None:
@@ -401,7 +410,7 @@
                 nursery.cancel_scope.cancel()
         finally:
             if print_of is not None:
-                self.keys.end(call.caller, call.key, self.fate(call), call.outcome, now())
+                self.keys.end(call.caller, call.key, self.fate(call), call.outcome, monotonic_us())
         if call.outcome is None:
             raise HungUp
         return call.outcome
@@ -457,7 +466,9 @@
             body=bytes(args["body"]),
             way=way,
             version=ways.version,
-            due=int(left * SECOND) - MARGIN if left < float("inf") else now() + way.total_us,
+            due=int(left * SECOND) - MARGIN
+            if left < float("inf")
+            else monotonic_us() + way.total_us,
             key=args["key"],
             home=False,
             incarnation=args["incarnation"],
@@ -482,7 +493,7 @@
 
     async def drained(self):
         while len(self.walker.slab):
-            await rest(10 * MILLI)
+            await sleep_us(10 * MILLISECOND)
 
 
 TOKEN = (lambda v: isinstance(v, str) and 0 < len(v) < 1024, "must be the token of enrolment")
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -11,7 +11,7 @@
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration.fetch import Fetch, Fetcher, answer_request
 from meadowdock.process import KNOWN
-from meadowdock.runtime import now
+from meadowdock.runtime import monotonic_us
 
 HEDGE_PART = 20  # of apply_us: the wait for a silent member before the next is asked
 FETCH_PART = 2  # of apply_us: one fetch; what it found is kept for the next
@@ -76,7 +76,7 @@
 
     async def finish(self, staging):
         try:
-            ways = await self.node.seams.apart(self.build, staging.head)
+            ways = await self.node.runtime.offload(self.build, staging.head)
         except KNOWN as cause:  # a member made nonsense of a chunk: it is fetched again
             self.node.log(105, task="staging", cause=repr(cause))
             for name in staging.missing:
@@ -90,10 +90,10 @@
         missing = sorted({name for name in wanted if name not in self.chunks})
         staging.missing = missing
         if missing:
-            self.node.seams.rng.shuffle(missing)  # two stagings fetch different ones first
+            self.node.runtime.rng.shuffle(missing)  # two stagings fetch different ones first
             # Kept as they come, also when this staging ends before it is complete.
             fetch = Fetch(missing, self.sources(source), self.chunks)
-            await self.fetcher.run(fetch, now() + self.node.boot.apply_us // FETCH_PART)
+            await self.fetcher.run(fetch, monotonic_us() + self.node.boot.apply_us // FETCH_PART)
         return all(name in self.chunks for name in wanted)
 
     def sources(self, source):
--- a/packages/proxy/meadowdock/proxy/walk.py
+++ b/packages/proxy/meadowdock/proxy/walk.py
@@ -12,10 +12,10 @@
 from meadowdock.proxy.call import Answer, passed_on
 from meadowdock.proxy.endpoints import BadAnswer, check_answer, told_load
 from meadowdock.rpc import ConnectionFailed, Rejected
-from meadowdock.runtime import MILLI, HttpConnectionFailed, now, until
+from meadowdock.runtime import MILLISECOND, HttpConnectionFailed, deadline_scope, monotonic_us
 from meadowdock.runtime.slab import Slab
 
-FIRST_HOLD = 50 * MILLI  # how long a call holds a slot, until one of its way was seen
+FIRST_HOLD = 50 * MILLISECOND  # how long a call holds a slot, until one of its way was seen
 SMOOTHED = 8
 REMEMBERED = 1_000  # ways of a service
 
@@ -94,7 +94,7 @@
         handle = self.slab.put(call)
         try:
             while (call := self.slab.get(handle)).step is not None:
-                if now() >= call.due and call.outcome is None:
+                if monotonic_us() >= call.due and call.outcome is None:
                     call.shed("due_passed")
                     break
                 call.step = await call.step(call)
@@ -106,24 +106,24 @@
     def take(self, call, endpoint):
         """A slot of the endpoint, and what comes next with it."""
         call.endpoint = endpoint
-        self.book.enter(endpoint, now())
+        self.book.enter(endpoint, monotonic_us())
         return self.endpoint_step
 
     def let_go(self, call):
         if call.endpoint is not None:
             endpoint, call.endpoint = call.endpoint, None
-            self.book.leave_slot(endpoint, now())
+            self.book.leave_slot(endpoint, monotonic_us())
 
     def second_try(self, call):
         """May this call be sent once more? Counts it if so. The first sending is always free."""
         if call.sends == 0:
             return True
-        return self.tries.permit(now())
+        return self.tries.permit(monotonic_us())
 
     # ------------------------------------------------------------ arrival
 
     def decide(self, call):
-        service, at = call.way.service, now()
+        service, at = call.way.service, monotonic_us()
         load, me = self.ways.load, self.node.boot.link
         home = self.book.home(service)
         occupation = self.book.occupations.get(service)
@@ -184,7 +184,7 @@
         entry = (call, told)
         holding.line.append(entry)
         try:
-            with until(min(call.due, now() + wait_us)):
+            with deadline_scope(min(call.due, monotonic_us() + wait_us)):
                 await told.wait()
         finally:
             if not told.is_set():
@@ -204,7 +204,7 @@
         call.sends += 1
         call.spills += 1
         self.count("spilled")
-        target, way, at = call.target, call.way, now()
+        target, way, at = call.target, call.way, monotonic_us()
         due = min(call.due, at + way.spill[0] + way.endpoint[0])
         args = {
             "id": call.id,
@@ -238,10 +238,10 @@
                 call.sends -= 1
                 return self.choose_step
             call.reached += 1
-            code = "no_answer" if now() >= due else "lost"
+            code = "no_answer" if monotonic_us() >= due else "lost"
             return self.unknown(call, code, self.choose_step, call.spills <= way.spill[1])
         finally:
-            self.book.spilled(way.service, -1, now())
+            self.book.spilled(way.service, -1, monotonic_us())
         call.outcome = Answer(
             told["status"], [(bytes(n), bytes(v)) for n, v in told["headers"]], told["body"]
         )
@@ -250,7 +250,7 @@
     def unknown(self, call, code, again, tries_left):
         """A try's fate is unknown: try again only on a way that is safe to repeat."""
         call.may_have_run = True
-        over = call.hung_up or self.node.hurry.is_set() or now() >= call.due
+        over = call.hung_up or self.node.hurry.is_set() or monotonic_us() >= call.due
         if call.way.safe and tries_left and not over:
             return again
         return call.shed(code)
@@ -277,12 +277,12 @@
             self.let_go(call)
             return self.after_not_run(call)
         # a call that a neighbour shed has been nowhere yet: home keeps it, as the paper's would
-        if call.reached and not self.tries.permit(now()):
+        if call.reached and not self.tries.permit(monotonic_us()):
             return call.shed("busy", "no second tries left")
         call.sends += 1
         call.reached += 1
         call.endpoint_tries += 1
-        begun = now()
+        begun = monotonic_us()
         due = min(call.due, begun + way.endpoint[0])
         service = self.ways.services.get(way.service) or {"echo": False, "identity": False}
         sent = False
@@ -292,7 +292,7 @@
             sent = call.started = True
             guard.shield = True  # from here on only the due ends it
 
-        with until(due) as guard:
+        with deadline_scope(due) as guard:
             call.guard = guard
             try:
                 connection = await self.connection(endpoint, service)
@@ -323,8 +323,8 @@
             return self.not_sent(call, endpoint)
         load = told_load(lines)
         if load is not None:
-            endpoint.told, endpoint.told_at = load, now()
-        self.holding(way.service).ended(call, now() - begun)
+            endpoint.told, endpoint.told_at = load, monotonic_us()
+        self.holding(way.service).ended(call, monotonic_us() - begun)
         word = SAID.get((status, dict(lines).get(b"md-verdict")))
         if word is not None:
             self.let_go(call)
@@ -351,7 +351,7 @@
 
     def after_not_run(self, call, code="unreachable"):
         """The endpoint surely didn't run it: a home may look again, a neighbour says so."""
-        tries_left = call.endpoint_tries <= call.way.endpoint[1] and now() < call.due
+        tries_left = call.endpoint_tries <= call.way.endpoint[1] and monotonic_us() < call.due
         if call.home and tries_left and code != "busy" and not call.repeat:
             return self.choose_step
         return call.shed(code)
@@ -363,7 +363,7 @@
             (b"md-caller", call.caller.encode()),
             (b"md-service", endpoint.service.encode()),
             (b"md-incarnation", endpoint.incarnation.encode()),
-            (b"md-due", str(max(0, due - now())).encode()),
+            (b"md-due", str(max(0, due - monotonic_us())).encode()),
             *([(b"md-key", call.key.encode())] if call.key else []),
             *([(b"md-repeat", b"1")] if call.repeat else []),
         ]
@@ -375,7 +375,7 @@
             if not connection.stale():
                 return connection
             await connection.close()
-        connection = self.node.seams.net.http(endpoint.address)
+        connection = self.node.runtime.net.http(endpoint.address)
         if service["identity"]:
             try:
                 status, _, body = await connection.request("GET", "/md/identity", [], b"")
@@ -408,7 +408,7 @@
 
     async def tidy(self):
         """Endpoints that no longer beat, connections that nobody uses."""
-        self.book.expire(now())
+        self.book.expire(monotonic_us())
         closing, self.book.closing = self.book.closing, []
         for connection in closing:
             await connection.close()
--- a/packages/registry/meadowdock/registry/lease.py
+++ b/packages/registry/meadowdock/registry/lease.py
@@ -26,11 +26,11 @@
     RenewLease,
 )
 from meadowdock.rpc import ConnectionFailed, Rejected
-from meadowdock.runtime import MILLI, SECOND, now, until
+from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us
 
 SHORTEST, LONGEST = SECOND, 2 * SECOND  # a lease; load lists are stale after the longest
 ASK_WAIT = SECOND
-RELEASE_WAIT = 400 * MILLI
+RELEASE_WAIT = 400 * MILLISECOND
 HEDGES = 12  # another mdconf is asked too after one part in so many of the duration
 
 
@@ -60,7 +60,7 @@
     def __init__(self, node, key, duration_us):
         self.node, self.key, self.duration_us = node, key, duration_us
         # a random number: a restarted process is another holder, whatever the wall clock says
-        self.holder = f"{node.boot.link}/{node.seams.rng.getrandbits(64):016x}"
+        self.holder = f"{node.boot.link}/{node.runtime.rng.getrandbits(64):016x}"
         self.sequence = 0
         self.held = None
         self.preferred = None  # the mdconf that answered last
@@ -70,7 +70,7 @@
     def epoch(self):
         """The fencing token, or None without a valid lease."""
         held = self.held
-        return held.epoch if held is not None and now() < held.expires_at else None
+        return held.epoch if held is not None and monotonic_us() < held.expires_at else None
 
     @property
     def expired(self):
@@ -81,12 +81,12 @@
     def may_acquire(self):
         """Not right after a request that may have been done without an answer coming back: each
         such acquisition would make the others wait for another whole lease that nobody uses."""
-        return now() >= self.unheard_until
+        return monotonic_us() >= self.unheard_until
 
     @property
     def should_renew(self):
         """Whether the held lease has come to the time of its renewal."""
-        return self.held is not None and now() >= self.held.renew_at
+        return self.held is not None and monotonic_us() >= self.held.renew_at
 
     def drop(self):
         """Use it no more; the register is not told."""
@@ -97,7 +97,7 @@
         request = AcquireLease(
             self.key, self.holder, self.next_sequence(), self.duration_us, epoch_floor
         )
-        asked_at = now()
+        asked_at = monotonic_us()
         answer = await self.ask(ACQUIRE, request, asked_at + ASK_WAIT)
         if not isinstance(answer, LeaseGranted):
             return answer
@@ -106,7 +106,7 @@
 
     async def renew(self):
         """As acquire. A lease that was dropped or changed meanwhile stays as it is."""
-        held, asked_at = self.held, now()
+        held, asked_at = self.held, monotonic_us()
         request = RenewLease(self.key, self.holder, self.next_sequence(), held.epoch)
         answer = await self.ask(
             RENEW, request, min(asked_at + self.duration_us // 4, held.expires_at)
@@ -123,7 +123,7 @@
         if held is None:
             return
         request = ReleaseLease(self.key, self.holder, self.next_sequence(), held.epoch)
-        await self.ask(RELEASE, request, now() + RELEASE_WAIT)
+        await self.ask(RELEASE, request, monotonic_us() + RELEASE_WAIT)
 
     def hold(self, epoch, asked_at):
         """Take a granted lease, counted from before it was asked for."""
@@ -138,7 +138,7 @@
     def members(self):
         """All mdconfs known, the one that answered last first."""
         members = self.node.view.core("mdconf")
-        self.node.seams.rng.shuffle(members)
+        self.node.runtime.rng.shuffle(members)
         return sorted(members, key=lambda address: address != self.preferred)
 
     async def ask(self, method, request, deadline):
@@ -168,10 +168,10 @@
             for address in self.members():
                 over = trio.Event()
                 nursery.start_soon(one, address, over)
-                with until(min(deadline, now() + self.duration_us // HEDGES)):
+                with deadline_scope(min(deadline, monotonic_us() + self.duration_us // HEDGES)):
                     await over.wait()
-                if now() >= deadline:
+                if monotonic_us() >= deadline:
                     break
         silent = answer is None and unclear
-        self.unheard_until = now() + 2 * self.duration_us if silent else 0
+        self.unheard_until = monotonic_us() + 2 * self.duration_us if silent else 0
         return answer
--- a/packages/registry/meadowdock/registry/part.py
+++ b/packages/registry/meadowdock/registry/part.py
@@ -10,15 +10,15 @@
 from meadowdock.registry.duty import ranking
 from meadowdock.registry.lease import Lease, duration_of
 from meadowdock.rpc import Handlers, Rejected
-from meadowdock.runtime import MILLI, PauseDetector, now, rest, until
+from meadowdock.runtime import MILLISECOND, PauseDetector, deadline_scope, monotonic_us, sleep_us
 
-BEAT = 500 * MILLI
-ALIVE = 1_250 * MILLI  # two beats missed
+BEAT = 500 * MILLISECOND
+ALIVE = 1_250 * MILLISECOND  # two beats missed
 # without a collector for so long, the first by rank asks for its lease; each further one waits for
 # two more: it may be that the first can't ask the register
-SETTLE = 500 * MILLI
-LEASE_TURN = 200 * MILLI
-INTERVAL = 500 * MILLI  # until a manifest tells another
+SETTLE = 500 * MILLISECOND
+LEASE_TURN = 200 * MILLISECOND
+INTERVAL = 500 * MILLISECOND  # until a manifest tells another
 COLLECTOR = "collector"
 MORE = 16  # a stand-in list is told again once it has grown by this part
 
@@ -52,10 +52,12 @@
         self.reclaiming = False
         self.seen_epoch = 0
         self.seq = 0
-        self.collector_seen = now()  # when this process or one that beats here last held the lease
+        self.collector_seen = (
+            monotonic_us()
+        )  # when this process or one that beats here last held the lease
         self.interval = 0, INTERVAL  # of the newest manifest that a proxy has in force
         self.last = {"asked": 0, "answered": 0, "at": 0, "shed": 0}
-        self.cadence = now()
+        self.cadence = monotonic_us()
         self.told_regs, self.other_came = set(), trio.Event()
         node.view.heard = self.heard
 
@@ -78,7 +80,7 @@
 
     def alive(self, known):
         """Addresses whose heartbeat is fresh, in order."""
-        return sorted(a for a, (_, heard) in known.items() if now() - heard <= ALIVE)
+        return sorted(a for a, (_, heard) in known.items() if monotonic_us() - heard <= ALIVE)
 
     # ------------------------------------------------------------ who is alive
 
@@ -95,7 +97,7 @@
             return {}
         if held is None or held[0]["incarnation"] != beat["incarnation"]:
             self.node.log(301, peer=address, role=beat["role"], incarnation=beat["incarnation"])
-        known[address] = (beat, now())
+        known[address] = (beat, monotonic_us())
         if beat["role"] == "mdreg":
             self.learn_epoch(beat["seen_epoch"])
         elif beat["interval_us"]:
@@ -136,7 +138,7 @@
 
     def told(self):
         """What is known here: proxies, registries, the collector, the last collection."""
-        at = now()
+        at = monotonic_us()
         return {
             "reg": self.node.boot.link,
             "proxies": {
@@ -150,20 +152,20 @@
 
     async def beat_loop(self):
         """Heartbeats to the other registries; forgets who fell silent."""
-        still = PauseDetector(2 * BEAT + BEAT // 2, now())
+        still = PauseDetector(2 * BEAT + BEAT // 2, monotonic_us())
         while True:
-            stood = still.look(now())
+            stood = still.look(monotonic_us())
             for known in (self.roster, self.regs):
                 for address, (beat, heard) in list(known.items()):
                     if stood:
                         heard += stood
                         known[address] = beat, heard
-                    if now() - heard > ALIVE:
+                    if monotonic_us() - heard > ALIVE:
                         del known[address]
                         self.node.log(302, peer=address, role=beat["role"], why="silent")
             self.other_came = trio.Event()
             await self.tell()
-            with until(now() + BEAT):
+            with deadline_scope(monotonic_us() + BEAT):
                 await self.other_came.wait()
 
     def heard(self, entry):
@@ -185,7 +187,9 @@
         }
         others = self.node.view.core("mdreg")
         self.told_regs = set(others)
-        await self.node.links.call_all({a: (a, "reg.beat", beat) for a in others}, now() + BEAT)
+        await self.node.links.call_all(
+            {a: (a, "reg.beat", beat) for a in others}, monotonic_us() + BEAT
+        )
 
     # ------------------------------------------------------------ the collector's lease
 
@@ -193,7 +197,7 @@
         """Keeps the collector's lease, or acquires it when nobody holds it."""
         while True:
             await self.keep_lease()
-            await rest(LEASE_TURN)
+            await sleep_us(LEASE_TURN)
 
     async def keep_lease(self):
         """A holder keeps the lease as long as it can renew it, whoever else comes."""
@@ -204,7 +208,7 @@
         if self.node.stopping:
             return
         if self.collector_known():
-            self.collector_seen = now()
+            self.collector_seen = monotonic_us()
         if self.epoch is not None:
             if self.lease.should_renew:
                 self.learn_refusal(await self.lease.renew())
@@ -222,7 +226,7 @@
         """Was nobody the collector for as long as this process must wait by its rank?"""
         live = [*self.alive(self.regs), self.node.boot.link]
         rank = ranking(COLLECTOR, live).index(self.node.boot.link)
-        return now() - self.collector_seen >= SETTLE * (1 + 2 * rank)
+        return monotonic_us() - self.collector_seen >= SETTLE * (1 + 2 * rank)
 
     async def acquire(self):
         """Ask for the collector's lease once."""
@@ -247,28 +251,28 @@
             if self.epoch is not None and not self.node.stopping:
                 await self.collect()
             interval = self.interval[1]
-            self.cadence = max(self.cadence + interval, now() - interval)
-            await rest(self.cadence - now())
+            self.cadence = max(self.cadence + interval, monotonic_us() - interval)
+            await sleep_us(self.cadence - monotonic_us())
 
     async def collect(self):
         """Ask every proxy for its load, then send all of them one list."""
         interval, epoch = self.interval[1], self.epoch
         nodes = self.alive(self.roster)
         answered = await self.node.links.answers(
-            {a: (a, "load.ask", None) for a in nodes}, now() + interval * 6 // 10
+            {a: (a, "load.ask", None) for a in nodes}, monotonic_us() + interval * 6 // 10
         )
         if self.epoch != epoch:  # the lease ran out meanwhile, or this process stood still
             return
         self.seq += 1
         combined = {"epoch": epoch, "seq": self.seq, "nodes": answered}
         sent = await self.node.links.call_all(
-            {a: (a, "load.list", combined) for a in nodes}, now() + interval * 3 // 10
+            {a: (a, "load.list", combined) for a in nodes}, monotonic_us() + interval * 3 // 10
         )
         sheddings = [s for s in sent.values() if isinstance(s, Rejected) and s.code == "old_epoch"]
         self.last = {
             "asked": len(nodes),
             "answered": len(answered),
-            "at": self.node.seams.wall(),
+            "at": self.node.runtime.wall_us(),
             "shed": len(sheddings),
         }
         if sheddings:
--- a/packages/rpc/meadowdock/rpc/link.py
+++ b/packages/rpc/meadowdock/rpc/link.py
@@ -14,12 +14,12 @@
 import trio
 
 from meadowdock.rpc.frame import Proof, Reader, derive, read_frame, write_frame
-from meadowdock.runtime import MILLI, SECOND, now, until
+from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us
 from meadowdock.runtime.slab import Slab
 
 MAGIC = "md1"
 GREETING_WAIT = SECOND
-SILENCE = 200 * MILLI
+SILENCE = 200 * MILLISECOND
 BLANK = b"\x00" * 32
 CALL, ANSWER, SHED, CANCEL = range(4)
 BROKEN = (OSError, EOFError, ValueError, trio.BrokenResourceError, trio.ClosedResourceError)
@@ -247,9 +247,9 @@
                     kind, id, *rest = unpack(await read_frame(reader, into))
                     if kind == CALL:
                         method, args, left, sent_at = rest
-                        left -= lag.of(sent_at, now())
+                        left -= lag.of(sent_at, monotonic_us())
                         # a cancel may lie right behind its call: the scope is there before the task
-                        scope = running[tuple(id)] = until(now() + left)
+                        scope = running[tuple(id)] = deadline_scope(monotonic_us() + left)
                         if left <= 0:
                             scope.cancel()
                         nursery.start_soon(handle, tuple(id), method, args, scope)
@@ -323,7 +323,7 @@
     async def read(self, reader, into):
         while True:
             kind, id, *rest = unpack(await read_frame(reader, into))
-            self.heard = now()
+            self.heard = monotonic_us()
             pending = self.pending.get(tuple(id))
             if pending is None:
                 continue  # given up, or an earlier tenant of the slot
@@ -336,7 +336,7 @@
     async def call(self, method, args, deadline):
         if self.broken is not None:
             raise ConnectionFailed(False, self.broken)
-        asked = now()
+        asked = monotonic_us()
         pending = Pending()
         handle = self.pending.put(pending)
         body = pack([CALL, handle, method, args, max(0, deadline - asked), asked])
@@ -347,7 +347,7 @@
             self.pending.take(handle)
             raise ConnectionFailed(False, "link is clogged") from None
         try:
-            with until(deadline):
+            with deadline_scope(deadline):
                 await pending.done.wait()
         finally:
             self.pending.take(handle)
@@ -355,7 +355,9 @@
                 self.cancel(handle)
                 # silent for a whole call: new calls go over another link, pending ones may end
                 self.retired |= (
-                    self.heard < asked and deadline <= now() and deadline - asked >= SILENCE
+                    self.heard < asked
+                    and deadline <= monotonic_us()
+                    and deadline - asked >= SILENCE
                 )
             if self.retired and not len(self.pending):
                 self.sender.send.close()
@@ -379,7 +381,7 @@
 class Links:
     """Links to peers, opened when first needed. Invariant: at most one opening per address."""
 
-    def __init__(self, nursery, net, key, rng, me, log, open_wait=500 * MILLI):
+    def __init__(self, nursery, net, key, rng, me, log, open_wait=500 * MILLISECOND):
         self.nursery, self.net, self.key, self.rng = nursery, net, key, rng
         self.me, self.log, self.open_wait = me, log, open_wait
         self.links = {}
@@ -393,23 +395,23 @@
 
     async def open(self, address, deadline):
         while address in self.opening:
-            with until(deadline):
+            with deadline_scope(deadline):
                 await self.opening[address].wait()
             link = self.links.get(address)
             if usable(link):
                 return link
-            if now() >= deadline:
+            if monotonic_us() >= deadline:
                 raise ConnectionFailed(False, "no link by the deadline")
         self.opening[address] = trio.Event()
         try:
-            with until(min(deadline, now() + self.open_wait)):
+            with deadline_scope(min(deadline, monotonic_us() + self.open_wait)):
                 stream = await self.net.open_link(address)
                 try:
                     reader, out, into, peer = await greet(stream, self.key, self.rng, self.me)
                 except BaseException:
                     await trio.aclose_forcefully(stream)
                     raise
-                link = self.links[address] = Link(peer, now())
+                link = self.links[address] = Link(peer, monotonic_us())
                 self.nursery.start_soon(self.own, link, stream, reader, out, into)
                 return link
             raise ConnectionFailed(False, "no link by the deadline")
--- a/packages/rpc/meadowdock/rpc/rhythm.py
+++ b/packages/rpc/meadowdock/rpc/rhythm.py
@@ -9,9 +9,9 @@
 
 from __future__ import annotations
 
-from meadowdock.runtime import MILLI, fingerprint, now, rest
+from meadowdock.runtime import MILLISECOND, fingerprint, monotonic_us, sleep_us
 
-GRID = 100 * MILLI
+GRID = 100 * MILLISECOND
 
 
 class Rhythm:
@@ -22,8 +22,8 @@
     def next(self, span, at=None):
         """The last moment of the rhythm that is at most `span` us from now, and after now: span is
         at least GRID."""
-        wanted = (now() if at is None else at) + span - self.phase
+        wanted = (monotonic_us() if at is None else at) + span - self.phase
         return wanted // GRID * GRID + self.phase
 
     async def rest(self, span):
-        await rest(self.next(span) - now())
+        await sleep_us(self.next(span) - monotonic_us())
--- a/packages/runtime/meadowdock/runtime/__init__.py
+++ b/packages/runtime/meadowdock/runtime/__init__.py
@@ -18,10 +18,10 @@
 from meadowdock.runtime.net import Address, HttpConnectionFailed, Net
 
 SECOND = 1_000_000
-MILLI = 1_000
+MILLISECOND = 1_000
 
 __all__ = [
-    "MILLI",
+    "MILLISECOND",
     "SECOND",
     "Address",
     "Disk",
@@ -29,29 +29,29 @@
     "MemoryDisk",
     "Net",
     "NoDisk",
-    "Seams",
+    "Runtime",
     "PauseDetector",
     "fingerprint",
-    "in_thread",
-    "now",
-    "rest",
+    "run_in_thread",
+    "monotonic_us",
+    "sleep_us",
     "sealed",
     "unsealed",
-    "until",
+    "deadline_scope",
 ]
 
 
-def now() -> int:
+def monotonic_us() -> int:
     """The monotonic clock."""
     return round(trio.current_time() * SECOND)  # rounded: a scope that ended at x is not before x
 
 
-async def rest(us: int) -> None:
+async def sleep_us(us: int) -> None:
     """Sleep."""
     await trio.sleep(max(0, us) / SECOND)
 
 
-def until(deadline: int) -> trio.CancelScope:
+def deadline_scope(deadline: int) -> trio.CancelScope:
     """A cancel scope that ends at a deadline."""
     return trio.CancelScope(deadline=deadline / SECOND)
 
@@ -79,17 +79,17 @@
     return hashlib.blake2b(data, key=key, digest_size=16).hexdigest()
 
 
-async def in_thread(work: Callable, *args: Any) -> Any:
+async def run_in_thread(work: Callable, *args: Any) -> Any:
     """Heavy work beside the loop, so that beats and calls go on meanwhile."""
     return await trio.to_thread.run_sync(work, *args)
 
 
 @dataclass
-class Seams:
+class Runtime:
     """What a node has of the world; a simulation gives its own."""
 
     net: Net
     disk: Disk = field(default_factory=NoDisk)
     rng: random.Random = field(default_factory=random.Random)
-    apart: object = in_thread
-    wall: object = lambda: time.time_ns() // 1000  # only to order incarnations and for records
+    offload: object = run_in_thread
+    wall_us: object = lambda: time.time_ns() // 1000  # only to order incarnations and for records
--- a/packages/simulator/meadowdock/simulator/checkers.py
+++ b/packages/simulator/meadowdock/simulator/checkers.py
@@ -11,9 +11,9 @@
 from itertools import accumulate
 
 SECOND = 1_000_000
-MILLI = 1_000
+MILLISECOND = 1_000
 IN_FORCE = 2 * SECOND
-STEP_BACK = 250 * MILLI
+STEP_BACK = 250 * MILLISECOND
 TELLS = SECOND  # a proxy kept from the core for so long must say so with an older version
 WINDOW = 10 * SECOND
 RETURN = 15 * SECOND
--- a/packages/simulator/meadowdock/simulator/disk.py
+++ b/packages/simulator/meadowdock/simulator/disk.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from meadowdock.runtime import MemoryDisk, rest
+from meadowdock.runtime import MemoryDisk, sleep_us
 
 
 class SimDisk(MemoryDisk):
@@ -32,7 +32,7 @@
     async def step(self, shield):
         if self.stalled is not None:
             await self.stalled.wait()
-        await rest(self.step_us)
+        await sleep_us(self.step_us)
         self.steps += 1
         if self.lose_at is not None and self.steps >= self.lose_at:
             self.lose_at = None
--- a/packages/simulator/meadowdock/simulator/faults.py
+++ b/packages/simulator/meadowdock/simulator/faults.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from meadowdock.runtime import MILLI, SECOND, now, rest, until
+from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
 STORM = 20 * SECOND
 # kind -> (weight in the draw, what it does with (day, place, span))
@@ -45,7 +45,7 @@
                     rng.randrange(0, STORM * 3 // 4),
                     rng.choice(kinds),
                     rng.randrange(60),
-                    rng.randrange(300 * MILLI, 5 * SECOND),
+                    rng.randrange(300 * MILLISECOND, 5 * SECOND),
                 )
                 for _ in range(rng.randint(1, most))
             ),
@@ -104,7 +104,7 @@
     """Two halls, the second a little later."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(day.down_and_up, day.on(day.hall(place)), span, day.power)
-        await rest(span // 3)
+        await sleep_us(span // 3)
         await day.down_and_up(day.on(day.hall(place + 1)), span // 2, day.power)
 
 
@@ -154,11 +154,11 @@
         await world.start("mdconf", new)
         facts = {"old": f"{old}:7421", "new": f"{new}:7421"}
         changed = False
-        with until(now() + 6 * SECOND):
+        with deadline_scope(monotonic_us() + 6 * SECOND):
             while not changed:
                 core = next((i for i, h in enumerate(world.core) if h != old), 0)
                 changed = await day.told_members(facts, core)
-                await rest(300 * MILLI)
+                await sleep_us(300 * MILLISECOND)
         if changed:
             world.core[world.core.index(old)] = new
         gone = old if changed else new
@@ -177,12 +177,12 @@
             return
         host = chosen[1]
         day.world.kill(f"endpoint@{host}:8000")
-        await rest(span)
+        await sleep_us(span)
         own = day.world.application[host]
         other = service_of(own)
         if other != own:
             await day.place_endpoint(host, other, wait=False)
-            await rest(2 * SECOND)
+            await sleep_us(2 * SECOND)
             day.world.kill(f"endpoint@{host}:8000")
         await day.place_endpoint(host, own, wait=False)
 
@@ -206,29 +206,29 @@
         host = chosen[1]
         endpoint = day.endpoints[host]
         endpoint.draining = True
-        with until(now() + 3 * SECOND):
+        with deadline_scope(monotonic_us() + 3 * SECOND):
             while endpoint.token is None:
-                await rest(50 * MILLI)
+                await sleep_us(50 * MILLISECOND)
             status, _ = await endpoint.tell(
                 "/md/beat",
                 {"token": endpoint.token, "capacity": endpoint.capacity, "draining": True},
             )
             if status == 200:
-                day.history.drains[endpoint.incarnation] = now()
-        await rest(max(span, 3 * SECOND))
+                day.history.drains[endpoint.incarnation] = monotonic_us()
+        await sleep_us(max(span, 3 * SECOND))
         day.world.kill(f"endpoint@{host}:8000")
         await day.place_endpoint(host, day.world.application[host], wait=False)
 
 
 @kind(2)
 async def slow(day, place, span):
-    await day.turn([place], span, took_us=600 * MILLI)
+    await day.turn([place], span, took_us=600 * MILLISECOND)
 
 
 @kind(2)
 async def overload(day, place, span):
     """Every endpoint so slow that all calls together are beyond all capacity."""
-    await day.turn(range(len(day.knobs)), span, took_us=900 * MILLI)
+    await day.turn(range(len(day.knobs)), span, took_us=900 * MILLISECOND)
 
 
 @kind(3)
@@ -245,7 +245,7 @@
 async def lose_answers(day, place, span):
     address = sorted(day.knobs)[place % len(day.knobs)]
     day.world.web.losing[address] = 0.5
-    await rest(span)
+    await sleep_us(span)
     day.world.web.losing.pop(address, None)
 
 
@@ -258,7 +258,7 @@
 
 async def cut(day, pairs, span):
     day.world.web.cuts |= pairs
-    await rest(span)
+    await sleep_us(span)
     day.world.web.mend(pairs)
 
 
@@ -305,23 +305,23 @@
     for process in list(day.world.processes.values()):
         if process.host == host:
             process.net.reset()
-    await rest(0)
+    await sleep_us(0)
 
 
 @kind(2)
 async def slow_links(day, place, span):
     """A machine whose every message takes 20 to 120 ms more, each another time."""
     host = day.everybody()[place % len(day.everybody())]
-    day.world.web.slow[host] = 20 * MILLI, 120 * MILLI
-    await rest(span)
+    day.world.web.slow[host] = 20 * MILLISECOND, 120 * MILLISECOND
+    await sleep_us(span)
     day.world.web.slow.pop(host, None)
 
 
 @kind(2)
 async def late_lists(day, place, span):
     """Load lists that come late, or not at all."""
-    day.world.meddle["load.list"] = None if place % 2 else 700 * MILLI
-    await rest(span)
+    day.world.meddle["load.list"] = None if place % 2 else 700 * MILLISECOND
+    await sleep_us(span)
     day.world.meddle.pop("load.list", None)
 
 
@@ -379,7 +379,7 @@
         if not names:
             return
         disk.rot(names[place % len(names)])
-        await rest(span)
+        await sleep_us(span)
         if place % 2:  # and then it is started on it
             await day.down_and_up([chosen], SECOND, day.kill, held=True)
             await day.repaired(chosen[1])
@@ -392,7 +392,7 @@
             return
         disk = day.world.disks["mdconf", chosen[1]]
         disk.stalled = trio.Event()
-        await rest(span)
+        await sleep_us(span)
         stalled, disk.stalled = disk.stalled, None
         stalled.set()
 
@@ -400,8 +400,8 @@
 @kind(2)
 async def slow_disk(day, place, span):
     disk = day.world.disks["mdconf", day.world.core[place % len(day.world.core)]]
-    disk.step_us = 40 * MILLI
-    await rest(span)
+    disk.step_us = 40 * MILLISECOND
+    await sleep_us(span)
     disk.step_us = 300
 
 
@@ -409,7 +409,7 @@
 async def full_disk(day, place, span):
     disk = day.world.disks["mdconf", day.world.core[place % len(day.world.core)]]
     disk.full = True
-    await rest(span)
+    await sleep_us(span)
     disk.full = False
 
 
@@ -421,10 +421,10 @@
     """Invalid ones, racing with what the operators do anyway."""
     for number in range(3):
         await day.break_manifest(place + number)
-        await rest(span // 3)
+        await sleep_us(span // 3)
 
 
 @kind(1)
 async def large_manifest(day, place, span):
     """Many hundreds of ways, racing with small changes."""
-    await day.change(f"large{place}-{now()}", place % len(day.world.core), ways=600)
+    await day.change(f"large{place}-{monotonic_us()}", place % len(day.world.core), ways=600)
--- a/packages/simulator/meadowdock/simulator/net.py
+++ b/packages/simulator/meadowdock/simulator/net.py
@@ -6,7 +6,14 @@
 
 import trio
 
-from meadowdock.runtime import SECOND, Address, HttpConnectionFailed, now, rest, until
+from meadowdock.runtime import (
+    SECOND,
+    Address,
+    HttpConnectionFailed,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
 from meadowdock.simulator.wires import SimWires
 
 
@@ -37,13 +44,13 @@
         """How long it takes until the last byte is through both hosts' links, behind what was sent
         over them before."""
         self.received[receiver] += size
-        through = now()
+        through = monotonic_us()
         for end in ((sender, "out"), (receiver, "in")):
             if end[0] in self.rates:
                 through = max(through, self.busy.get(end, 0))
                 through += size * SECOND // self.rates[end[0]]
                 self.busy[end] = through
-        return through - now()
+        return through - monotonic_us()
 
     def cut(self, a, b, both=True):
         self.cuts |= {(a, b), *([(b, a)] if both else [])}
@@ -60,7 +67,7 @@
 
     async def carry(self, a, b):
         """The time on the way from a to b; longer than any cut between them."""
-        await rest(self.delay(a, b))
+        await sleep_us(self.delay(a, b))
         while (a, b) in self.cuts:
             await self.healed.wait()
 
@@ -86,7 +93,7 @@
         last = self.inbox[-1][0] if self.inbox else 0
         takes = self.web.delay(self.here, self.there)
         takes += self.web.transmit(self.there, self.here, len(data))
-        self.inbox.append((max(last, now() + takes), data))
+        self.inbox.append((max(last, monotonic_us() + takes), data))
         self.news.set()
 
     async def receive_some(self, max_bytes=None):
@@ -100,13 +107,18 @@
                 at, data = self.inbox[0]
                 if (self.there, self.here) in self.web.cuts:
                     await self.wait(self.web.healed)
-                elif now() < at:
-                    with until(at):
+                elif monotonic_us() < at:
+                    with deadline_scope(at):
                         await self.news_or_forever()
                 else:
                     self.inbox.popleft()
                     # as a socket's buffer: all that has come is read at once, up to an end
-                    while data and self.inbox and self.inbox[0][0] <= now() and self.inbox[0][1]:
+                    while (
+                        data
+                        and self.inbox
+                        and self.inbox[0][0] <= monotonic_us()
+                        and self.inbox[0][1]
+                    ):
                         data += self.inbox.popleft()[1]
                     return data
             else:
@@ -186,7 +198,7 @@
         await stopping.wait()
         if self.web.apps.get(address, (None, None))[1] is self:
             del self.web.apps[address]
-        with until(now() + grace_us):
+        with deadline_scope(monotonic_us() + grace_us):
             await app.idle()
 
     def http(self, address, limit=4 << 20):
@@ -242,7 +254,7 @@
             sent = True
             call = next((v for n, v in headers if n == b"md-call"), None)
             if call is not None:
-                web.sendings.append((now(), "endpoint", call.decode()))
+                web.sendings.append((monotonic_us(), "endpoint", call.decode()))
             if started:
                 started()
             answer = await self.exchange(app, net, method, target, headers, body)
--- a/packages/simulator/meadowdock/simulator/overload.py
+++ b/packages/simulator/meadowdock/simulator/overload.py
@@ -10,12 +10,12 @@
 
 import trio
 
-from meadowdock.runtime import MILLI, SECOND, now, rest, until
+from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 from meadowdock.simulator.scenario import manifest
 from meadowdock.simulator.world import run
 
 STEP = 200  # us; a call served at home takes a proxy about 13 turns
-HOSTS, SLOTS, TOOK = 4, 4, 20 * MILLI  # each endpoint can do 200 calls a second
+HOSTS, SLOTS, TOOK = 4, 4, 20 * MILLISECOND  # each endpoint can do 200 calls a second
 SPAN = 4 * SECOND
 
 
@@ -30,7 +30,7 @@
 
     def take(self, process, task, outcome):
         core = heapq.heappop(self.free)
-        end = max(now(), core, process.busy_until) + self.step_us
+        end = max(monotonic_us(), core, process.busy_until) + self.step_us
         process.busy_until = end
         heapq.heappush(self.free, end)
         heapq.heappush(self.turns, (end, next(self.order), process, task, outcome))
@@ -40,8 +40,8 @@
         try:
             while True:
                 self.sooner = trio.Event()
-                self.give(now())
-                with until(self.turns[0][0]) if self.turns else trio.CancelScope():
+                self.give(monotonic_us())
+                with deadline_scope(self.turns[0][0]) if self.turns else trio.CancelScope():
                     await self.sooner.wait()
         finally:
             self.give(float("inf"))
@@ -61,11 +61,11 @@
         await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
 
         async def work(got):
-            await rest(TOOK)
+            await sleep_us(TOOK)
             return 200, {"path": got.path}
 
         await world.endpoint(host, "desk", work, capacity=SLOTS)
-    await rest(2 * SECOND)
+    await sleep_us(2 * SECOND)
     processors = [Processors(HOSTS if shared else 1) for _ in range(1 if shared else HOSTS)]
     for index, host in enumerate(world.application):
         world.processes[f"mdproxy@{host}"].processors = processors[index % len(processors)]
@@ -75,28 +75,28 @@
     gap = TOOK / SLOTS / factor
 
     async def call(client):
-        begun = now()
+        begun = monotonic_us()
         result = await client.call("GET", "/balances/1")
         if result.value_or(None) is not None:
             found["answered"] += 1
-            took.append(now() - begun)
+            took.append(monotonic_us() - begun)
         else:
             found[result.failure().code] += 1
 
     async def arrivals(host):
         rng = random.Random(f"{world.seed}{host}")
         client = world.client(host)
-        end = now() + span
-        while now() < end:
+        end = monotonic_us() + span
+        while monotonic_us() < end:
             world.nursery.start_soon(call, client)
             found["offered"] += 1
-            await rest(int(rng.expovariate(1 / gap)))
+            await sleep_us(int(rng.expovariate(1 / gap)))
 
     sent = len(world.web.sendings)
     async with trio.open_nursery() as nursery:
         for host in world.application:
             nursery.start_soon(arrivals, host)
-    await rest(6 * SECOND)
+    await sleep_us(6 * SECOND)
     found["spilled"] = sum(kind == "spill" for _, kind, _ in world.web.sendings[sent:])
     found["shed"] = sum(
         n
@@ -134,6 +134,6 @@
         lines.append(
             f"| {factor} | {got['offered']} | {got['answered']} | {got['answered'] / capacity:.2f} "
             f"| {refused} | {rest_of} | {got['spilled'] / got['offered']:.3f} "
-            f"| {got['shed'] / got['offered']:.3f} | {got['p99_us'] / MILLI:.0f} |"
+            f"| {got['shed'] / got['offered']:.3f} | {got['p99_us'] / MILLISECOND:.0f} |"
         )
     return "\n".join(lines)
--- a/packages/simulator/meadowdock/simulator/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -7,7 +7,7 @@
 from collections.abc import Container
 from functools import partial
 
-from meadowdock.runtime import SECOND, now, rest
+from meadowdock.runtime import SECOND, monotonic_us, sleep_us
 from meadowdock.simulator.scale.fleet import Hollow
 from meadowdock.simulator.scale.meter import group_of
 from meadowdock.simulator.scale.places import CHANGED_WAIT_US
@@ -27,12 +27,12 @@
     await fleet.up()
     collector = next(node for node in fleet.core("mdreg") if node.daemon.epoch is not None)
     rounds, before = collector.daemon.seq, fleet.meter.taken()
-    await rest(window)
+    await sleep_us(window)
     rounds, steady = collector.daemon.seq - rounds, fleet.meter.since(before)
     states, links = states_of(fleet), links_of(fleet)
     before = fleet.meter.taken()
     took, _ = await fleet.change(CHANGED_WAIT_US)
-    await rest(SECOND)
+    await sleep_us(SECOND)
     changed = fleet.meter.since(before)
     names = names_of_roles(fleet, collector)
     deliverer = names.pop("deliverer")
@@ -74,7 +74,7 @@
     """How many links a proxy has, and how old the fleet is."""
     return {
         "mdproxy": statistics.mean(len(proxy.links.links) for proxy in fleet.proxies()),
-        "age_s": now() / SECOND,
+        "age_s": monotonic_us() / SECOND,
     }
 
 
--- a/packages/simulator/meadowdock/simulator/scale/faults.py
+++ b/packages/simulator/meadowdock/simulator/scale/faults.py
@@ -4,7 +4,7 @@
 
 from functools import partial
 
-from meadowdock.runtime import SECOND, now, rest
+from meadowdock.runtime import SECOND, monotonic_us, sleep_us
 from meadowdock.simulator.scale.fleet import Hollow
 from meadowdock.simulator.scale.places import CHANGED_WAIT_US, VOTERS
 from meadowdock.simulator.world import run
@@ -17,7 +17,7 @@
 
 async def peak(fleet, since):
     """Most KB that one proxy sent and received in one second, until 5 s after the fault's end."""
-    await rest(5 * SECOND)
+    await sleep_us(5 * SECOND)
     return max(
         size / 1000
         for (node, second), size in fleet.meter.by_second.items()
@@ -29,7 +29,7 @@
     """A tenth of the proxies is killed at once."""
     fleet = Hollow(world, n)
     await fleet.up()
-    begun = now()
+    begun = monotonic_us()
     for host in list(world.application)[: n // 10]:
         world.kill(f"mdproxy@{host}")
     took, _ = await fleet.change(CHANGED_WAIT_US)
@@ -37,7 +37,7 @@
     return {
         "hit": f"{n // 10} proxies killed at once",
         "change_s": took,
-        "lists_right_s": (now() - begun) / SECOND,
+        "lists_right_s": (monotonic_us() - begun) / SECOND,
         "peak_kb_s": await peak(fleet, begun),
     }
 
@@ -54,13 +54,13 @@
     """Some zones are cut off for a time, and the configuration changes meanwhile."""
     fleet = Hollow(world, n)
     await fleet.up()
-    begun = now()
+    begun = monotonic_us()
     away = cut_off(world, zones)
     inside = [proxy for proxy in fleet.proxies() if proxy.boot.host not in away]
     store = next(k for k, host in enumerate(world.core[:VOTERS]) if host not in away)
     took, version = await fleet.change(CHANGED_WAIT_US, store, inside)
-    await rest(begun + lasting - now())
-    healed = now()
+    await sleep_us(begun + lasting - monotonic_us())
+    healed = monotonic_us()
     world.web.heal()
     back = await fleet.wanted(partial(fleet.in_force, version))
     await fleet.wanted(fleet.whole)
@@ -69,7 +69,7 @@
         f"cut off for {lasting // SECOND} s",
         "change_s": took,
         "everywhere_after_heal_s": back / SECOND,
-        "lists_right_s": (now() - healed) / SECOND,
+        "lists_right_s": (monotonic_us() - healed) / SECOND,
         "peak_kb_s": await peak(fleet, begun),
     }
 
@@ -78,19 +78,19 @@
     """A fifth of the proxies is restarted, one after another; the configuration changes midway."""
     fleet = Hollow(world, n)
     await fleet.up()
-    begun, slowest = now(), 0
+    begun, slowest = monotonic_us(), 0
     hosts = list(world.application)[::5]
     for index, host in enumerate(hosts):
         await world.stop(f"mdproxy@{host}")
         if index == len(hosts) // 2:
             slowest, _ = await fleet.change(CHANGED_WAIT_US)
         await fleet.start_proxy(host)
-    over = now()
+    over = monotonic_us()
     await fleet.wanted(fleet.whole)
     return {
         "hit": f"{len(hosts)} proxies stopped and started, one after another",
         "change_s": slowest,
-        "lists_right_s": (now() - over) / SECOND,
+        "lists_right_s": (monotonic_us() - over) / SECOND,
         "peak_kb_s": await peak(fleet, begun),
     }
 
--- a/packages/simulator/meadowdock/simulator/scale/fleet.py
+++ b/packages/simulator/meadowdock/simulator/scale/fleet.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator.net import SimNet
 from meadowdock.simulator.scale.meter import Meter, Metered, metered
 from meadowdock.simulator.scale.places import VOTERS, manifest, places
@@ -15,7 +15,7 @@
 SETTLING = 6 * SECOND  # past every first greeting and the first epoch
 CHANGE_WITHIN = 30 * SECOND
 HOLLOW_CAPACITY = 4
-HOLLOW_HEARTBEAT = 400 * MILLI
+HOLLOW_HEARTBEAT = 400 * MILLISECOND
 
 
 def count_links(world, meter):
@@ -49,10 +49,12 @@
 async def stand_in(node, service):
     """An endpoint that is always there and idle, told to the proxy's book without a socket."""
     book, host = node.daemon.book, node.boot.host
-    token = book.enrol(service, f"{host}:8000", "hollow", HOLLOW_CAPACITY, now(), node.seams.wall())
+    token = book.enrol(
+        service, f"{host}:8000", "hollow", HOLLOW_CAPACITY, monotonic_us(), node.runtime.wall_us()
+    )
     while not node.stopping:
-        book.beat(token, HOLLOW_CAPACITY, False, 0.1, now())
-        await rest(HOLLOW_HEARTBEAT)
+        book.beat(token, HOLLOW_CAPACITY, False, 0.1, monotonic_us())
+        await sleep_us(HOLLOW_HEARTBEAT)
 
 
 def listed(daemon):
@@ -100,7 +102,7 @@
         await self.wanted(lambda: not any(node.not_ready() for node in self.core("mdconf")))
         await world.configure(manifest(self.n))
         await self.wanted(self.whole)
-        await rest(SETTLING)
+        await sleep_us(SETTLING)
 
     async def wanted(self, check, within=60 * SECOND):
         """Wait until check() is true; gives how long that took."""
@@ -118,13 +120,13 @@
 
     async def change(self, wait_us, core=0, among=None):
         """One change, from the operator's confirm until it is in force: (seconds, version)."""
-        begun, version = now(), None
+        begun, version = monotonic_us(), None
         while version is None:
             try:
                 version = await self.world.configure(manifest(self.n, wait_us), core)
             except AssertionError:  # refused while the register's majority forms again
-                if now() - begun > CHANGE_WITHIN:
+                if monotonic_us() - begun > CHANGE_WITHIN:
                     raise
-                await rest(200 * MILLI)
+                await sleep_us(200 * MILLISECOND)
         await self.wanted(partial(self.in_force, version, among))
-        return (now() - begun) / SECOND, version
+        return (monotonic_us() - begun) / SECOND, version
--- a/packages/simulator/meadowdock/simulator/scale/loopback.py
+++ b/packages/simulator/meadowdock/simulator/scale/loopback.py
@@ -12,7 +12,16 @@
 
 from meadowdock.logs import Log
 from meadowdock.process import Node
-from meadowdock.runtime import MILLI, SECOND, Disk, Net, NoDisk, Seams, now, rest
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    Disk,
+    Net,
+    NoDisk,
+    Runtime,
+    monotonic_us,
+    sleep_us,
+)
 from meadowdock.settings import checked
 from meadowdock.simulator.scale.fleet import stand_in
 from meadowdock.simulator.scale.meter import ANY_METHOD, Meter, Unread, metered
@@ -71,13 +80,13 @@
         boot = self.boot(role, host)
         net = self.net(host)
         net.meter, net.node = self.meter, boot.name
-        seams = Seams(net, Disk(boot.data) if boot.data else NoDisk())
+        runtime = Runtime(net, Disk(boot.data) if boot.data else NoDisk())
         up = trio.Event()
 
         async def work():
             current_node.set(boot.name)
             async with trio.open_nursery() as nursery:
-                node = Node(boot, seams, nursery, Log(boot.name, self.log))
+                node = Node(boot, runtime, nursery, Log(boot.name, self.log))
                 await nursery.start(node.run, PARTS[role])
                 self.nodes[boot.name] = node
                 if role == "mdproxy":
@@ -96,12 +105,12 @@
     async def operate(self, path, body):
         """One order to the first core machine, again until it is taken; gives the answer."""
         address, here = f"{self.core[0]}:7420", next(iter(self.application))
-        deadline = now() + OPERATE_WITHIN
-        while now() < deadline:
+        deadline = monotonic_us() + OPERATE_WITHIN
+        while monotonic_us() < deadline:
             answer = await Net(here).http(address).request("POST", path, [], body)
             if answer[0] == 200:
                 return json.loads(answer[2])
-            await rest(200 * MILLI)
+            await sleep_us(200 * MILLISECOND)
         raise RuntimeError(f"{path}: {answer}")
 
 
--- a/packages/simulator/meadowdock/simulator/scale/meter.py
+++ b/packages/simulator/meadowdock/simulator/scale/meter.py
@@ -8,7 +8,7 @@
 
 from meadowdock.rpc.frame import LENGTH, SEAL
 from meadowdock.rpc.link import CALL, unpack
-from meadowdock.runtime import SECOND, now
+from meadowdock.runtime import SECOND, monotonic_us
 
 GREETING = "greeting"
 ANY_METHOD = "any"  # of bytes whose frames weren't opened
@@ -42,7 +42,7 @@
         """Count one frame."""
         self.frames[node, method, direction] += 1
         self.bytes[node, method, direction] += size
-        self.by_second[node, now() // SECOND] += size
+        self.by_second[node, monotonic_us() // SECOND] += size
 
     def taken(self):
         """Copies of the counts of frames and of bytes so far."""
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -12,7 +12,15 @@
 from meadowdock import audit
 from meadowdock.admin_http import Table
 from meadowdock.client import Endpoint, Record
-from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest, until
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    HttpConnectionFailed,
+    MemoryDisk,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
 from meadowdock.simulator.checkers import verify
 from meadowdock.simulator.faults import KINDS, draw
 from meadowdock.simulator.history import Asked, History, Operated, Ran
@@ -20,9 +28,9 @@
 from meadowdock.simulator.world import run
 
 CALM = 17 * SECOND
-BUSY, QUIET = 60 * MILLI, 150 * MILLI  # mean gap between calls at one machine
-KNOBS = {"took_us": 15 * MILLI, "garbage": 0.0}  # of a healthy endpoint
-LOOK = 25 * MILLI
+BUSY, QUIET = 60 * MILLISECOND, 150 * MILLISECOND  # mean gap between calls at one machine
+KNOBS = {"took_us": 15 * MILLISECOND, "garbage": 0.0}  # of a healthy endpoint
+LOOK = 25 * MILLISECOND
 # never what was asked for; beside these an answer may be another call's, header and all
 GARBAGE = [b'{"uid": ', b"", b'{"uid": "x"} {}', b"\xff\xfe", b"NaN"]
 REPAIR = 12 * SECOND  # a blank disk is a member again by then
@@ -127,9 +135,9 @@
         async def handle(got):
             kind, uid = got.path.strip("/").split("/")[:2]
             self.history.ran.append(
-                Ran(uid, kind, got.caller, now(), service, address, made.incarnation)
+                Ran(uid, kind, got.caller, monotonic_us(), service, address, made.incarnation)
             )
-            await rest(int(knobs["took_us"] * self.rng.uniform(0.5, 1.5)))
+            await sleep_us(int(knobs["took_us"] * self.rng.uniform(0.5, 1.5)))
             if self.rng.random() < knobs["garbage"]:
                 made.spoilt = self.rng.choice([*GARBAGE, made.last or GARBAGE[0]])
             return 200, {"uid": uid, "caller": got.caller, "whole": True}
@@ -150,13 +158,13 @@
         asked = await self.send(uid, host, kind, caller, token, keyed)
         if keyed and asked.verdict == "may-have-run" and self.rng.random() < 0.8:
             # the caller wants to know: at the same machine or another, soon or later
-            await rest(self.rng.randrange(50 * MILLI, 3 * SECOND))
+            await sleep_us(self.rng.randrange(50 * MILLISECOND, 3 * SECOND))
             desks = [h for h, service in self.world.application.items() if service == "desk"]
             again = host if self.rng.random() < 0.5 else self.rng.choice(desks)
             await self.send(uid, again, kind, caller, token, keyed, repeat=True)
 
     async def send(self, uid, host, kind, caller, token, keyed, repeat=False):
-        asked = Asked(uid, host, kind, caller, now())
+        asked = Asked(uid, host, kind, caller, monotonic_us())
         self.history.asked.append(asked)
         net = SimNet(self.world.web, host)
         net.home = self.world.nursery
@@ -171,7 +179,7 @@
             nonlocal sent
             sent = True
 
-        with until(now() + 6 * SECOND):
+        with deadline_scope(monotonic_us() + 6 * SECOND):
             try:
                 status, headers, answer = await net.http(f"{host}:7400").request(
                     "POST" if once else "GET", f"/{kind}/{uid}", lines, body, started
@@ -179,7 +187,7 @@
                 asked.heard(status, headers, answer)
             except HttpConnectionFailed:
                 asked.broke(sent or repeat)
-        asked.answered = now()
+        asked.answered = monotonic_us()
         return asked
 
     async def probe(self, host):
@@ -187,17 +195,17 @@
         while not self.over:
             self.ready[host] = False
             try:
-                with until(now() + SECOND):
+                with deadline_scope(monotonic_us() + SECOND):
                     status, _, _ = await self.world.http(host, "GET", f"{host}:7400", "/ready")
                     self.ready[host] = status == 200
             except HttpConnectionFailed:
                 pass
-            await rest(SECOND)
+            await sleep_us(SECOND)
 
     async def callers(self, host):
         while not self.over:
             gap_us = QUIET if self.history.calm_from else BUSY
-            await rest(int(self.rng.expovariate(1 / gap_us)))
+            await sleep_us(int(self.rng.expovariate(1 / gap_us)))
             if not self.ready.get(host, True):
                 continue
             service = self.world.application[host]
@@ -212,15 +220,15 @@
 
     async def change(self, mark, core, ways=0):
         base = 0
-        start = now()
+        start = monotonic_us()
         done = Operated("confirm", start, start, "refused", mark=mark)
         try:
-            with until(now() + 15 * SECOND):
+            with deadline_scope(monotonic_us() + 15 * SECOND):
                 status, told = await self.world.operate("POST", "/plan", manifest(mark, ways), core)
                 if status != 200 or not told["plan"]:
                     return
                 base = told["base"]
-                done.start, done.outcome, done.base = now(), "unclear", base
+                done.start, done.outcome, done.base = monotonic_us(), "unclear", base
                 self.history.operated.append(done)
                 status, told = await self.world.operate(
                     "POST", "/confirm", {"plan": told["plan"]}, core
@@ -232,12 +240,12 @@
         except HttpConnectionFailed:
             pass
         finally:
-            done.end = now()
+            done.end = monotonic_us()
 
     async def read(self, core):
-        done = Operated("read", now(), 0, "refused")
+        done = Operated("read", monotonic_us(), 0, "refused")
         try:
-            with until(now() + 8 * SECOND):
+            with deadline_scope(monotonic_us() + 8 * SECOND):
                 status, told = await self.world.operate("GET", "/manifest", core=core)
                 if status == 200:
                     done.outcome, done.version = "ok", told["version"]
@@ -247,14 +255,14 @@
                     done.mark = marks[0] if marks else ""
         except HttpConnectionFailed:
             pass
-        done.end = now()
+        done.end = monotonic_us()
         self.history.operated.append(done)
         return done.outcome == "ok"
 
     async def break_manifest(self, how):
-        mark = f"broken{how}-{now()}"
+        mark = f"broken{how}-{monotonic_us()}"
         try:
-            with until(now() + 8 * SECOND):
+            with deadline_scope(monotonic_us() + 8 * SECOND):
                 status, told = await self.world.operate(
                     "POST", "/plan", broken(mark, how), how % len(self.world.core)
                 )
@@ -285,7 +293,7 @@
                 number += 1
                 self.world.nursery.start_soon(self.change, f"m{number}", self.rng.randrange(cores))
             self.world.nursery.start_soon(self.read, self.rng.randrange(cores))
-            await rest(self.rng.randrange(SECOND, 4 * SECOND))
+            await sleep_us(self.rng.randrange(SECOND, 4 * SECOND))
 
     # ------------------------------------------------------------ faults
 
@@ -295,7 +303,7 @@
                 nursery.start_soon(self.strike, fault)
 
     async def strike(self, fault):
-        await rest(self.begun + fault.at - now())
+        await sleep_us(self.begun + fault.at - monotonic_us())
         await self.strikes[fault.kind](fault.place, fault.span)
 
     @contextmanager
@@ -353,7 +361,7 @@
         self.touched |= set(mine)
         for role, host in mine:
             end(role, host)
-        await rest(span)
+        await sleep_us(span)
         async with trio.open_nursery() as nursery:
             for role, host in mine:
                 nursery.start_soon(self.start, role, host)
@@ -369,11 +377,11 @@
         with self.hold(options, place) as chosen:
             if chosen is None:
                 return
-            begun = now()
+            begun = monotonic_us()
             await self.world.stop(self.name(*chosen))
             if chosen[0] == "mdproxy":
-                self.history.stops.append((chosen[1], begun, now()))
-            await rest(span // 4)
+                self.history.stops.append((chosen[1], begun, monotonic_us()))
+            await sleep_us(span // 4)
             await self.start(*chosen)
 
     async def freeze(self, options, place, span):
@@ -382,7 +390,7 @@
                 return
             process = self.world.processes[self.name(*chosen)]
             process.freeze()
-            await rest(span)
+            await sleep_us(span)
             process.wake()
 
     async def turn(self, places, span, **changes):
@@ -390,7 +398,7 @@
         turned = [self.knobs[addresses[place % len(addresses)]] for place in places]
         for knobs in turned:
             knobs.update(changes)
-        await rest(span)
+        await sleep_us(span)
         for knobs in turned:
             knobs.update({name: KNOBS[name] for name in changes})  # whoever else turned them
 
@@ -405,7 +413,7 @@
         for role, host in chosen:
             self.power(role, host)
             self.world.lose_disk(role, host)
-        await rest(span)
+        await sleep_us(span)
         async with trio.open_nursery() as nursery:
             for role, host in chosen:
                 nursery.start_soon(self.world.start, role, host)
@@ -416,9 +424,9 @@
     async def repaired(self, host):
         """Wait until a member whose disk was lost votes again. Invariant: a host stays in blank
         until then, however long that takes."""
-        with until(now() + REPAIR) as limit:
+        with deadline_scope(monotonic_us() + REPAIR) as limit:
             while (await self.why_not(host)) != []:
-                await rest(200 * MILLI)
+                await sleep_us(200 * MILLISECOND)
         if limit.cancelled_caught:
             self.history.unrepaired.append(host)
         else:
@@ -461,18 +469,18 @@
 
     async def watch(self):
         """Keeps history.away: looks often, and takes a doubtful moment as away."""
-        last = now()
+        last = monotonic_us()
         while True:
             for host in self.world.application:
                 spans = self.history.away.setdefault(host, [])
                 if self.in_contact(host):
                     continue
                 if spans and spans[-1][1] >= last:
-                    spans[-1][1] = now() + LOOK
+                    spans[-1][1] = monotonic_us() + LOOK
                 else:
-                    spans.append([last, now() + LOOK])
-            last = now()
-            await rest(LOOK)
+                    spans.append([last, monotonic_us() + LOOK])
+            last = monotonic_us()
+            await sleep_us(LOOK)
 
     # ------------------------------------------------------------ the day
 
@@ -480,14 +488,16 @@
         world = self.world
         await world.whole()
         await world.eventually(lambda: not world.node("mdconf", world.core[0]).not_ready())
-        start = now()
+        start = monotonic_us()
         version = await world.configure(manifest("m0"))
-        self.history.operated.append(Operated("confirm", start, now(), "ok", version, "m0"))
+        self.history.operated.append(
+            Operated("confirm", start, monotonic_us(), "ok", version, "m0")
+        )
         for host, service in world.application.items():
             await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
             await self.place_endpoint(host, service)
-        await rest(SECOND)
-        self.begun = now()
+        await sleep_us(SECOND)
+        self.begun = monotonic_us()
         self.history.sendings = world.web.sendings
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.watch)
@@ -496,16 +506,16 @@
                 nursery.start_soon(self.callers, host)
             nursery.start_soon(self.operators)
             await self.storm()
-            self.history.calm_from = now()
-            await rest(CALM)
+            self.history.calm_from = monotonic_us()
+            await sleep_us(CALM)
             self.over = True
             nursery.cancel_scope.cancel()
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         for core in range(len(world.core)):
             if await self.read(core):
                 await self.check_trail(core)
                 break
-        self.history.end = now()
+        self.history.end = monotonic_us()
         return self.history
 
 
--- a/packages/simulator/meadowdock/simulator/standin/caller.py
+++ b/packages/simulator/meadowdock/simulator/standin/caller.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from meadowdock.runtime import MILLI, now
+from meadowdock.runtime import MILLISECOND, monotonic_us
 from meadowdock.simulator.standin.messages import Malformed, Reader, chunked
 from meadowdock.simulator.standin.records import Asked
 
@@ -57,7 +57,7 @@
         rows = [(b"Host", host), (self.ledger.dialect.call_id, id), *lines]
         if due_ms is not None:
             rows.append(self.deadline_row(due_ms))
-        made = Asked(id, method, target, host, body, self.service, now())
+        made = Asked(id, method, target, host, body, self.service, monotonic_us())
         made.data = request_bytes(method, target, rows, body, in_chunks)
         self.asked.append(made)
         self.reader.bare.append(method == b"HEAD")
@@ -69,7 +69,7 @@
     def deadline_row(self, due_ms):
         """The header that tells how long the call has."""
         words = self.ledger.dialect
-        return words.deadline, b"%d" % (due_ms * MILLI // words.deadline_unit_us)
+        return words.deadline, b"%d" % (due_ms * MILLISECOND // words.deadline_unit_us)
 
     def on_data(self, data):
         try:
@@ -86,16 +86,16 @@
             else:
                 made = self.asked.popleft()
                 made.status, made.lines, made.answer = status, lines, body
-                made.took = now() - made.at
+                made.took = monotonic_us() - made.at
                 made.done.set()
 
     def on_end(self, cause):
-        self.closed_at = now()
+        self.closed_at = monotonic_us()
         if self.reader.held:
             self.cut_short = self.reader.held
         while self.asked:
             made = self.asked.popleft()
-            made.ended, made.took = cause, now() - made.at
+            made.ended, made.took = cause, monotonic_us() - made.at
             made.done.set()
 
     def hang_up(self):
--- a/packages/simulator/meadowdock/simulator/standin/connection.py
+++ b/packages/simulator/meadowdock/simulator/standin/connection.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from meadowdock.runtime import now
+from meadowdock.runtime import monotonic_us
 from meadowdock.simulator.standin.messages import Malformed, Reader
 
 
@@ -34,11 +34,11 @@
         self.reader, self.behind = Reader(), deque()
         self.job = None
         self.again = b""  # a late second answer, in the place of the next one
-        self.quiet_since = now()
+        self.quiet_since = monotonic_us()
         self.over = False
 
     def on_data(self, data):
-        self.quiet_since = now()
+        self.quiet_since = monotonic_us()
         try:
             found = self.reader.feed(data)
         except (Malformed, ValueError) as cause:
@@ -58,7 +58,7 @@
             self.job = self.endpoint.came(self, first, lines, body)
 
     def say(self, data, keep=True):
-        self.job, self.quiet_since = None, now()
+        self.job, self.quiet_since = None, monotonic_us()
         self.wire.send(data)
         if keep:
             self.next()
--- a/packages/simulator/meadowdock/simulator/standin/endpoint.py
+++ b/packages/simulator/meadowdock/simulator/standin/endpoint.py
@@ -7,7 +7,7 @@
 import trio
 
 from meadowdock.forwarding.reactor import Reactor
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator.standin.connection import Conn, Job
 from meadowdock.simulator.standin.faults import FaultyAnswers
 from meadowdock.simulator.standin.messages import chunked, stamp_of
@@ -19,7 +19,9 @@
     a method fault_NAME. Invariants: running + queue hold the calls under way; journal holds each
     run, in order; turned holds (at, id, status) of those turned away, which don't run."""
 
-    def __init__(self, service, address, instance, dialect, slots=4, queue=4, work_us=10 * MILLI):
+    def __init__(
+        self, service, address, instance, dialect, slots=4, queue=4, work_us=10 * MILLISECOND
+    ):
         self.service, self.address = service, address
         self.instance, self.dialect = instance.encode(), dialect
         self.slots, self.queue_max, self.work_us = slots, queue, work_us
@@ -56,9 +58,9 @@
 
     async def watch_idle(self):
         while True:
-            await rest(20 * MILLI)
+            await sleep_us(20 * MILLISECOND)
             for conn in list(self.conns):
-                idle = conn.job is None and now() - conn.quiet_since > self.idle_us
+                idle = conn.job is None and monotonic_us() - conn.quiet_since > self.idle_us
                 if self.idle_us and idle:
                     conn.on_end("idle")
                     conn.wire.close()
@@ -67,9 +69,9 @@
         facts = {name.lower(): value for name, value in lines}
         words = self.dialect
         left = int(facts.get(words.deadline.lower(), b"60000")) * words.deadline_unit_us
-        job = Job(conn, first, lines, body, now() + left, now())
+        job = Job(conn, first, lines, body, monotonic_us() + left, monotonic_us())
         id = facts.get(words.call_id.lower())
-        self.came_at.append((now(), id))
+        self.came_at.append((monotonic_us(), id))
         if id is None:
             return self.turn_away(job, 400)
         wanted = facts.get(words.instance.lower(), self.instance)
@@ -96,17 +98,17 @@
 
     def turn_away(self, job, status):
         id = job.facts.get(self.dialect.call_id.lower(), b"")
-        self.turned.append((now(), id, status))
+        self.turned.append((monotonic_us(), id, status))
         self.nursery.start_soon(self.say_away, job, id, status)
         return job
 
     async def say_away(self, job, id, status):
-        await rest(1)
+        await sleep_us(1)
         lines = [(self.dialect.call_id, id), (self.dialect.not_run, b"1")]
         job.conn.say(self.answer(status, lines, b"turned away"))
 
     async def watch_queued(self, job):
-        await rest(job.due - now())
+        await sleep_us(job.due - monotonic_us())
         if job in self.queue:
             self.queue.remove(job)
             self.turn_away(job, 503)
@@ -114,7 +116,7 @@
     def begin(self, job):
         self.running.add(job)
         words = self.dialect
-        if job.due < now():
+        if job.due < monotonic_us():
             self.overdue += 1
         ran = Ran(
             job.facts[words.call_id.lower()],
@@ -126,7 +128,7 @@
             job.lines,
             self.instance,
             self.service,
-            now(),
+            monotonic_us(),
         )
         self.journal.append(ran)
         self.nursery.start_soon(self.work, job, ran)
@@ -137,16 +139,18 @@
             took *= 10
         status = 200
         if job.fault == "silence":
-            await rest(max(0, job.due - now()))  # its work ends with the time that it was given
+            await sleep_us(
+                max(0, job.due - monotonic_us())
+            )  # its work ends with the time that it was given
             self.ended(job)
             return
         if self.inner is not None:
             status = await self.call_on(job)
-        if now() + took > job.due:
-            await rest(max(0, job.due - now()))
+        if monotonic_us() + took > job.due:
+            await sleep_us(max(0, job.due - monotonic_us()))
             status = 504
         else:
-            await rest(took)
+            await sleep_us(took)
         self.running.discard(job)
         if not job.conn.over:
             self.answer_of(job, ran, status)
@@ -165,7 +169,7 @@
             await made.done.wait()
         if made.status == 200:
             return 200
-        return 504 if now() >= job.due else 500
+        return 504 if monotonic_us() >= job.due else 500
 
     # ------------------------------------------------------------ answers
 
--- a/packages/simulator/meadowdock/simulator/standin/faults.py
+++ b/packages/simulator/meadowdock/simulator/standin/faults.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowdock.runtime import MILLI, rest
+from meadowdock.runtime import MILLISECOND, sleep_us
 
 FAULTS = [
     *("reset", "close", "silence", "short", "short_head", "garbage", "unstamped", "nameless"),
@@ -44,7 +44,7 @@
         self.nursery.start_soon(self.say_later, job.conn, data)
 
     async def say_later(self, conn, data):
-        await rest(3 * MILLI)
+        await sleep_us(3 * MILLISECOND)
         conn.wire.send(data)
 
     def fault_spare(self, job, ran, data):
--- a/packages/simulator/meadowdock/simulator/wires.py
+++ b/packages/simulator/meadowdock/simulator/wires.py
@@ -8,7 +8,7 @@
 import trio
 
 from meadowdock.forwarding.wires import LINGER, READ
-from meadowdock.runtime import Address, now, until
+from meadowdock.runtime import Address, deadline_scope, monotonic_us
 
 WINDOW = 262_144  # bytes on the way or unread at the other end; more is held by the sender
 END, RESET = b"", None
@@ -48,7 +48,7 @@
         self.held_size += len(data)
         if not self.writing:
             self.writing = True
-            self.stuck_since = now()
+            self.stuck_since = monotonic_us()
             self.wires.nursery.start_soon(self.drain)
 
     def put(self, data):
@@ -69,7 +69,7 @@
             data = b"".join(self.held)
             sent = self.put(data)
             if sent:
-                self.stuck_since = now()
+                self.stuck_since = monotonic_us()
                 self.held = [data[sent:]] if sent < len(data) else []
                 self.held_size = len(data) - sent
             else:
@@ -99,7 +99,7 @@
 
     def half_close(self):
         self.tell_end(END)
-        self.wires.reactor.at(now() + LINGER, self.close)
+        self.wires.reactor.at(monotonic_us() + LINGER, self.close)
 
     def tell_end(self, how):
         if not self.other.closed and (not self.ended or how is RESET):
@@ -139,7 +139,7 @@
         if self.closed:
             return
         last = self.inbox[-1][0] if self.inbox else 0
-        at = max(last, now() + more_us + self.web.delay(self.peer, self.here))
+        at = max(last, monotonic_us() + more_us + self.web.delay(self.peer, self.here))
         self.inbox.append((at, data))
         self.unread += len(data or b"")
         self.news.set()
@@ -151,12 +151,12 @@
             if self.broken:
                 return RESET
             at = self.inbox[0][0] if self.inbox else 1 << 61
-            if at <= now() and (self.peer, self.here) not in web.cuts:
+            if at <= monotonic_us() and (self.peer, self.here) not in web.cuts:
                 if self.waiting is not None:
                     await self.waiting.wait()
                     continue
                 return self.take()
-            with until(at if at > now() else 1 << 61):
+            with deadline_scope(at if at > monotonic_us() else 1 << 61):
                 await self.news.wait()
             self.news = trio.Event()
         return END
@@ -167,12 +167,12 @@
         _, data = inbox.popleft()
         if not data:
             return data
-        while inbox and inbox[0][0] <= now() and inbox[0][1] and len(data) < READ:
+        while inbox and inbox[0][0] <= monotonic_us() and inbox[0][1] and len(data) < READ:
             data += inbox.popleft()[1]
         if web.tear and len(data) > 1:
             size = web.rng.randrange(1, min(len(data), web.tear) + 1)
             if size < len(data):
-                inbox.appendleft((now(), data[size:]))
+                inbox.appendleft((monotonic_us(), data[size:]))
                 data = data[:size]
         self.unread -= len(data)
         self.other.room.set()
@@ -252,7 +252,7 @@
 
     async def connect(self, address, due, owner):
         wire, cause, there = None, "no connection in time", address.host
-        with until(due):
+        with deadline_scope(due):
             await self.web.carry(self.host, there)
             door = self.web.doors.get(str(address))
             await self.web.carry(there, self.host)
