--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -19,7 +19,7 @@
 from meadowdock.proxy.part import Part as Proxy
 from meadowdock.registry.part import Part as Reg
 from meadowdock.rpc import ConnectionFailed
-from meadowdock.runtime import MILLI, SECOND, Seams, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, Runtime, monotonic_us, sleep_us
 from meadowdock.settings import checked
 from meadowdock.simulator.disk import SimDisk
 from meadowdock.simulator.net import SimNet, Web
@@ -66,7 +66,7 @@
 
     def write(self, text):
         if text.strip():
-            self.lines.append((now(), json.loads(text)))
+            self.lines.append((monotonic_us(), json.loads(text)))
 
     def events(self, *numbers):
         return [(at, line) for at, line in self.lines if line["number"] in numbers]
@@ -219,9 +219,9 @@
         rng = random.Random(f"{role}{host}{self.started}{self.seed}")
 
         async def work(process, nursery):
-            wall = lambda: WALL + now()  # noqa: E731
-            seams = Seams(process.net, disk, rng, apart=inline, wall=wall)
-            process.node = Node(boot, seams, nursery, Log(boot.name, self.trace, timed=False))
+            wall = lambda: WALL + monotonic_us()  # noqa: E731
+            runtime = Runtime(process.net, disk, rng, offload=inline, wall_us=wall)
+            process.node = Node(boot, runtime, nursery, Log(boot.name, self.trace, timed=False))
             self.listen(process.node.links)
             disk.on_loss = process.kill
             gated = self.gated and role == "mdproxy"
@@ -238,12 +238,12 @@
 
         async def call(address, method, args, due):
             if method == "call.run":
-                self.web.sendings.append((now(), "spill", args["id"]))
+                self.web.sendings.append((monotonic_us(), "spill", args["id"]))
             if method in self.meddle:
                 late = self.meddle[method]
                 if late is None:
                     raise ConnectionFailed(True, "lost on the way")
-                await rest(late)
+                await sleep_us(late)
             return await original(address, method, args, due)
 
         links.call = call
@@ -251,10 +251,10 @@
     async def stop(self, name):
         """As the platform's polite signal."""
         process = self.processes.pop(name)
-        begun = now()
+        begun = monotonic_us()
         process.node.asked.set()
         await process.over.wait()
-        return now() - begun
+        return monotonic_us() - begun
 
     def kill(self, name):
         self.processes.pop(name).kill()
@@ -339,12 +339,12 @@
         await process.up.wait()
         return made
 
-    async def beat_loop(self, host, made, every=500 * MILLI):
+    async def beat_loop(self, host, made, every=500 * MILLISECOND):
         sequence = 0
         while not made.left:
             sequence += 1
             self.beat(host, made, sequence)
-            await rest(every)
+            await sleep_us(every)
 
     def beat(self, host, made, sequence, **facts):
         proxy = self.processes.get(f"mdproxy@{host}")
@@ -371,7 +371,7 @@
         self.nursery.start_soon(reactor.run)
         made = StandInCaller(self.ledger, host, self.application.get(host))
         self.ledger.callers.append(made)
-        wires.dial(address or f"{host}:{GATE_PORT}", now() + SECOND, made)
+        wires.dial(address or f"{host}:{GATE_PORT}", monotonic_us() + SECOND, made)
         await made.opened.wait()
         return made
 
@@ -407,14 +407,14 @@
         assert status == 200, told
         return told["version"]
 
-    async def eventually(self, check, within=10 * SECOND, every=20 * MILLI):
+    async def eventually(self, check, within=10 * SECOND, every=20 * MILLISECOND):
         """Wait, in virtual time, until check() is true; gives how long that took."""
-        begun = now()
+        begun = monotonic_us()
         while not check():
-            if now() - begun > within:
+            if monotonic_us() - begun > within:
                 raise AssertionError(f"not within {within} us: {check.__name__}")
-            await rest(every)
-        return now() - begun
+            await sleep_us(every)
+        return monotonic_us() - begun
 
 
 def run(scenario, seed=1, **places):
--- a/packages/soak/meadowdock/soak/cuts.py
+++ b/packages/soak/meadowdock/soak/cuts.py
@@ -15,9 +15,9 @@
 
 from meadowdock.forwarding import Wires
 from meadowdock.forwarding.wires import Wire
-from meadowdock.runtime import MILLI, Address, Net, rest
+from meadowdock.runtime import MILLISECOND, Address, Net, sleep_us
 
-LOOK_EVERY = 20 * MILLI
+LOOK_EVERY = 20 * MILLISECOND
 
 
 def write_cuts(path: str, pairs: list[tuple[str, str]]) -> None:
@@ -59,7 +59,7 @@
         while True:
             if self.look():
                 on_change()
-            await rest(LOOK_EVERY)
+            await sleep_us(LOOK_EVERY)
 
     async def joined(self, host: str) -> None:
         """Wait until this process isn't cut off from a host."""
--- a/packages/soak/meadowdock/soak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -18,7 +18,7 @@
 from meadowdock.process import signals as watch_signals
 from meadowdock.proxy.endpoints import Denied
 from meadowdock.proxy.gatepart import GatePart
-from meadowdock.runtime import Disk, NoDisk, Seams
+from meadowdock.runtime import Disk, NoDisk, Runtime
 from meadowdock.settings import Boot, load
 from meadowdock.soak.cuts import CutNet, Cuts
 
@@ -60,8 +60,8 @@
     async with trio.open_nursery() as nursery:
         if boot.role != "mdproxy":  # the gate's network watches for itself
             nursery.start_soon(cuts.watch, lambda: None)
-        seams = Seams(CutNet(boot.host, cuts), Disk(boot.data) if boot.data else NoDisk())
-        node = Node(boot, seams, nursery)
+        runtime = Runtime(CutNet(boot.host, cuts), Disk(boot.data) if boot.data else NoDisk())
+        node = Node(boot, runtime, nursery)
         nursery.start_soon(watch_signals, node)
         await node.run(part_of(boot.role))
 
--- a/packages/soak/meadowdock/soak/soak.py
+++ b/packages/soak/meadowdock/soak/soak.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.soak.fleet import SoakFleet, topology
 from meadowdock.soak.traffic import DEADLINE_MS, Traffic, first_items
 from meadowdock.soak.troubles import Trouble, draw
@@ -70,16 +70,16 @@
 
     async def bring_about(self, trouble: Trouble, begun: int) -> None:
         """Wait for a trouble's moment, cause it, and end it."""
-        await rest(begun + int(trouble.at_s * SECOND) - now())
+        await sleep_us(begun + int(trouble.at_s * SECOND) - monotonic_us())
         if trouble.kind == "cut":
             self.cuts.append(trouble.hosts)
             self.fleet.cut(self.cuts)
-            await rest(int(trouble.for_s * SECOND))
+            await sleep_us(int(trouble.for_s * SECOND))
             self.cuts.remove(trouble.hosts)
             self.fleet.cut(self.cuts)
         elif trouble.kind == "lost answers":
             self.traffic.losing.add(trouble.hosts[0])
-            await rest(int(trouble.for_s * SECOND))
+            await sleep_us(int(trouble.for_s * SECOND))
             self.traffic.losing.discard(trouble.hosts[0])
         else:
             async with self.at_host[trouble.hosts[0]]:
@@ -93,7 +93,7 @@
         handle = self.fleet.processes[name].handle
         handle.send_signal(signal.SIGSTOP)
         try:
-            await rest(int(trouble.for_s * SECOND))
+            await sleep_us(int(trouble.for_s * SECOND))
         finally:
             handle.send_signal(signal.SIGCONT)
 
@@ -103,7 +103,7 @@
         roles = CORE_ROLES if trouble.kind.endswith("core") else ("mdproxy",)
         for role in roles:
             self.fleet.stop(f"{role}-{host}", signal.SIGKILL)
-        await rest(int(trouble.for_s * SECOND))
+        await sleep_us(int(trouble.for_s * SECOND))
         for role in roles:
             self.fleet.start_daemon(role, host)
 
@@ -118,31 +118,31 @@
             await self.served_everywhere(nursery)
             nursery.start_soon(self.traffic.ask_all, nursery, self.plan.calls_per_s)
             nursery.start_soon(self.traffic.order_again_and_again)
-            begun = now()
+            begun = monotonic_us()
             async with trio.open_nursery() as troubles:
                 for trouble in self.result.troubles:
                     troubles.start_soon(self.bring_about, trouble, begun)
-            await rest(begun + int((self.plan.seconds + RECOVERY_S) * SECOND) - now())
-            calm_from = now()
-            await rest(int(CALM_S * SECOND))
+            await sleep_us(begun + int((self.plan.seconds + RECOVERY_S) * SECOND) - monotonic_us())
+            calm_from = monotonic_us()
+            await sleep_us(int(CALM_S * SECOND))
             self.traffic.over.set()
-            await rest(2 * DEADLINE_MS * MILLI)
+            await sleep_us(2 * DEADLINE_MS * MILLISECOND)
             await self.judge(calm_from)
             nursery.cancel_scope.cancel()
         return self.result
 
     async def served_everywhere(self, nursery: trio.Nursery) -> None:
         """Until a call at each host is served."""
-        until = now() + READY_WITHIN
+        until = monotonic_us() + READY_WITHIN
         for host in self.proxies:
             while True:
                 asked = await self.traffic.call(nursery, host, "safe", 0)
                 if asked is not None and asked.status == 200:
                     break
-                if now() > until:
+                if monotonic_us() > until:
                     self.found(False, f"no call was served at {host} within {READY_WITHIN} us")
                     return
-                await rest(100 * MILLI)
+                await sleep_us(100 * MILLISECOND)
 
     def found(self, good: object, what: str) -> None:
         """Note what is broken, unless it is good."""
--- a/packages/soak/meadowdock/soak/traffic.py
+++ b/packages/soak/meadowdock/soak/traffic.py
@@ -13,17 +13,25 @@
 
 from meadowdock.forwarding import Reactor, Wires
 from meadowdock.forwarding.wires import Wire
-from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, Net, now, rest, until
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    HttpConnectionFailed,
+    Net,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
 from meadowdock.simulator.standin import Ledger, StandIn, StandInCaller
 from meadowdock.soak.daemon import BEATS_PORT, DIALECT
 from meadowdock.soak.fleet import GATE_PORT, SERVICE, SLOTS
 
-BEAT_EVERY = 250 * MILLI
-ORDER_EVERY = 400 * MILLI
+BEAT_EVERY = 250 * MILLISECOND
+ORDER_EVERY = 400 * MILLISECOND
 ORDER_WAIT = SECOND
 DEADLINE_MS = 800
-AIM_US, TIMEOUT_US = 400 * MILLI, 2 * SECOND
-WORK_US = 140 * MILLI  # of 24 slots in all, 17 are in use when all is well
+AIM_US, TIMEOUT_US = 400 * MILLISECOND, 2 * SECOND
+WORK_US = 140 * MILLISECOND  # of 24 slots in all, 17 are in use when all is well
 LOSING = ("reset", "close", "short", "silence", "own_503", "twice_late")
 ROUTES = {"safe": ("safe", 1), "once": ("once", 0)}  # name: repeat, priority
 
@@ -116,14 +124,14 @@
                 "sequence": sequence,
             }
             await self.http(host, f"{host}:{BEATS_PORT}", "POST", "/beat", facts)
-            await rest(BEAT_EVERY)
+            await sleep_us(BEAT_EVERY)
 
     async def lose_answers(self, host: str, made: StandIn) -> None:
         """While it is told to, a third of its answers go wrong in one way or another."""
         while True:
             if host in self.losing:
                 made.faults["*"] = [self.rng.choice((*LOSING, None, None)) for _ in range(3)]
-            await rest(50 * MILLI)
+            await sleep_us(50 * MILLISECOND)
 
     # ------------------------------------------------------------ callers
 
@@ -135,12 +143,12 @@
             nursery.start_soon(self.run_reactor, reactor, scope)
             made = StandInCaller(self.ledger, host, SERVICE)
             self.ledger.callers.append(made)
-            wires.dial(f"{host}:{GATE_PORT}", now() + SECOND, made)
+            wires.dial(f"{host}:{GATE_PORT}", monotonic_us() + SECOND, made)
             await made.opened.wait()
             if made.failed is not None:
                 self.ledger.callers.remove(made)
                 return None
-            asked = made.ask(b"/%s/%d" % (name.encode(), number), due_ms=DEADLINE_MS * MILLI)
+            asked = made.ask(b"/%s/%d" % (name.encode(), number), due_ms=DEADLINE_MS * MILLISECOND)
             with trio.move_on_after(2 * DEADLINE_MS / 1000):
                 await asked.done.wait()
             if not asked.done.is_set():
@@ -161,7 +169,7 @@
             number += 1
             host = self.rng.choice(self.proxies)
             nursery.start_soon(self.call, nursery, host, self.rng.choice(list(ROUTES)), number)
-            await rest(int(self.rng.expovariate(per_s) * SECOND))
+            await sleep_us(int(self.rng.expovariate(per_s) * SECOND))
 
     # ------------------------------------------------------------ operator
 
@@ -172,7 +180,7 @@
         connection = Net(source).http(address)
         body = json.dumps(facts).encode() if facts is not None else b""
         try:
-            with until(now() + ORDER_WAIT):
+            with deadline_scope(monotonic_us() + ORDER_WAIT):
                 status, _, answer = await connection.request(method, path, [], body)
                 return status, json.loads(answer)
         except (HttpConnectionFailed, ValueError):
@@ -191,7 +199,7 @@
             if status == 200:
                 self.orders_acknowledged += 1
                 return True
-            await rest(100 * MILLI)
+            await sleep_us(100 * MILLISECOND)
         return False
 
     async def order_again_and_again(self) -> None:
@@ -200,7 +208,7 @@
             self.version += 1
             if await self.order([route("safe", self.version)]):
                 self.acknowledged = self.version
-            await rest(ORDER_EVERY)
+            await sleep_us(ORDER_EVERY)
 
     async def read_back(self) -> int:
         """The version of the route that a quorum knows; 0 if nobody answers."""
--- a/packages/zone_drill/meadowdock/zone_drill/drill.py
+++ b/packages/zone_drill/meadowdock/zone_drill/drill.py
@@ -11,7 +11,15 @@
 
 from meadowdock.cli.client import OutcomeUnknown, Unreachable, ask
 from meadowdock.local_fleet.caller import fetch
-from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, Net, now, rest, until
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    HttpConnectionFailed,
+    Net,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
 from meadowdock.simulator.checkers import in_force, no_step_back
 from meadowdock.simulator.history import Asked, History, Operated
 
@@ -57,13 +65,13 @@
         while not self.over:
             if self.ready.get(host, True):
                 await self.call(host, stream)
-            await rest(50 * MILLI)  # the platform sends nobody to who is not ready
+            await sleep_us(50 * MILLISECOND)  # the platform sends nobody to who is not ready
 
     async def call(self, host, stream, more=()):
         self.number += 1
         uid = f"{self.tag}-{self.number}"
         path = f"{stream['path']}/{uid}"
-        asked = Asked(uid, host, stream["name"], "guest", now(), path=path)
+        asked = Asked(uid, host, stream["name"], "guest", monotonic_us(), path=path)
         connection = Net(host).http(self.facts["proxies"][host])
         lines = [(b"md-key", uid.encode())] if stream.get("keyed") else []
         body = b'{"amount": 1}' if stream["method"] == "POST" else b""
@@ -74,7 +82,7 @@
             sent = True
 
         try:
-            with until(now() + 6 * SECOND):
+            with deadline_scope(monotonic_us() + 6 * SECOND):
                 status, headers, answer = await connection.request(
                     stream["method"], path, [*lines, *more], body, started
                 )
@@ -83,14 +91,14 @@
             asked.broke(sent)
         finally:
             await connection.close()
-        asked.answered = now()
+        asked.answered = monotonic_us()
         self.history.asked.append(asked)
 
     async def probe(self, host, proxy):
         """As the platform: once a second."""
         while not self.over:
             self.ready[host] = (await fetch(Net(host), proxy, "/ready"))[0] == 200
-            await rest(SECOND)
+            await sleep_us(SECOND)
 
     async def operate(self, method, path, facts=None):
         body = json.dumps(facts).encode() if facts is not None else b""
@@ -108,21 +116,21 @@
             status, planned = await self.operate("POST", "/plan", manifest)
             if status != 200 or not planned["plan"]:
                 continue
-            done = Operated("confirm", now(), 0, "unclear", mark=str(value))
+            done = Operated("confirm", monotonic_us(), 0, "unclear", mark=str(value))
             self.history.operated.append(done)
             status, told = await self.operate("POST", "/confirm", {"plan": planned["plan"]})
-            done.end = now()
+            done.end = monotonic_us()
             if status == 200:
                 done.outcome, done.version = "ok", told["version"]
-            await rest(3 * SECOND)
+            await sleep_us(3 * SECOND)
 
     async def read_back(self):
-        done = Operated("read", now(), 0, "refused")
+        done = Operated("read", monotonic_us(), 0, "refused")
         status, told = await self.operate("GET", "/manifest")
         if status == 200:
             done.outcome, done.version = "ok", told["version"]
             done.mark = str(told["manifest"]["load"]["share"])
-        done.end = now()
+        done.end = monotonic_us()
         self.history.operated.append(done)
 
     async def watch_tries(self):
@@ -130,13 +138,13 @@
         while not self.over:
             requests = tries = 0
             for host, proxy in self.facts["proxies"].items():
-                status, body = await fetch(Net(host), proxy, "/md/status", 500 * MILLI)
+                status, body = await fetch(Net(host), proxy, "/md/status", 500 * MILLISECOND)
                 if status == 200:
                     window = json.loads(body)["second_tries"]
                     requests += window["requests"]
                     tries += window["tries"]
             self.tries.append((requests, tries))
-            await rest(SECOND)
+            await sleep_us(SECOND)
 
     # ------------------------------------------------------------ beside the hall
 
@@ -153,7 +161,7 @@
         """Turn the knobs of a stand-in endpoint, or (none) read its counts."""
         connection = Net(host).http(f"{host}:8000")
         try:
-            with until(now() + 5 * SECOND):
+            with deadline_scope(monotonic_us() + 5 * SECOND):
                 method, body = ("POST", json.dumps(knobs).encode()) if knobs else ("GET", b"")
                 _, _, told = await connection.request(method, "/standin", [], body)
                 return json.loads(told)
@@ -164,9 +172,9 @@
         """One endpoint says that it leaves; later the fleet puts another in its place."""
         host = self.outside(0)
         await self.standin(host, draining=True)
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         before = (await self.standin(host))["ran"]
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         self.left.append((host, before, (await self.standin(host))["ran"]))
         self.ask_again(f"endpoint-{host}-8000")
 
@@ -180,7 +188,7 @@
         value = good[host] if isinstance(good, dict) else good
         await self.standin(host, **{knob: odd})
         try:
-            await rest(3 * SECOND)
+            await sleep_us(3 * SECOND)
             self.odd.append((host, knob))
         finally:
             with trio.CancelScope(shield=True):
@@ -236,13 +244,15 @@
             if self.inside(name):
                 os.kill(process["pid"], HOWS[self.how])
                 self.out[name] = process["pid"]
-                self.history.away[name.split("-")[1]] = [[now(), now() + 3600 * SECOND]]
+                self.history.away[name.split("-")[1]] = [
+                    [monotonic_us(), monotonic_us() + 3600 * SECOND]
+                ]
 
     async def bring_back(self):
         """Frozen ones go on; others are started again by the fleet that owns them."""
-        self.history.calm_from = now()
+        self.history.calm_from = monotonic_us()
         for spans in self.history.away.values():
-            spans[-1][1] = now()
+            spans[-1][1] = monotonic_us()
         if self.how == "freeze":
             for pid in self.out.values():
                 os.kill(pid, signal.SIGCONT)
@@ -250,7 +260,7 @@
             for name in self.out:
                 self.ask_again(name)
         self.out = {}
-        with until(now() + 2 * RETURN_WITHIN):
+        with deadline_scope(monotonic_us() + 2 * RETURN_WITHIN):
             async with trio.open_nursery() as nursery:
                 for host, proxy in self.facts["proxies"].items():
                     nursery.start_soon(self.wait_ready, host, proxy)
@@ -258,8 +268,8 @@
     async def wait_ready(self, host, proxy):
         while host not in self.returned:
             if (await fetch(Net(host), proxy, "/ready"))[0] == 200:
-                self.returned[host] = now() - self.history.calm_from
-            await rest(100 * MILLI)
+                self.returned[host] = monotonic_us() - self.history.calm_from
+            await sleep_us(100 * MILLISECOND)
 
     async def run(self, streams):
         """streams: {host: [stream, ...]} of what guests may call there."""
@@ -275,16 +285,18 @@
                 for host, proxy in self.facts["proxies"].items():
                     nursery.start_soon(self.probe, host, proxy)
                 nursery.start_soon(self.watch_tries)
-                await rest(3 * SECOND)
+                await sleep_us(3 * SECOND)
                 await self.beside()
-                self.out_at = now()
+                self.out_at = monotonic_us()
                 await self.take_out()
-                await rest(SECOND)
+                await sleep_us(SECOND)
                 with trio.move_on_after(15):
                     await self.change_if_possible()
-                await rest(self.seconds * SECOND)
+                await sleep_us(self.seconds * SECOND)
                 await self.bring_back()
-                await rest(max(0, self.history.calm_from + RETURN_WITHIN - now()) + 3 * SECOND)
+                await sleep_us(
+                    max(0, self.history.calm_from + RETURN_WITHIN - monotonic_us()) + 3 * SECOND
+                )
                 self.over = True
         finally:
             if self.out:
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -12,7 +12,7 @@
 from mesh import configured
 
 from meadowdock import audit
-from meadowdock.runtime import SECOND, now, rest
+from meadowdock.runtime import SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 
@@ -109,7 +109,7 @@
                 await world.start("mdconf", host)
                 conf = world.node("mdconf", host)
                 await world.eventually(lambda c=conf: not c.not_ready(), within=15 * SECOND)
-        await rest(8 * SECOND)
+        await sleep_us(8 * SECOND)
         for host in world.core:  # and each copy is whole by itself, mended by digests
             assert world.daemon("mdconf", host).store.trail.state().tail == [1, 2, 3, 4, 5, 6]
         world.kill(f"mdconf@{world.core[0]}")
@@ -149,7 +149,7 @@
         await daemon.proposer.change(  # as the first landing wrote it
             "manifest/head",
             lambda head: {k: v for k, v in head.items() if k != "record"},
-            now() + SECOND,
+            monotonic_us() + SECOND,
         )
         assert await world.configure(changed(1), 1) == 2
         told = await trail(world, 2)
--- a/tests/config_store/test_contact.py
+++ b/tests/config_store/test_contact.py
@@ -13,11 +13,11 @@
 from meadowdock.config_store.contact import HelloAnswer
 from meadowdock.config_store.items import Outdated
 from meadowdock.consensus import NoQuorum
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
-AT_ONCE = 500 * MILLI
-ON_THE_WAY = 50 * MILLI  # of a request and its answer
+AT_ONCE = 500 * MILLISECOND
+ON_THE_WAY = 50 * MILLISECOND  # of a request and its answer
 LOST = SECOND  # after a cut: no answer is fresh any more
 PLAN = "0" * 32
 
@@ -31,9 +31,9 @@
 
 
 async def timed(work):
-    begun = now()
+    begun = monotonic_us()
     status, told = await work
-    return status, told, now() - begun
+    return status, told, monotonic_us() - begun
 
 
 DIRECTIONS = {"whole": (True, True), "hears": (True, False), "is heard": (False, True)}
@@ -55,7 +55,7 @@
         await accepted(world, [service("desk")])
         heard, hears = DIRECTIONS[direction]
         cut_from(world, world.core[0], world.core, heard, hears)
-        await rest(LOST)
+        await sleep_us(LOST)
         for method, path, facts in DOORS:
             status, told, span = await timed(world.operate(method, path, facts))
             assert (status, told["code"]) == (503, "no_majority"), path
@@ -64,7 +64,7 @@
         assert (status, told["majority"]) == (200, False)
         assert await accepted(world, [service("desk", 2)], 1)
         world.web.heal()
-        await rest(LOST)
+        await sleep_us(LOST)
         held = await standing(world, 0)
         assert held["service", "desk"]["version"] == 2
         assert ("service", "late") not in held
@@ -79,7 +79,7 @@
         await founded(world)
         first, second, *rest_of = world.core
         cut_from(world, first, rest_of)
-        await rest(LOST)
+        await sleep_us(LOST)
         call = [service("desk")]
         status, headers, _ = await ask(world, f"{first}:7420", call)
         assert status == 307
@@ -88,13 +88,13 @@
         status, _, _ = await world.http(first, "GET", f"{first}:7420", "/items")
         assert status == 307
         cut_from(world, second, rest_of)
-        await rest(LOST)
+        await sleep_us(LOST)
         for core in range(2):  # neither sends an operator to the other
             status, _, span = await timed(change(world, [service("late")], core))
             assert status == 503
             assert span < AT_ONCE
         world.web.heal()
-        await rest(LOST)
+        await sleep_us(LOST)
         assert {name for _, name in await standing(world)} == {"desk"}
 
     run(scenario, core=5, application=())
@@ -112,20 +112,20 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(operator)
-            await rest(delay * MILLI)
+            await sleep_us(delay * MILLISECOND)
             cut_from(world, world.core[0], world.core)
         ((status, _, span),) = told
         assert status in (200, 503, 504)
         assert span <= world.node("mdconf", world.core[0]).boot.ack_us // 4 + ON_THE_WAY
         # a refused one doesn't hold; an unclear one may, and is acknowledged when sent again
         if status == 503:
-            await rest(2 * SECOND)
+            await sleep_us(2 * SECOND)
             assert (await standing(world, 1))["service", "desk"]["version"] == 1
         for core in (1, 2):
             assert (await order(world, call, core)).status == 200
         await accepted(world, [service("desk", 3)], 2)
         world.web.heal()
-        await rest(LOST)
+        await sleep_us(LOST)
         for core in range(3):
             assert (await order(world, call, core)).status == 200
         assert (await standing(world))["service", "desk"]["version"] == 3
@@ -198,7 +198,7 @@
         status, _, span = await timed(change(world, [service("desk", 2)]))
         assert status == 504
         assert span <= world.node("mdconf", world.core[0]).boot.ack_us // 4 + ON_THE_WAY
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         for core in range(3):
             status, _, span = await timed(change(world, [service("desk", 2)], core))
             assert status == 503
@@ -227,13 +227,13 @@
             if method != "prepare" or len(outrun) >= 30:
                 return await real(member, method, args, *more)
             outrun.append(member)
-            await rest(MILLI)
+            await sleep_us(MILLISECOND)
             return "no", (args[1][0] + 1, "other"), None
 
         proposer.ask = ask_outrun
-        begun = now()
-        await proposer.change("some/key", lambda old: 7, now() + 4 * SECOND)
+        begun = monotonic_us()
+        await proposer.change("some/key", lambda old: 7, monotonic_us() + 4 * SECOND)
         assert len(outrun) == 30
-        assert now() - begun < 400 * MILLI
+        assert monotonic_us() - begun < 400 * MILLISECOND
 
     run(scenario, application=())
--- a/tests/config_store/test_items_change.py
+++ b/tests/config_store/test_items_change.py
@@ -11,7 +11,7 @@
 
 from meadowdock import audit
 from meadowdock.configuration import items as config_items
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 
@@ -164,7 +164,7 @@
                 own = route(f"own{core}-{n}")
                 shared = route("shared", version, prefix=f"/v{version}/")
                 told.append((version, await change(world, [own, shared], core)))
-                await rest(world.rng.randrange(5) * MILLI)
+                await sleep_us(world.rng.randrange(5) * MILLISECOND)
 
         async with trio.open_nursery() as nursery:
             for core in range(3):
@@ -245,9 +245,9 @@
 
 
 async def timed(world, items, core):
-    at = now()
+    at = monotonic_us()
     await accepted(world, items, core)
-    return now() - at
+    return monotonic_us() - at
 
 
 @pytest.mark.parametrize("core", [0, 1])
@@ -267,7 +267,7 @@
             assert all(held["route", f"r{n}"]["version"] == 2 + turn for n in range(100))
         disk.stalled.set()
         disk.stalled = None
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         world.power_off("mdconf", world.core[1])  # what the others hold now is whole
         assert len(await standing(world, 0)) == 301
 
@@ -305,7 +305,7 @@
             world.processes[f"mdconf@{away}"].freeze()
         for turn in range(4):
             assert await timed(world, [route("r", 1 + turn)], turn % 2) < SECOND
-            await rest(300 * MILLI)
+            await sleep_us(300 * MILLISECOND)
 
     run(scenario, application=())
 
@@ -315,10 +315,10 @@
         await founded(world)
         for other in world.core[1:]:
             world.web.cut(world.core[0], other)
-        at = now()
+        at = monotonic_us()
         status, told = await change(world, [service("desk")])
         assert (status, told["code"]) == (503, "no_majority")
-        assert now() - at < 2 * SECOND  # the reading under way, and one of its own
+        assert monotonic_us() - at < 2 * SECOND  # the reading under way, and one of its own
         assert (await world.operate("GET", "/items"))[0] == 503
         assert await standing(world, 1) == {}
 
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -21,7 +21,7 @@
     RenewLease,
 )
 from meadowdock.rpc import ConnectionFailed, Rejected
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 from meadowdock.simulator.world import WALL, Clock
 
@@ -34,12 +34,12 @@
     """Fails the run at the first moment with two holders. seen: all epochs, in order."""
     while True:
         found = holders(world)
-        assert len(found) <= 1, (now(), found)
+        assert len(found) <= 1, (monotonic_us(), found)
         for epoch in found.values():
             assert not seen or epoch >= seen[-1], (epoch, seen)
             if not seen or epoch > seen[-1]:
                 seen.append(epoch)
-        await rest(2 * MILLI)
+        await sleep_us(2 * MILLISECOND)
 
 
 async def watched(world):
@@ -54,16 +54,16 @@
         await world.whole()
         host, epoch = await one_holder(world)
         await watched(world)
-        await rest(world.rng.randrange(SECOND))
+        await sleep_us(world.rng.randrange(SECOND))
         isolate(world, host)
-        cut_at = now()
+        cut_at = monotonic_us()
         await world.eventually(lambda: not holders(world))
-        assert now() - cut_at <= DURATION
+        assert monotonic_us() - cut_at <= DURATION
         await world.eventually(lambda: holders(world), TAKEOVER)
         assert host not in holders(world)
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         world.web.heal()
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         (after,) = holders(world).values()
         assert after > epoch
 
@@ -72,7 +72,7 @@
 
 async def cut_off(world, host, span):
     isolate(world, host)
-    await rest(span)
+    await sleep_us(span)
     world.web.heal()
 
 
@@ -88,33 +88,33 @@
         return answer
 
     links.call = call
-    await rest(span)
+    await sleep_us(span)
     links.call = original
 
 
 async def freeze_registry(world, host, span):
     process = world.processes[f"mdreg@{host}"]
     process.freeze()
-    await rest(span)
+    await sleep_us(span)
     process.wake()
 
 
 async def freeze_mdconf(world, host, span):
     process = world.processes[f"mdconf@{host}"]
     process.freeze()
-    await rest(span)
+    await sleep_us(span)
     process.wake()
 
 
 async def kill_registry(world, host, span):
     world.kill(f"mdreg@{host}")
-    await rest(span)
+    await sleep_us(span)
     await world.start("mdreg", host)
 
 
 async def lose_power_of_mdconf(world, host, span):
     world.power_off("mdconf", host)
-    await rest(span)
+    await sleep_us(span)
     await world.start("mdconf", host)
 
 
@@ -140,7 +140,7 @@
             held = list(holders(world))
             host = held[0] if held and rng.random() < 0.7 else rng.choice(world.core)
             await trouble(world, host, rng.randrange(SECOND // 2, 6 * SECOND))
-            await rest(rng.randrange(3 * SECOND))
+            await sleep_us(rng.randrange(3 * SECOND))
         await world.eventually(lambda: len(holders(world)) == 1)
         assert len(seen) > 1
 
@@ -158,7 +158,7 @@
 
         async def call(address, method, args, deadline):
             if method == "load.list":
-                sent.append((now(), args["epoch"]))
+                sent.append((monotonic_us(), args["epoch"]))
             answer = await original(address, method, args, deadline)
             if method == "load.ask" and not woken_at:
                 process.freeze()  # as the nodes' answers come; it would send the list next
@@ -167,12 +167,12 @@
         woken_at = 0
         process.node.links.call = call
         await world.eventually(lambda: process.frozen is not None)
-        await rest(20 * SECOND)
+        await sleep_us(20 * SECOND)
         proxies = [world.daemon("mdproxy", h) for h in hosts(world)]
         assert all(p.walker.lists.epoch > epoch for p in proxies)
-        woken_at = now()
+        woken_at = monotonic_us()
         process.wake()
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         assert not [e for at, e in sent if at >= woken_at > 0 and e <= epoch]
         assert len(holders(world)) == 1
         assert all(p.walker.lists.epoch > epoch for p in proxies)
@@ -185,12 +185,12 @@
         await world.whole()
         host, epoch = await one_holder(world)
         seen = await watched(world)
-        await rest(SECOND)
+        await sleep_us(SECOND)
         for step in (DAY, -DAY, 3 * SECOND):
             for process in world.processes.values():
                 if process.host in (host, world.core[0]):
-                    process.node.seams.wall = lambda step=step: WALL + now() + step
-            await rest(5 * SECOND)
+                    process.node.runtime.wall_us = lambda step=step: WALL + monotonic_us() + step
+            await sleep_us(5 * SECOND)
         assert holders(world) == {host: epoch}
         assert seen == [epoch]
 
@@ -202,7 +202,7 @@
         await world.whole()
         host, epoch = await one_holder(world)
         await watched(world)
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         lease = world.daemon("mdreg", host).lease
         silent = lease.preferred
         links = world.node("mdreg", host).links
@@ -215,12 +215,12 @@
             return answer
 
         links.call = call
-        await rest(8 * SECOND)
+        await sleep_us(8 * SECOND)
         assert holders(world) == {host: epoch}
         silent = None
         process = world.processes[f"mdconf@{lease.preferred.partition(':')[0]}"]
         process.freeze()
-        await rest(8 * SECOND)
+        await sleep_us(8 * SECOND)
         assert holders(world) == {host: epoch}
         process.wake()
 
@@ -250,15 +250,15 @@
         original = lease.ask
 
         async def ask(method, request, deadline):
-            asked[now()] = request
+            asked[monotonic_us()] = request
             return await original(method, request, deadline)
 
         lease.ask = ask
-        world.meddle[RENEW] = 300 * MILLI
+        world.meddle[RENEW] = 300 * MILLISECOND
         renewal = lease.held
         await world.eventually(lambda: lease.held is not renewal)
         assert lease.held.expires_at - DURATION in asked
-        assert now() - min(asked) >= 300 * MILLI
+        assert monotonic_us() - min(asked) >= 300 * MILLISECOND
 
     run(scenario, application=("desk",))
 
@@ -275,7 +275,7 @@
         expires_at = lease.held.expires_at
         world.nursery.start_soon(world.stop, f"mdreg@{host}")
         await world.eventually(lambda: any(e > epoch for e in holders(world).values()))
-        assert now() < expires_at
+        assert monotonic_us() < expires_at
 
     run(scenario, application=("desk",))
 
@@ -287,11 +287,11 @@
         seen = await watched(world)
         for host in world.core:
             world.power_off("mdconf", host)
-        await rest(500 * MILLI)
+        await sleep_us(500 * MILLISECOND)
         async with trio.open_nursery() as nursery:
             for host in world.core:
                 nursery.start_soon(world.start, "mdconf", host)
-        await rest(TAKEOVER)
+        await sleep_us(TAKEOVER)
         assert len(holders(world)) == 1
         assert len(seen) <= 2  # kept, or acquired once more
 
@@ -306,11 +306,11 @@
         proxy = world.daemon("mdproxy", hosts(world)[0])
         for other in world.core[:2]:
             world.power_off("mdconf", other)
-        await rest(DURATION)
+        await sleep_us(DURATION)
         assert not holders(world)
-        await rest(SECOND)
+        await sleep_us(SECOND)
         last = proxy.walker.lists.epoch, proxy.walker.lists.seq
-        await rest(17 * SECOND)
+        await sleep_us(17 * SECOND)
         assert not holders(world)
         assert (proxy.walker.lists.epoch, proxy.walker.lists.seq) == last
         for other in world.core[:2]:
@@ -325,7 +325,7 @@
         await world.whole()
         host, epoch = await one_holder(world)
         await watched(world)
-        await rest(SECOND)
+        await sleep_us(SECOND)
         world.kill(f"mdreg@{host}")
         took = await world.eventually(lambda: holders(world))
         assert took <= 3 * SECOND
@@ -348,7 +348,7 @@
             told = {"epoch": old, "seq": 10**6, "nodes": {}}
             asks = {0: (f"{place}:7401", "load.list", told)}
             del world.meddle["load.list"]
-            answer = (await links.call_all(asks, now() + SECOND))[0]
+            answer = (await links.call_all(asks, monotonic_us() + SECOND))[0]
             world.meddle["load.list"] = None
             return answer
 
@@ -393,10 +393,10 @@
         with pytest.raises(Rejected) as refused:
             register.acquired(old, acquire("b/1"))
         assert refused.value.code == LEASE_HELD
-        await rest(DURATION + margin - MILLI)
+        await sleep_us(DURATION + margin - MILLISECOND)
         with pytest.raises(Rejected):
             register.acquired(old, acquire("b/1"))
-        await rest(2 * MILLI)
+        await sleep_us(2 * MILLISECOND)
         assert register.acquired(old, acquire("b/1")).epoch == epoch + 1
         renewed = LeaseRecord(old.holder, epoch, old.sequence + 1, DURATION)
         with pytest.raises(Rejected):
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -11,7 +11,14 @@
 
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import Proposer
-from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, MemoryDisk, now, rest
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    HttpConnectionFailed,
+    MemoryDisk,
+    monotonic_us,
+    sleep_us,
+)
 from meadowdock.simulator import run
 
 
@@ -39,7 +46,7 @@
                             self.accepted.append(told["version"])
             except HttpConnectionFailed:
                 pass  # just killed
-            await rest(100 * MILLI)
+            await sleep_us(100 * MILLISECOND)
 
 
 # ---------------------------------------------------------------- founding
@@ -61,7 +68,7 @@
     async def scenario(world):
         fleet = Fleet(world, core=7, losses=1)
         await fleet.up()
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         records = list(fleet.records().values())
         assert {len(r["voters"]) for r in records} == {3}
         assert all(r == records[0] for r in records)
@@ -77,7 +84,7 @@
         await fleet.up(fleet.hosts[:2])
         fleet.founding = False
         await fleet.up(fleet.hosts[2:])
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         assert not any(fleet.records().values())
         assert not world.trace.events(601)
 
@@ -91,7 +98,7 @@
         await fleet.up(fleet.hosts[:3:2])
         fleet.told = fleet.hosts[1:4]
         await fleet.up(fleet.hosts[1::2])
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         assert not any(fleet.records().values())
 
     run(scenario, seed)
@@ -108,7 +115,7 @@
         for host in fleet.hosts:
             world.power_off("mdconf", host)
         fleet.founding = founding
-        await rest(SECOND)
+        await sleep_us(SECOND)
         await fleet.up()
         assert await fleet.settle(fleet.hosts) <= 2 * SECOND
         assert fleet.store(fleet.hosts[0]).record == record
@@ -129,7 +136,7 @@
             world.lose_disk("mdconf", host)
         fleet.founding = True
         await fleet.up()
-        await rest(6 * SECOND)
+        await sleep_us(6 * SECOND)
         assert len(world.trace.events(601)) == 1
         assert {r["version"] for r in fleet.records().values()} == {1}
         assert all(world.node("mdconf", h).not_ready() for h in fleet.hosts)
@@ -155,20 +162,20 @@
             if overlap_us <= 0:
                 world.power_off("mdconf", old)
                 fleet.hosts.remove(old)
-                await rest(-overlap_us)
-            begun = now()
+                await sleep_us(-overlap_us)
+            begun = monotonic_us()
             await world.start("mdconf", new)
             fleet.hosts.append(new)
             if overlap_us > 0:
-                await rest(overlap_us)
+                await sleep_us(overlap_us)
                 world.power_off("mdconf", old)
                 fleet.hosts.remove(old)
             await world.eventually(
-                lambda n=new: not world.node("mdconf", n).not_ready(), 3_200 * MILLI
+                lambda n=new: not world.node("mdconf", n).not_ready(), 3_200 * MILLISECOND
             )
-            await rest(begun + 4 * SECOND - now())
+            await sleep_us(begun + 4 * SECOND - monotonic_us())
         operator.over = True
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert len(operator.accepted) >= 5 * core
         assert operator.accepted == sorted(set(operator.accepted))
         assert await read_back(world, fleet.hosts[-1]) >= operator.accepted[-1]
@@ -188,17 +195,17 @@
         record = fleet.store(fleet.hosts[0]).record
         host = fleet.hosts[seed % 3]
         world.power_off("mdconf", host)
-        await rest(1_500 * MILLI)
+        await sleep_us(1_500 * MILLISECOND)
         await world.start("mdconf", host)
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         assert all(r == record for r in fleet.records().values())
         world.power_off("mdconf", host)
         fleet.hosts.remove(host)
-        await rest(20 * SECOND)
+        await sleep_us(20 * SECOND)
         assert all(r == record for r in fleet.records().values())
         fleet.hosts.append("10.0.3.1")
         await world.start("mdconf", "10.0.3.1")
-        assert await fleet.settle(fleet.hosts) <= 2_500 * MILLI
+        assert await fleet.settle(fleet.hosts) <= 2_500 * MILLISECOND
 
     run(scenario, seed)
 
@@ -306,7 +313,7 @@
     async def work(world):
         class Slow(MemoryDisk):
             async def write(self, name, data):
-                await rest(SECOND if name.endswith("2") else 0)
+                await sleep_us(SECOND if name.endswith("2") else 0)
                 await super().write(name, data)
 
         store = Store(Slow(), random.Random(1), lambda *_, **__: None)
@@ -315,7 +322,7 @@
             for version in (2, 3):
                 record = {"version": version, "voters": {"a": "x"}, "next": None}
                 nursery.start_soon(store.adopt, record)
-                await rest(10 * MILLI)
+                await sleep_us(10 * MILLISECOND)
         assert store.record["version"] == 3
 
     run(work)
@@ -333,12 +340,12 @@
         actor = world.disks["mdconf", fleet.hosts[0]]
         await world.start("mdconf", "10.0.3.1")
         actor.lose_at = actor.steps + step
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         actor.lose_at = None
         if f"mdconf@{fleet.hosts[0]}" in world.processes:
             world.power_off("mdconf", fleet.hosts[0])
         fleet.hosts.append("10.0.3.1")
-        await rest(SECOND)
+        await sleep_us(SECOND)
         actor.power_off()
         await world.start("mdconf", fleet.hosts[0])
         await fleet.settle(fleet.hosts, 6 * SECOND)
@@ -395,18 +402,18 @@
     async def work(world):
         class Slow(MemoryDisk):
             async def read(self, name):
-                await rest(10 * MILLI)
+                await sleep_us(10 * MILLISECOND)
                 return await super().read(name)
 
         disk = Slow()
         store = Store(disk, random.Random(1), lambda *_, **__: None)
         await store.load()
         await store.trail.put(dict.fromkeys(range(1, 1001), "record"))  # none sealed yet
-        begun = now()
+        begun = monotonic_us()
         again = Store(disk, random.Random(1), lambda *_, **__: None)
         await again.load()
         assert len(again.trail.tail) == 1000
-        assert now() - begun <= SECOND
+        assert monotonic_us() - begun <= SECOND
 
     run(work)
 
@@ -473,7 +480,7 @@
         proposer = Proposer(
             "n", lambda: list(groups), ask, random.Random(1), world.nursery, lambda: versions[0]
         )
-        assert await proposer.change("k", make, now() + 5 * SECOND) == "new"
+        assert await proposer.change("k", make, monotonic_us() + 5 * SECOND) == "new"
         assert {v for v, value in written if value == "old"} == {1}
 
     run(work)
@@ -495,7 +502,7 @@
         world.daemon("mdconf", host).changing = 1
         await world.eventually(lambda: world.daemon("mdconf", host).store.record)
         told = await daemon.broadcast_to(
-            record["voters"], "member.keys", record, now() + SECOND, lambda answers: False
+            record["voters"], "member.keys", record, monotonic_us() + SECOND, lambda answers: False
         )
         assert set(told) == {d for d, a in record["voters"].items() if a != f"{host}:7421"}
 
@@ -515,7 +522,7 @@
         def begin(r):
             return {"version": r["version"] + 1, "voters": r["voters"], "next": disks}
 
-        first = await daemon.step_members(begin, now() + SECOND)
+        first = await daemon.step_members(begin, monotonic_us() + SECOND)
 
         async def meanwhile(due):
             """The other ends the change, and begins the next."""
@@ -526,7 +533,7 @@
 
         daemon.transfer_files = meanwhile
         with pytest.raises(Exception, match="another_change"):
-            await daemon.end_known(first, now() + 2 * SECOND)
+            await daemon.end_known(first, monotonic_us() + 2 * SECOND)
         assert daemon.store.record["next"] == disks
         assert daemon.store.record["version"] == first["version"] + 2
 
@@ -539,9 +546,9 @@
         await fleet.founded()
         daemon = world.daemon("mdconf", fleet.hosts[0])
         for n in range(100):
-            await daemon.proposer.change(f"duty/{n}", lambda old, n=n: n, now() + SECOND)
-        begun = now()
-        await daemon.transfer_state(now() + 5 * SECOND)
-        assert now() - begun <= 600 * MILLI
+            await daemon.proposer.change(f"duty/{n}", lambda old, n=n: n, monotonic_us() + SECOND)
+        begun = monotonic_us()
+        await daemon.transfer_state(monotonic_us() + 5 * SECOND)
+        assert monotonic_us() - begun <= 600 * MILLISECOND
 
     run(scenario)
--- a/tests/config_store/test_members_change.py
+++ b/tests/config_store/test_members_change.py
@@ -8,7 +8,7 @@
 from mesh import configured, first_with_a_blank_disk, hosts, serving
 
 from meadowdock.config_store.store import rescue
-from meadowdock.runtime import SECOND, HttpConnectionFailed, rest
+from meadowdock.runtime import SECOND, HttpConnectionFailed, sleep_us
 from meadowdock.simulator import run
 
 
@@ -53,7 +53,7 @@
                             versions.append(told["version"])
                 except HttpConnectionFailed:
                     pass  # asked one that is just swapped
-                await rest(200_000)
+                await sleep_us(200_000)
 
         async def swap():
             for index, host in enumerate(new):
@@ -66,7 +66,7 @@
                 assert (status, told.get("state")) == (200, "changed"), told
                 world.core[index] = host
                 world.kill(f"mdconf@{old}")
-            await rest(SECOND)
+            await sleep_us(SECOND)
             done.set()
 
         async with trio.open_nursery() as nursery:
@@ -77,7 +77,7 @@
         status, told = await world.operate("GET", "/manifest")
         assert status == 200
         assert told["version"] >= versions[-1]  # one whose answer was lost may have been the last
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         in_force = {world.daemon("mdproxy", h).delivery.version for h in hosts(world)}
         assert in_force == {told["version"]}
 
@@ -130,7 +130,7 @@
     async def scenario(world):
         await configured(world)
         assert await world.configure(changed(1)) == 2
-        await rest(SECOND)
+        await sleep_us(SECOND)
         for host in world.core:
             world.power_off("mdconf", host)
         for host in world.core[1:]:
@@ -138,13 +138,13 @@
             await world.start("mdconf", host)
         survivor = world.core[0]
         await world.start("mdconf", survivor)
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         status, told = await world.operate("GET", "/manifest")
         assert (status, told["code"]) == (503, "no_majority")
         world.kill(f"mdconf@{survivor}")
         await rescue(world.disks["mdconf", survivor], f"{survivor}:7421", True)
         await world.start("mdconf", survivor)
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         links = [f"{h}:7421" for h in world.core]
         status, told = await world.operate("POST", "/members", {"set": links})
         assert (status, told.get("state")) == (200, "changed"), told
@@ -166,7 +166,7 @@
             world.web.cut(silent, other)
         facts = {"old": f"{silent}:7421", "new": f"{silent}:7421"}
         for wait in (0, 4 * SECOND):
-            await rest(wait)
+            await sleep_us(wait)
             status, told = await world.operate("POST", "/members", facts, 1)
             assert (status, told["code"], told["absent"]) == (409, "absent", [f"{silent}:7421"])
 
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -10,7 +10,7 @@
 
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import Place, Tolerance, VoterSets
-from meadowdock.runtime import MILLI, SECOND, MemoryDisk, rest
+from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, sleep_us
 from meadowdock.simulator import run
 
 
@@ -44,7 +44,7 @@
     async def scenario(world):
         fleet = Fleet(world, core=1, losses=1)
         await fleet.up()
-        await rest(10 * SECOND)
+        await sleep_us(10 * SECOND)
         world.core = fleet.hosts
         status, told = await world.operate("POST", "/plan", changed(1))
         assert (status, told["code"]) == (503, "too_few_members")
@@ -131,11 +131,11 @@
     async def scenario(world):
         fleet = ZonedFleet(world, ["a1", "b1", "c1", "a1", "a1"], zone_losses=1)
         await fleet.up()
-        await rest(6 * SECOND)
+        await sleep_us(6 * SECOND)
         assert await configure(world, 1, fleet.hosts[0]) == 1
         await world.eventually(lambda: fleet.steady(fleet.voting_zones()), 3 * SECOND)
         record = fleet.store(fleet.hosts[0]).record
-        await rest(10 * SECOND)
+        await sleep_us(10 * SECOND)
         assert fleet.records()[fleet.hosts[4]] == record
         for host in (fleet.hosts[0], *fleet.hosts[3:]):
             world.power_off("mdconf", host)
@@ -150,7 +150,7 @@
         zones = ["a1", "b1", "c1", "a1", "b1", "c1", "c1"]
         fleet = ZonedFleet(world, zones)
         await fleet.up()
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         assert fleet.voting_zones() == ["a1", "b1", "c1"]
         world.power_off("mdconf", fleet.hosts[2])
         await world.eventually(
@@ -190,7 +190,9 @@
 
 
 async def change_begun(world, fleet):
-    await world.eventually(lambda: fleet.store(fleet.hosts[0]).record["next"], 6 * SECOND, MILLI)
+    await world.eventually(
+        lambda: fleet.store(fleet.hosts[0]).record["next"], 6 * SECOND, MILLISECOND
+    )
 
 
 def holds_everything(world, fleet, newcomer, old):
@@ -227,7 +229,9 @@
         slowed = {"write": store.acceptor, "put_blob": store, "put": store.trail}[slow]
         slow_down(slowed, slow)
         await world.eventually(
-            lambda: store.disk in (fleet.store(fleet.hosts[0]).record["voters"]), 9 * SECOND, MILLI
+            lambda: store.disk in (fleet.store(fleet.hosts[0]).record["voters"]),
+            9 * SECOND,
+            MILLISECOND,
         )
         assert holds_everything(world, fleet, "10.0.3.1", fleet.hosts)
         # the second loss, right after the end: the other that has all loses its disk too
@@ -242,11 +246,11 @@
     run(scenario, seed)
 
 
-def slow_down(thing, method, by=300 * MILLI):
+def slow_down(thing, method, by=300 * MILLISECOND):
     original = getattr(thing, method)
 
     async def slower(*args):
-        await rest(by)
+        await sleep_us(by)
         return await original(*args)
 
     setattr(thing, method, slower)
@@ -307,19 +311,19 @@
         repaired = break_off(behind.acceptor, "write")
         assert await configure(world, 1, fleet.hosts[0]) == 1
         world.power_off("mdconf", fleet.hosts[4])
-        await rest(20 * SECOND)
+        await sleep_us(20 * SECOND)
         assert behind.acceptor.read("manifest/head")[1] is None
         assert fleet.store(fleet.hosts[0]).record["next"]
         repaired()
         await world.eventually(
-            lambda: not fleet.store(fleet.hosts[0]).record["next"], 10 * SECOND, MILLI
+            lambda: not fleet.store(fleet.hosts[0]).record["next"], 10 * SECOND, MILLISECOND
         )
         assert behind.acceptor.read("manifest/head")[1]["version"] == 1
 
     run(scenario)
 
 
-@pytest.mark.parametrize("delay_us", range(0, 400 * MILLI, 40 * MILLI))
+@pytest.mark.parametrize("delay_us", range(0, 400 * MILLISECOND, 40 * MILLISECOND))
 def test_five_bear_a_second_loss_at_any_moment_of_a_replacement(delay_us):
     """The one that drives the change, just after it began."""
 
@@ -330,7 +334,7 @@
         world.power_off("mdconf", fleet.hosts.pop())
         await world.start("mdconf", "10.0.3.1")
         await change_begun(world, fleet)
-        await rest(delay_us)
+        await sleep_us(delay_us)
         world.power_off("mdconf", fleet.hosts[0])
         world.lose_disk("mdconf", fleet.hosts[0])
         assert await configure(world, 2, fleet.hosts[1]) == 2
@@ -342,7 +346,7 @@
             world.lose_disk("mdconf", host)
         assert await read_back(world, "10.0.3.1") == 2
 
-    run(scenario, delay_us // MILLI)
+    run(scenario, delay_us // MILLISECOND)
 
 
 # ---------------------------------------------------------------- voters that stop
@@ -359,9 +363,9 @@
 
 async def with_spares(world, core=7):
     fleet = Fleet(world, core=core)
-    fleet.settings = {"linger_us": 100 * MILLI}
+    fleet.settings = {"linger_us": 100 * MILLISECOND}
     await fleet.up()
-    await rest(5 * SECOND)
+    await sleep_us(5 * SECOND)
     assert len(voters(world, fleet)) == 3
     assert await configure(world, 1, fleet.hosts[0]) == 1
     return fleet
@@ -386,14 +390,14 @@
     run(scenario, which + 1)
 
 
-@pytest.mark.parametrize("apart_us", [0, 100 * MILLI, 600 * MILLI, 1_200 * MILLI])
+@pytest.mark.parametrize("apart_us", [0, 100 * MILLISECOND, 600 * MILLISECOND, 1_200 * MILLISECOND])
 def test_two_voters_that_stop_in_turn_are_both_replaced(apart_us):
     async def scenario(world):
         fleet = await with_spares(world)
         first, second, _ = sorted(voters(world, fleet))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(world.stop, f"mdconf@{first}")
-            await rest(apart_us)
+            await sleep_us(apart_us)
             nursery.start_soon(world.stop, f"mdconf@{second}")
         await world.eventually(lambda: steady(fleet), 3 * SECOND)
         assert not {first, second} & voters(world, fleet)
@@ -402,14 +406,14 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("after_us", [0, 1_900 * MILLI, 2_200 * MILLI])
+@pytest.mark.parametrize("after_us", [0, 1_900 * MILLISECOND, 2_200 * MILLISECOND])
 def test_a_voter_that_stops_while_a_lost_one_is_replaced_is_replaced_too(after_us):
     async def scenario(world):
         fleet = await with_spares(world)
         lost, stopped, _ = sorted(voters(world, fleet))
         world.power_off("mdconf", lost)
         world.lose_disk("mdconf", lost)
-        await rest(after_us)
+        await sleep_us(after_us)
         await world.stop(f"mdconf@{stopped}")
         await world.eventually(
             lambda: steady(fleet) and not {lost, stopped} & voters(world, fleet), 3 * SECOND
@@ -472,7 +476,7 @@
         took = await world.stop(f"mdconf@{fleet.hosts[1]}")
         assert took <= 2 * SECOND
         await world.start("mdconf", fleet.hosts[1])
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         assert all(r == record for r in fleet.records().values())
 
     run(scenario)
--- a/tests/config_store/test_order_races.py
+++ b/tests/config_store/test_order_races.py
@@ -11,7 +11,7 @@
 from order_faults import trouble
 from orders import order
 
-from meadowdock.runtime import MILLI, SECOND, rest
+from meadowdock.runtime import MILLISECOND, SECOND, sleep_us
 from meadowdock.simulator import run
 
 OPERATORS, TURNS = 4, 8
@@ -29,7 +29,7 @@
             item |= {"spec": None, "source": f"<{which}>"}
         items = [item, service(f"own{which}", turn)]
         done.append(await order(world, items, world.rng.randrange(3)))
-        await rest(world.rng.randrange(200) * MILLI)
+        await sleep_us(world.rng.randrange(200) * MILLISECOND)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -49,7 +49,7 @@
                 world.processes[f"mdconf@{host}"].wake()
             else:
                 await world.start("mdconf", host)
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         contents = defaultdict(set)
         for made in done:
             assert made.status in (200, 409), made
--- a/tests/config_store/test_order_times.py
+++ b/tests/config_store/test_order_times.py
@@ -10,7 +10,7 @@
 from item_changes import founded
 from orders import order
 
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 SEEDS = range(4)
@@ -23,12 +23,12 @@
     return [service("desk", n + 1, health=f"/{n}")]
 
 
-async def one_after_the_other(world, count, pause=300 * MILLI):
+async def one_after_the_other(world, count, pause=300 * MILLISECOND):
     """Orders to all members in turn."""
     done = []
     for n in range(count):
         done.append(await order(world, fresh(n), n % 3))
-        await rest(world.rng.randrange(pause))
+        await sleep_us(world.rng.randrange(pause))
     return done
 
 
@@ -43,11 +43,11 @@
     done = [await order(world, fresh(0), 0)]
     for a, b in pairs:
         world.web.cut(a, b, both=False)
-    begun, n = now(), 1
-    while now() - begun < CUT_FOR:
+    begun, n = monotonic_us(), 1
+    while monotonic_us() - begun < CUT_FOR:
         done.append(await order(world, fresh(n), n % 3))
         n += 1
-        await rest(world.rng.randrange(300 * MILLI))
+        await sleep_us(world.rng.randrange(300 * MILLISECOND))
     world.web.mend(pairs)
     for n in range(len(done), len(done) + 10):
         done.append(await order(world, fresh(n), n % 3))
@@ -60,7 +60,7 @@
     disk.stalled = trio.Event()
     for n in range(1, 40):
         done.append(await order(world, fresh(n), n % 3))
-        await rest(world.rng.randrange(300 * MILLI))
+        await sleep_us(world.rng.randrange(300 * MILLISECOND))
     disk.stalled.set()
     disk.stalled = None
     return done
@@ -107,9 +107,9 @@
     longest = max(span for order in done for _, _, span in order.answers)
     under = sum(t < SLOW for t in took)
     return (
-        f"under 1 s: {under}, over: {len(took) - under}, median {took[len(took) // 2] // MILLI} ms, "
-        f"99th {took[len(took) * 99 // 100] // MILLI} ms, longest {took[-1] // MILLI} ms, "
-        f"answers {dict(told)}, longest wait for one answer {longest // MILLI} ms"
+        f"under 1 s: {under}, over: {len(took) - under}, median {took[len(took) // 2] // MILLISECOND} ms, "
+        f"99th {took[len(took) * 99 // 100] // MILLISECOND} ms, longest {took[-1] // MILLISECOND} ms, "
+        f"answers {dict(told)}, longest wait for one answer {longest // MILLISECOND} ms"
     )
 
 
--- a/tests/config_store/test_repair.py
+++ b/tests/config_store/test_repair.py
@@ -11,7 +11,7 @@
 
 from meadowdock.config_store import plans, repair
 from meadowdock.config_store.store import Store
-from meadowdock.runtime import MILLI, SECOND, rest
+from meadowdock.runtime import MILLISECOND, SECOND, sleep_us
 from meadowdock.simulator import run
 
 
@@ -68,14 +68,14 @@
     async def scenario(world):
         await configured(world)
         host = world.core[0]
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         for other in world.core:  # a renewed lease has a new file, whatever became of the old
             world.kill(f"mdreg@{other}")
-        await rest(SECOND)
+        await sleep_us(SECOND)
         disk = world.disks["mdconf", host]
         for name in files(world, host, kind):
             disk.rot(name)
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         what = {"key": "key_file", "blob": "range_file"}[kind]
         assert counts(world, host)[what] == len(files(world, host, kind)) > 0
         world.power_off("mdconf", host)
@@ -135,7 +135,7 @@
                 host = world.core[(number // 200) % 3]
                 disk = world.disks["mdconf", host]
                 disk.lose_at = disk.steps + world.rng.randrange(3, 40)
-                await rest(SECOND)
+                await sleep_us(SECOND)
                 if disk.lose_at is None:
                     world.processes.pop(f"mdconf@{host}")
                     disk.power_off()
@@ -144,7 +144,7 @@
                 disk.lose_at = None
             if number > 400:
                 most = max(most, *(len(files(world, h, "blob")) for h in world.core))
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         assert sum(counts(world, h)["removed"] for h in world.core) > 3000
         assert most < 1000  # of 3600 plans and ranges
         for core in range(3):
@@ -161,18 +161,18 @@
     async def scenario(world):
         await configured(world)
         _, first = await world.operate("POST", "/plan", changed(1))
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         status, told = await world.operate("POST", "/confirm", {"plan": first["plan"]})
         assert (status, told["code"]) == (410, "plan_expired")
         assert (await world.operate("GET", f"/plan/{first['plan']}"))[1]["state"] == "expired"
-        await rest(14 * SECOND)
+        await sleep_us(14 * SECOND)
         status, told = await world.operate("POST", "/confirm", {"plan": first["plan"]})
         assert (status, told["code"]) == (404, "plan_unknown")
         # the same ranges again, planned just when their former files are about to go
         for wait in range(8):
             number = 10 + wait
             _, old = await world.operate("POST", "/plan", changed(number))
-            await rest(7 * SECOND + wait * 200 * MILLI)
+            await sleep_us(7 * SECOND + wait * 200 * MILLISECOND)
             _, planned = await world.operate("POST", "/plan", changed(number), core=1)
             assert planned["plan"] != old["plan"]
             status, told = await world.operate("POST", "/confirm", {"plan": planned["plan"]})
--- a/tests/config_store/test_trail.py
+++ b/tests/config_store/test_trail.py
@@ -15,7 +15,7 @@
 from meadowdock.config_store import repair, trail, trail_transfer
 from meadowdock.config_store.trail import RECORDS, SEGMENTS, TrailState
 from meadowdock.rpc import Rejected
-from meadowdock.runtime import MILLI, SECOND, MemoryDisk, rest
+from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, sleep_us
 from meadowdock.simulator import SimDisk, run
 
 PUBLIC = SIGNING_KEY.as_dict(private=False)
@@ -237,7 +237,9 @@
             world.power_off("mdconf", host)
             durable = set(on_disk(disk, SEGMENTS))
             assert 3 <= len(durable) < 600 // trail.SEGMENT  # in the middle of it
-            await rest(5 * MILLI)  # a simulated write ends, and is logged, after its process
+            await sleep_us(
+                5 * MILLISECOND
+            )  # a simulated write ends, and is logged, after its process
             world.trace.lines.clear()
             await world.start("mdconf", host)
         _, told = await world.operate("GET", "/status")
@@ -268,7 +270,7 @@
     async def scenario(world):
         await configured(world)
         await change(world, range(40))
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         host = await first_with_a_blank_disk(world)
         link = f"{host}:7421"
         status, told = await world.operate("POST", "/members", {"old": link, "new": link}, core=1)
@@ -382,7 +384,7 @@
         await configured(world)
         ((version, plan),) = (await change(world, [0])).items()
         await change(world, range(1, 60))
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         host = world.core[0]
         disk = world.disks["mdconf", host]
         held = trail_at(world, host)
@@ -403,7 +405,7 @@
         await configured(world)
         ((version, plan),) = (await change(world, [0])).items()
         await change(world, range(1, 60))
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         disk = world.disks["mdconf", world.core[0]]
         world.processes[f"mdconf@{world.core[silent]}"].freeze()
         for turn in range(2):  # whichever is asked first
@@ -412,7 +414,7 @@
             world.daemon("mdconf", world.core[0]).trail.turn = turn
             status, told = await world.operate("POST", "/confirm", {"plan": plan})
             assert (status, told.get("version")) == (200, version), told
-            await rest(2 * SECOND)
+            await sleep_us(2 * SECOND)
 
     run(scenario, application=())
 
@@ -425,7 +427,7 @@
         await configured(world)
         ((_, plan),) = (await change(world, [0])).items()
         await change(world, range(1, 60))
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         assert all(trail_at(world, host).first > 32 for host in world.core)
         status, told = await world.operate("POST", "/confirm", {"plan": plan})
         assert (status, told["code"]) == (410, "plan_expired")
--- a/tests/configuration/test_manifest.py
+++ b/tests/configuration/test_manifest.py
@@ -12,7 +12,7 @@
 
 from meadowdock.configuration import SIZE_MAX, Ways, checked, cut
 from meadowdock.proxy.delivery import SWITCH_ALONE_PART
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 
@@ -172,7 +172,7 @@
 def test_a_change_is_in_force_everywhere_soon_and_switched_close_together():
     async def scenario(world):
         await serving(world)
-        at = now()
+        at = monotonic_us()
         version = await world.configure(manifest([way("x", "/balances")]))
         await world.eventually(
             lambda: all(
@@ -183,7 +183,7 @@
         switched = [t for t, line in world.trace.events(502) if line["version"] == version]
         assert len(switched) == len(hosts(world))
         assert max(switched) - at < 2 * SECOND
-        assert max(switched) - min(switched) < 250 * MILLI
+        assert max(switched) - min(switched) < 250 * MILLISECOND
 
     run(scenario, application=("desk",) * 5)
 
@@ -209,7 +209,7 @@
         await configured(world, manifest(ways))
         ways[5]["repeat"] = "once"
         await world.configure(manifest(ways))
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         fetched = [line["fetched"] for _, line in world.trace.events(501) if line["version"] == 2]
         assert fetched == [1] * len(hosts(world))
 
@@ -221,7 +221,7 @@
     host = hosts(world)[0]
     for core in world.core:
         world.web.cut(core, host)
-    await rest(3 * SECOND)
+    await sleep_us(3 * SECOND)
     return host
 
 
@@ -259,8 +259,8 @@
         world.web.mend({(mine, other), (other, mine)})
         daemon = world.daemon("mdproxy", mine)
         view = world.node("mdproxy", other).view
-        daemon.node.view.merge([view.me], now())
-        await rest(3 * SECOND)
+        daemon.node.view.merge([view.me], monotonic_us())
+        await sleep_us(3 * SECOND)
         assert daemon.delivery.newest == 1  # staged, and not in force
         status, _, told = await world.http(mine, "GET", f"{mine}:7400", "/balances/1")
         assert (status, told["code"]) == (503, "no_manifest")
@@ -283,13 +283,17 @@
             )
         assert await world.configure(manifest([way("x", "/balances")])) == 2
         there = world.daemon("mdproxy", other).delivery
-        await world.eventually(lambda: there.version == daemon.delivery.newest == 2, every=MILLI)
+        await world.eventually(
+            lambda: there.version == daemon.delivery.newest == 2, every=MILLISECOND
+        )
         assert daemon.delivery.version == 1
         staged_at = daemon.delivery.staged.since
-        world.node("mdproxy", mine).view.merge([world.node("mdproxy", other).view.me], now())
-        await world.eventually(lambda: daemon.delivery.version == 2, every=MILLI)
+        world.node("mdproxy", mine).view.merge(
+            [world.node("mdproxy", other).view.me], monotonic_us()
+        )
+        await world.eventually(lambda: daemon.delivery.version == 2, every=MILLISECOND)
         alone = daemon.node.boot.apply_us // SWITCH_ALONE_PART
-        assert now() - staged_at < alone // 2
+        assert monotonic_us() - staged_at < alone // 2
 
     run(scenario, application=("desk", "desk"))
 
@@ -304,10 +308,10 @@
             links.call_all = no_switch(links.call_all, f"{mine}:7401")
         daemon.delivery.switch_told(2)
         assert daemon.delivery.version == 1
-        at = now()
+        at = monotonic_us()
         assert await world.configure(manifest([way("x", "/balances")])) == 2
-        await world.eventually(lambda: daemon.delivery.version == 2, every=MILLI)
-        assert now() - at < 100 * MILLI
+        await world.eventually(lambda: daemon.delivery.version == 2, every=MILLISECOND)
+        assert monotonic_us() - at < 100 * MILLISECOND
 
     run(scenario, application=("desk",))
 
@@ -367,7 +371,7 @@
         assert settled["state"] in ("confirmed", "open")
         head = (await world.operate("GET", "/manifest", core=2))[1]["version"]
         assert head == (2 if settled["state"] == "confirmed" else 1)
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         again = (await world.operate("GET", f"/plan/{plan}", core=2))[1]
         assert again["state"] == settled["state"]
 
@@ -407,12 +411,12 @@
     async def scenario(world):
         host = await first_cut_off(world)
         version = await world.configure(manifest([way("x", "/balances")]))
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         world.web.heal()
         delivery = world.daemon("mdproxy", host).delivery
         await world.eventually(lambda: not delivery.cut_off)
-        took = await world.eventually(lambda: delivery.version == version, every=MILLI)
-        assert took < 50 * MILLI
+        took = await world.eventually(lambda: delivery.version == version, every=MILLISECOND)
+        assert took < 50 * MILLISECOND
 
     run(scenario, application=("desk",))
 
@@ -425,14 +429,14 @@
         for daemon in (world.daemon("mdconf", c) for c in world.core):
 
             async def nobody_delivers(head):
-                await rest(0)
+                await sleep_us(0)
 
             daemon.deliver = nobody_delivers
-        begun = now()
+        begun = monotonic_us()
         for number in range(8):
             await world.configure(manifest([way(f"w{number}", "/balances")]), number % 3)
-            await rest(300 * MILLI)
-        assert now() - begun > 2 * SECOND
+            await sleep_us(300 * MILLISECOND)
+        assert monotonic_us() - begun > 2 * SECOND
         assert delivery.version >= 3
 
     run(scenario, application=("desk",))
@@ -451,7 +455,7 @@
         async with trio.open_nursery() as nursery:
             for _ in range(700):
                 nursery.start_soon(call)
-                await rest(MILLI)
+                await sleep_us(MILLISECOND)
                 if len(told) >= 50 and not healed:
                     world.web.heal()
                     healed = True
--- a/tests/consensus/test_register.py
+++ b/tests/consensus/test_register.py
@@ -11,7 +11,7 @@
 from three_acceptors import Trio
 
 from meadowdock.consensus import Acceptor, NoQuorum, OutcomeUnknown
-from meadowdock.runtime import SECOND, now
+from meadowdock.runtime import SECOND, monotonic_us
 from meadowdock.simulator import SimDisk, run
 
 
@@ -35,7 +35,9 @@
             for n in range(5):
                 try:
                     await proposer.change(
-                        "k", lambda old, n=n: [*(old or []), f"{name}{n}"], now() + 2 * SECOND
+                        "k",
+                        lambda old, n=n: [*(old or []), f"{name}{n}"],
+                        monotonic_us() + 2 * SECOND,
                     )
                     acknowledged.append(f"{name}{n}")
                 except (OutcomeUnknown, NoQuorum):
@@ -45,7 +47,7 @@
             for name in "abc":
                 nursery.start_soon(add, name)
         three.lose_answers = 0.0
-        final = await three.proposer("r").read("k", now() + 5 * SECOND)
+        final = await three.proposer("r").read("k", monotonic_us() + 5 * SECOND)
         assert set(acknowledged) <= set(final)
         assert set(final) <= set(acknowledged) | set(unclear)
         assert len(acknowledged) >= 10
@@ -57,9 +59,9 @@
     async def work(three):
         three.down = {"x", "y"}
         with pytest.raises(NoQuorum):
-            await three.proposer("a").change("k", lambda old: 1, now() + SECOND)
+            await three.proposer("a").change("k", lambda old: 1, monotonic_us() + SECOND)
         three.down = set()
-        assert await three.proposer("b").read("k", now() + SECOND) is None
+        assert await three.proposer("b").read("k", monotonic_us() + SECOND) is None
 
     with_trio(work)
 
@@ -78,11 +80,11 @@
         proposer = three.proposer("a")
         proposer.ask = ask
         with pytest.raises(OutcomeUnknown):
-            await proposer.change("k", lambda old: "new", now() + SECOND)
+            await proposer.change("k", lambda old: "new", monotonic_us() + SECOND)
         three.down = set()
-        first = await three.proposer("b").change("k", lambda old: old, now() + SECOND)
+        first = await three.proposer("b").change("k", lambda old: old, monotonic_us() + SECOND)
         for name in "cde":
-            assert await three.proposer(name).read("k", now() + SECOND) == first
+            assert await three.proposer(name).read("k", monotonic_us() + SECOND) == first
 
     with_trio(work)
 
@@ -216,8 +218,8 @@
             await world.daemon("mdconf", world.core[core]).store.acceptor.prepare(
                 "manifest/head", (50, "somebody")
             )
-        at = now()
+        at = monotonic_us()
         assert await world.configure(manifest([way("new", "/balances")]), core=1) == 2
-        assert now() - at < SECOND
+        assert monotonic_us() - at < SECOND
 
     run(scenario)
--- a/tests/consensus/test_register_contention.py
+++ b/tests/consensus/test_register_contention.py
@@ -10,10 +10,10 @@
 from mesh import configured
 
 from meadowdock.consensus import Acceptor, NoQuorum, OutcomeUnknown, Proposer
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import SimDisk, run
 
-STEP = 5 * MILLI  # a write takes four steps
+STEP = 5 * MILLISECOND  # a write takes four steps
 SLOW = 25
 ANSWERED = 3 * SECOND  # operators wait 4 s
 
@@ -22,7 +22,7 @@
     """Others use it too: now and then a step waits long."""
 
     async def step(self, shield):
-        await rest(self.rng.choice((0, 0, 0, self.step_us, 8 * self.step_us)))
+        await sleep_us(self.rng.choice((0, 0, 0, self.step_us, 8 * self.step_us)))
         await super().step(shield)
 
 
@@ -42,9 +42,9 @@
 
     async def ask(self, member, method, args, due):
         self.ballots += method == "prepare"
-        await rest(self.rng.randrange(1, 3) * MILLI)
+        await sleep_us(self.rng.randrange(1, 3) * MILLISECOND)
         if member in self.dead:
-            await rest(due - now())
+            await sleep_us(due - monotonic_us())
             raise TimeoutError
         acceptor = self.acceptors[member]
         if method == "read":
@@ -53,7 +53,7 @@
             answer = await getattr(acceptor, method)(args[0], tuple(args[1]), *args[2:])
         if self.lossy and self.rng.random() < 0.1:
             raise TimeoutError
-        await rest(self.rng.randrange(1, 3) * MILLI)
+        await sleep_us(self.rng.randrange(1, 3) * MILLISECOND)
         return answer
 
 
@@ -68,29 +68,29 @@
         while True:
             least, reads = known, reads + 1
             try:
-                told = await proposer.read("k", now() + 1_200 * MILLI) or 0
+                told = await proposer.read("k", monotonic_us() + 1_200 * MILLISECOND) or 0
                 assert told >= least  # what was given before the read began is in it
                 known = max(known, told)
             except (NoQuorum, OutcomeUnknown):
                 failed += 1
-            await rest(voters.rng.randrange(1, 20) * MILLI)
+            await sleep_us(voters.rng.randrange(1, 20) * MILLISECOND)
 
     proposers = [voters.proposer(name) for name in voters.acceptors]
     async with trio.open_nursery() as nursery:
         for proposer in proposers:
             nursery.start_soon(reader, proposer)
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         for number in range(changes):
-            at = now()
+            at = monotonic_us()
             proposer = proposers[number % len(proposers)]
             try:
-                due = now() + 5 * SECOND
+                due = monotonic_us() + 5 * SECOND
                 known = max(known, await proposer.change("k", lambda old: (old or 0) + 1, due))
                 done += 1
             except (NoQuorum, OutcomeUnknown):
                 pass
-            took.append(now() - at)
-            await rest(150 * MILLI)
+            took.append(monotonic_us() - at)
+            await sleep_us(150 * MILLISECOND)
         nursery.cancel_scope.cancel()
     assert done == changes
     return took, reads, failed
@@ -156,9 +156,9 @@
         took = []
 
         async def call(*terms):
-            at = now()
+            at = monotonic_us()
             status, told = await world.operate(*terms)
-            took.append(now() - at)
+            took.append(monotonic_us() - at)
             assert status == 200, told
             return told
 
@@ -172,7 +172,7 @@
             assert (await call("GET", "/manifest", None, door))["version"] == version
         assert max(took) < 2 * SECOND
         world.trace.lines.clear()
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         away = {f"mdconf@{h}" for h in struck} if fault == "cut off" else set()
         assert {line["of"] for _, line in world.trace.events(603)} <= away
 
--- a/tests/forwarding/test_abandoned.py
+++ b/tests/forwarding/test_abandoned.py
@@ -7,7 +7,7 @@
 from gates import SEEDS, gate_of, gated, items, leaks
 from item_builders import route
 
-from meadowdock.runtime import MILLI, now, rest
+from meadowdock.runtime import MILLISECOND, monotonic_us, sleep_us
 
 ONCE_LONG = route("oncelong", prefix="/oncelong/", repeat="once")
 ONE_SLOT = {"slots": 1, "work_us": works(long=800, oncelong=800)}
@@ -25,10 +25,10 @@
         host, there = list(world.application)[0], list(world.application)[-1]
         caller = await world.caller(host)
         caller.ask(b"/long/x")
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         assert len(ends_of(world).running) == 1
         caller.hang_up()
-        await rest(20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
         (job,) = ends_of(world).running
         assert job.conn.over and not gate_of(world, there).calls and not leaks(world)
 
@@ -41,12 +41,12 @@
         host, there = list(world.application)[0], list(world.application)[-1]
         caller = await world.caller(host)
         caller.ask(b"/oncelong/x", b"POST")
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         caller.hang_up()
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         (job,) = ends_of(world).running
         assert not job.conn.over and len(gate_of(world, there).calls) == 1
-        await rest(800 * MILLI)
+        await sleep_us(800 * MILLISECOND)
         assert len(ends_of(world).journal) == 1 and not leaks(world)
 
     gated(scenario, application=application, items=items(ONCE_LONG), endpoint=ONE_SLOT)
@@ -59,17 +59,17 @@
         host, there = list(world.application)[0], list(world.application)[-1]
         holding = await world.caller(host)
         held = holding.ask(b"/long/x")
-        await rest(50 * MILLI)
+        await sleep_us(50 * MILLISECOND)
         caller = await world.caller(host)
         caller.ask(target)
-        await rest(50 * MILLI)
+        await sleep_us(50 * MILLISECOND)
         assert len(gate_of(world, there).admission.queue("desk")) == 1
         caller.hang_up()
-        await rest(20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
         assert len(gate_of(world, there).admission.queue("desk")) == 0
         assert len(gate_of(world, host).calls) == 1
         await held.done.wait()
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         assert [ran.target for ran in ends_of(world).journal] == [b"/long/x"]
 
     gated(scenario, application=application, items=items(LONG, ONCE_LONG), endpoint=ONE_SLOT)
@@ -85,13 +85,13 @@
             link.on_end("the test")
         peers.quiet_until.clear()
         caller = await world.caller(host)
-        at = now()
+        at = monotonic_us()
         caller.ask(target)
         while not any(link.unsent for link in peers.outgoing.values()):
-            await rest(100)
-            assert now() - at < 100 * MILLI
+            await sleep_us(100)
+            assert monotonic_us() - at < 100 * MILLISECOND
         caller.hang_up()
-        await rest(500 * MILLI)
+        await sleep_us(500 * MILLISECOND)
         assert not ends_of(world).journal and gate_of(world, there).counts.get("taken", 0) == 0
 
     gated(scenario, application=("", "desk"), items=items(LONG, ONCE_LONG), endpoint=ONE_SLOT)
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -20,7 +20,7 @@
 from meadowdock.forwarding.patience import Patience
 from meadowdock.forwarding.wait_queue import WaitQueue
 from meadowdock.forwarding.waits import ServiceWaits
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
 
 def call(rank=0, urgency=None, aim_due=SECOND, **facts):
@@ -83,28 +83,28 @@
 
 
 def test_slots_that_greater_urgencies_hold_are_not_counted_on():
-    waits, work = ServiceWaits(500 * MILLI), {4: 10 * 150 * MILLI}
+    waits, work = ServiceWaits(500 * MILLISECOND), {4: 10 * 150 * MILLISECOND}
     for _ in range(12):
         waits.entered(2, 0)
-    alone = waits.wait_us(work, 4, 150 * MILLI, 16, 10 * SECOND)
-    assert alone == pytest.approx(11 * 150 * MILLI / 4, rel=0.01)
+    alone = waits.wait_us(work, 4, 150 * MILLISECOND, 16, 10 * SECOND)
+    assert alone == pytest.approx(11 * 150 * MILLISECOND / 4, rel=0.01)
     for _ in range(12):
         waits.left(2, 10 * SECOND)
     # ten seconds later nobody of rank 1 has held a slot for long
-    idle = waits.wait_us(work, 4, 150 * MILLI, 16, 20 * SECOND)
-    assert idle == pytest.approx(11 * 150 * MILLI / 16, rel=0.01)
+    idle = waits.wait_us(work, 4, 150 * MILLISECOND, 16, 20 * SECOND)
+    assert idle == pytest.approx(11 * 150 * MILLISECOND / 16, rel=0.01)
 
 
 def test_a_greater_urgency_does_not_wait_for_lesser_ones():
-    waits = ServiceWaits(500 * MILLI)
-    assert waits.wait_us({0: 0, 2: 5 * SECOND}, 0, 100 * MILLI, 10, 0) == 10 * MILLI
+    waits = ServiceWaits(500 * MILLISECOND)
+    assert waits.wait_us({0: 0, 2: 5 * SECOND}, 0, 100 * MILLISECOND, 10, 0) == 10 * MILLISECOND
 
 
 def test_with_all_slots_taken_by_greater_urgencies_the_wait_is_long_but_has_an_end():
-    waits = ServiceWaits(500 * MILLI)
+    waits = ServiceWaits(500 * MILLISECOND)
     for _ in range(10):
         waits.entered(0, 0)
-    assert waits.wait_us({}, 2, 50 * MILLI, 10, 60 * SECOND) == 50 * MILLI / (0.05 * 10)
+    assert waits.wait_us({}, 2, 50 * MILLISECOND, 10, 60 * SECOND) == 50 * MILLISECOND / (0.05 * 10)
 
 
 def test_endpoints_are_compared_whatever_mix_of_calls_they_had():
@@ -113,11 +113,11 @@
     for waits, short, long in ((busy_with_short, 50, 1), (busy_with_long, 1, 50)):
         for kind, took, times in (("short", 15, short), ("long", 150, long)):
             for _ in range(times):
-                waits.hold(kind).learn(took * MILLI)
+                waits.hold(kind).learn(took * MILLISECOND)
     assert busy_with_short.mean_us() == busy_with_long.mean_us()
     busy_with_short.hold("never ran")
     assert busy_with_short.expected("never seen") == (busy_with_short.mean_us(),) * 2
-    assert busy_with_short.expected("short")[0] == 15 * MILLI
+    assert busy_with_short.expected("short")[0] == 15 * MILLISECOND
     assert busy_with_short.mean_us() == busy_with_long.mean_us()
 
 
@@ -136,35 +136,38 @@
     [(590, 0, True), (610, 0, False), (490, 50, True), (510, 50, False)],
 )
 def test_a_call_joins_if_it_will_likely_end_in_its_aim(wait_ms, deviation_ms, wanted):
-    made = admission(400 * MILLI, deviation_ms * MILLI)
+    made = admission(400 * MILLISECOND, deviation_ms * MILLISECOND)
     one = call()
     made.rate(one, 0)
-    assert made.may_join(one, wait_ms * MILLI, 0) is wanted
+    assert made.may_join(one, wait_ms * MILLISECOND, 0) is wanted
 
 
 def test_where_the_aim_can_hardly_be_met_the_mean_decides():
-    made = admission(800 * MILLI, 300 * MILLI)
+    made = admission(800 * MILLISECOND, 300 * MILLISECOND)
     tight = call()
     made.rate(tight, 0)
-    assert made.may_join(tight, 190 * MILLI, 0)
-    assert not made.may_join(tight, 210 * MILLI, 0)
+    assert made.may_join(tight, 190 * MILLISECOND, 0)
+    assert not made.may_join(tight, 210 * MILLISECOND, 0)
 
 
 def test_a_call_that_will_be_late_anyhow_joins_by_its_own_bound_alone():
-    made, late = admission(800 * MILLI), call(urgency=1, aim_due=0, join_due=300 * MILLI)
-    assert made.may_join(late, 290 * MILLI, 0)
-    assert not made.may_join(late, 310 * MILLI, 0)
+    made, late = (
+        admission(800 * MILLISECOND),
+        call(urgency=1, aim_due=0, join_due=300 * MILLISECOND),
+    )
+    assert made.may_join(late, 290 * MILLISECOND, 0)
+    assert not made.may_join(late, 310 * MILLISECOND, 0)
 
 
 def test_a_place_is_kept_while_the_aim_can_be_met_and_a_late_one_while_it_may_wait():
-    made = admission(400 * MILLI)
+    made = admission(400 * MILLISECOND)
     for facts, until_ms in (
         ({}, 600),
         ({"urgency": 1}, 1000),
-        ({"wait_due": 100 * MILLI}, 100),
-        ({"urgency": 1, "due": 700 * MILLI}, 300),
+        ({"wait_due": 100 * MILLISECOND}, 100),
+        ({"urgency": 1, "due": 700 * MILLISECOND}, 300),
     ):
-        assert made.place_until(call(hold_us=400 * MILLI, **facts)) == until_ms * MILLI
+        assert made.place_until(call(hold_us=400 * MILLISECOND, **facts)) == until_ms * MILLISECOND
 
 
 def test_time_spent_on_earlier_tries_is_read_off_the_deadline_and_forgotten_with_the_route():
@@ -240,10 +243,10 @@
         gate = gate_of(world, host)
         gate.admission.spent("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
-        await rest(20 * MILLI)
-        believe_hold(gate, 20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
+        believe_hold(gate, 20 * MILLISECOND)
         calls = [(await world.caller(host)).ask(b"/low/again", due_ms=900)]
-        await rest(5 * MILLI)
+        await sleep_us(5 * MILLISECOND)
         calls.append((await world.caller(host)).ask(b"/low/fresh", due_ms=2000))
         await all_done([first, *calls])
         assert [made.status for made in calls] == [200, 200]
@@ -259,11 +262,11 @@
         gate = gate_of(world, host)
         gate.admission.spent("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
-        await rest(20 * MILLI)
-        believe_hold(gate, 100 * MILLI)
+        await sleep_us(20 * MILLISECOND)
+        believe_hold(gate, 100 * MILLISECOND)
         # its aim counts from a try 800 ms ago: after 100 ms it can't be met any more
         old = (await world.caller(host)).ask(b"/low/old", due_ms=1200)
-        await rest(120 * MILLI)
+        await sleep_us(120 * MILLISECOND)
         assert gate.admission.queue("desk").waiting == {6: 0, 7: 1}
         new = (await world.caller(host)).ask(b"/low/new", due_ms=2000)
         await all_done([first, old, new])
@@ -279,10 +282,10 @@
         guest, there = list(world.application)
         gate_of(world, guest).admission.spent("low", 2 * SECOND)
         first = (await world.caller(there)).ask(b"/longlow/x", due_ms=None)
-        await rest(20 * MILLI)
-        believe_hold(gate_of(world, there), 20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
+        believe_hold(gate_of(world, there), 20 * MILLISECOND)
         calls = [(await world.caller(guest)).ask(b"/low/again", due_ms=900)]
-        await rest(20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
         calls.append((await world.caller(guest)).ask(b"/low/fresh", due_ms=2000))
         await all_done([first, *calls])
         assert [made.status for made in calls] == [200, 200]
@@ -297,21 +300,21 @@
         host = list(world.application)[0]
         gate, end = gate_of(world, host), world.ends[host]
         await asked(world, host)
-        assert gate.slot_us("desk") < 50 * MILLI
+        assert gate.slot_us("desk") < 50 * MILLISECOND
         end.faults["*"] = ["silence"] * 30
         for _ in range(30):
             made = await asked(world, host, due_ms=300)
             assert made.status == 504
-        assert gate.slot_us("desk") > 200 * MILLI
+        assert gate.slot_us("desk") > 200 * MILLISECOND
         # so nobody is let in to wait for such a slot who would be late
         end.faults["*"] = ["silence"]
         held = (await world.caller(host)).ask(due_ms=300)
-        await rest(10 * MILLI)
+        await sleep_us(10 * MILLISECOND)
         made = await asked(world, host, due_ms=300)
-        assert made.status == 503 and made.took < 20 * MILLI
+        assert made.status == 503 and made.took < 20 * MILLISECOND
         await all_done([held])
 
-    gated(scenario, application=("desk",), endpoint={"slots": 1, "work_us": 10 * MILLI})
+    gated(scenario, application=("desk",), endpoint={"slots": 1, "work_us": 10 * MILLISECOND})
 
 
 # ---------------------------------------------------------------- the invariants
@@ -342,11 +345,11 @@
     async def scenario(world):
         host = list(world.application)[0]
         gate = gate_of(world, host)
-        gate.admission.started(call(), now())  # a slot that nobody holds
-        await rest(300 * MILLI)
+        gate.admission.started(call(), monotonic_us())  # a slot that nobody holds
+        await sleep_us(300 * MILLISECOND)
         assert gate.invariants.violations[SLOTS_DIFFER] >= 1
         assert len(world.trace.events(802)) == 1
-        gate.admission.freed(call(), now())
+        gate.admission.freed(call(), monotonic_us())
         world.trace.lines.clear()
 
     gated(scenario, application=("desk",), items=items(HIGH))
@@ -377,10 +380,10 @@
         host = list(world.application)[0]
         gate = gate_of(world, host)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
-        await rest(20 * MILLI)
-        believe_hold(gate, 100 * MILLI)  # in truth the slot is held for 300 ms
+        await sleep_us(20 * MILLISECOND)
+        believe_hold(gate, 100 * MILLISECOND)  # in truth the slot is held for 300 ms
         gate.figures.services.clear()
-        gate.figures.since = now()
+        gate.figures.since = monotonic_us()
         calls = [(await world.caller(host)).ask(b"/low/x"), (await world.caller(host)).ask(b"/p/y")]
         await all_done([first, *calls])
         ranks = gate.figures.services["desk"]
--- a/tests/forwarding/test_answers.py
+++ b/tests/forwarding/test_answers.py
@@ -11,7 +11,7 @@
 
 from meadowdock.forwarding.peers import CANCEL
 from meadowdock.rpc import ConnectionFailed, Rejected
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator.standin import FAULTS
 from meadowdock.simulator.world import World
 
@@ -85,7 +85,7 @@
 
         answering(end, answer)
         first, second = await once_each(await world.caller(hosts(world)[0]), 2)
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert (first.status, second.status) == (200, 502)
         assert world.ledger.arrivals(second.id) == 1
         assert (await asked(world, hosts(world)[0])).status == 200
@@ -101,7 +101,7 @@
         end = world.ends[first]
 
         async def away(job):
-            await rest(1)
+            await sleep_us(1)
             job.conn.say(end.answer(503, [(b"md-not-run", b"1")], b"full"))
 
         end.turn_away = lambda job, status: (end.nursery.start_soon(away, job), job)[1]
@@ -156,14 +156,14 @@
         end.process.freeze()
         caller = await world.caller(first)
         made = caller.ask(b"/once/x", b"POST", body=b"x" * size, due_ms=4000)
-        await rest(300 * MILLI)
+        await sleep_us(300 * MILLISECOND)
         for wire in list(world.web.ends):
             if wire.here == wire.peer == first and wire.wires is end.wires:
                 wire.break_now()
                 wire.other.break_now()
         await all_done([made])
         end.process.wake()
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert made.status == 502
         assert made.id not in [ran.id for ran in world.ends[second].journal]
 
@@ -202,15 +202,15 @@
         calls = [c.ask(b"/once/%d" % n, b"POST", due_ms=due_ms) for n, c in enumerate(callers)]
         await all_done(calls)
         assert {made.status for made in calls} == {200, 502}
-        await rest(still_ms * MILLI)
+        await sleep_us(still_ms * MILLISECOND)
         proxy.wake()
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         for made in calls:
             assert world.ledger.arrivals(made.id) <= 1
             if made.status == 502:  # its time was over, or its link, before that gate went on
                 assert not [r for r in world.ends[good].journal if r.id == made.id]
             for ran in world.ledger.runs(made.id):
-                assert ran.begun <= made.at + due_ms * MILLI
+                assert ran.begun <= made.at + due_ms * MILLISECOND
 
     gated(scenario, seed, application=("", "desk", "desk"), tries=TRIES, endpoint={"slots": 20})
 
@@ -218,10 +218,10 @@
 def test_a_call_given_up_before_its_link_was_ready_never_leaves():
     async def scenario(world):
         home, peer = hosts(world)
-        world.web.slow[peer] = (140 * MILLI, 150 * MILLI)
+        world.web.slow[peer] = (140 * MILLISECOND, 150 * MILLISECOND)
         made = await asked(world, home, target=b"/once/x", method=b"POST", due_ms=250)
         assert made.status == 504
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         assert not world.ledger.arrivals(made.id)
 
     gated(scenario, application=("", "desk"))
@@ -233,10 +233,10 @@
         await ready_link(world, home, peer)
         world.web.cut(home, peer)
         made = (await world.caller(home)).ask(b"/once/x", b"POST", due_ms=300)
-        await rest(500 * MILLI)
+        await sleep_us(500 * MILLISECOND)
         world.web.heal()
         await all_done([made])
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert made.status == 504 and not world.ledger.arrivals(made.id)
 
     gated(scenario, application=("", "desk"))
@@ -248,19 +248,19 @@
         link = await ready_link(world, home, peer)
         caller = await world.caller(home)
         first = caller.ask(b"/once/1", b"POST", due_ms=300)
-        await rest(50 * MILLI)
+        await sleep_us(50 * MILLISECOND)
         slot = next(iter(link.pending)).number[0]
         world.web.cut(peer, home, both=False)
         await first.done.wait()
         second = caller.ask(b"/once/2", b"POST", due_ms=3000)
-        await rest(20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
         assert next(iter(link.pending)).number[0] == slot
         world.web.heal()
         await all_done([second])
         assert (first.status, second.status) == (504, 200)
         assert link_of(world, home, peer) is link
 
-    gated(scenario, application=("", "desk"), endpoint={"work_us": 100 * MILLI})
+    gated(scenario, application=("", "desk"), endpoint={"work_us": 100 * MILLISECOND})
 
 
 def test_a_frame_of_an_earlier_link_is_taken_on_no_other():
@@ -274,17 +274,17 @@
         assert (await asked(world, home, target=b"/once/1")).status == 200
         answer = b"".join(heard)
         world.processes[f"mdproxy@{peer}"].net.reset()
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         fresh = await ready_link(world, home, peer)
         assert fresh is not link
-        world.ends[peer].work_us = 300 * MILLI
+        world.ends[peer].work_us = 300 * MILLISECOND
         made = (await world.caller(home)).ask(b"/once/2", b"POST")
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         assert next(iter(fresh.pending)).number == (0, 0)  # as the first one had
         gate = gate_of(world, home)
         world.processes[f"mdproxy@{home}"].enter(lambda: gate.reactor.turn(fresh.on_data, answer))
         await all_done([made])
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert made.status == 502
 
     gated(scenario, application=("", "desk"))
@@ -298,7 +298,7 @@
         await ready_link(world, home, peer)
         caller = await world.caller(home)
         lost = caller.ask(b"/once/1", b"POST", due_ms=4000)
-        await rest(50 * MILLI)
+        await sleep_us(50 * MILLISECOND)
         world.web.cut(home, peer)
         world.kill(f"mdproxy@{peer}")
         await world.start("mdproxy", peer)
@@ -306,7 +306,7 @@
         await lost.done.wait()
         assert lost.status == 502
         await world.eventually(lambda: world.daemon("mdproxy", peer).book.by_address)
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         made = await asked(world, home, target=b"/once/2", method=b"POST")
         assert made.status == 200
         assert world.ledger.arrivals(lost.id) == 1
@@ -316,7 +316,7 @@
         seed,
         application=("", "desk"),
         tries=TRIES,
-        endpoint={"work_us": 300 * MILLI},
+        endpoint={"work_us": 300 * MILLISECOND},
     )
 
 
@@ -325,7 +325,7 @@
         home, *_ = hosts(world)
         gate = gate_of(world, home)
         made = (await world.caller(home)).ask(b"/once/x", b"POST")
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         (call,) = gate.calls
         world.processes[f"mdproxy@{home}"].enter(
             lambda: gate.reactor.turn(call.target.say, [CANCEL, *call.number])
@@ -333,20 +333,20 @@
         await all_done([made])
         assert made.status == 200 and world.ledger.arrivals(made.id) == 1
 
-    gated(scenario, application=("", "desk", "desk"), endpoint={"work_us": 300 * MILLI})
+    gated(scenario, application=("", "desk", "desk"), endpoint={"work_us": 300 * MILLISECOND})
 
 
 def test_a_refusal_that_comes_after_the_due_is_still_true():
     async def scenario(world):
         home, peer = hosts(world)
         await ready_link(world, home, peer)
-        world.web.slow[peer] = (70 * MILLI, 75 * MILLI)
+        world.web.slow[peer] = (70 * MILLISECOND, 75 * MILLISECOND)
         world.ends[peer].fault_of = lambda id: "full"
         world.ends[peer].work_us = 1
         for due_ms in range(100, 300, 20):
             made = await asked(world, home, target=b"/once/x", method=b"POST", due_ms=due_ms)
             assert made.status in (503, 504)
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         assert not world.ledger.runs()
 
     gated(scenario, application=("", "desk"), tries=TRIES)
@@ -360,7 +360,7 @@
     async def scenario(world):
         end = world.ends[hosts(world)[0]]
         times = iter([90, 10, 50, 1, 70, 5])
-        end.work_us = lambda job: next(times) * MILLI
+        end.work_us = lambda job: next(times) * MILLISECOND
         end.slots = 10
         caller = await world.caller(hosts(world)[0])
         made = [caller.ask(b"/p/%d" % n, due_ms=2000) for n in range(6)]
@@ -376,10 +376,10 @@
         caller = await world.caller(hosts(world)[0])
         made = caller.ask(b"/once/x", b"POST", body=b"x" * 500, send=False)
         caller.wire.send(made.data[:cut_at])
-        await rest(50 * MILLI)
+        await sleep_us(50 * MILLISECOND)
         caller.wire.abort()
         caller.on_end("reset")
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         assert not world.ledger.arrivals(made.id)
 
     gated(scenario, application=("desk", "desk"))
@@ -395,13 +395,13 @@
         second = caller.ask(b"/once/2", b"POST", body=b"x", send=False)
         if apart_ms:
             caller.wire.send(first.data)
-            await rest(apart_ms * MILLI)
+            await sleep_us(apart_ms * MILLISECOND)
             caller.wire.send(second.data)
         else:
             caller.wire.send(first.data + second.data)
         await all_done([first, second])
         assert first.status == 200 and not second.status
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert not world.ledger.arrivals(second.id)
 
     gated(scenario, application=("desk",))
@@ -415,7 +415,7 @@
         await made.done.wait()
         assert made.status == 408
         caller.wire.send(made.data[30:])
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert not world.ledger.arrivals(made.id)
 
     gated(scenario, application=("desk",))
@@ -429,18 +429,18 @@
         home, *_ = hosts(world)
         callers = [await world.caller(home) for _ in range(12)]
         calls = [c.ask(b"/once/%d" % n, b"POST", due_ms=1000) for n, c in enumerate(callers)]
-        await rest(5 * MILLI)
+        await sleep_us(5 * MILLISECOND)
         process = world.processes[f"mdproxy@{home}"]
         process.freeze()
         late = (await world.caller(home)).ask(b"/once/late", b"POST", due_ms=1000)
-        await rest(still_ms * MILLI)
+        await sleep_us(still_ms * MILLISECOND)
         process.wake()
         await all_done([*calls, late])
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         for made in calls:
             assert world.ledger.arrivals(made.id) <= 1
 
-    terms = {"work_us": 100 * MILLI}
+    terms = {"work_us": 100 * MILLISECOND}
     gated(scenario, seed, application=("desk", "desk", "desk"), tries=TRIES, endpoint=terms)
 
 
@@ -461,7 +461,7 @@
         """An endpoint that fails at random, and repeats old answers any number of answers later."""
         rng, usual = self.rng, end.answer_of
         end.fault_of = lambda id: rng.choice(RANDOM)
-        end.work_us = lambda job: rng.randrange(1, 60) * MILLI
+        end.work_us = lambda job: rng.randrange(1, 60) * MILLISECOND
 
         def answer_of(job, ran, status):
             conn = job.conn
@@ -480,18 +480,18 @@
             *(self.cut, self.slow, self.restart_gate, self.reuse_address),
         ]
         async with trio.open_nursery() as nursery:
-            while now() < end_at:
-                await rest(self.rng.randrange(100, 600) * MILLI)
+            while monotonic_us() < end_at:
+                await sleep_us(self.rng.randrange(100, 600) * MILLISECOND)
                 nursery.start_soon(self.rng.choice(strikes), self.rng.choice(self.application))
 
     def span(self):
-        return self.rng.choice([50, 300, 700, 1500, 3000]) * MILLI
+        return self.rng.choice([50, 300, 700, 1500, 3000]) * MILLISECOND
 
     async def still(self, name):
         process = self.world.processes.get(name)
         if process is not None and process.frozen is None:
             process.freeze()
-            await rest(self.span())
+            await sleep_us(self.span())
             process.wake()
 
     async def freeze_gate(self, host):
@@ -512,12 +512,12 @@
         other = self.rng.choice([h for h in self.application if h != host])
         pairs = [(host, other), (other, host)][: self.rng.randrange(1, 3)]
         self.world.web.cuts |= set(pairs)
-        await rest(self.span())
+        await sleep_us(self.span())
         self.world.web.mend(pairs)
 
     async def slow(self, host):
-        self.world.web.slow[host] = (20 * MILLI, 200 * MILLI)
-        await rest(self.span())
+        self.world.web.slow[host] = (20 * MILLISECOND, 200 * MILLISECOND)
+        await sleep_us(self.span())
         self.world.web.slow.pop(host, None)
 
     async def restart_gate(self, host):
@@ -541,12 +541,12 @@
 
 async def calls_until(world, host, end_at, calls):
     rng, caller = world.rng, None
-    while now() < end_at:
+    while monotonic_us() < end_at:
         if caller is None or caller.closed_at or caller.wire.closed:
             caller = await world.caller(host)
             if caller.failed:
                 caller = None
-                await rest(100 * MILLI)
+                await sleep_us(100 * MILLISECOND)
                 continue
         target = rng.choice([b"/p/x", b"/once/x", b"/once/y", b"/paper/x"])
         many = rng.randrange(1, 4) if not target.startswith(b"/once") else 1
@@ -566,7 +566,7 @@
 def test_all_troubles_of_gates_endpoints_and_addresses_at_random(seed):
     async def scenario(world):
         await budgeted(world)
-        storm, calls, end_at = Storm(world), [], now() + SPAN
+        storm, calls, end_at = Storm(world), [], monotonic_us() + SPAN
         world.web.tear = 3000
         for end in world.ends.values():
             storm.equip(end)
@@ -576,7 +576,7 @@
                 for _ in range(4):
                     nursery.start_soon(calls_until, world, host, end_at, calls)
         world.web.heal()
-        await rest(8 * SECOND)
+        await sleep_us(8 * SECOND)
         statuses = [made.status for made in calls]
         assert statuses.count(200) > len(statuses) / 3
         assert {502, 503, 504} <= set(statuses)
@@ -616,7 +616,7 @@
                 core=version % 3,
             )
             assert told[0] == 200, told
-        await rest(SECOND)
+        await sleep_us(SECOND)
         before = [await world.operate("GET", "/items", core=n) for n in range(3)]
         again = list(sent)
         methods = {method for _, _, method, _ in again}
@@ -624,13 +624,13 @@
         world.rng.shuffle(again)
         for links, address, method, args in again:
             try:
-                await links.call(address, method, args, now() + SECOND)
+                await links.call(address, method, args, monotonic_us() + SECOND)
             except (ConnectionFailed, Rejected):
                 pass
         assert [await world.operate("GET", "/items", core=n) for n in range(3)] == before
         change = {"items": [route("p", prefix="/p/", version=9)]}
         assert (await world.operate("POST", "/items", change))[0] == 200
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         assert (await asked(world, hosts(world)[0], target=b"/p/x")).status == 200
 
     gated(scenario, seed, core=3, application=("desk", "desk"))
--- a/tests/forwarding/test_gate.py
+++ b/tests/forwarding/test_gate.py
@@ -7,7 +7,7 @@
 from item_builders import route, service
 
 from meadowdock.load_sharing import Node
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
 
 def hosts(world):
@@ -21,7 +21,7 @@
         made = await asked(world, host, target=b"/p/a%20b?x=1&y=%2F", method=b"POST", body=b"\x00b")
         assert made.status == 200 and made.line(b"X-Kept") == b"as it was"
         assert [ran.id for ran in world.ends[host].journal] == [made.id]
-        assert made.took < 100 * MILLI
+        assert made.took < 100 * MILLISECOND
 
     gated(scenario, seed)
 
@@ -114,15 +114,15 @@
 def test_pipelined_requests_run_at_once_and_are_answered_in_order():
     async def scenario(world):
         host = hosts(world)[0]
-        took = {b"/p/0": 300 * MILLI, b"/p/1": 100 * MILLI, b"/p/2": 10 * MILLI}
+        took = {b"/p/0": 300 * MILLISECOND, b"/p/1": 100 * MILLISECOND, b"/p/2": 10 * MILLISECOND}
         world.ends[host].work_us = lambda job: took[job.target]
         caller = await world.caller(host)
         calls = [caller.ask(b"/p/%d" % n) for n in range(3)]
         await all_done(calls)
         assert [made.status for made in calls] == [200] * 3
         begun = [ran.begun for ran in world.ends[host].journal]
-        assert max(begun) - min(begun) < 10 * MILLI
-        assert all(made.took < 330 * MILLI for made in calls)
+        assert max(begun) - min(begun) < 10 * MILLISECOND
+        assert all(made.took < 330 * MILLISECOND for made in calls)
 
     gated(scenario)
 
@@ -136,7 +136,7 @@
         inner_calls = []
 
         def inner(job):
-            made = caller.ask(b"/paper/inner", due_ms=(job.due - now()) // MILLI)
+            made = caller.ask(b"/paper/inner", due_ms=(job.due - monotonic_us()) // MILLISECOND)
             inner_calls.append(made)
             return made
 
@@ -167,7 +167,8 @@
     if rho is not None:
         busy(world, host, rho)
     gate.listed(
-        type(gate.lists)(gate.lists.epoch, gate.lists.seq, now()), {"desk": nodes_of(world, rhos)}
+        type(gate.lists)(gate.lists.epoch, gate.lists.seq, monotonic_us()),
+        {"desk": nodes_of(world, rhos)},
     )
     caller = await world.caller(host)
     calls = [caller.ask(b"/p/%d" % n) for n in range(count)]
@@ -235,11 +236,13 @@
             if m.status == 503
         )
         # who would not be served in time is told at once, who waited as soon as that is certain
-        assert max(m.took for m in calls if m.status == 503) < 450 * MILLI
+        assert max(m.took for m in calls if m.status == 503) < 450 * MILLISECOND
         assert len(world.ledger.runs()) == 5
         assert not world.ends[host].turned
 
-    gated(scenario, seed, application=("desk",), endpoint={"slots": 4, "work_us": 600 * MILLI})
+    gated(
+        scenario, seed, application=("desk",), endpoint={"slots": 4, "work_us": 600 * MILLISECOND}
+    )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -250,24 +253,24 @@
         host = hosts(world)[0]
         callers = [await world.caller(host) for _ in range(5)]
         first = callers[0].ask(b"/p/0")
-        await rest(20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
         later, targets = [], [b"/low/0", b"/low/1", b"/p/1", b"/p/2"]
         for target, caller in zip(targets, callers[1:], strict=True):
             later.append(caller.ask(target))
-            await rest(5 * MILLI)
+            await sleep_us(5 * MILLISECOND)
         await all_done([first, *later])
         assert {made.status for made in [first, *later]} == {200}
         order = [ran.target for ran in world.ends[host].journal]
         assert order == [b"/p/0", b"/p/1", b"/p/2", b"/low/0", b"/low/1"]
         begun = [ran.begun for ran in world.ends[host].journal]
-        assert all(b - a < 110 * MILLI for a, b in zip(begun, begun[1:], strict=False))
+        assert all(b - a < 110 * MILLISECOND for a, b in zip(begun, begun[1:], strict=False))
 
     gated(
         scenario,
         seed,
         application=("desk",),
         items=items(ranked),
-        endpoint={"slots": 1, "work_us": 100 * MILLI},
+        endpoint={"slots": 1, "work_us": 100 * MILLISECOND},
     )
 
 
@@ -277,9 +280,9 @@
         host = hosts(world)[0]
         running, waiting, third = [await world.caller(host) for _ in range(3)]
         first = running.ask()
-        await rest(20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
         second, last = waiting.ask(b"/once/x"), third.ask()
-        await rest(20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
         waiting.hang_up()
         await all_done([first, last])
         assert (first.status, last.status) == (200, 200)
@@ -289,7 +292,7 @@
         scenario,
         seed,
         application=("desk",),
-        endpoint={"slots": 1, "work_us": 100 * MILLI},
+        endpoint={"slots": 1, "work_us": 100 * MILLISECOND},
     )
 
 
@@ -299,12 +302,12 @@
         for target in (b"/p/x", b"/paper/x"):
             caller = await world.caller(host)
             made = caller.ask(target)
-            await rest(30 * MILLI)
+            await sleep_us(30 * MILLISECOND)
             caller.hang_up()
-            await rest(SECOND)
+            await sleep_us(SECOND)
             assert len(world.ledger.runs(made.id)) == 1
 
-    gated(scenario, application=("desk", "paper"), endpoint={"work_us": 200 * MILLI})
+    gated(scenario, application=("desk", "paper"), endpoint={"work_us": 200 * MILLISECOND})
 
 
 # ---------------------------------------------------------------- leaving
@@ -317,14 +320,14 @@
         ends = world.ends
         callers = [await world.caller(home) for _ in range(12)]
         calls = [c.ask(b"/p/%d" % n) for n, c in enumerate(callers)]
-        await rest(30 * MILLI)
+        await sleep_us(30 * MILLISECOND)
         ends[home].draining = True
         world.beat(home, ends[home], 1000)
-        told_at = now()
+        told_at = monotonic_us()
         calls += [c.ask(b"/p/late%d" % n) for n, c in enumerate(callers)]
         await all_done(calls)
         # what was on its way for a moment may still come
-        assert [id for at, id in ends[home].came_at if at > told_at + 20 * MILLI] == []
+        assert [id for at, id in ends[home].came_at if at > told_at + 20 * MILLISECOND] == []
         assert {made.status for made in calls} <= {200, 503}
         assert len(ends[other].journal) >= 4
 
@@ -332,16 +335,16 @@
         scenario,
         seed,
         application=("desk", "desk"),
-        endpoint={"slots": 4, "work_us": 100 * MILLI},
+        endpoint={"slots": 4, "work_us": 100 * MILLISECOND},
     )
 
 
 def test_a_call_whose_connection_is_being_made_does_not_reach_an_endpoint_that_drains_by_then():
     async def scenario(world):
         home, other = hosts(world)
-        world.web.slow[home] = (20 * MILLI, 21 * MILLI)
+        world.web.slow[home] = (20 * MILLISECOND, 21 * MILLISECOND)
         made = (await world.caller(home)).ask(b"/once/x")
-        await rest(70 * MILLI)
+        await sleep_us(70 * MILLISECOND)
         assert gate_of(world, home).calls and not world.ends[home].came_at
         world.ends[home].draining = True
         world.beat(home, world.ends[home], 1000)
@@ -358,16 +361,18 @@
         known = dict(gate.told_nodes)
         gate.listed(gate.lists, {})
         first, second = [(await world.caller(home)).ask(b"/p/%d" % n) for n in range(2)]
-        await rest(10 * MILLI)
+        await sleep_us(10 * MILLISECOND)
         assert len(gate.admission.queues["desk"]) == 1
         gate.listed(gate.lists, known)
         gate.reactor.end_turn()
-        at = now()
+        at = monotonic_us()
         await all_done([first, second])
         (ran,) = world.ends[other].journal
-        assert (first.status, second.status) == (200, 200) and ran.begun - at < 20 * MILLI
+        assert (first.status, second.status) == (200, 200) and ran.begun - at < 20 * MILLISECOND
 
-    gated(scenario, application=("desk", "desk"), endpoint={"slots": 1, "work_us": 300 * MILLI})
+    gated(
+        scenario, application=("desk", "desk"), endpoint={"slots": 1, "work_us": 300 * MILLISECOND}
+    )
 
 
 def test_what_is_longer_than_a_frame_breaks_no_link():
@@ -400,7 +405,7 @@
         book = world.daemon("mdproxy", home).book
         book.lose(book.by_address[f"{home}:8000"], "test")
         made = caller.ask()  # waits: nobody is there
-        await rest(20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
         world.beat(home, world.ends[home], 1000, draining=True)
         await made.done.wait()
         assert made.status == 503 and not world.ledger.runs()
@@ -434,18 +439,18 @@
                 if caller.wire is None:
                     return
                 made = caller.ask(b"/p/%d" % n if n % 2 else b"/once/%d" % n, b"POST")
-                calls.append((now(), made))
+                calls.append((monotonic_us(), made))
                 await made.done.wait()
                 if caller.wire.closed or made.line(b"Connection") == b"close":
                     caller = await world.caller(home)
 
         for n in range(6):
             world.nursery.start_soon(one, n)
-        await rest(300 * MILLI)
+        await sleep_us(300 * MILLISECOND)
         await world.stop(f"mdproxy@{home}")
         over.append(True)
         assert len(calls) > 100
-        await rest(SECOND)
+        await sleep_us(SECOND)
         unread = [made for _, made in calls if made.status == 0]
         assert {made.status for _, made in calls} <= {200, 0}
         # what came as the connection was closed was not read
@@ -460,7 +465,7 @@
     terms = {"ratio": 0.2, "window_us": 2 * SECOND, "reserve": 12}
 
     async def scenario(world):
-        await rest(3 * SECOND)  # older than a window: the reserve is there
+        await sleep_us(3 * SECOND)  # older than a window: the reserve is there
         rng = world.rng
         for end in world.ends.values():
             end.fault_of = lambda id: rng.choice(["reset", "full", "close", None])
@@ -470,7 +475,7 @@
                 caller = await world.caller(host)
                 made = caller.ask(due_ms=1500)
                 await made.done.wait()
-                await rest(50 * MILLI)
+                await sleep_us(50 * MILLISECOND)
 
         async with _nursery() as nursery:
             for host in hosts(world):
@@ -505,7 +510,7 @@
     async def scenario(world):
         host = hosts(world)[0]
         await world.set_items([route("new", 2, ("paper",), prefix="/new/"), dropped_p()])
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         assert (await asked(world, host, target=b"/new/x")).status == 200
         assert (await asked(world, host, target=b"/p/x")).status == 404
 
--- a/tests/forwarding/test_gate_faults.py
+++ b/tests/forwarding/test_gate_faults.py
@@ -7,7 +7,7 @@
 from item_builders import route
 from retry_counts import TRIES, budgeted, hosts
 
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator.standin import FAULTS
 
 REPEATED = {  # a run whose answer is useless: what may be repeated is
@@ -25,7 +25,7 @@
         ends = list(world.ends.values())
         host = hosts(world)[-1] if spilled else hosts(world)[0]
         for target in (b"/p/x", b"/once/x"):
-            await rest(SECOND)  # who was taken for another has beaten again, and is listed
+            await sleep_us(SECOND)  # who was taken for another has beaten again, and is listed
             await listed(world)
             for end in ends:  # whichever it comes to first
                 end.faults.clear()
@@ -42,7 +42,7 @@
                 assert (made.status, ran) == (200, 1)
                 assert world.ledger.arrivals(id) == 2
             elif fault == "silence":
-                assert (made.status, ran) == (504, 1) and made.took < 1700 * MILLI
+                assert (made.status, ran) == (504, 1) and made.took < 1700 * MILLISECOND
             else:
                 assert (made.status, ran) == (500, 1) and made.line(b"md-call") == id
             # nobody after it gets anything of it
@@ -78,7 +78,7 @@
         world.web.tear = 300
         for end in world.ends.values():
             end.fault_of = lambda id: rng.choice(kinds)
-            end.work_us = lambda job: rng.randrange(1, 40) * MILLI
+            end.work_us = lambda job: rng.randrange(1, 40) * MILLISECOND
             end.chunks = rng.random() < 0.5
             end.cap = 12
         calls = []
@@ -96,7 +96,7 @@
                 ]
                 calls.extend(batch)
                 if rng.random() < 0.1:
-                    await rest(rng.randrange(20) * MILLI)
+                    await sleep_us(rng.randrange(20) * MILLISECOND)
                     caller.hang_up()
                 await all_done(batch)
 
@@ -108,11 +108,11 @@
                     nursery.start_soon(one, host)
         for end in world.ends.values():
             del end.fault_of
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         told = [made.status for made in calls]
         assert told.count(200) > len(told) / 2
         assert {504, 502} & set(told)
-        assert all(made.took < 1200 * MILLI for made in calls)
+        assert all(made.took < 1200 * MILLISECOND for made in calls)
         for host in hosts(world):  # nothing went round and round
             counts = gate_of(world, host).counts
             assert sum(n for name, n in counts.items() if name.startswith("rule.")) < 4000
@@ -132,7 +132,7 @@
             made = caller.ask(b"/once/%d" % n, b"POST")
             await made.done.wait()
             assert made.status == 200
-            await rest(world.rng.choice([100, 1200, *range(1995, 2025)]) * MILLI)
+            await sleep_us(world.rng.choice([100, 1200, *range(1995, 2025)]) * MILLISECOND)
 
     gated(scenario, seed, application=("desk",))
 
@@ -159,7 +159,7 @@
         end = world.ends[host]
         assert (await asked(world, host)).status == 200
         long = (await world.caller(host)).ask(b"/long/x", due_ms=10_000)
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         end.process.freeze()
         await world.eventually(lambda: not world.daemon("mdproxy", host).book.by_address)
         end.process.wake()
@@ -170,7 +170,7 @@
         assert long.status == 200
 
     long = route("long", prefix="/long/", timeout_us=10 * SECOND)
-    work = {"work_us": lambda job: (5000 if job.target == b"/long/x" else 10) * MILLI}
+    work = {"work_us": lambda job: (5000 if job.target == b"/long/x" else 10) * MILLISECOND}
     gated(scenario, application=("desk",), items=items(long), endpoint=work)
 
 
@@ -181,7 +181,7 @@
         first, second = hosts(world)
         callers = [await world.caller(first) for _ in range(2)]
         again, once = callers[0].ask(b"/p/x"), callers[1].ask(b"/once/x")
-        await rest(50 * MILLI)
+        await sleep_us(50 * MILLISECOND)
         world.processes.pop(f"endpoint@{first}:8000").kill()
         await all_done([again, once])
         assert (again.status, once.status) == (200, 502)
@@ -194,7 +194,7 @@
         seed,
         application=("desk", "desk"),
         tries=TRIES,
-        endpoint={"work_us": 300 * MILLI},
+        endpoint={"work_us": 300 * MILLISECOND},
     )
 
 
@@ -205,14 +205,14 @@
         end = world.ends[host]
         end.work_us = 3 * SECOND
         made = await asked(world, host, due_ms=300)
-        assert made.status == 504 and 290 * MILLI < made.took < 330 * MILLI
+        assert made.status == 504 and 290 * MILLISECOND < made.took < 330 * MILLISECOND
         left = int(dict(world.ledger.runs(made.id)[0].lines)[b"md-due"])
         assert 290 <= left <= 300
         made = await asked(world, host, target=b"/short/x", due_ms=5000)
-        assert made.status == 504 and made.took < 430 * MILLI
+        assert made.status == 504 and made.took < 430 * MILLISECOND
         assert not end.overdue
 
-    short = route("short", prefix="/short/", timeout_us=400 * MILLI)
+    short = route("short", prefix="/short/", timeout_us=400 * MILLISECOND)
     gated(scenario, seed, application=("desk",), items=items(short))
 
 
@@ -266,30 +266,30 @@
             c.ask(b"/once/%d" % n if n % 2 else b"/p/%d" % n, due_ms=4000)
             for n, c in enumerate(callers)
         ]
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         there = {ran.id for ran in world.ends[bad].journal}
         assert 2 <= len(there) <= 6
         trouble(world, bad)
-        began = now()
+        began = monotonic_us()
         later = []
         for n in range(20):
             later.append((await world.caller(home)).ask(b"/p/l%d" % n, due_ms=4000))
-            await rest(100 * MILLI)
+            await sleep_us(100 * MILLISECOND)
         await all_done([*calls, *later])
         for made in [*calls, *later]:
             if made.id in there and made.target.startswith(b"/once/"):
                 # who is only deaf still says its answer
                 assert made.status == 502 or (trouble is cut_in and made.status == 200)
-                assert made.at + made.took < began + 1200 * MILLI
+                assert made.at + made.took < began + 1200 * MILLISECOND
             else:
                 assert made.status == 200
                 last = max(ran.begun for ran in world.ledger.runs(made.id))
                 assert last - max(made.at, began) < SECOND
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         world.web.heal()
         if trouble is frozen:
             world.processes[f"mdproxy@{bad}"].wake()
-        await rest(6 * SECOND)
+        await sleep_us(6 * SECOND)
         if trouble is not killed:  # it is used again
             before = len(world.ends[bad].journal)
             after = [await asked(world, home) for _ in range(6)]
@@ -301,7 +301,7 @@
         seed,
         application=("", "desk", "desk"),
         tries=TRIES,
-        endpoint={"work_us": 300 * MILLI, "slots": 20},
+        endpoint={"work_us": 300 * MILLISECOND, "slots": 20},
     )
 
 
@@ -310,14 +310,14 @@
     async def scenario(world):
         home, there = hosts(world)
         made = (await world.caller(home)).ask(b"/once/x", due_ms=5000)
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         world.processes[f"mdproxy@{home}"].freeze()
-        await rest(1500 * MILLI)
+        await sleep_us(1500 * MILLISECOND)
         world.processes[f"mdproxy@{home}"].wake()
         await made.done.wait()
         assert made.status == 200
 
-    gated(scenario, seed, application=("", "desk"), endpoint={"work_us": 1800 * MILLI})
+    gated(scenario, seed, application=("", "desk"), endpoint={"work_us": 1800 * MILLISECOND})
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -333,7 +333,7 @@
         assert {made.status for made in calls} == {200}
         assert all(made.took < SECOND for made in calls)
         world.web.heal()
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
 
     gated(scenario, seed, application=("", "desk", "desk"), endpoint={"slots": 20})
 
@@ -346,8 +346,10 @@
         gate = gate_of(world, home)
         nodes = [Node(f"10.9.{n // 100}.{n % 100}:7401", 0.1, "i", False) for n in range(600)]
         real = gate.told_nodes["desk"]
-        gate.listed(LoadList(gate.lists.epoch, gate.lists.seq, now()), {"desk": (*nodes, *real)})
-        gate.peers.quiet_until = {gate.gate_of(n.address): now() + SECOND for n in nodes}
+        gate.listed(
+            LoadList(gate.lists.epoch, gate.lists.seq, monotonic_us()), {"desk": (*nodes, *real)}
+        )
+        gate.peers.quiet_until = {gate.gate_of(n.address): monotonic_us() + SECOND for n in nodes}
         made = await asked(world, home)
         assert made.status == 200
 
--- a/tests/forwarding/test_gate_http.py
+++ b/tests/forwarding/test_gate_http.py
@@ -8,7 +8,7 @@
 
 from meadowdock.configuration.items import DEFAULT_LIMITS
 from meadowdock.forwarding.http import Answers, Requests
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
 HEAD = b"Host: h.example\r\nmd-call: raw-1\r\n"
 
@@ -92,7 +92,7 @@
         caller = await world.caller(hosts(world)[0])
         made = caller.ask(lines=[(b"Connection", b"Upgrade"), (b"Upgrade", b"websocket")])
         await made.done.wait()
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert made.status == 200 and not caller.strays
 
     gated(scenario, application=("desk",))
@@ -149,7 +149,7 @@
         first = caller.ask(b"/p/1", b"PUT", body=b"x" * 100_000, send=False)
         second = caller.ask(b"/p/2", send=False)
         caller.wire.send(first.data + second.data[:10])
-        await rest(50 * MILLI)
+        await sleep_us(50 * MILLISECOND)
         caller.wire.send(second.data[10:])
         await all_done([first, second])
         assert (first.status, second.status) == (200, 200)
@@ -159,15 +159,15 @@
 
 def test_a_head_that_takes_too_long_is_told_so_an_idle_connection_is_closed():
     async def scenario(world):
-        begun = now()
+        begun = monotonic_us()
         status, closed, _ = await raw(world, b"GET /p/x HTTP/1.1\r\nHost: h", 4 * SECOND)
         assert (status, closed) == (408, True)
         caller = await world.caller(hosts(world)[0])
         made = caller.ask()
         await made.done.wait()
-        await rest(4 * SECOND)
+        await sleep_us(4 * SECOND)
         assert not caller.closed_at
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         assert caller.closed_at and not caller.strays
         assert begun
 
@@ -182,9 +182,9 @@
         size = len(calls[0].data)
         for at in range(0, len(data), size):
             caller.wire.send(data[max(0, at - size // 2) : at + size - size // 2])
-            await rest(100 * MILLI)
+            await sleep_us(100 * MILLISECOND)
         caller.wire.send(data[(len(data) - 1) // size * size + size - size // 2 :])
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert [made.status for made in calls] == [200] * 60
 
     gated(scenario, application=("desk",))
@@ -199,7 +199,7 @@
         )
         caller.wire.send(made.data[:-3])
         await first.done.wait()
-        await rest(200 * MILLI)
+        await sleep_us(200 * MILLISECOND)
         assert caller.continues == 1
         caller.wire.send(b"abc")
         await made.done.wait()
@@ -208,7 +208,7 @@
         )
         plain = caller.ask(b"/p/4", send=False)
         caller.wire.send(whole.data + plain.data[:20])
-        await rest(200 * MILLI)
+        await sleep_us(200 * MILLISECOND)
         caller.wire.send(plain.data[20:])
         await all_done([whole, plain])
         assert [m.status for m in (first, made, whole, plain)] == [200] * 4
@@ -230,16 +230,16 @@
         calls, most = [], 0
         for n in range(400):
             calls.append(caller.ask(b"/p/%d" % n, due_ms=60_000))
-            await rest(10 * MILLI)
+            await sleep_us(10 * MILLISECOND)
             (mine,) = gate.callers or [None]
             if mine is not None:
                 most = max(most, mine.wire.held_size)
         assert 1 << 20 < most < 3 << 20
         assert len(world.ledger.runs()) < 150
-        await rest(15 * SECOND)
+        await sleep_us(15 * SECOND)
         assert not gate.callers  # nobody reads: it is let go
         caller.wire.resume()
-        await rest(SECOND)
+        await sleep_us(SECOND)
 
     gated(scenario, seed, application=("desk",))
 
@@ -251,7 +251,7 @@
         caller = await world.caller(host)
         caller.wire.pause()
         calls = [caller.ask(b"/p/%d" % n, due_ms=60_000) for n in range(100)]
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         caller.wire.resume()
         await all_done(calls)
         assert {made.status for made in calls} <= {200, 503}
--- a/tests/forwarding/test_gate_rules.py
+++ b/tests/forwarding/test_gate_rules.py
@@ -11,7 +11,7 @@
 from meadowdock.forwarding.callers import KEEP_S, KEPT
 from meadowdock.forwarding.gate import EARLY
 from meadowdock.load_sharing import LoadList, Node
-from meadowdock.runtime import MILLI, SECOND, Address, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, Address, monotonic_us, sleep_us
 
 TRIES = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
 
@@ -29,7 +29,7 @@
     """The gate's newest list of desk: {host: rho}."""
     gate = gate_of(world, host)
     told = tuple(line_of(world, other, rho) for other, rho in rhos.items())
-    gate.listed(LoadList(gate.lists.epoch, gate.lists.seq, now()), {"desk": told})
+    gate.listed(LoadList(gate.lists.epoch, gate.lists.seq, monotonic_us()), {"desk": told})
     gate.reactor.end_turn()
 
 
@@ -55,7 +55,7 @@
 async def occupied(world, host, at, count=1):
     """Calls that hold slots of the endpoint at this host."""
     calls = [(await world.caller(host)).ask(b"/long/%d" % n, due_ms=None) for n in range(count)]
-    await rest(at)
+    await sleep_us(at)
     return calls
 
 
@@ -108,19 +108,19 @@
     async def scenario(world):
         home, other = hosts(world)
         hold(world)
-        held = await occupied(world, home, 30 * MILLI)
+        held = await occupied(world, home, 30 * MILLISECOND)
         gate = gate_of(world, home)
         for rho in (between(world, home), (1 + gate.load["omega"]) / 2):
             tell(world, home, {other: rho})
-            at = now()
+            at = monotonic_us()
             made = await asked(world, home, target=b"/once/x")
             assert made.status == 200 and ran_at(world, made) == [other]
-            assert world.ledger.runs(made.id)[0].begun - at < 20 * MILLI
+            assert world.ledger.runs(made.id)[0].begun - at < 20 * MILLISECOND
         assert gate.counts["rule.full-any-room"] == 2 and "desk" not in gate.admission.queues
         # below 1 no more: it waits at home
         tell(world, home, {other: 1.0})
         made = (await world.caller(home)).ask(b"/once/y")
-        await rest(30 * MILLI)
+        await sleep_us(30 * MILLISECOND)
         assert len(gate.admission.queues["desk"]) == 1 and not ran_at(world, made)
         await all_done([made, *held])
         assert made.status == 200 and ran_at(world, made) == [home]
@@ -139,10 +139,10 @@
     async def scenario(world):
         home, other = hosts(world)
         hold(world)
-        held = [await occupied(world, host, 10 * MILLI) for host in (home, other)]
+        held = [await occupied(world, host, 10 * MILLISECOND) for host in (home, other)]
         tell(world, home, {other: between(world, home)})
         made = (await world.caller(home)).ask(b"/once/y")
-        await rest(30 * MILLI)
+        await sleep_us(30 * MILLISECOND)
         gate = gate_of(world, home)
         assert gate.counts["spill.refused.busy"] == 1 and len(gate.admission.queues["desk"]) == 1
         await all_done([made, *held[0], *held[1]])
@@ -169,15 +169,15 @@
         host = hosts(world)[0]
         hold(world)
         gate = gate_of(world, host)
-        assert gate.slowness("paper", now()) == 1.0  # nobody knows anything
-        believe_hold(gate, own * MILLI)
-        gate.fleet_us["desk"] = fleet * MILLI
-        assert gate.slowness("desk", now()) == pytest.approx(index)
+        assert gate.slowness("paper", monotonic_us()) == 1.0  # nobody knows anything
+        believe_hold(gate, own * MILLISECOND)
+        gate.fleet_us["desk"] = fleet * MILLISECOND
+        assert gate.slowness("desk", monotonic_us()) == pytest.approx(index)
         world.ends[host].left = True  # no beats but the test's own
-        world.beat(host, world.ends[host], 1000, warm_us=300 * MILLI)
-        assert gate.slowness("desk", now()) == pytest.approx(max(1.5, index))
-        await rest(350 * MILLI)
-        assert gate.slowness("desk", now()) == pytest.approx(index)
+        world.beat(host, world.ends[host], 1000, warm_us=300 * MILLISECOND)
+        assert gate.slowness("desk", monotonic_us()) == pytest.approx(max(1.5, index))
+        await sleep_us(350 * MILLISECOND)
+        assert gate.slowness("desk", monotonic_us()) == pytest.approx(index)
 
     gated(scenario, application=("desk",))
 
@@ -187,8 +187,8 @@
     while not over.is_set():
         for host in hosts(world):
             for endpoint in world.daemon("mdproxy", host).book.by_address.values():
-                endpoint.told, endpoint.told_at = told[0], now()
-        await rest(50 * MILLI)
+                endpoint.told, endpoint.told_at = told[0], monotonic_us()
+        await sleep_us(50 * MILLISECOND)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -211,27 +211,27 @@
 
         await rounds(30)
         told[0] = 0.5
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert [await kept(host) for host in hosts(world)] == [4, 4, 4]
         told[0] = 0.1
-        world.ends[slow].work_us = 100 * MILLI
+        world.ends[slow].work_us = 100 * MILLISECOND
         await rounds(30)
         told[0] = 0.5
-        await rest(SECOND)
+        await sleep_us(SECOND)
         rho_of = {n.address: n.rho for n in gate_of(world, others[0]).told_nodes["desk"]}
         assert rho_of[address_of(slow)] > 0.8
         assert all(rho_of[address_of(h)] == pytest.approx(0.5) for h in others)
         assert [await kept(host) for host in hosts(world)] == [0, 4, 4]
         # fast again
         told[0] = 0.1
-        world.ends[slow].work_us = 50 * MILLI
+        world.ends[slow].work_us = 50 * MILLISECOND
         await rounds(40)
         told[0] = 0.5
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert [await kept(host) for host in hosts(world)] == [4, 4, 4]
         over.set()
 
-    gated(scenario, seed, endpoint={"work_us": 50 * MILLI})
+    gated(scenario, seed, endpoint={"work_us": 50 * MILLISECOND})
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -242,21 +242,21 @@
             end.load_told = False
         told, over = [0.6], trio.Event()
         world.nursery.start_soon(level, world, told, over)
-        end, until_warm = world.ends[cold], now() + 2 * SECOND
+        end, until_warm = world.ends[cold], monotonic_us() + 2 * SECOND
         end.left = True  # no beats but the test's own
 
         async def beats():
             sequence = 1000
             while not over.is_set():
                 sequence += 1
-                world.beat(cold, end, sequence, warm_us=max(0, until_warm - now()))
-                await rest(300 * MILLI)
+                world.beat(cold, end, sequence, warm_us=max(0, until_warm - monotonic_us()))
+                await sleep_us(300 * MILLISECOND)
 
         world.nursery.start_soon(beats)
-        await rest(SECOND)
+        await sleep_us(SECOND)
         ran = await batch(world, cold, 4)
         assert cold not in ran
-        await rest(until_warm - now() + SECOND)
+        await sleep_us(until_warm - monotonic_us() + SECOND)
         assert await batch(world, cold, 4) == [cold] * 4
         over.set()
 
@@ -272,10 +272,10 @@
         guest, there = hosts(world)
         first, *callers = [await world.caller(guest) for _ in range(5)]
         calls = [first.ask(b"/p/0")]
-        await rest(20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
         for target, caller in zip((b"/low/0", b"/low/1", b"/p/1", b"/p/2"), callers, strict=True):
             calls.append(caller.ask(target))
-            await rest(8 * MILLI)
+            await sleep_us(8 * MILLISECOND)
         assert len(gate_of(world, there).admission.queues["desk"]) == 4
         assert not gate_of(world, guest).admission.queues.get("desk")
         await all_done(calls)
@@ -288,7 +288,7 @@
         seed,
         application=("", "desk"),
         items=items(route("low", prefix="/low/", priority=3)),
-        endpoint={"slots": 1, "work_us": 100 * MILLI},
+        endpoint={"slots": 1, "work_us": 100 * MILLISECOND},
     )
 
 
@@ -304,14 +304,14 @@
         guest, there = hosts(world)
         gate = gate_of(world, there)
         for target, wanted in ((b"/low/x", low), (b"/high/x", high)):
-            held = await occupied(world, there, 50 * MILLI)
-            believe_hold(gate, mean_ms * MILLI)
+            held = await occupied(world, there, 50 * MILLISECOND)
+            believe_hold(gate, mean_ms * MILLISECOND)
             made = await asked(world, guest if away else there, target=target)
             assert made.status == wanted
             if wanted == 503:
                 assert not ran_at(world, made)
                 # without a home it may wait a little for better news, but is in no line there
-                assert made.took < (EARLY * SECOND + 10 * MILLI if away else 20 * MILLI)
+                assert made.took < (EARLY * SECOND + 10 * MILLISECOND if away else 20 * MILLISECOND)
                 assert not away or gate_of(world, guest).counts["spill.refused.busy"] >= 1
                 again = float(made.line(b"Retry-After"))
                 assert again == pytest.approx(min(mean_ms / 1000, 0.44), abs=0.07)
@@ -329,15 +329,15 @@
 def test_a_call_leaves_the_line_when_it_cannot_be_served_in_time_any_more(away):
     async def scenario(world):
         guest, there = hosts(world)
-        held = await occupied(world, there, 50 * MILLI)
+        held = await occupied(world, there, 50 * MILLISECOND)
         gate = gate_of(world, there)
-        believe_hold(gate, 490 * MILLI)
+        believe_hold(gate, 490 * MILLISECOND)
         made = (await world.caller(guest if away else there)).ask(b"/high/x", due_ms=1000)
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         assert len(gate.admission.queues["desk"]) == 1
         await made.done.wait()
         assert made.status == 503 and made.line(b"Retry-After")
-        assert 460 * MILLI < made.took < 520 * MILLI
+        assert 460 * MILLISECOND < made.took < 520 * MILLISECOND
         assert not len(gate.admission.queues["desk"])
         await all_done(held)
 
@@ -355,8 +355,8 @@
         guest, *ends = hosts(world)
         held = []
         for host in ends:
-            held += await occupied(world, host, 10 * MILLI)
-            believe_hold(gate_of(world, host), 1100 * MILLI)
+            held += await occupied(world, host, 10 * MILLISECOND)
+            believe_hold(gate_of(world, host), 1100 * MILLISECOND)
         gate, sent = gate_of(world, guest), []
         hold(world)  # a new list is a new turn
         tell(world, guest, dict.fromkeys(ends, 1.0))
@@ -369,7 +369,7 @@
         gate.spill = noted
         made = await asked(world, guest, target=b"/once/x")
         assert made.status == 503 and made.line(b"Retry-After")
-        assert made.took < EARLY * 2 * SECOND + 20 * MILLI
+        assert made.took < EARLY * 2 * SECOND + 20 * MILLISECOND
         waits = [address for address, may_wait in sent if may_wait]
         assert len(waits) == len(set(waits)) == 2 == len(sent)
         await all_done(held)
@@ -388,23 +388,23 @@
     async def scenario(world):
         guest, full, free = hosts(world)
         hold(world)
-        held = await occupied(world, full, 50 * MILLI)
+        held = await occupied(world, full, 50 * MILLISECOND)
         tell(world, guest, {full: 0.1})
         tell(world, full, {free: 1.0})
         made = (await world.caller(guest)).ask(b"/once/x")
-        await rest(50 * MILLI)
+        await sleep_us(50 * MILLISECOND)
         there = gate_of(world, full)
         assert len(there.admission.queues["desk"]) == 1
         tell(world, full, {free: 0.1})  # its own calls would go there
-        await rest(50 * MILLI)
+        await sleep_us(50 * MILLISECOND)
         assert len(there.admission.queues["desk"]) == 1 and not ran_at(world, made)
         tell(world, guest, {full: 0.1, free: 0.1})
         world.ends[full].left = True
-        daemon, at = world.daemon("mdproxy", full), now()
+        daemon, at = world.daemon("mdproxy", full), monotonic_us()
         daemon.endpoint_leave(world.ends[full].instance.decode())
         await made.done.wait()
         assert made.status == 200 and ran_at(world, made) == [free]
-        assert now() - at < 50 * MILLI
+        assert monotonic_us() - at < 50 * MILLISECOND
         assert "spilled" not in there.counts
         assert gate_of(world, guest).counts["spill.refused.gone"] == 1
         await all_done(held)
@@ -424,11 +424,11 @@
         home, other = hosts(world)
         hold(world)
         tell(world, home, {other: 1.0})
-        held = await occupied(world, home, 50 * MILLI)
+        held = await occupied(world, home, 50 * MILLISECOND)
         calls = []
         for n in range(2):
             calls.append((await world.caller(home)).ask(b"/once/%d" % n))
-        await rest(20 * MILLI)
+        await sleep_us(20 * MILLISECOND)
         gate, book = gate_of(world, home), world.daemon("mdproxy", home).book
         line, endpoint = gate.admission.queues["desk"], book.home("desk")
         assert len(line) == 2
@@ -485,7 +485,7 @@
 async def begun_anew(world, host):
     world.ends[host].left = True  # no beats but the test's own
     world.kill(f"mdproxy@{host}")
-    await rest(100 * MILLI)
+    await sleep_us(100 * MILLISECOND)
     await world.start("mdproxy", host)
     return world.daemon("mdproxy", host)
 
@@ -497,14 +497,14 @@
         end = world.ends[host]
         health(world, host, 200)
         daemon = await begun_anew(world, host)
-        began = now()
-        await world.eventually(lambda: daemon.book.by_address, within=500 * MILLI)
+        began = monotonic_us()
+        await world.eventually(lambda: daemon.book.by_address, within=500 * MILLISECOND)
         endpoint = daemon.book.by_address[end.address]
         assert (endpoint.incarnation, endpoint.capacity) == (end.instance.decode(), 4)
         made = await asked(world, host, target=b"/once/x")
         assert made.status == 200
         pool = gate_of(world, host).pools[id(endpoint)]
-        await rest(SECOND - (now() - began))
+        await sleep_us(SECOND - (monotonic_us() - began))
         enrolled = len(world.trace.events(401))
         world.beat(host, end, 1000, capacity=3)
         assert daemon.book.by_address[end.address] is endpoint and endpoint.capacity == 3
@@ -528,7 +528,7 @@
         answers = []
         daemon.found_beside = lambda *facts: (answers.append(facts), found(*facts))
         await world.eventually(lambda: not daemon.not_ready())
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert answers and not daemon.book.by_address
         made = await asked(world, host)
         assert made.status == 503 and not ran_at(world, made)
@@ -547,16 +547,16 @@
 
         reg.collect = nothing
         world.kill(f"mdproxy@{guest}")
-        await rest(100 * MILLI)
-        began = now()
+        await sleep_us(100 * MILLISECOND)
+        began = monotonic_us()
         await world.start("mdproxy", guest)
         walker, gate = world.daemon("mdproxy", guest).walker, gate_of(world, guest)
         wanted = {address_of(h) for h in ends}
         await world.eventually(
             lambda: {n.address for n in gate.told_nodes.get("desk", ())} == wanted
         )
-        assert now() - began < 500 * MILLI and walker.lists.seq == 0
-        assert walker.lists.stale(now(), 1 << 60)
+        assert monotonic_us() - began < 500 * MILLISECOND and walker.lists.seq == 0
+        assert walker.lists.stale(monotonic_us(), 1 << 60)
         await world.eventually(lambda: not world.node("mdproxy", guest).not_ready())
         assert walker.lists.seq == 0
         assert set(await batch(world, guest, 4)) <= set(ends)
@@ -580,39 +580,39 @@
 # ---------------------------------------------------------------- links
 
 
-async def steady(world, host, calls, over, every=20 * MILLI):
+async def steady(world, host, calls, over, every=20 * MILLISECOND):
     """A call each 20 ms, each on a connection of its own."""
     while not over.is_set():
         caller = await world.caller(host)
         calls.append(caller.ask(b"/p/x"))
-        await rest(every)
+        await sleep_us(every)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("how", ("cut", "killed"))
 def test_no_call_waits_for_a_link_and_it_is_used_again_within_a_second(seed, how):
     async def scenario(world):
-        await rest(2 * TRIES["window_us"])  # the reserve of second tries is there
+        await sleep_us(2 * TRIES["window_us"])  # the reserve of second tries is there
         guest, bad, good = hosts(world)
         gate, calls, over = gate_of(world, guest), [], trio.Event()
         link = gate.gate_of(address_of(bad))
         world.nursery.start_soon(steady, world, guest, calls, over)
-        await rest(300 * MILLI)
+        await sleep_us(300 * MILLISECOND)
         if how == "cut":
             world.web.cut(guest, bad)
         else:
             world.kill(f"mdproxy@{bad}")
         await world.eventually(lambda: link in gate.peers.quiet_until)
-        broke = now()
+        broke = monotonic_us()
         dialled = []
 
         async def watch():
             while not over.is_set():
                 dialled.append(link in gate.peers.outgoing)
-                await rest(10 * MILLI)
+                await sleep_us(10 * MILLISECOND)
 
         world.nursery.start_soon(watch)
-        await rest(2500 * MILLI)
+        await sleep_us(2500 * MILLISECOND)
         if how == "cut":
             world.web.heal()
         else:
@@ -621,13 +621,13 @@
             await world.eventually(
                 lambda: address_of(bad) in {n.address for n in gate.told_nodes["desk"]}
             )
-        back = now()
-        await rest(1500 * MILLI)
+        back = monotonic_us()
+        await sleep_us(1500 * MILLISECOND)
         over.set()
         await all_done(calls)
         assert {made.status for made in calls} == {200}
         later = [made for made in calls if made.at > broke]
-        assert len(later) > 150 and max(made.took for made in later) < 60 * MILLI
+        assert len(later) > 150 and max(made.took for made in later) < 60 * MILLISECOND
         assert {ran_at(world, made)[0] for made in later if made.at < back} >= {good}
         assert how != "cut" or any(dialled)  # proved by itself, though no call went there
         again = [ran.begun for ran in world.ends[bad].journal if ran.begun > back]
@@ -649,7 +649,7 @@
 def test_a_stopping_node_stays_on_the_list_while_its_doors_are_open(seed):
     async def scenario(world):
         guest, home = hosts(world)
-        held = await occupied(world, home, 50 * MILLI)
+        held = await occupied(world, home, 50 * MILLISECOND)
         daemon, reg = world.daemon("mdproxy", home), world.daemon("mdreg", world.core[0])
         seen, ended = [], trio.Event()
 
@@ -660,7 +660,7 @@
                 }
                 on_roster = address_of(home) in reg.roster
                 seen.append((daemon.node.stopping, daemon.closing.is_set(), on_roster, listed))
-                await rest(5 * MILLI)
+                await sleep_us(5 * MILLISECOND)
 
         async def doors():
             await daemon.closing.wait()
@@ -673,12 +673,12 @@
         async def calls():
             for _ in range(10):
                 made.append(await asked(world, guest, target=b"/once/x"))
-                await rest(20 * MILLI)
+                await sleep_us(20 * MILLISECOND)
 
         world.nursery.start_soon(calls)
         await world.stop(f"mdproxy@{home}")
         ended.set()
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         stopping = [(listed, roster) for s, shut, roster, listed in seen if s and not shut]
         assert len(stopping) > 50 and set(stopping[:-3]) == {(True, True)}
         assert at_close == [False]  # told just before
@@ -706,7 +706,7 @@
                 if caller is None or caller.failed or caller.wire.closed or caller.closed_at:
                     caller = await world.caller(host)
                     if caller.failed:
-                        await rest(30 * MILLI)
+                        await sleep_us(30 * MILLISECOND)
                         continue
                 target = (b"/once/%d", b"/p/%d")[n % 2] % len(calls)
                 made = caller.ask(target, b"POST")
@@ -714,19 +714,19 @@
                 await made.done.wait()
                 if made.line(b"Connection") == b"close":
                     caller = None
-                await rest(50 * MILLI)
+                await sleep_us(50 * MILLISECOND)
 
         for host in hosts(world):
             for n in range(2):
                 world.nursery.start_soon(one, host, n)
-        await rest(300 * MILLI)
+        await sleep_us(300 * MILLISECOND)
         for host in hosts(world):
             await world.stop(f"mdproxy@{host}")
             await world.start("mdproxy", host)
             await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
-            await rest(SECOND)
+            await sleep_us(SECOND)
         over.set()
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         assert all(made.done.is_set() for made in calls) and len(calls) > 300
         told = {status: [m for m in calls if m.status == status] for status in {200, 503, 0}}
         assert sum(map(len, told.values())) == len(calls), {m.status for m in calls}
@@ -738,7 +738,7 @@
         scenario,
         seed,
         application=("", "desk", "desk", "desk"),
-        endpoint={"slots": 20, "work_us": 150 * MILLI},
+        endpoint={"slots": 20, "work_us": 150 * MILLISECOND},
     )
 
 
@@ -762,15 +762,15 @@
             assert made.line(b"Keep-Alive") == b"timeout=%d" % KEEP_S
         # used again within what was told, it stays
         for _ in range(3):
-            await rest(KEEP_S * SECOND - 10 * MILLI)
+            await sleep_us(KEEP_S * SECOND - 10 * MILLISECOND)
             made = used.ask()
             await made.done.wait()
             assert made.status == 200
-        last = now()
-        await rest(KEEP_S * SECOND)
+        last = monotonic_us()
+        await sleep_us(KEEP_S * SECOND)
         assert not used.closed_at
-        await rest(KEPT - KEEP_S * SECOND + 300 * MILLI)
-        assert KEPT <= used.closed_at - last < KEPT + 300 * MILLI
+        await sleep_us(KEPT - KEEP_S * SECOND + 300 * MILLISECOND)
+        assert KEPT <= used.closed_at - last < KEPT + 300 * MILLISECOND
         assert not under_way.done.is_set() and not never.closed_at
         await under_way.done.wait()
         assert under_way.status == 200 and not long.closed_at
--- a/tests/load_sharing/test_load.py
+++ b/tests/load_sharing/test_load.py
@@ -7,7 +7,7 @@
 from mesh import answers, configured, counts, hosts, serving
 from returns.pipeline import is_successful
 
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 from meadowdock.simulator.overload import Processors, curve
 
@@ -20,18 +20,18 @@
         found.append(await client.call("GET", path, **call))
 
     async with trio.open_nursery() as nursery:
-        while now() < until_us:
+        while monotonic_us() < until_us:
             nursery.start_soon(one)
-            await rest(gap_us)
+            await sleep_us(gap_us)
 
 
 def test_an_overloaded_home_spills_in_turn_and_takes_its_calls_back():
     async def scenario(world):
         journal, found = [], []
-        await serving(world, journal, took_us=100 * MILLI, capacity=10)
+        await serving(world, journal, took_us=100 * MILLISECOND, capacity=10)
         busy = hosts(world)[0]
         # 120 calls a second of 100 ms: 12 in flight, capacity 10
-        await offer(world, busy, 8333, now() + 6 * SECOND, found)
+        await offer(world, busy, 8333, monotonic_us() + 6 * SECOND, found)
         assert all(is_successful(f) for f in found), {str(f) for f in found}
         spilled = counts(world, busy)["spilled"]
         taken = [counts(world, h).get("taken", 0) for h in hosts(world)[1:]]
@@ -39,9 +39,9 @@
         assert sum(taken) == spilled
         assert max(taken) - min(taken) <= 2  # round-robin over the two that accept
         assert counts(world, busy)["rule.below-omega"] > 100  # home until omega
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         before = counts(world, busy)["spilled"]
-        await offer(world, busy, 50 * MILLI, now() + 2 * SECOND, found)
+        await offer(world, busy, 50 * MILLISECOND, monotonic_us() + 2 * SECOND, found)
         assert counts(world, busy)["spilled"] == before  # all at home again
 
     run(scenario, application=("desk", "desk", "desk"))
@@ -65,12 +65,12 @@
         made = await serving(world)
         for endpoint in made:
             await endpoint.leave()
-        begun = now()
+        begun = monotonic_us()
         client = world.client(hosts(world)[0])
         found = (await client.call("GET", "/balances/1")).failure()
         assert (found.code, found.verdict.value) == ("home_gone", "not-run")
         assert found.retry_after_us == SECOND
-        assert now() - begun < 50 * MILLI
+        assert monotonic_us() - begun < 50 * MILLISECOND
 
     run(scenario)
 
@@ -79,9 +79,9 @@
     async def scenario(world):
         await serving(world)
         proxies = [world.daemon("mdproxy", h) for h in hosts(world)]
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         first = [(p.walker.lists.epoch, p.walker.lists.seq) for p in proxies]
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         then = [(p.walker.lists.epoch, p.walker.lists.seq) for p in proxies]
         assert len({epoch for epoch, _ in first + then}) == 1
         assert all(9 <= b[1] - a[1] <= 11 for a, b in zip(first, then, strict=True))
@@ -104,7 +104,7 @@
         links = world.node("mdreg", other).links
         told = {"epoch": old, "seq": 10**6, "nodes": {}}
         got = await links.call_all(
-            {0: (f"{hosts(world)[0]}:7401", "load.list", told)}, now() + SECOND
+            {0: (f"{hosts(world)[0]}:7401", "load.list", told)}, monotonic_us() + SECOND
         )
         assert got[0].code == "old_epoch"
         assert proxy.walker.lists.seq < 10**6
@@ -115,12 +115,12 @@
 def test_without_any_mdreg_calls_stay_home_and_a_full_home_still_spills():
     async def scenario(world):
         journal, found = [], []
-        await serving(world, journal, took_us=100 * MILLI, capacity=10)
+        await serving(world, journal, took_us=100 * MILLISECOND, capacity=10)
         for host in world.core:
             world.kill(f"mdreg@{host}")
-        await rest(4 * SECOND)
+        await sleep_us(4 * SECOND)
         busy = hosts(world)[0]
-        await offer(world, busy, 7 * MILLI, now() + 4 * SECOND, found)
+        await offer(world, busy, 7 * MILLISECOND, monotonic_us() + 4 * SECOND, found)
         assert all(is_successful(f) for f in found)
         seen = counts(world, busy)
         assert seen["rule.stale"] > 0  # above omega by its own measure, yet at home
@@ -133,11 +133,13 @@
 def test_a_full_neighbour_sheds_and_the_call_is_kept_or_refused_as_not_run():
     async def scenario(world):
         journal, found = [], []
-        await serving(world, journal, took_us=400 * MILLI, capacity=2)
+        await serving(world, journal, took_us=400 * MILLISECOND, capacity=2)
         for host in hosts(world)[1:]:
-            world.nursery.start_soon(offer, world, host, 150 * MILLI, now() + 4 * SECOND, found)
-        await offer(world, hosts(world)[0], 100 * MILLI, now() + 4 * SECOND, found)
-        await rest(4 * SECOND)
+            world.nursery.start_soon(
+                offer, world, host, 150 * MILLISECOND, monotonic_us() + 4 * SECOND, found
+            )
+        await offer(world, hosts(world)[0], 100 * MILLISECOND, monotonic_us() + 4 * SECOND, found)
+        await sleep_us(4 * SECOND)
         refused = [f.failure() for f in found if not is_successful(f)]
         assert refused
         assert {(r.code, r.verdict.value) for r in refused} == {("busy", "not-run")}
@@ -153,7 +155,7 @@
         for host in hosts(world):
             await world.endpoint(host, "desk", answers(), load=lambda h=host: loads[h])
         loads[hosts(world)[1]] = 0.85
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         told = {
             n.address: n.rho
             for n in world.daemon("mdproxy", hosts(world)[0]).walker.told_nodes["desk"]
@@ -182,7 +184,7 @@
         await serving(world, journal)
         host = hosts(world)[0]
         process = world.processes[f"mdproxy@{host}"]
-        process.processors = slow = Processors(1, step_us=30 * MILLI)
+        process.processors = slow = Processors(1, step_us=30 * MILLISECOND)
         world.nursery.start_soon(slow.run)
         daemon = world.daemon("mdproxy", host)
         await world.eventually(daemon.behind)
--- a/tests/load_sharing/test_ways.py
+++ b/tests/load_sharing/test_ways.py
@@ -7,7 +7,7 @@
 from returns.pipeline import is_successful
 
 from meadowdock.load_sharing import Node
-from meadowdock.runtime import MILLI, SECOND, rest
+from meadowdock.runtime import MILLISECOND, SECOND, sleep_us
 from meadowdock.simulator import run
 
 
@@ -17,9 +17,9 @@
     host = hosts(world)[0]
     for other in [*world.core, *hosts(world)[1:]]:
         world.web.cut(host, other)
-    await rest(SECOND)
+    await sleep_us(SECOND)
     version = await world.configure(new)
-    await rest(2 * SECOND)
+    await sleep_us(2 * SECOND)
     assert world.daemon("mdproxy", host).delivery.version < version
     for other in hosts(world)[1:]:
         assert world.daemon("mdproxy", other).delivery.version == version
@@ -67,14 +67,14 @@
         walker = world.daemon("mdproxy", host).walker
         old = walker.told_nodes["desk"]
         world.kill(f"endpoint@{other}:8000")
-        await world.endpoint(other, "desk", answers(10 * MILLI, journal))
-        await rest(SECOND)
+        await world.endpoint(other, "desk", answers(10 * MILLISECOND, journal))
+        await sleep_us(SECOND)
         assert walker.told_nodes["desk"][0].incarnation != old[0].incarnation
         walker.told_nodes = {"desk": (Node(*old[0]),)}
         client = world.client(host)
         found = (await client.call("GET", "/balances/1")).failure()
         assert (found.code, found.verdict.value) == ("home_gone", "not-run")
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert is_successful(await client.call("GET", "/balances/1"))  # by the next list
 
     run(scenario, application=("paper", "desk"))
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -7,7 +7,7 @@
 from mesh import configured, hosts
 
 from meadowdock.membership import SHELF_MAX, VIEW_MAX, Entry, View
-from meadowdock.runtime import SECOND, rest
+from meadowdock.runtime import SECOND, sleep_us
 from meadowdock.simulator import run
 
 
@@ -64,7 +64,7 @@
         for host in world.core:
             for role in ("mdreg", "mdconf"):
                 await world.start(role, host)
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         for host in world.core[:2]:
             world.kill(f"mdreg@{host}")
         for host in hosts(world):
--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -23,7 +23,14 @@
     unexplained_keys,
 )
 from meadowdock.registry.lease import Lease
-from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    HttpConnectionFailed,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
 from meadowdock.simulator import run
 
 # ---------------------------------------------------------------- the checker itself
@@ -94,9 +101,9 @@
 async def member_troubles(three, rng):
     while True:
         three.down = set(rng.sample("xyz", rng.randrange(3)))
-        await rest(rng.randrange(60) * MILLI)
+        await sleep_us(rng.randrange(60) * MILLISECOND)
         three.down = set()
-        await rest(rng.randrange(60) * MILLI)
+        await sleep_us(rng.randrange(60) * MILLISECOND)
 
 
 async def use_register(three, proposer_class, name, rng, history):
@@ -104,7 +111,7 @@
         name, lambda: [list(three.acceptors)], three.ask, three.rng, three.nursery
     )
     for turn in range(30):
-        mark, invoked = f"{name}{turn}", now()
+        mark, invoked = f"{name}{turn}", monotonic_us()
         reads = rng.random() < 0.8
 
         def make(old, mark=mark):
@@ -113,16 +120,16 @@
 
         try:
             if reads:
-                value = await proposer.read("k", now() + SECOND) or ()
-                history.append(seen(invoked, now(), *value))
+                value = await proposer.read("k", monotonic_us() + SECOND) or ()
+                history.append(seen(invoked, monotonic_us(), *value))
             else:
-                value = await proposer.change("k", make, now() + SECOND)
-                history += change(invoked, now(), mark, *value)
+                value = await proposer.change("k", make, monotonic_us() + SECOND)
+                history += change(invoked, monotonic_us(), mark, *value)
         except OutcomeUnknown:
             history += change(invoked, NEVER, mark)
         except NoQuorum:
             pass  # surely not done
-        await rest(rng.randrange(5) * MILLI)
+        await sleep_us(rng.randrange(5) * MILLISECOND)
 
 
 def register_history(seed, proposer_class):
@@ -202,7 +209,7 @@
 
 async def sent(world, method, core, items=None):
     """(status, body), or (0, {}) if no answer came."""
-    with until(now() + SECOND):
+    with deadline_scope(monotonic_us() + SECOND):
         try:
             facts = None if items is None else {"items": items}
             return await world.operate(method, "/items", facts, core)
@@ -219,12 +226,12 @@
 async def operate(world, which, rng, history):
     """Reads, writes and drops at any member. Versions are few, so that they meet."""
     for turn in range(8):
-        invoked, core = now(), rng.randrange(3)
+        invoked, core = monotonic_us(), rng.randrange(3)
         if rng.random() < 0.4:
             status, told = await sent(world, "GET", core)
             if status == 200:
                 history += [
-                    RecordedCall(name, invoked, now(), None, pair)
+                    RecordedCall(name, invoked, monotonic_us(), None, pair)
                     for name, pair in shown(told).items()
                 ]
         else:
@@ -234,12 +241,12 @@
             status, told = await sent(world, "POST", core, [item_of(name, write)])
             if status in (200, 409):
                 observed = CONFLICT if status == 409 else None
-                history.append(RecordedCall(name, invoked, now(), write, observed))
+                history.append(RecordedCall(name, invoked, monotonic_us(), write, observed))
             elif status in (0, 504):
                 history.append(RecordedCall(name, invoked, NEVER, write))
             else:
                 assert status in (307, 503), (status, told)  # surely not done
-        await rest(rng.randrange(300) * MILLI)
+        await sleep_us(rng.randrange(300) * MILLISECOND)
 
 
 def items_history(seed):
@@ -300,10 +307,10 @@
     await world.whole()
     host, _ = await one_holder(world)
     isolate(world, host)
-    most, cut_at = 0, now()
-    while now() - cut_at < 8 * SECOND:
+    most, cut_at = 0, monotonic_us()
+    while monotonic_us() - cut_at < 8 * SECOND:
         most = max(most, len(holders(world)))
-        await rest(5 * MILLI)
+        await sleep_us(5 * MILLISECOND)
     assert set(holders(world)) - {host}  # another has acquired it
     return most
 
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -26,7 +26,7 @@
     voters_record,
 )
 from meadowdock.rpc import ConnectionFailed
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 EXAMPLES = {"derandomize": True, "database": None, "deadline": None, "print_blob": False}
@@ -56,12 +56,12 @@
 
     async def call(self, address, method, args, deadline):
         if address in self.silent:
-            await rest(min(deadline - now(), 20 * MILLI))
+            await sleep_us(min(deadline - monotonic_us(), 20 * MILLISECOND))
             raise ConnectionFailed(True, "silent")
-        await rest(self.rng.randrange(3 * MILLI))
+        await sleep_us(self.rng.randrange(3 * MILLISECOND))
         handler = getattr(self.processes[address], HANDLERS[method])
         told = await handler(None, ormsgpack.unpackb(ormsgpack.packb(args)))
-        await rest(self.rng.randrange(3 * MILLI))
+        await sleep_us(self.rng.randrange(3 * MILLISECOND))
         if address in self.mute:
             raise ConnectionFailed(True, "its answer was lost")
         return ormsgpack.unpackb(ormsgpack.packb(told))
@@ -92,7 +92,7 @@
     async def start(self, name, record=None, files=None):
         store = await make_store(self.implementation, name, record, files)
         node = make_node(name, self.links, None)
-        node.seams = SimpleNamespace(rng=random.Random(f"{name}{self.count}"))
+        node.runtime = SimpleNamespace(rng=random.Random(f"{name}{self.count}"))
         process = self.implementation.members(node, store)
         process.proposer = process.make_proposer()
         self.processes[name] = process
@@ -140,7 +140,9 @@
             return old if mark in old else [*old, mark]
 
         try:
-            value = self.act(operator, lambda p: p.proposer.change("k", make, now() + WITHIN))
+            value = self.act(
+                operator, lambda p: p.proposer.change("k", make, monotonic_us() + WITHIN)
+            )
         except NoQuorum:
             self.refused.add(mark)
         except OutcomeUnknown:
@@ -153,7 +155,9 @@
     def read(self, operator):
         self.count += 1
         try:
-            self.told(self.act(operator, lambda p: p.proposer.read("k", now() + WITHIN)) or [])
+            self.told(
+                self.act(operator, lambda p: p.proposer.read("k", monotonic_us() + WITHIN)) or []
+            )
         except NoQuorum:
             pass
 
@@ -164,9 +168,9 @@
         async def work(process):
             process.target_disks = {disk: disk for disk in voters}
             try:
-                await process.change_members(frozenset(voters), now() + WITHIN)
+                await process.change_members(frozenset(voters), monotonic_us() + WITHIN)
             except Conflict:
-                await process.end_change(now() + WITHIN)
+                await process.end_change(monotonic_us() + WITHIN)
 
         try:
             self.act(operator, work)
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -183,7 +183,7 @@
 
     def __init__(self, fails=None):
         self.store = SimpleNamespace(record={"version": 1})
-        self.node = SimpleNamespace(seams=SimpleNamespace(apart=self.apart))
+        self.node = SimpleNamespace(runtime=SimpleNamespace(offload=self.apart))
         self.held, self.fails, self.beside = {}, fails, 0
 
     async def apart(self, work, *args):
--- a/tests/project/test_incidents.py
+++ b/tests/project/test_incidents.py
@@ -10,9 +10,9 @@
 
 from meadowdock.membership import VIEW_MAX, Entry, View
 from meadowdock.rpc import serve
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
-REGISTRIES_LATER = 450 * MILLI  # as seen: they came up so much later than the proxies
+REGISTRIES_LATER = 450 * MILLISECOND  # as seen: they came up so much later than the proxies
 
 
 def hosts(world):
@@ -26,13 +26,13 @@
             world.power_off("mdconf", name.partition("@")[2])
         elif name.startswith("md"):
             world.kill(name)
-    await rest(2 * SECOND)
+    await sleep_us(2 * SECOND)
     async with trio.open_nursery() as nursery:
         for host in world.core:
             nursery.start_soon(world.start, "mdconf", host)
         for host in world.application:
             nursery.start_soon(world.start, "mdproxy", host)
-        await rest(REGISTRIES_LATER)
+        await sleep_us(REGISTRIES_LATER)
         for host in world.core:
             nursery.start_soon(world.start, "mdreg", host)
 
@@ -41,13 +41,13 @@
 def test_after_all_lost_power_every_gate_soon_knows_every_endpoint(seed):
     async def scenario(world):
         await all_at_once(world)
-        began = now()
+        began = monotonic_us()
         await listed(world)
-        took = now() - began
+        took = monotonic_us() - began
         for host in hosts(world):
             made = await asked(world, host, target=b"/paper/x")
             assert made.status == 200
-        assert took <= 500 * MILLI, took
+        assert took <= 500 * MILLISECOND, took
 
     application = ("desk", "desk", "desk", "desk", "desk", "paper", "paper", "paper")
     gated(scenario, seed, core=3, application=application)
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -10,7 +10,7 @@
 from meadowdock.admin_http import Reply
 from meadowdock.client import Endpoint
 from meadowdock.outcome import TABLE
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 from meadowdock.simulator.checkers import second_tries
 from meadowdock.simulator.history import Asked, History
@@ -112,15 +112,15 @@
 
         async def lose(got):
             ran.append(got.path)
-            await rest(10 * MILLI)
+            await sleep_us(10 * MILLISECOND)
             world.kill(f"endpoint@{hosts(world)[0]}:8000")
-            await rest(SECOND)
+            await sleep_us(SECOND)
 
         await configured(world)
         await world.endpoint(hosts(world)[0], "desk", lose)
         journal = []
         await world.endpoint(hosts(world)[1], "desk", answers(journal=journal))
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         status, verdict, _, told = await raw(world, "POST", "/withdrawals", {"a": 1})
         assert (status, told["code"], verdict) == (502, "lost", "may-have-run")
         assert (len(ran), len(journal)) == (1, 0)
@@ -137,10 +137,10 @@
         journal = []
         await configured(world, facts)
         await world.endpoint(hosts(world)[0], "desk", answers(SECOND, journal))
-        at = now()
+        at = monotonic_us()
         status, verdict, _, told = await raw(world, "POST", "/withdrawals", {"a": 1})
         assert (status, told["code"], verdict) == (504, "no_answer", "may-have-run")
-        assert now() - at < 250 * MILLI
+        assert monotonic_us() - at < 250 * MILLISECOND
         # the connection of the late answer is not used again: the next caller gets its own
         status, verdict, _, told = await raw(world, "POST", "/withdrawals/2", {"a": 1})
         assert told["code"] == "no_answer"
@@ -152,12 +152,12 @@
     async def scenario(world):
         await configured(world)
         await world.endpoint(hosts(world)[0], "desk", answers(SECOND))
-        at = now()
+        at = monotonic_us()
         _, verdict, _, told = await raw(
             world, "GET", "/balances/1", headers=[(b"md-due", b"100000")]
         )
         assert (told["code"], verdict) == ("no_answer", "may-have-run")
-        assert now() - at < 150 * MILLI
+        assert monotonic_us() - at < 150 * MILLISECOND
 
     run(scenario, application=("desk",))
 
@@ -187,7 +187,7 @@
 def test_keys_run_once_at_one_proxy():
     async def scenario(world):
         journal = []
-        await serving(world, journal, took_us=50 * MILLI)
+        await serving(world, journal, took_us=50 * MILLISECOND)
         client = world.client(hosts(world)[0])
         found = {}
 
@@ -196,7 +196,7 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send, "first", {"amount": 1})
-            await rest(20 * MILLI)
+            await sleep_us(20 * MILLISECOND)
             nursery.start_soon(send, "meanwhile", {"amount": 1})
         await send("after", {"amount": 1})
         await send("other body", {"amount": 2})
@@ -211,7 +211,7 @@
 def test_a_caller_that_hangs_up_cancels_only_what_has_not_started():
     async def scenario(world):
         journal = []
-        await serving(world, journal, took_us=200 * MILLI, capacity=1)
+        await serving(world, journal, took_us=200 * MILLISECOND, capacity=1)
         client = world.client(hosts(world)[0])
 
         async def give_up(after_us):
@@ -219,10 +219,10 @@
                 await client.call("GET", "/balances/1")
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(give_up, 50 * MILLI)  # has started: runs to its end
-            await rest(20 * MILLI)
-            nursery.start_soon(give_up, 50 * MILLI)  # waits for the slot: is dropped
-        await rest(SECOND)
+            nursery.start_soon(give_up, 50 * MILLISECOND)  # has started: runs to its end
+            await sleep_us(20 * MILLISECOND)
+            nursery.start_soon(give_up, 50 * MILLISECOND)  # waits for the slot: is dropped
+        await sleep_us(SECOND)
         daemon = world.daemon("mdproxy", hosts(world)[0])
         assert len(journal) == 1
         assert len(daemon.walker.slab) == 0
@@ -236,7 +236,7 @@
         ran = []
 
         async def garbage(got):
-            ran.append(now())
+            ran.append(monotonic_us())
             return 200, b"garbage"
 
         await configured(world)
@@ -248,12 +248,12 @@
             for client in clients:
                 world.nursery.start_soon(client.call, "GET", "/balances/1")
                 calls += 1
-            await rest(30 * MILLI)
-        await rest(2 * SECOND)
+            await sleep_us(30 * MILLISECOND)
+        await sleep_us(2 * SECOND)
         assert len(ran) > calls
-        starts = range(0, 2 * SECOND, 100 * MILLI)
+        starts = range(0, 2 * SECOND, 100 * MILLISECOND)
         windows = [sum(s <= at - ran[0] < s + 10 * SECOND for at in ran) for s in starts]
-        firsts = 10 * SECOND * 3 // (30 * MILLI)
+        firsts = 10 * SECOND * 3 // (30 * MILLISECOND)
         assert max(windows) > 1.1 * firsts  # second tries did happen
         assert max(windows) - firsts <= 0.2 * firsts + 36
 
@@ -262,7 +262,7 @@
 
 def test_a_spilled_call_is_never_spilled_again():
     async def scenario(world):
-        await serving(world, took_us=300 * MILLI, capacity=1)
+        await serving(world, took_us=300 * MILLISECOND, capacity=1)
         clients = [world.client(h) for h in hosts(world)]
 
         async def call(client):
@@ -272,7 +272,7 @@
             for _ in range(20):
                 for client in clients:
                     nursery.start_soon(call, client)
-                await rest(50 * MILLI)
+                await sleep_us(50 * MILLISECOND)
         total = {h: counts(world, h) for h in hosts(world)}
         assert sum(c.get("taken", 0) for c in total.values()) <= sum(
             c["spilled"] for c in total.values()
@@ -297,10 +297,10 @@
             found.append(await raw(world, "POST", "/withdrawals", {"a": 1}))
 
         world.nursery.start_soon(call)
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         assert counts(world, other)["taken"] == 1
         world.kill(f"mdproxy@{other}")
-        await rest(SECOND)
+        await sleep_us(SECOND)
         status, verdict, _, told = found[0]
         assert (status, told["code"], verdict) == (502, "lost", "may-have-run")
         assert host
@@ -335,7 +335,7 @@
         _, verdict, _, told = await raw(world, "POST", "/withdrawals", {"a": 1})
         assert (told["code"], verdict) == ("home_gone", "not-run")
         world.web.heal()
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
         assert [got.path for got in journal] == ["/balances/0"]
 
     run(scenario, application=("paper", "desk"))
@@ -350,9 +350,9 @@
         world.web.cut(host, other)
         with trio.move_on_after(0.1):
             await raw(world, "POST", "/withdrawals", {"a": 1})
-        await rest(50 * MILLI)  # long before the due
+        await sleep_us(50 * MILLISECOND)  # long before the due
         world.web.heal()
-        await rest(SECOND)
+        await sleep_us(SECOND)
         assert [got.path for got in journal] == ["/balances/0"]
 
     run(scenario, application=("paper", "desk"))
@@ -369,21 +369,21 @@
 
         for host in hosts(world):
             await world.endpoint(host, "desk", garbage, wait=False)
-        await rest(SECOND)
+        await sleep_us(SECOND)
         history = History(sendings=world.web.sendings)
         restarts = 0
         for turn in range(100):
             for host in hosts(world):
                 uid = f"u{len(history.asked)}"
-                history.asked.append(Asked(uid, host, "balances", "guest", now()))
+                history.asked.append(Asked(uid, host, "balances", "guest", monotonic_us()))
                 world.nursery.start_soon(world.client(host).call, "GET", f"/balances/{uid}")
-            await rest(100 * MILLI)
+            await sleep_us(100 * MILLISECOND)
             if turn % 8 == 7:
                 host = hosts(world)[restarts % 3]
                 world.kill(f"mdproxy@{host}")
                 world.nursery.start_soon(world.start, "mdproxy", host)
                 restarts += 1
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         assert restarts == 12
         assert len(history.sendings) > 150
         assert list(second_tries(history)) == []
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -30,7 +30,7 @@
 )
 from meadowdock.configuration.packed import checksum
 from meadowdock.proxy.staging import Stager
-from meadowdock.runtime import MILLI, SECOND, fingerprint, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, fingerprint, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 APPLY = 2 * SECOND
@@ -56,7 +56,7 @@
         await world.eventually(lambda h=host: not world.node("mdconf", h).not_ready())
     version = await world.set_items([service("desk"), *items])
     await in_force(world, version, 10 * SECOND)
-    await rest(3 * SECOND)
+    await sleep_us(3 * SECOND)
 
 
 def deliveries(world):
@@ -69,7 +69,7 @@
     def everywhere():
         return all(delivery.version >= version for delivery in deliveries(world))
 
-    return await world.eventually(everywhere, within, every=MILLI)
+    return await world.eventually(everywhere, within, every=MILLISECOND)
 
 
 def make_dark(world, host):
@@ -89,7 +89,7 @@
     async def scenario(world):
         await with_items(world, *many(300))
         world.processes[f"mdconf@{world.core[1]}"].freeze()
-        await rest(world.rng.randrange(400) * MILLI)
+        await sleep_us(world.rng.randrange(400) * MILLISECOND)
         version = await world.set_items(many(300, 2))
         make_dark(world, world.core[0])
         await in_force(world, version)
@@ -107,7 +107,7 @@
             world.processes[f"mdconf@{host}"].freeze()
             await in_force(world, version)
             world.processes[f"mdconf@{host}"].wake()
-            await rest(2 * SECOND)
+            await sleep_us(2 * SECOND)
 
     run(scenario, seed, core=3, application=PROXIES)
 
@@ -118,10 +118,10 @@
         await with_items(world, *many(300))
         for turn, host in enumerate(world.core):
             version = await world.set_items(many(300, 2 + turn), turn)
-            world.web.slow[host] = (900 * MILLI, SECOND)  # also the one that acknowledged
+            world.web.slow[host] = (900 * MILLISECOND, SECOND)  # also the one that acknowledged
             await in_force(world, version)
             del world.web.slow[host]
-            await rest(3 * SECOND)
+            await sleep_us(3 * SECOND)
 
     run(scenario, seed, application=PROXIES)
 
@@ -144,7 +144,7 @@
 
             cache.get = get
             took = await in_force(world, await world.set_items(many(300, 2 + turn), turn))
-            assert took < 100 * MILLI  # no wait for a silent one
+            assert took < 100 * MILLISECOND  # no wait for a silent one
             cache.get = original
             for delivery in deliveries(world):
                 found = delivery.active.ways.items.find(b"h3.example", b"/area10/x")
@@ -170,7 +170,7 @@
 
             cache.get = get
         await world.set_items(many(300, 2), 0)
-        await world.eventually(lambda: asked, every=MILLI)
+        await world.eventually(lambda: asked, every=MILLISECOND)
         hanging = False
         version = await world.set_items(many(300, 3), 1)
         took = await in_force(world, version)
@@ -185,14 +185,14 @@
         await with_items(world, *many(1400))
         delivery = deliveries(world)[0]
         held, hanging, received = set(delivery.stager.chunks), set(), Counter()
-        hanging_until = now() + 3 * SECOND
+        hanging_until = monotonic_us() + 3 * SECOND
         for host in world.core:
             cache = world.daemon("mdconf", host).chunks.packed
 
             async def get(name, form, original=cache.get):
                 if form == ROUTING and name not in held and not hanging:
                     hanging.add(name)
-                if name in hanging and now() < hanging_until:
+                if name in hanging and monotonic_us() < hanging_until:
                     await trio.sleep_forever()
                 return await original(name, form)
 
@@ -205,7 +205,7 @@
 
         delivery.stager.fetcher.accept = counted
         version = await world.set_items(many(1400, 2))
-        await world.eventually(lambda: now() > hanging_until)
+        await world.eventually(lambda: monotonic_us() > hanging_until)
         await in_force(world, version)
         assert len(received) > 15
         assert max(received.values()) <= 2, received  # two, where a hedge came
@@ -307,9 +307,9 @@
             world.web.rates[host] = SLOW_LINK
         for turn in range(12):
             version = await world.set_items([many(1400, 2 + turn)[turn * 90]], turn % 3)
-            begun = now()
+            begun = monotonic_us()
             await in_force(world, version)
-            await rest(300 * MILLI - (now() - begun))
+            await sleep_us(300 * MILLISECOND - (monotonic_us() - begun))
 
     run(scenario, application=PROXIES)
 
@@ -324,7 +324,7 @@
         reached = []
         for turn in range(12):
             await world.set_items(many(1400, 2 + turn)[::3], turn % 3)
-            await rest(200 * MILLI)
+            await sleep_us(200 * MILLISECOND)
             reached.append(min(delivery.version for delivery in deliveries(world)))
             for delivery in deliveries(world):  # in force, staged, and two under way
                 assert len(delivery.stager.chunks) <= 4 * len(delivery.active.head["ranges"])
@@ -375,7 +375,7 @@
         await with_items(world, *many(100))
         names = world.daemon("mdconf", world.core[0]).head["ranges"]
         links = world.node("mdproxy", "10.0.1.1").links
-        told = await links.call(f"{world.core[0]}:7421", "blob.get", names, now() + SECOND)
+        told = await links.call(f"{world.core[0]}:7421", "blob.get", names, monotonic_us() + SECOND)
         assert {fingerprint(bytes(body)) for body in told.values()} == set(names)
 
     run(scenario, application=("desk",))
@@ -396,9 +396,9 @@
             world.processes[f"mdconf@{first}"].freeze()
         else:
             make_dark(world, first)
-        begun = now()
+        begun = monotonic_us()
         assert len(await mine.fetch(names)) == len(names)
-        assert now() - begun < APPLY // 4
+        assert monotonic_us() - begun < APPLY // 4
 
     run(scenario, application=("desk",))
 
@@ -478,7 +478,7 @@
 
     async def main():
         fetch = Fetch([*chunks, big], ["m"], {})
-        await Fetcher(member, "me", 100 * MILLI, WHOLE).run(fetch, now() + SECOND)
+        await Fetcher(member, "me", 100 * MILLISECOND, WHOLE).run(fetch, monotonic_us() + SECOND)
         return fetch
 
     fetch = trio.run(main)
@@ -499,7 +499,9 @@
     async def main():
         fetch = Fetch([fingerprint(b"wanted")], ["m"], {})
         with trio.move_on_after(1):
-            await Fetcher(liar, "me", 100 * MILLI, ROUTING).run(fetch, now() + SECOND)
+            await Fetcher(liar, "me", 100 * MILLISECOND, ROUTING).run(
+                fetch, monotonic_us() + SECOND
+            )
         return fetch.found
 
     liar = Liar()
--- a/tests/proxy/test_endpoints.py
+++ b/tests/proxy/test_endpoints.py
@@ -7,7 +7,7 @@
 from mesh import answers, configured, hosts, serving
 from returns.pipeline import is_successful
 
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 GOOD = {"service": "desk", "address": "10.0.1.1:8000", "incarnation": "i", "capacity": 4}
@@ -49,7 +49,7 @@
         client = world.client(host)
         found = [await client.call("GET", "/balances/1") for _ in range(3)]
         assert all(is_successful(f) for f in found), found  # not-run at home, so spilled
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         assert not world.daemon("mdproxy", host).book.by_address
 
     run(scenario)
@@ -58,7 +58,7 @@
 def test_a_drain_ends_new_calls_at_home_and_from_neighbours_at_once():
     async def scenario(world):
         journal = []
-        made = await serving(world, journal, took_us=300 * MILLI)
+        made = await serving(world, journal, took_us=300 * MILLISECOND)
         host = hosts(world)[0]
         client = world.client(host)
         results = []
@@ -67,10 +67,10 @@
             results.append(await client.call("GET", "/balances/before"))
 
         world.nursery.start_soon(before)
-        await rest(100 * MILLI)
+        await sleep_us(100 * MILLISECOND)
         world.nursery.start_soon(made[0].drain)
-        await rest(50 * MILLI)
-        at = now()
+        await sleep_us(50 * MILLISECOND)
+        at = monotonic_us()
         for number in range(4):
             for caller in hosts(world):
                 found = await world.client(caller).call("GET", f"/balances/{number}")
@@ -78,7 +78,7 @@
         assert is_successful(results[0])  # the one under way was finished
         assert made[0].working == 0
         assert len(list(world.trace.events(402))) == 1
-        assert now() > at
+        assert monotonic_us() > at
         counts = world.daemon("mdproxy", host).walker.counts
         assert counts["rule.gone"] >= 4
 
@@ -100,7 +100,7 @@
         refused = [await client.call("GET", "/balances/1") for _ in range(5)]
         assert not any(is_successful(f) for f in refused)
         assert {f.failure().verdict.value for f in refused} == {"not-run"}
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         assert is_successful(await client.call("GET", "/statements/1"))
         assert [g.path for g in paper] == ["/statements/1"]
         assert len(desk) == 3
@@ -154,7 +154,7 @@
         await world.eventually(lambda: not world.node("mdproxy", host).not_ready())
         found = await world.client(host, token).call("GET", "/ledger/1")
         assert found.unwrap().body["caller"] == "paper"
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         assert paper.token == token  # its beats were enough
         assert is_successful(await world.client(host, token).call("GET", "/ledger/1"))
 
@@ -168,7 +168,7 @@
         facts = manifest(services=("desk",))
         facts["ways"] = [w for w in facts["ways"] if "paper" not in (w["service"], *w["callers"])]
         await world.configure(facts)
-        await rest(2 * SECOND)
+        await sleep_us(2 * SECOND)
         found = (await world.client(host).call("GET", "/statements/1")).failure()
         assert found.code == "way_unknown"
         assert not list(world.daemon("mdproxy", host).book.by_address.values())
--- a/tests/proxy/test_holding.py
+++ b/tests/proxy/test_holding.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from meadowdock.proxy.walk import FIRST_HOLD, REMEMBERED, Holding
-from meadowdock.runtime import MILLI
+from meadowdock.runtime import MILLISECOND
 
 
 def call(way):
@@ -16,16 +16,16 @@
     made = Holding(None, "desk")
     for way, took_ms, times in (("long", 150, 100), ("short", 15, 1000)):
         for _ in range(times):
-            made.ended(call(way), took_ms * MILLI)
+            made.ended(call(way), took_ms * MILLISECOND)
     made.line.extend((call(way), None) for way in waiting)
     return made
 
 
 def test_long_calls_ahead_count_as_long_however_many_short_ones_ran():
-    assert holding("long", "long").worth_it(call("long"), 1, 451 * MILLI)
-    assert not holding("long", "long").worth_it(call("long"), 1, 440 * MILLI)
-    assert holding("short", "short").worth_it(call("short"), 1, 46 * MILLI)
-    assert not holding("short", "long").worth_it(call("short"), 1, 170 * MILLI)
+    assert holding("long", "long").worth_it(call("long"), 1, 451 * MILLISECOND)
+    assert not holding("long", "long").worth_it(call("long"), 1, 440 * MILLISECOND)
+    assert holding("short", "short").worth_it(call("short"), 1, 46 * MILLISECOND)
+    assert not holding("short", "long").worth_it(call("short"), 1, 170 * MILLISECOND)
 
 
 def test_a_way_that_never_ran_counts_as_the_first_guess():
@@ -36,6 +36,6 @@
 def test_the_ways_seen_last_are_remembered():
     made = holding()
     for number in range(REMEMBERED - 1):
-        made.ended(call(str(number)), MILLI)
+        made.ended(call(str(number)), MILLISECOND)
     assert len(made.hold_us) == REMEMBERED and "short" in made.hold_us
     assert "long" not in made.hold_us
