--- a/tests/proxy/test_once.py
+++ b/tests/proxy/test_once.py
@@ -10,7 +10,7 @@
 from mesh import configured, hosts
 
 from meadowdock.client import Got, Record
-from meadowdock.runtime import MILLI, Disk, MemoryDisk, now, rest
+from meadowdock.runtime import MILLISECOND, Disk, MemoryDisk, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 S = 1_000_000
@@ -26,10 +26,10 @@
     return facts
 
 
-async def place(world, host, journal, disks, took_us=300 * MILLI, capacity=1):
+async def place(world, host, journal, disks, took_us=300 * MILLISECOND, capacity=1):
     async def work(got):
         journal.append(got)
-        await rest(took_us)
+        await sleep_us(took_us)
         return 200, {"key": got.key, "run": len(journal)}
 
     disk = disks.setdefault(host, MemoryDisk())
@@ -47,7 +47,7 @@
         await place(world, home, journal, disks)
         if stage != "waiting":
             await place(world, other, journal, disks)
-        await rest(2 * S)
+        await sleep_us(2 * S)
 
         async def call(client, key):
             found.append((key, await client.call("POST", "/withdrawals/1", {"a": 1}, key=key)))
@@ -55,9 +55,9 @@
         client = world.client(home)
         for number in range({"spilled": 1, "waiting": 1}.get(stage, 0)):
             world.nursery.start_soon(call, client, f"before{number}")
-            await rest(20 * MILLI)
+            await sleep_us(20 * MILLISECOND)
         world.nursery.start_soon(call, client, "k")
-        await rest(3 * MILLI if stage == "arriving" else 50 * MILLI)
+        await sleep_us(3 * MILLISECOND if stage == "arriving" else 50 * MILLISECOND)
         process = world.processes[f"mdproxy@{home}"]
         if fault == "home frozen":
             process.freeze()
@@ -68,7 +68,7 @@
                 fault.split()[0], f"endpoint@{other if stage == 'spilled' else home}:8000"
             )
             world.kill(chosen)
-        await rest(3 * S)
+        await sleep_us(3 * S)
         process.wake()
         world.web.losing.clear()
         for role, host in (("mdproxy", home), ("mdproxy", other)):
@@ -81,7 +81,7 @@
             if f"endpoint@{host}:8000" not in world.processes and host in disks:
                 await place(world, host, journal, disks)
             await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
-        await rest(2 * S)
+        await sleep_us(2 * S)
         repeating = client if where != "elsewhere" else world.client(other)
         repeating.sent["k"] = True  # the caller knows that it may have sent it
         before = [got.key for got in journal].count("k")
@@ -110,7 +110,7 @@
         await configured(world, recorded())
         (home,) = hosts(world)
         await place(world, home, journal, disks)
-        await rest(2 * S)
+        await sleep_us(2 * S)
         client = world.client(home)
 
         async def call():
@@ -118,9 +118,9 @@
 
         found = []
         world.nursery.start_soon(call)
-        await rest(50 * MILLI)
+        await sleep_us(50 * MILLISECOND)
         world.kill(f"mdproxy@{home}")
-        await rest(S)
+        await sleep_us(S)
         assert found[0].failure().verdict.value == "may-have-run"
         await world.start("mdproxy", home)
         await world.eventually(lambda: world.daemon("mdproxy", home).book.by_address)
@@ -206,17 +206,17 @@
         await configured(world, recorded())
         home, other = hosts(world)
         await place(world, home, journal, disks, capacity=4)
-        await rest(2 * S)
+        await sleep_us(2 * S)
         found = []
 
         async def call(host):
             found.append(await world.client(host).call("POST", "/withdrawals/1", {"a": 1}, key="k"))
 
-        at = now()
+        at = monotonic_us()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call, home)
             nursery.start_soon(call, other)  # spilled to the same endpoint
-        assert now() - at < S
+        assert monotonic_us() - at < S
         assert len(journal) == 1
         words = sorted(str(f.value_or("refused"))[:7] for f in found)
         assert words == ["Answer(", "refused"]
--- a/tests/proxy/test_stop.py
+++ b/tests/proxy/test_stop.py
@@ -9,19 +9,19 @@
 
 from meadowdock.admin_http import Reply, Table
 from meadowdock.registry.part import Part
-from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, HttpConnectionFailed, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 
 def test_a_proxy_restarted_under_load_loses_no_call():
     async def scenario(world):
         journal, found = [], []
-        await serving(world, journal, took_us=300 * MILLI, capacity=8)
+        await serving(world, journal, took_us=300 * MILLISECOND, capacity=8)
         host, other = hosts(world)[:2]
         stopped = []
 
         async def stop():
-            await rest(SECOND)
+            await sleep_us(SECOND)
             stopped.append(await world.stop(f"mdproxy@{host}"))
 
         async def call(client):
@@ -35,7 +35,7 @@
                 if f"mdproxy@{host}" in world.processes:
                     status, _, _ = await world.http(host, "GET", f"{host}:7400", "/ready")
                 nursery.start_soon(call, world.client(host if status == 200 else other))
-                await rest(20 * MILLI)
+                await sleep_us(20 * MILLISECOND)
         assert stopped[0] < 5 * SECOND
         assert len(found) > 80
         assert all(is_successful(f) for f in found), [f for f in found if not is_successful(f)][:3]
@@ -46,7 +46,7 @@
 
 def test_a_stop_waits_for_a_long_call_and_a_second_signal_does_not():
     async def scenario(world):
-        await serving(world, took_us=1_900 * MILLI)
+        await serving(world, took_us=1_900 * MILLISECOND)
         found = []
         for host, hurry in zip(hosts(world), (False, True), strict=True):
 
@@ -54,15 +54,15 @@
                 found.append(await world.client(host).call("GET", "/balances/1"))
 
             world.nursery.start_soon(call)
-            await rest(100 * MILLI)
-            begun = now()
+            await sleep_us(100 * MILLISECOND)
+            begun = monotonic_us()
             if hurry:
                 world.node("mdproxy", host).hurry.set()
             took = await world.stop(f"mdproxy@{host}")
-            assert took == now() - begun
-            assert (took < 500 * MILLI) == hurry
+            assert took == monotonic_us() - begun
+            assert (took < 500 * MILLISECOND) == hurry
             if not hurry:  # its answer left before the process ended: it may still be on its way
-                await world.eventually(lambda: found, within=5 * MILLI, every=MILLI)
+                await world.eventually(lambda: found, within=5 * MILLISECOND, every=MILLISECOND)
                 assert is_successful(found[0])
 
     run(scenario)
@@ -77,7 +77,7 @@
             client = world.client(hosts(world)[0])
             while True:
                 found.append(await client.call("GET", "/balances/1"))
-                await rest(20 * MILLI)
+                await sleep_us(20 * MILLISECOND)
 
         world.nursery.start_soon(load)
         for host in world.core:
@@ -85,7 +85,7 @@
                 assert await world.stop(f"{role}@{host}") < 5 * SECOND
                 await world.start(role, host)
                 await world.eventually(lambda r=role, h=host: not world.node(r, h).not_ready())
-        await rest(5 * SECOND)
+        await sleep_us(5 * SECOND)
         assert len(found) > 100
         assert all(is_successful(f) for f in found)
         assert (await world.operate("GET", "/manifest"))[1]["version"] == 1
@@ -106,7 +106,7 @@
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(confirm)
-                await rest(wait * MILLI)
+                await sleep_us(wait * MILLISECOND)
                 await world.stop(f"mdconf@{world.core[0]}")
             status, answer = told[0]
             assert (status, answer["version"]) == (200, number + 2)
@@ -123,7 +123,7 @@
 
     @further.on("POST", "/slow")
     async def slow(daemon, request):
-        await rest(700 * MILLI)
+        await sleep_us(700 * MILLISECOND)
         return Reply(200, {"of": daemon.node.boot.name, "got": (await request.body()).decode()})
 
     monkeypatch.setattr(Part, "doors", lambda daemon: {f"{daemon.node.boot.host}:7419": further})
@@ -141,7 +141,7 @@
         assert (await world.http(host, "GET", door, "/ready"))[0] == 404  # its own table alone
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call)
-            await rest(10 * MILLI)
+            await sleep_us(10 * MILLISECOND)
             assert await world.stop(f"mdreg@{host}") < 5 * SECOND
         status, lines, told = found[0]
         assert (status, told) == (200, {"of": f"mdreg@{host}", "got": '{"a": 1}'})
--- a/tests/simulator/test_overload.py
+++ b/tests/simulator/test_overload.py
@@ -9,10 +9,12 @@
 from overload_demands import LONG, SHORT, SLOTS, SPAN, items_of
 from overloads import most_in_aim, offer, worker
 
-from meadowdock.runtime import MILLI
+from meadowdock.runtime import MILLISECOND
 
 # the same works, but no rank tells them apart
-SHORT_ALIKE = replace(SHORT, priority=LONG.priority, aim_us=200 * MILLI, due_us=400 * MILLI)
+SHORT_ALIKE = replace(
+    SHORT, priority=LONG.priority, aim_us=200 * MILLISECOND, due_us=400 * MILLISECOND
+)
 
 
 def overloaded(seed, demands, slots=SLOTS, application=("desk", None, None)):
--- a/tests/simulator/test_whole.py
+++ b/tests/simulator/test_whole.py
@@ -9,7 +9,7 @@
 from mesh import counts, hosts, serving
 from returns.pipeline import is_successful
 
-from meadowdock.runtime import SECOND, fingerprint, now, rest
+from meadowdock.runtime import SECOND, fingerprint, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 
@@ -31,8 +31,8 @@
     await serving(world)
     for host in world.application:
         await world.client(host).call("GET", "/balances/1")
-    await rest(3 * SECOND)
-    return fingerprint(repr((world.trace.lines, now())).encode())
+    await sleep_us(3 * SECOND)
+    return fingerprint(repr((world.trace.lines, monotonic_us())).encode())
 
 
 def test_same_seed_same_trace_in_any_process():
--- a/tests/support/core_fleet.py
+++ b/tests/support/core_fleet.py
@@ -5,7 +5,7 @@
 import trio
 from facts import manifest, way
 
-from meadowdock.runtime import MILLI, SECOND
+from meadowdock.runtime import MILLISECOND, SECOND
 from meadowdock.settings import checked
 from meadowdock.simulator.world import KEY
 
@@ -73,7 +73,7 @@
         )
 
     async def settle(self, hosts, within=4 * SECOND):
-        return await self.world.eventually(lambda: self.voting(hosts), within, 10 * MILLI)
+        return await self.world.eventually(lambda: self.voting(hosts), within, 10 * MILLISECOND)
 
     def records(self):
         return {h: self.store(h).record for h in self.running()}
--- a/tests/support/gate_beliefs.py
+++ b/tests/support/gate_beliefs.py
@@ -4,7 +4,7 @@
 
 from item_builders import route
 
-from meadowdock.runtime import MILLI, SECOND
+from meadowdock.runtime import MILLISECOND, SECOND
 
 LOW = route("low", prefix="/low/", priority=3, aim_us=SECOND)
 
@@ -37,4 +37,4 @@
 
 def works(**by_first):
     """work_us by the first part of a call's path, in milliseconds."""
-    return lambda job: by_first.get(job.target.split(b"/")[1].decode(), 10) * MILLI
+    return lambda job: by_first.get(job.target.split(b"/")[1].decode(), 10) * MILLISECOND
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -4,7 +4,7 @@
 
 from item_builders import route, service
 
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 SEEDS = (1, 2, 3)
@@ -103,7 +103,11 @@
         found += [f"{name}: queue {s}" for s, q in gate.admission.queues.items() if len(q)]
         found += [f"{name}: pending {a}" for a, k in gate.peers.outgoing.items() if len(k.pending)]
         found += [f"{name}: opening" for pool in gate.pools.values() if pool.opening]
-        held = [t for t in daemon.reactor.heap if t.act is not None and t.due > now() + 3 * SECOND]
+        held = [
+            t
+            for t in daemon.reactor.heap
+            if t.act is not None and t.due > monotonic_us() + 3 * SECOND
+        ]
         found += [f"{name}: timer {t.act}" for t in held]
     return found
 
@@ -119,7 +123,7 @@
 async def all_done(calls):
     for made in calls:
         await made.done.wait()
-    await rest(100 * MILLI)
+    await sleep_us(100 * MILLISECOND)
 
 
 def busy(world, host, rho, name="desk"):
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -41,7 +41,7 @@
 from meadowdock.logs import CATALOGUE
 from meadowdock.rpc import ConnectionFailed, Link, Peer, Proof, Rejected, serve
 from meadowdock.rpc.link import Handlers, greet, pack, unpack
-from meadowdock.runtime import MILLI, SECOND, MemoryDisk, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, monotonic_us, sleep_us
 from meadowdock.settings import BootErrors, load
 from meadowdock.simulator import SimDisk, run
 from meadowdock.simulator.wires import SimWire
@@ -373,12 +373,12 @@
         host = world.core[0]
         await world.stop(f"{role}@{host}")
         await world.start(role, host)
-        await rest(3 * SECOND)
+        await sleep_us(3 * SECOND)
     host = world.core[1]
     world.power_off(STORING_ROLE, host)
     world.lose_disk(STORING_ROLE, host)
     await world.start(STORING_ROLE, host)
-    await rest(15 * SECOND)
+    await sleep_us(15 * SECOND)
 
 
 def methods_of(world):
@@ -405,7 +405,7 @@
     }
     for method, args in asked.items():
         try:
-            await links.call(f"{world.core[0]}:7421", method, args, now() + SECOND)
+            await links.call(f"{world.core[0]}:7421", method, args, monotonic_us() + SECOND)
         except Rejected:
             pass  # the recording has it
 
@@ -418,15 +418,15 @@
     record_disk = MemoryDisk()
     endpoints = [
         await world.endpoint(
-            host, service, answers(50 * MILLI), capacity=2, record=Record(record_disk)
+            host, service, answers(50 * MILLISECOND), capacity=2, record=Record(record_disk)
         )
         for host, service in world.application.items()
     ]
-    await rest(3 * SECOND)
+    await sleep_us(3 * SECOND)
     await spill(world)
     played.http["proxy"] = await proxy_answers(world, endpoints[0].token)
     played.http["operators"] = await operator_answers(world)
-    await rest(3 * SECOND)
+    await sleep_us(3 * SECOND)
     for (role, host), disk in sorted(world.disks.items()):
         for name, data in sorted(disk.files.items()):
             played.disks[f"{role}-{host}/{name}"] = data
@@ -629,7 +629,7 @@
 
     @handlers.on("wait")
     async def wait(peer, args):
-        await rest(10 * SECOND)
+        await sleep_us(10 * SECOND)
 
     return handlers
 
@@ -645,17 +645,19 @@
         )
         me = Peer("mdreg@10.0.0.2", "10.0.0.2:7411")
         reader, out, into, peer = await greet(here, FLEET_KEY, random.Random(1), me)
-        link = Link(peer, now())
+        link = Link(peer, monotonic_us())
         nursery.start_soon(link.run, here, reader, out, into)
         for method in ("echo", "refuse", "unknown", "wait"):
             try:
                 args = {"a": [1, b"2", None, 0.5], 3: "four"}
-                outcomes.append([method, await link.call(method, args, now() + 300 * MILLI)])
+                outcomes.append(
+                    [method, await link.call(method, args, monotonic_us() + 300 * MILLISECOND)]
+                )
             except Rejected as refused:
                 outcomes.append([method, refused.code, refused.facts])
             except ConnectionFailed as failed:
                 outcomes.append([method, "failed", failed.sent])
-        await rest(SECOND)
+        await sleep_us(SECOND)
         nursery.cancel_scope.cancel()
     return readable({"opener": here.sent, "answerer": there.sent, "outcomes": outcomes})
 
--- a/tests/support/mesh.py
+++ b/tests/support/mesh.py
@@ -4,12 +4,12 @@
 
 from facts import manifest
 
-from meadowdock.runtime import MILLI, rest
+from meadowdock.runtime import MILLISECOND, sleep_us
 
 
-def answers(took_us=10 * MILLI, journal=None):
+def answers(took_us=10 * MILLISECOND, journal=None):
     async def handle(got):
-        await rest(took_us)
+        await sleep_us(took_us)
         if journal is not None:
             journal.append(got)
         return 200, {"path": got.path, "caller": got.caller}
@@ -27,7 +27,7 @@
         await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
 
 
-async def serving(world, journal=None, facts=None, took_us=10 * MILLI, **endpoint):
+async def serving(world, journal=None, facts=None, took_us=10 * MILLISECOND, **endpoint):
     """Configured, with an endpoint beside each proxy that has a service, and a load list out."""
     await configured(world, facts)
     made = [
--- a/tests/support/order_faults.py
+++ b/tests/support/order_faults.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowdock.runtime import MILLI, rest
+from meadowdock.runtime import MILLISECOND, sleep_us
 
 
 async def trouble(world):
@@ -16,15 +16,15 @@
             for a, b in pairs:
                 if not one_way or a == away:
                     world.web.cut(a, b, both=False)
-            await rest(world.rng.randrange(1500) * MILLI)
+            await sleep_us(world.rng.randrange(1500) * MILLISECOND)
             world.web.mend(pairs)
         elif kind == 1:
             world.power_off("mdconf", away)
-            await rest(world.rng.randrange(500) * MILLI)
+            await sleep_us(world.rng.randrange(500) * MILLISECOND)
             await world.start("mdconf", away)
         else:
             process = world.processes[f"mdconf@{away}"]
             process.freeze()
-            await rest(world.rng.randrange(1000) * MILLI)
+            await sleep_us(world.rng.randrange(1000) * MILLISECOND)
             process.wake()
-        await rest(world.rng.randrange(600) * MILLI)
+        await sleep_us(world.rng.randrange(600) * MILLISECOND)
--- a/tests/support/orders.py
+++ b/tests/support/orders.py
@@ -6,11 +6,18 @@
 
 import trio
 
-from meadowdock.runtime import MILLI, SECOND, HttpConnectionFailed, now, rest, until
+from meadowdock.runtime import (
+    MILLISECOND,
+    SECOND,
+    HttpConnectionFailed,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
 
 OPERATOR_HOST = "10.9.9.9"  # cut off from nobody
 SILENCE = SECOND  # of a member, after which the next one is asked
-FIRST_PAUSE, LONGEST_PAUSE = 50 * MILLI, 400 * MILLI
+FIRST_PAUSE, LONGEST_PAUSE = 50 * MILLISECOND, 400 * MILLISECOND
 GIVE_UP = 60 * SECOND
 FINAL = (200, 400, 409, 422)
 
@@ -30,7 +37,7 @@
 async def ask(world, address, items):
     """(status, headers, body) of one member, or None after a second of silence."""
     answer = None
-    with until(now() + SILENCE):
+    with deadline_scope(monotonic_us() + SILENCE):
         try:
             answer = await world.http(OPERATOR_HOST, "POST", address, "/items", {"items": items})
         except HttpConnectionFailed:
@@ -51,18 +58,18 @@
 
 async def order(world, items, core):
     """Send the call to one member after the other, from this one on, until the answer is final."""
-    made = Order(items, sent_at=now())
+    made = Order(items, sent_at=monotonic_us())
     pause = FIRST_PAUSE
-    while now() - made.sent_at < GIVE_UP:
-        asked_at = now()
+    while monotonic_us() - made.sent_at < GIVE_UP:
+        asked_at = monotonic_us()
         answer = await ask_and_follow(world, core, items)
         status, _, body = answer or (0, {}, {})
-        made.answers.append((core, status, now() - asked_at))
+        made.answers.append((core, status, monotonic_us() - asked_at))
         if status in FINAL:
-            made.status, made.body, made.took = status, body, now() - made.sent_at
+            made.status, made.body, made.took = status, body, monotonic_us() - made.sent_at
             return made
-        await rest(world.rng.randrange(pause // 2, pause))
+        await sleep_us(world.rng.randrange(pause // 2, pause))
         pause = min(2 * pause, LONGEST_PAUSE)
         core = (core + 1) % len(world.core)
-    made.took = now() - made.sent_at
+    made.took = monotonic_us() - made.sent_at
     return made
--- a/tests/support/overload_demands.py
+++ b/tests/support/overload_demands.py
@@ -6,17 +6,19 @@
 from item_builders import route, service
 from overloads import Demand
 
-from meadowdock.runtime import MILLI, SECOND
+from meadowdock.runtime import MILLISECOND, SECOND
 
 SLOTS, SPAN = 17, 4 * SECOND
 
 
 # twice what the endpoint can do; the long requests are of the lowest rank, as on the days that
 # earned least, and short ones of a higher rank use a third of the slots
-LONG = Demand(b"/long/", 160, 150 * MILLI, 0.3, 400 * MILLI, 1500 * MILLI, 2)
+LONG = Demand(b"/long/", 160, 150 * MILLISECOND, 0.3, 400 * MILLISECOND, 1500 * MILLISECOND, 2)
 
 
-SHORT = Demand(b"/short/", 340, 15 * MILLI, 0.5, 60 * MILLI, 200 * MILLI, 0, retries=0)
+SHORT = Demand(
+    b"/short/", 340, 15 * MILLISECOND, 0.5, 60 * MILLISECOND, 200 * MILLISECOND, 0, retries=0
+)
 
 
 def items_of(*demands):
--- a/tests/support/overloads.py
+++ b/tests/support/overloads.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from meadowdock.runtime import MILLI, SECOND, now, rest
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
 RETRY_PART = 3  # a caller waits for Retry-After up to this part of the time that it has left
 
@@ -51,27 +51,27 @@
 
 async def one_request(world, host, demand, number, tally):
     """A request with its further tries, as a caller that obeys Retry-After makes them."""
-    begun = now()
+    begun = monotonic_us()
     tally.asked += 1
     for tried in range(demand.retries + 1):
-        left = begun + demand.due_us - now()
+        left = begun + demand.due_us - monotonic_us()
         caller = await world.caller(host)
-        made = caller.ask(demand.prefix + b"%d" % number, due_ms=max(1, left // MILLI))
+        made = caller.ask(demand.prefix + b"%d" % number, due_ms=max(1, left // MILLISECOND))
         await made.done.wait()
         caller.hang_up()
         if made.status == 200:
-            in_aim = now() - begun <= demand.aim_us
+            in_aim = monotonic_us() - begun <= demand.aim_us
             tally.in_aim += in_aim
             tally.in_aim_by_retry += in_aim and tried > 0
             tally.late += not in_aim
-            tally.took_us.append(now() - begun)
+            tally.took_us.append(monotonic_us() - begun)
             return
         again = made.line(b"Retry-After")
-        left = begun + demand.due_us - now()
+        left = begun + demand.due_us - monotonic_us()
         if made.status != 503 or again is None or left <= 0:
             break
         if tried < demand.retries:
-            await rest(min(int(float(again) * SECOND), left // RETRY_PART))
+            await sleep_us(min(int(float(again) * SECOND), left // RETRY_PART))
     tally.refused += made.status == 503
     tally.failed += made.status != 503
 
@@ -79,16 +79,16 @@
 async def offer(world, hosts, demands, span_us, seed=1):
     """Open-loop callers, in turn at each of the hosts; gives a tally for each demand."""
     tallies = {demand.prefix: Tally() for demand in demands}
-    end = now() + span_us
+    end = monotonic_us() + span_us
 
     async def arrivals(demand):
         rng = random.Random(f"{seed}{demand.prefix}")
         number = 0
-        while now() < end:
+        while monotonic_us() < end:
             number += 1
             host = hosts[number % len(hosts)]
             nursery.start_soon(one_request, world, host, demand, number, tallies[demand.prefix])
-            await rest(int(rng.expovariate(demand.per_s) * SECOND))
+            await sleep_us(int(rng.expovariate(demand.per_s) * SECOND))
 
     async with trio.open_nursery() as nursery:
         for demand in demands:
--- a/tests/support/raw_bytes.py
+++ b/tests/support/raw_bytes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowdock.runtime import SECOND, rest
+from meadowdock.runtime import SECOND, sleep_us
 
 
 def hosts(world):
@@ -23,7 +23,7 @@
 
     caller.wire.owner = Any()
     caller.wire.send(data)
-    await rest(wait)
+    await sleep_us(wait)
     closed = None in answers
     text = b"".join(a for a in answers if a)
     caller.wire.close()
--- a/tests/support/retry_counts.py
+++ b/tests/support/retry_counts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowdock.runtime import SECOND, rest
+from meadowdock.runtime import SECOND, sleep_us
 
 TRIES = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
 
@@ -13,4 +13,4 @@
 
 async def budgeted(world):
     """Older than a window, so that the reserve of second tries is there."""
-    await rest(2 * TRIES["window_us"])
+    await sleep_us(2 * TRIES["window_us"])
--- a/tests/support/three_acceptors.py
+++ b/tests/support/three_acceptors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from meadowdock.consensus import Acceptor, Proposer
-from meadowdock.runtime import MemoryDisk, now, rest
+from meadowdock.runtime import MemoryDisk, monotonic_us, sleep_us
 
 
 class Trio:
@@ -19,9 +19,9 @@
         return Proposer(name, lambda: [list(self.acceptors)], self.ask, self.rng, self.nursery)
 
     async def ask(self, member, method, args, due):
-        await rest(self.rng.randrange(100, 3000))
+        await sleep_us(self.rng.randrange(100, 3000))
         if member in self.down:
-            await rest(due - now())
+            await sleep_us(due - monotonic_us())
             raise TimeoutError
         acceptor = self.acceptors[member]
         if method == "read":
@@ -30,5 +30,5 @@
             answer = await getattr(acceptor, method)(args[0], tuple(args[1]), *args[2:])
         if self.rng.random() < self.lose_answers:
             raise TimeoutError
-        await rest(self.rng.randrange(100, 3000))
+        await sleep_us(self.rng.randrange(100, 3000))
         return answer
