--- a/tests/platform/test_platform_control.py
+++ b/tests/platform/test_platform_control.py
@@ -12,7 +12,7 @@
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 
 sys.path.append(str(Path(__file__).parents[2] / "platform"))
-from platform_adapter import conf  # noqa: E402
+from platform_adapter import operator_api  # noqa: E402
 
 MODIFY, FETCH = "/api/config/modify", "/api/config/fetch"
 
@@ -27,8 +27,8 @@
         return b"{}"
 
 
-class FailingPart:
-    """A part whose orders and reads end with one error."""
+class FailingConfigStore:
+    """A config store whose changes and reads end with one error."""
 
     def __init__(self, error):
         self.error = error
@@ -41,14 +41,14 @@
 
 
 def answer(path, error):
-    handler = conf.modify if path == MODIFY else conf.fetch
-    reply = trio.run(handler, FailingPart(error), Request(path))
+    handler = operator_api.modify if path == MODIFY else operator_api.fetch
+    reply = trio.run(handler, FailingConfigStore(error), Request(path))
     return reply.status, {name.lower(): value for name, value in reply.headers}
 
 
 @pytest.mark.parametrize("path", [MODIFY, FETCH])
 def test_a_member_without_a_quorum_names_the_control_address_of_one_that_has_it(path):
-    error = NoContact({conf.CONTROL: "10.0.0.2:8146", "operators": "10.0.0.2:7664"})
+    error = NoContact({operator_api.CONTROL: "10.0.0.2:8146", "operators": "10.0.0.2:7664"})
     status, headers = answer(path, error)
     assert status == 307
     assert headers[b"location"] == f"http://10.0.0.2:8146{path}".encode()
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -1,4 +1,4 @@
-"""The operator's calls and the endpoints' beats, translated; the doors that take them."""
+"""The operator's calls and the endpoints' heartbeats, translated; the listeners that take them."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 sys.path.insert(0, str(Path(__file__).parents[2] / "platform"))
 
 from platform_adapter import items  # noqa: E402
-from platform_adapter.beats import BEAT_MAX, beats, readiness  # noqa: E402
-from platform_adapter.conf import control  # noqa: E402
-from platform_adapter.doors import doors_at  # noqa: E402
+from platform_adapter.endpoint_api import HEARTBEAT_MAX_BYTES, endpoint_calls, readiness  # noqa: E402
+from platform_adapter.listeners import tables_by_address  # noqa: E402
+from platform_adapter.operator_api import control  # noqa: E402
 
 
 def entry(kind, name, version, **spec):
@@ -175,7 +175,7 @@
     assert not check(items.read(change(route(), *SERVICES, LIMITS)))
 
 
-# ---------------------------------------------------------------- the doors
+# ---------------------------------------------------------------- the listeners
 
 
 class Kept:
@@ -316,10 +316,10 @@
 
 def beat(daemon, facts, verb="heartbeat"):
     body = facts if isinstance(facts, bytes) else json.dumps(facts).encode()
-    return asked(beats, daemon, "POST", f"/api/instances/i-1/{verb}", body)[0]
+    return asked(endpoint_calls, daemon, "POST", f"/api/instances/i-1/{verb}", body)[0]
 
 
-def test_beats_and_the_last_word_of_an_endpoint():
+def test_heartbeats_and_the_deregistration_of_an_endpoint():
     daemon = Beside()
     assert beat(daemon, BEAT) == 200
     assert beat(daemon, {**BEAT, "state": "draining"}) == 200
@@ -349,7 +349,7 @@
         ({**BEAT, "warmupLeft": "soon"}, 400),
         ({**BEAT, "service": ""}, 400),
         ({**BEAT, "service": "stranger"}, 400),
-        ({**BEAT, "more": "x" * BEAT_MAX}, 413),
+        ({**BEAT, "more": "x" * HEARTBEAT_MAX_BYTES}, 413),
     ],
 )
 def test_a_wrong_beat_is_refused(facts, status):
@@ -358,12 +358,14 @@
     assert daemon.told == []
 
 
-def test_readiness_and_doors_that_share_an_address():
+def test_readiness_and_listeners_that_share_an_address():
     assert asked(readiness, Beside(), "GET", "/api/readiness")[0] == 200
     status, _, why = asked(readiness, Beside(["stopping"]), "GET", "/api/readiness")
     assert (status, why["errorMessage"]) == (503, "stopping")
-    both = SimpleNamespace(doors={"controlPlane": "a:1", "readiness": "a:1"})
-    (shared,) = doors_at(both, {"controlPlane": beats, "readiness": readiness}).values()
+    both = SimpleNamespace(listeners={"controlPlane": "a:1", "readiness": "a:1"})
+    (shared,) = tables_by_address(
+        both, {"controlPlane": endpoint_calls, "readiness": readiness}
+    ).values()
     assert asked(shared, Beside(), "GET", "/api/readiness")[0] == 200
     assert beat_at(shared) == 200
     assert readiness.below == []
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -15,7 +15,7 @@
 FOLDER = Path(__file__).parents[2] / "platform"
 sys.path.insert(0, str(FOLDER))
 
-from platform_adapter.main import take_over  # noqa: E402
+from platform_adapter.main import apply_settings  # noqa: E402
 from platform_adapter.settings import Settings, load  # noqa: E402
 from platform_adapter.times import as_us  # noqa: E402
 
@@ -92,7 +92,7 @@
     assert boot.founding is True
     assert boot.losses == 2
     assert boot.data is None
-    assert settings.doors == {"readiness": "127.0.9.1:9092", "controlPlane": "127.0.9.1:9090"}
+    assert settings.listeners == {"readiness": "127.0.9.1:9092", "controlPlane": "127.0.9.1:9090"}
 
 
 def test_the_core_roles_have_ports_of_their_own(file):
@@ -223,7 +223,7 @@
     )
     changed = EXAMPLE.replace("127.0.9.2:9090", "127.0.9.3:9090").replace("9091", "9099")
     file.write_text(changed.replace('"mill"', '"forge"').replace("0.25", "0.5"))
-    take_over(node, settings.reread())
+    apply_settings(node, settings.reread())
     assert node.boot.seeds == node.view.seeds == ("127.0.9.1:9100", "127.0.9.3:9100")
     assert (node.boot.service, node.boot.tries["ratio"]) == ("forge", 0.5)
     assert node.boot.gate == "127.0.9.1:9091"
