--- a/packages/config_store/meadowdock/config_store/contact.py
+++ b/packages/config_store/meadowdock/config_store/contact.py
@@ -69,7 +69,7 @@
         disks = [
             h.disk for h in there if monotonic_us() - h.at < fresh_us and (h.well or not writing)
         ]
-        return self.daemon.proposer is not None and self.daemon.proposer.quorum(disks)
+        return self.daemon.proposer is not None and self.daemon.proposer.is_quorum(disks)
 
     async def check(self, writing=True):
         """Returns if a quorum is in touch, after asking the members at once if none answered
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -6,7 +6,7 @@
 import trio
 
 from meadowdock.config_store.store import HEAD
-from meadowdock.consensus import Lost, NoQuorum, OutcomeUnknown
+from meadowdock.consensus import KeyStateLost, NoQuorum, OutcomeUnknown
 from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
 LOOK_EVERY = 20 * MILLISECOND
@@ -67,8 +67,8 @@
             async with limit:
                 try:
                     ballot, _ = acceptor.read(key)
-                    await self.daemon.proposer.secure(key, ballot, enough, deadline)
-                except (Lost, NoQuorum, OutcomeUnknown):
+                    await self.daemon.proposer.ensure_accepted(key, ballot, enough, deadline)
+                except (KeyStateLost, NoQuorum, OutcomeUnknown):
                     pass  # the other keys can still be secured
 
         async with trio.open_nursery() as nursery:
--- a/packages/config_store/meadowdock/config_store/lease.py
+++ b/packages/config_store/meadowdock/config_store/lease.py
@@ -26,7 +26,7 @@
     ReleaseLease,
     RenewLease,
 )
-from meadowdock.consensus import Lost, NoQuorum, OutcomeUnknown
+from meadowdock.consensus import KeyStateLost, NoQuorum, OutcomeUnknown
 from meadowdock.rpc import Handlers, Rejected
 from meadowdock.runtime import MILLISECOND, monotonic_us
 
@@ -68,7 +68,7 @@
     def begin(self):
         """Once the acceptor is loaded: sees each record as soon as this member accepts it."""
         acceptor = self.daemon.store.acceptor
-        acceptor.kept = self.note
+        acceptor.on_accepted = self.note
         self.note(COLLECTOR_KEY, self.accepted_here(COLLECTOR_KEY))
 
     def note(self, key, value):
@@ -80,7 +80,7 @@
         """The value that this member accepted for a key, or None."""
         try:
             return self.daemon.store.acceptor.read(key)[1]
-        except Lost:
+        except KeyStateLost:
             return None
 
     # ------------------------------------------------------------ requests
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from meadowdock.config_store.record import with_places
-from meadowdock.consensus import Place
+from meadowdock.consensus import FailureDomain
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import monotonic_us, sleep_us
 
@@ -19,7 +19,7 @@
     at: int
     well: bool  # its disk can be written
     leaving: bool
-    place: Place
+    place: FailureDomain
 
 
 class Liveness:
@@ -154,5 +154,5 @@
 
 
 def place_told(hello):
-    """The Place in an answer to member.hello; former versions tell none."""
-    return Place(hello.get("zone", ""), hello.get("region", ""))
+    """The FailureDomain in an answer to member.hello; former versions tell none."""
+    return FailureDomain(hello.get("zone", ""), hello.get("region", ""))
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -13,7 +13,7 @@
 from meadowdock.config_store.timing import MembershipTiming
 from meadowdock.config_store.transfer import Transfer
 from meadowdock.config_store.votes import Votes
-from meadowdock.consensus import NoQuorum, OutcomeUnknown, Place, Tolerance, VoterSets
+from meadowdock.consensus import FailureDomain, NoQuorum, OutcomeUnknown, Tolerance, VoterSets
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us, sleep_us
 
@@ -28,7 +28,7 @@
         self.by_hand = bool(boot.members)  # operators choose; only lost disks are mended
         self.founding = getattr(boot, "founding", True)
         self.timing = MembershipTiming.of(boot)
-        self.place = Place(boot.hall, getattr(boot, "region", ""))
+        self.place = FailureDomain(boot.hall, getattr(boot, "region", ""))
         self.losses = getattr(boot, "losses", 1)
         self.store.tolerance = self.tolerance = self.losses_to_bear(boot)
         self.heard, self.met = {}, {}
@@ -139,10 +139,10 @@
         return voters, tuple(candidates)
 
     def places_by_address(self, there):
-        """{address: Place}: as told by those that answer, else as the record has it."""
+        """{address: FailureDomain}: as told by those that answer, else as the record has it."""
         places = places_of(self.store.record)
         kept = {a: places[d] for d, a in self.store.everybody.items() if d in places}
-        return kept | {a: h.place for a, h in there.items() if h.place != Place()}
+        return kept | {a: h.place for a, h in there.items() if h.place != FailureDomain()}
 
     def places_outdated(self, there):
         """Does a voter that answers run elsewhere than the record says?"""
@@ -152,7 +152,7 @@
         return any(
             a in there
             and there[a].disk == d
-            and there[a].place not in (Place(), known.get(d, Place()))
+            and there[a].place not in (FailureDomain(), known.get(d, FailureDomain()))
             for d, a in self.store.record["voters"].items()
         )
 
--- a/packages/config_store/meadowdock/config_store/policy.py
+++ b/packages/config_store/meadowdock/config_store/policy.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-from meadowdock.consensus import Place, Tolerance
+from meadowdock.consensus import FailureDomain, Tolerance
 
 SMALL_FLEET = 5  # up to so many processes all are voters
 
@@ -22,17 +22,17 @@
     dead: tuple[str, ...] = ()  # voters that may be left out without a replacement
     quiet: frozenset[str] = frozenset()  # voters that may be about to be replaced
     candidates: tuple[str, ...] = ()
-    places: Mapping[str, Place] = None
+    places: Mapping[str, FailureDomain] = None
 
-    def place(self, address: str) -> Place:
+    def place(self, address: str) -> FailureDomain:
         """Where an address runs, as far as known."""
-        return (self.places or {}).get(address, Place())
+        return (self.places or {}).get(address, FailureDomain())
 
 
 def choose_voters(observed: Observed, tolerance: Tolerance) -> frozenset[str]:
     """Replace voters that are gone, grow to the wanted number, spread over zones and regions.
 
-    >>> zones = {"a": Place("x"), "b": Place("y"), "c": Place("z"), "d": Place("y"), "e": Place("x")}
+    >>> zones = {"a": FailureDomain("x"), "b": FailureDomain("y"), "c": FailureDomain("z"), "d": FailureDomain("y"), "e": FailureDomain("x")}
     >>> gone = Observed(frozenset("abc"), silent=("a",), candidates=("d", "e"), places=zones)
     >>> sorted(choose_voters(gone, Tolerance(1)))
     ['b', 'c', 'd', 'e']
@@ -101,7 +101,7 @@
     """Exchange or leave out voters until the loss of as many zones (regions) as are tolerated
     leaves a majority, as far as the machines allow it.
 
-    >>> zones = {"a": Place("x"), "b": Place("x"), "c": Place("y"), "d": Place("z")}
+    >>> zones = {"a": FailureDomain("x"), "b": FailureDomain("x"), "c": FailureDomain("y"), "d": FailureDomain("z")}
     >>> seen = Observed(frozenset("abc"), places=zones)
     >>> sorted(spread_out({"a", "b", "c"}, ["d"], seen, Tolerance(1, 1)))
     ['a', 'c', 'd']
@@ -126,7 +126,7 @@
 def excess(chosen, observed, tolerance):
     """How many voters too many sit in the most crowded zones and regions.
 
-    >>> places = {"a": Place("x"), "b": Place("x"), "c": Place("y")}
+    >>> places = {"a": FailureDomain("x"), "b": FailureDomain("x"), "c": FailureDomain("y")}
     >>> excess("abc", Observed(frozenset("abc"), places=places), Tolerance(1, 1))
     1
     """
--- a/packages/config_store/meadowdock/config_store/record.py
+++ b/packages/config_store/meadowdock/config_store/record.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from meadowdock.consensus import NO_LOSSES, Place, VoterSets
+from meadowdock.consensus import NO_LOSSES, FailureDomain, VoterSets
 
 
 def voter_sets_of(record, tolerance=NO_LOSSES):
@@ -19,8 +19,8 @@
 
 
 def places_of(record):
-    """{disk id: Place}, of those that are known."""
-    return {disk: Place(*place) for disk, place in record.get("places", {}).items()}
+    """{disk id: FailureDomain}, of those that are known."""
+    return {disk: FailureDomain(*place) for disk, place in record.get("places", {}).items()}
 
 
 def with_places(record, places):
--- a/packages/config_store/meadowdock/config_store/repair.py
+++ b/packages/config_store/meadowdock/config_store/repair.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from meadowdock.consensus import Lost
+from meadowdock.consensus import KeyStateLost
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import SECOND, fingerprint, monotonic_us, sleep_us
 
@@ -56,7 +56,7 @@
         # on from the front when the end is reached: else the first files come up in few turns only
         for name in (names[start:] + names[:start])[:FILES_A_TURN]:
             if name in acceptor.keys:
-                if await acceptor.rewrite(name):
+                if await acceptor.rewrite_if_damaged(name):
                     self.mended("key_file", key=acceptor.keys[name])
             elif name in segments:
                 await self.store.trail.read_segment(name)
@@ -113,7 +113,7 @@
                     continue
                 if (await self.store.acceptor.write(key, tuple(ballot), value))[0] == "yes":
                     self.mended("key", key=key)
-            except (Lost, OSError):
+            except (KeyStateLost, OSError):
                 pass
 
     @handlers.on("mend.digests")
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -53,7 +53,7 @@
         await self.trail.load()
         kept = unsealed(await self.files.read("disk"))
         await self.acceptor.load()
-        lost = self.acceptor.lost()
+        lost = self.acceptor.lost_keys()
         self.blank_at_start = not versions and not self.acceptor.states
         if kept is None or lost or forgot:
             # an unreadable id, a key whose older file would forget promises, or a record whose
--- a/packages/config_store/meadowdock/config_store/trail.py
+++ b/packages/config_store/meadowdock/config_store/trail.py
@@ -14,7 +14,7 @@
 import trio
 
 from meadowdock import audit
-from meadowdock.consensus import each
+from meadowdock.consensus import for_each
 from meadowdock.runtime import fingerprint, sealed, unsealed
 
 SEGMENT = 64  # records, about 40 KB: one segment is also the most that one message carries
@@ -114,7 +114,7 @@
             self.segments[int(index)] = digest
         numbers = [int(name) for name in await self.files.names(RECORDS)]
         self.surplus = [v for v in numbers if v < self.first or segment_of(v) in self.segments]
-        await each(self.load_record, [v for v in numbers if v not in set(self.surplus)])
+        await for_each(self.load_record, [v for v in numbers if v not in set(self.surplus)])
 
     async def load_record(self, version):
         """Read the single file of a version; a damaged one counts as missing."""
@@ -254,7 +254,7 @@
             index = segment_of(batch[0])
             in_segment = batch[-1] >= self.first
             if in_segment and not await self.read_segment(index):
-                await each(self.load_record, batch)  # the segment is bad: these count again
+                await for_each(self.load_record, batch)  # the segment is bad: these count again
                 continue
             for version in batch:
                 await self.files.remove(record_file(version))
--- a/packages/config_store/meadowdock/config_store/votes.py
+++ b/packages/config_store/meadowdock/config_store/votes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from meadowdock.config_store.store import disk_failures_rejected
-from meadowdock.consensus import Lost, Proposer
+from meadowdock.consensus import KeyStateLost, Proposer
 from meadowdock.rpc import Handlers, Rejected
 
 
@@ -61,5 +61,5 @@
                 if method == "write":
                     return await store.acceptor.write(args[0], tuple(args[1]), args[2])
                 return store.acceptor.read(args[0])
-        except Lost:
+        except KeyStateLost:
             raise Rejected("lost_key") from None
--- a/packages/consensus/meadowdock/consensus/__init__.py
+++ b/packages/consensus/meadowdock/consensus/__init__.py
@@ -4,20 +4,26 @@
 promised its ballot, and writes the new value to a durable quorum under the same ballot.
 """
 
-from meadowdock.consensus.acceptor import Acceptor, Lost, each
+from meadowdock.consensus.acceptor import Acceptor, KeyStateLost, for_each
 from meadowdock.consensus.proposer import NoQuorum, OutcomeUnknown, Proposer
-from meadowdock.consensus.quorum import NO_LOSSES, Place, Tolerance, VoterSets, holds_majorities
+from meadowdock.consensus.quorum import (
+    NO_LOSSES,
+    FailureDomain,
+    Tolerance,
+    VoterSets,
+    holds_majorities,
+)
 
 __all__ = [
     "Acceptor",
-    "Lost",
+    "KeyStateLost",
     "NO_LOSSES",
     "NoQuorum",
     "OutcomeUnknown",
-    "Place",
+    "FailureDomain",
     "Proposer",
     "Tolerance",
     "VoterSets",
-    "each",
+    "for_each",
     "holds_majorities",
 ]
--- a/packages/consensus/meadowdock/consensus/acceptor.py
+++ b/packages/consensus/meadowdock/consensus/acceptor.py
@@ -12,7 +12,7 @@
 ZERO = (0, "")
 
 
-class Lost(Exception):
+class KeyStateLost(Exception):
     """The file of a key failed its fingerprint: this member can't vote on the key."""
 
 
@@ -25,10 +25,10 @@
     promised: tuple = ZERO
     accepted: tuple = ZERO
     value: object = None
-    file: int = 0
+    file_version: int = 0
 
 
-async def each(work, names, at_once=16):
+async def for_each(work, names, at_once=16):
     """work(name) for every name, a few at the same time: on a slow disk a start takes long
     enough."""
     left = list(reversed(names))
@@ -49,13 +49,13 @@
         self.disk, self.log = disk, log
         self.states = {}  # key's fingerprint -> AcceptorState, or None when lost
         self.keys = {}  # key's fingerprint -> key
-        self.kept = None  # called with (key, accepted value) once they are on disk
+        self.on_accepted = None  # called with (key, accepted value) once they are on disk
         self.locks = {}
 
     async def load(self):
         """Read all keys. Of several versions of one key the newest counts; if that one is
         damaged the key is lost here, since an older version would forget promises."""
-        await each(self.load_key, await self.disk.names("key"))
+        await for_each(self.load_key, await self.disk.names("key"))
 
     async def load_key(self, folder):
         """Read one key's newest file; a damaged one makes the key lost."""
@@ -80,37 +80,40 @@
                 await self.disk.remove(f"key/{folder}/{version}")
 
     def state_of(self, key):
-        """The state of a key, blank if it was never written. Raises Lost."""
+        """The state of a key, blank if it was never written. Raises KeyStateLost."""
         state = self.states.get(fingerprint(key.encode()), AcceptorState())
         if state is None:
-            raise Lost(key)
+            raise KeyStateLost(key)
         return state
 
-    def lost(self):
+    def lost_keys(self):
         """Folders of the keys whose newest file was damaged at the start."""
         return sorted(folder for folder, state in self.states.items() if state is None)
 
     async def keep(self, key, promised, accepted, value):
         """Write a key's new state to disk, then hold it in memory, then remove the former file."""
         folder = fingerprint(key.encode())
-        old = self.states.get(folder, AcceptorState()).file
+        old = self.states.get(folder, AcceptorState()).file_version
         body = ormsgpack.packb([key, promised, accepted, value])
         await self.disk.write(f"key/{folder}/{old + 1:012d}", sealed(body))
         self.keys[folder] = key
         self.states[folder] = AcceptorState(promised, accepted, value, old + 1)
-        if self.kept:
-            self.kept(key, value)
+        if self.on_accepted:
+            self.on_accepted(key, value)
         if old:
             await self.disk.remove(f"key/{folder}/{old:012d}")
 
-    async def rewrite(self, folder):
+    async def rewrite_if_damaged(self, folder):
         """If the file of a key went bad, write anew what this process knows; did it?"""
         state = self.states.get(folder)
         if state is None:
             return False
         async with self.lock(self.keys[folder]):
             state = self.states[folder]
-            if unsealed(await self.disk.read(f"key/{folder}/{state.file:012d}")) is not None:
+            if (
+                unsealed(await self.disk.read(f"key/{folder}/{state.file_version:012d}"))
+                is not None
+            ):
                 return False
             await self.keep(self.keys[folder], state.promised, state.accepted, state.value)
             return True
@@ -140,6 +143,6 @@
             return "yes", ballot
 
     def read(self, key):
-        """(accepted ballot, value) of a key. Raises Lost."""
+        """(accepted ballot, value) of a key. Raises KeyStateLost."""
         state = self.state_of(key)
         return state.accepted, state.value
--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -88,7 +88,7 @@
         """The voters of all voter sets, in order."""
         return sorted(VoterSets.of(self.voter_sets()).voters)
 
-    def quorum(self, members):
+    def is_quorum(self, members):
         """Whether these members hold a quorum of the present voter sets."""
         return VoterSets.of(self.voter_sets()).is_quorum(members)
 
@@ -130,7 +130,7 @@
             )
             wait = min(2 * wait, LONGEST_WAIT)
 
-    async def secure(self, key, ballot, enough, deadline):
+    async def ensure_accepted(self, key, ballot, enough, deadline):
         """See to it that members for which enough(voter sets, members) is true hold the key's
         newest accepted pair, at least that of this ballot. One round if they do already."""
         configuration = self.configuration()
--- a/packages/consensus/meadowdock/consensus/quorum.py
+++ b/packages/consensus/meadowdock/consensus/quorum.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class FailureDomain:
     """Where a member runs. An empty name: not told."""
 
     zone: str = UNKNOWN_PLACE
@@ -39,14 +39,14 @@
     >>> abc = VoterSets.of([["a", "b", "c"]], tolerance=Tolerance(disks=2))
     >>> abc.is_quorum(["a", "b"]), abc.is_durable(["a", "b"]), abc.is_durable(["a", "b", "c"])
     (True, False, True)
-    >>> places = {"a": Place("x"), "b": Place("x"), "c": Place("y")}
+    >>> places = {"a": FailureDomain("x"), "b": FailureDomain("x"), "c": FailureDomain("y")}
     >>> spread = VoterSets.of([["a", "b", "c"]], places, Tolerance(disks=1, zones=1))
     >>> spread.is_durable(["a", "b"]), spread.is_durable(["b", "c"])
     (False, True)
     """
 
     sets: tuple[frozenset[str], ...] = ()
-    places: Mapping[str, Place] = field(default_factory=dict)
+    places: Mapping[str, FailureDomain] = field(default_factory=dict)
     tolerance: Tolerance = NO_LOSSES
     excluded: frozenset[str] = frozenset()  # members that don't count for durability
 
@@ -83,7 +83,7 @@
         """Whether the members run in more zones (regions) than may be lost."""
         if lost == 0:
             return True
-        names = {m: getattr(self.places.get(m, Place()), kind) for m in self.voters}
+        names = {m: getattr(self.places.get(m, FailureDomain()), kind) for m in self.voters}
         if UNKNOWN_PLACE in names.values():
             return True
         return len({names[m] for m in held}) > lost
--- a/packages/model_checker/meadowdock/model_checker/replica.py
+++ b/packages/model_checker/meadowdock/model_checker/replica.py
@@ -104,7 +104,7 @@
     files = tuple((renamed.get(n, n), store.files.files[n]) for n in names)
     acceptor = {}
     for folder, state in sorted(store.acceptor.states.items()):
-        file = 1 if len(folders.get(folder, ())) == 1 else state.file
+        file = 1 if len(folders.get(folder, ())) == 1 else state.file_version
         key, kept = store.acceptor.keys[folder], (state.promised, state.accepted, state.value)
         acceptor[folder] = [key, *kept, file]
     return store.disk, files, packed([store.record, acceptor])
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -9,7 +9,7 @@
 from core_fleet import SEEDS, Fleet, changed, configure, read_back
 
 from meadowdock.config_store.store import Store
-from meadowdock.consensus import Place, Tolerance, VoterSets
+from meadowdock.consensus import FailureDomain, Tolerance, VoterSets
 from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, sleep_us
 from meadowdock.simulator import run
 
@@ -66,13 +66,17 @@
 
 
 def test_zones_count_for_durability_once_all_are_known():
-    places = {"a": Place("x", "n"), "b": Place("x", "n"), "c": Place("y", "s")}
+    places = {
+        "a": FailureDomain("x", "n"),
+        "b": FailureDomain("x", "n"),
+        "c": FailureDomain("y", "s"),
+    }
     sets = VoterSets.of([["a", "b", "c"]], places, Tolerance(1, zones=1))
     assert not sets.is_durable(["a", "b"])
     assert sets.is_durable(["b", "c"])
     regions = VoterSets.of([["a", "b", "c"]], places, Tolerance(1, regions=1))
     assert not regions.is_durable(["a", "b"])
-    unknown = VoterSets.of([["a", "b", "c"]], {"a": Place("x")}, Tolerance(1, zones=1))
+    unknown = VoterSets.of([["a", "b", "c"]], {"a": FailureDomain("x")}, Tolerance(1, zones=1))
     assert unknown.is_durable(["a", "b"])
 
 
--- a/tests/consensus/test_register.py
+++ b/tests/consensus/test_register.py
@@ -113,7 +113,7 @@
             disk.lose_at = None
             acceptor = Acceptor(disk, lambda *_, **__: None)
             await acceptor.load()
-            assert not acceptor.lost()
+            assert not acceptor.lost_keys()
             accepted, value = acceptor.read("k")
             assert accepted[0] >= (answered[-1] if answered else 0)
             assert value == (f"v{accepted[0]}" if accepted[0] else None)
@@ -130,7 +130,7 @@
         disk.rot(next(name for name in disk.files if name.startswith("key/")))
         again = Acceptor(disk, lambda *_, **__: None)
         await again.load()
-        assert len(again.lost()) == 1
+        assert len(again.lost_keys()) == 1
         with pytest.raises(Exception, match="k"):
             again.read("k")
 
--- a/tests/model_checker/test_model_register.py
+++ b/tests/model_checker/test_model_register.py
@@ -60,7 +60,7 @@
             return "no", state.promised, None
         folder = fingerprint(key.encode())
         self.keys[folder] = key
-        self.states[folder] = AcceptorState(ballot, state.accepted, state.value, state.file)
+        self.states[folder] = AcceptorState(ballot, state.accepted, state.value, state.file_version)
         return "yes", state.accepted, state.value
 
 
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -163,7 +163,12 @@
     store = new_store(disk_of(files, "member/"))
     await store.load()
     states = {
-        store.acceptor.keys[folder]: [state.promised, state.accepted, state.value, state.file]
+        store.acceptor.keys[folder]: [
+            state.promised,
+            state.accepted,
+            state.value,
+            state.file_version,
+        ]
         for folder, state in store.acceptor.states.items()
     }
     chunks = [await store.blob(name) for name in await store.names()]
@@ -179,7 +184,7 @@
             "membership": store.record,
             "voters": sorted(store.everybody),
             "keys": states,
-            "lost": store.acceptor.lost(),
+            "lost": store.acceptor.lost_keys(),
             "chunks": chunks,
             "audit": await store.trail.read(audit_chain(66)),
             "anchor": store.trail.state().anchor(),
