--- a/packages/config_store/meadowdock/config_store/__main__.py
+++ b/packages/config_store/meadowdock/config_store/__main__.py
@@ -5,7 +5,7 @@
 import fire
 import trio
 
-from meadowdock.config_store.part import Part
+from meadowdock.config_store.server import ConfigStore
 from meadowdock.config_store.store import rescue as rescue_disk
 from meadowdock.process import start
 from meadowdock.runtime import Disk
@@ -28,7 +28,7 @@
         sys.exit(1)
 
 
-main = command("mdconf", start(Part), rescue=rescue)
+main = command("mdconf", start(ConfigStore), rescue=rescue)
 
 if __name__ == "__main__":
     main()
--- a/packages/config_store/meadowdock/config_store/items.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -13,6 +13,7 @@
 import trio
 
 from meadowdock.admin_http import Reply
+from meadowdock.config_store.exceptions import RevisionConflict
 from meadowdock.config_store.store import HEAD, disk_failures_rejected
 from meadowdock.configuration import SIZE_MAX, cut_items
 from meadowdock.configuration import items as config_items
@@ -24,14 +25,6 @@
 CHUNK = 16  # range files in one frame
 
 
-class Outdated(Exception):
-    """head: the newer one."""
-
-    def __init__(self, head):
-        super().__init__("outdated")
-        self.head = head
-
-
 @dataclass
 class Call:
     """One operator's change that waits for its round."""
@@ -160,7 +153,7 @@
         while True:
             try:
                 return await self.round_once(calls, deadline)
-            except Outdated:
+            except RevisionConflict:
                 if monotonic_us() >= deadline:
                     raise self.lost() from None
             except NoQuorum:
@@ -168,7 +161,7 @@
             await sleep_us(self.daemon.node.runtime.rng.randrange(1, 10) * MILLISECOND)
 
     async def round_once(self, calls, deadline):
-        """One pass of a round. Raises Outdated if another changed the head meanwhile."""
+        """One pass of a round. Raises RevisionConflict if another changed the head meanwhile."""
         head = await self.daemon.read_head(deadline)
         held = await self.at(head, deadline)
         merged, refused = held, {}
@@ -185,7 +178,7 @@
         return [refused.get(place, head["version"]) for place in range(len(calls))]
 
     async def put(self, head, merged, deadline):
-        """The head with these items, known to a majority. Raises Outdated if it is another now."""
+        """The head with these items, known to a majority. Raises RevisionConflict if it is another now."""
         daemon = self.daemon
         ranges = await daemon.node.runtime.offload(cut_items, merged)
         names = [name for name, _ in ranges]
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from meadowdock.config_store.record import with_places
+from meadowdock.config_store.membership_record import with_places
 from meadowdock.consensus import FailureDomain
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import monotonic_us, sleep_us
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -6,10 +6,11 @@
 import json
 
 from meadowdock.admin_http import Reply
-from meadowdock.config_store.change import Conflict, MemberChange
+from meadowdock.config_store.exceptions import MembershipConflict
 from meadowdock.config_store.liveness import Liveness
+from meadowdock.config_store.membership_change import MembershipChange
+from meadowdock.config_store.membership_record import places_of
 from meadowdock.config_store.policy import Observed, choose_voters, wanted_voters
-from meadowdock.config_store.record import places_of
 from meadowdock.config_store.timing import MembershipTiming
 from meadowdock.config_store.transfer import Transfer
 from meadowdock.config_store.votes import Votes
@@ -18,7 +19,7 @@
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us, sleep_us
 
 
-class Members(Liveness, Votes, Transfer, MemberChange):
+class Members(Liveness, Votes, Transfer, MembershipChange):
     """Of Part: node, store and proposer are its. Decides who should be a voter, and who acts."""
 
     def watch_members(self):
@@ -42,7 +43,7 @@
         return (
             Liveness.handlers.bound(self)
             | Votes.handlers.bound(self)
-            | MemberChange.handlers.bound(self)
+            | MembershipChange.handlers.bound(self)
         )
 
     def member_loops(self):
@@ -207,7 +208,14 @@
                 self.node.log(
                     607, version=record["version"], members=sorted(record["voters"].values())
                 )
-            except (NoQuorum, OutcomeUnknown, Conflict, ConnectionFailed, Rejected, OSError):
+            except (
+                NoQuorum,
+                OutcomeUnknown,
+                MembershipConflict,
+                ConnectionFailed,
+                Rejected,
+                OSError,
+            ):
                 since, jitter = (
                     monotonic_us(),
                     rng.randrange(300 * MILLISECOND),
@@ -242,7 +250,7 @@
             return Reply(400, {"code": "malformed", "detail": "1, 3 or 5 members by ip:port"})
         try:
             record = await self.change_members(addresses, monotonic_us() + self.timing.operator_us)
-        except Conflict as conflict:
+        except MembershipConflict as conflict:
             return Reply(409, {"code": conflict.code, **conflict.facts})
         self.node.log(607, version=record["version"], members=sorted(record["voters"].values()))
         return Reply(
--- a/packages/config_store/meadowdock/config_store/change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -4,7 +4,8 @@
 
 import trio
 
-from meadowdock.config_store.record import (
+from meadowdock.config_store.exceptions import MembershipConflict
+from meadowdock.config_store.membership_record import (
     begun_change,
     ended_change,
     newcomers_of,
@@ -19,15 +20,7 @@
 MEMBERS = "members"
 
 
-class Conflict(Exception):
-    """A change of members that can not be made now: a code and facts."""
-
-    def __init__(self, code, **facts):
-        super().__init__(code)
-        self.code, self.facts = code, facts
-
-
-class MemberChange:
+class MembershipChange:
     """Of Part. Invariant: a record is proposed only under the record it follows, and ended only
     after all keys were transferred under that same version."""
 
@@ -46,7 +39,7 @@
             if record["next"] is None:
                 return record
             if record["next"] != disks:
-                raise Conflict("another_change", next=record["next"])
+                raise MembershipConflict("another_change", next=record["next"])
             return await self.end_known(record, deadline)
         finally:
             self.changing -= 1
@@ -71,7 +64,7 @@
             lambda r: ended_change(r) if r["version"] == record["version"] else r, deadline
         )
         if ended["version"] > record["version"] + 1:
-            raise Conflict("another_change", next=ended["next"])
+            raise MembershipConflict("another_change", next=ended["next"])
         return ended
 
     def hopeless(self, record):
@@ -98,10 +91,10 @@
         await self.step_members(
             lambda r: reverted_change(r) if r["version"] == record["version"] else r, deadline
         )
-        raise Conflict("newcomer_gone", absent=sorted(newcomers_of(record).values()))
+        raise MembershipConflict("newcomer_gone", absent=sorted(newcomers_of(record).values()))
 
     async def disks_at(self, addresses, deadline):
-        """{disk id: address}; Conflict if one that is no voter doesn't answer."""
+        """{disk id: address}; MembershipConflict if one that is no voter doesn't answer."""
         me, voters = self.node.boot.link, self.store.record["voters"]
         silent = {
             a for a in voters.values() if self.silence(a) > self.timing.silent_us
@@ -121,7 +114,7 @@
         disks |= {d: a for d, a in voters.items() if a in absent and d not in disks}
         absent = sorted(set(addresses) - set(disks.values()))
         if absent:
-            raise Conflict("absent", absent=absent)
+            raise MembershipConflict("absent", absent=absent)
         return disks
 
     async def step_members(self, make, deadline):
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -10,7 +10,8 @@
 from meadowdock import audit
 from meadowdock.admin_http import Reply
 from meadowdock.config_store import repair
-from meadowdock.config_store.items import Outdated, item_ranges, own_ranges
+from meadowdock.config_store.exceptions import PlanExpired, RevisionConflict
+from meadowdock.config_store.item_changes import item_ranges, own_ranges
 from meadowdock.config_store.store import HEAD
 from meadowdock.configuration import SIZE_MAX, checked, cut, difference
 from meadowdock.configuration.items import standing
@@ -22,10 +23,6 @@
 EMPTY = {"services": [], "budgets": [], "ways": [], "load": {}}
 
 
-class Expired(Exception):
-    """The plan is too old to be committed."""
-
-
 class Plans:
     """The handlers of /plan, /confirm and /manifest. daemon: the member that serves them."""
 
@@ -104,15 +101,15 @@
             await self.daemon.spread_audit({head["version"]: head["record"]}, deadline)
         try:
             head = await self.daemon.proposer.change(HEAD, self.next_head(plan, facts), deadline)
-        except Outdated as outdated:
+        except RevisionConflict as outdated:
             # an earlier try of this very change may have been made, and others after it
-            version = await self.applied_after_all(outdated.head, plan, facts)
+            version = await self.applied_after_all(outdated.current, plan, facts)
             if version:
                 return confirmed(plan, version)
             if facts["base"] + 1 < self.daemon.store.trail.first:
                 return plan_expired(plan)  # whether it was made can't be told any more
-            return await self.outdated(plan, facts, outdated.head)
-        except Expired:
+            return await self.outdated(plan, facts, outdated.current)
+        except PlanExpired:
             return plan_expired(plan)
         self.daemon.know(head)
         version = kept_version(head, plan)
@@ -121,16 +118,16 @@
         return confirmed(plan, version)
 
     def next_head(self, plan, facts):
-        """For the register: the head that a plan makes of its base. Raises Outdated or Expired."""
+        """For the register: the head that a plan makes of its base. Raises RevisionConflict or PlanExpired."""
 
         def make(old):
             head = old or NO_HEAD
             if kept_version(head, plan):
                 return head
             if head["version"] != facts["base"]:
-                raise Outdated(head)
+                raise RevisionConflict(head)
             if self.expired(facts):
-                raise Expired
+                raise PlanExpired
             version = head["version"] + 1
             return {
                 "version": version,
--- a/packages/config_store/meadowdock/config_store/contact.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -7,10 +7,11 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 import trio
 
+from meadowdock.config_store.exceptions import QuorumUnreachable
 from meadowdock.consensus import NoQuorum
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLISECOND, monotonic_us, sleep_us
@@ -22,15 +23,6 @@
 )
 
 
-@dataclass
-class NoContact(NoQuorum):
-    """No quorum answers this member. Raised before anything was begun.
-
-    doors: {name: address} of a member that says that it has a quorum; empty if there is none."""
-
-    doors: dict = field(default_factory=dict)
-
-
 @dataclass(frozen=True)
 class HelloAnswer:
     """What counts here of a member's answer to member.hello. Members of releases before these fields
@@ -54,7 +46,7 @@
         return self.quorum and self.well and not self.leaving and bool(self.doors)
 
 
-class QuorumContact:
+class QuorumMonitor:
     """Of Part. Invariant: a member is named to an operator only on the word of an answer that it
     gave after this member had lost its quorum; so two members never send an operator back and
     forth unless one of them found its quorum again."""
@@ -73,7 +65,7 @@
 
     async def check(self, writing=True):
         """Returns if a quorum is in touch, after asking the members at once if none answered
-        lately. Raises NoContact, within a few hundred milliseconds."""
+        lately. Raises QuorumUnreachable, within a few hundred milliseconds."""
         if self.fresh(writing):
             return
         answers = await self.probe(writing)
@@ -82,7 +74,7 @@
         if self.daemon.store.record:
             self.daemon.note_no_quorum()
         able = [answer.doors for answer in answers if answer.may_take_over]
-        raise NoContact(self.daemon.node.runtime.rng.choice(able) if able else {})
+        raise QuorumUnreachable(self.daemon.node.runtime.rng.choice(able) if able else {})
 
     async def probe(self, writing):
         """Answers of all other members, as far as they come before a quorum is in touch."""
--- a/packages/config_store/meadowdock/config_store/part.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -11,12 +11,13 @@
 from meadowdock import audit, process
 from meadowdock.admin_http import Reply, Table, TooLarge
 from meadowdock.config_store.chunks import Chunks
-from meadowdock.config_store.contact import NoContact, QuorumContact
+from meadowdock.config_store.exceptions import QuorumUnreachable
 from meadowdock.config_store.handover import Handover
-from meadowdock.config_store.items import Items
+from meadowdock.config_store.item_changes import Items
 from meadowdock.config_store.lease import LeaseRegister
 from meadowdock.config_store.members import Members
 from meadowdock.config_store.plans import NO_HEAD, Plans
+from meadowdock.config_store.quorum_monitor import QuorumMonitor
 from meadowdock.config_store.repair import Repairer
 from meadowdock.config_store.status import status_of
 from meadowdock.config_store.store import HEAD, Store, disk_failures_rejected
@@ -39,7 +40,7 @@
     outcome: object = None
 
 
-class Part(Members, process.Daemon):
+class ConfigStore(Members, process.Daemon):
     """One mdconf: a voter or spare of the register, and the listener for operators."""
 
     table = Table()
@@ -54,7 +55,7 @@
         self.items = Items(self)
         self.handover = Handover(self)
         self.leases = LeaseRegister(self)
-        self.contact = QuorumContact(self)
+        self.contact = QuorumMonitor(self)
         self.plans = Plans(self)
         self.proposer = None
         self.head = NO_HEAD  # the newest known here
@@ -68,7 +69,7 @@
     def answers(self):
         """The link methods that this process answers."""
         return (
-            Part.handlers.bound(self)
+            ConfigStore.handlers.bound(self)
             | self.member_handlers()
             | Repairer.handlers.bound(self.repairer)
             | Items.handlers.bound(self.items)
@@ -454,8 +455,8 @@
             writing = request.method == "POST"
             await self.contact.check(writing)
             return await self.contact.keep(lambda: work(request), lambda: lost("contact"), writing)
-        except NoContact as cause:
-            return no_contact(request, cause.doors.get(OPERATORS))
+        except QuorumUnreachable as cause:
+            return no_contact(request, cause.listeners.get(OPERATORS))
         except TooLarge:
             return Reply(413, {"code": "too_large", "errors": [f"over {SIZE_MAX} bytes"]})
         except NoQuorum:
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -7,7 +7,7 @@
 import ormsgpack
 import trio
 
-from meadowdock.config_store.record import voter_sets_of
+from meadowdock.config_store.membership_record import voter_sets_of
 from meadowdock.config_store.trail import AuditTrail
 from meadowdock.consensus import NO_LOSSES, Acceptor, VoterSets
 from meadowdock.rpc import Rejected
--- a/packages/config_store/meadowdock/config_store/transfer.py
+++ b/packages/config_store/meadowdock/config_store/transfer.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from meadowdock.config_store.record import newcomers_of, voter_sets_of
+from meadowdock.config_store.membership_record import newcomers_of, voter_sets_of
 from meadowdock.consensus import NoQuorum, OutcomeUnknown, VoterSets
 
 KEYS_AT_ONCE = 16  # keys
--- a/packages/model_checker/meadowdock/model_checker/actor.py
+++ b/packages/model_checker/meadowdock/model_checker/actor.py
@@ -13,7 +13,7 @@
 import ormsgpack
 import trio
 
-from meadowdock.config_store.change import Conflict
+from meadowdock.config_store.exceptions import MembershipConflict
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.model_checker.kernel import Kernel
 from meadowdock.model_checker.messages import Ending, Event, EventKind, Outcome
@@ -216,7 +216,7 @@
             self.outcome = Outcome(Ending.ACKNOWLEDGED, value)
         except NoQuorum:
             self.outcome = Outcome(Ending.NOT_APPLIED)
-        except (OutcomeUnknown, Conflict):
+        except (OutcomeUnknown, MembershipConflict):
             self.outcome = Outcome(Ending.UNKNOWN)
 
     async def proceed(self) -> None:
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -11,7 +11,7 @@
 import trio
 
 from meadowdock.client import Client, Endpoint
-from meadowdock.config_store.part import Part as Conf
+from meadowdock.config_store.server import ConfigStore
 from meadowdock.forwarding import Dialect, Reactor
 from meadowdock.logs import Log
 from meadowdock.process import Node
@@ -25,7 +25,7 @@
 from meadowdock.simulator.net import SimNet, Web
 from meadowdock.simulator.standin import Ledger, StandIn, StandInCaller
 
-PARTS = {"mdproxy": Proxy, "mdreg": Reg, "mdconf": Conf}
+PARTS = {"mdproxy": Proxy, "mdreg": Reg, "mdconf": ConfigStore}
 KEY = "5a" * 32
 GATE_PORT, LINKS_OF_GATES = 7440, 7402
 DIALECT = Dialect(deadline_unit_us=1000, stamp=b"md-stamp")
--- a/tests/config_store/test_contact.py
+++ b/tests/config_store/test_contact.py
@@ -10,8 +10,8 @@
 from mesh import configured
 from orders import ask, ask_and_follow, order
 
-from meadowdock.config_store.contact import HelloAnswer
-from meadowdock.config_store.items import Outdated
+from meadowdock.config_store.exceptions import RevisionConflict
+from meadowdock.config_store.quorum_monitor import HelloAnswer
 from meadowdock.consensus import NoQuorum
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
@@ -144,7 +144,7 @@
             items.sent = True
             for other in world.core[1:]:
                 world.web.cut(world.core[0], other)
-            raise Outdated(head)
+            raise RevisionConflict(head)
 
         items.put = outrun
         status, told = await change(world, [service("desk")])
@@ -163,7 +163,7 @@
 
         async def outrun(key, make, deadline):
             daemon.proposer.change = real
-            raise Outdated({**daemon.head, "version": daemon.head["version"] + 1})
+            raise RevisionConflict({**daemon.head, "version": daemon.head["version"] + 1})
 
         async def lost(*_):
             raise NoQuorum("trail")
--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -289,7 +289,7 @@
 
 
 def test_a_planted_snapshot_without_drops_is_found(monkeypatch):
-    items = importlib.import_module("meadowdock.config_store.items")
+    items = importlib.import_module("meadowdock.config_store.item_changes")
     cut_items = items.cut_items
 
     def without_drops(held):
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -13,7 +13,7 @@
 from item_builders import service
 from planted_faults import plant_new_voters_alone
 
-from meadowdock.config_store.change import Conflict
+from meadowdock.config_store.exceptions import MembershipConflict
 from meadowdock.configuration import cut_items
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration.items.merge import SUPERSEDED_MAX
@@ -42,7 +42,7 @@
 OPERATORS = st.sampled_from(["a", "b"])
 HANDLERS = {"register": "on_register", "member.adopt": "on_adopt", "member.keys": "on_keys"}
 WITHIN = SECOND
-REFUSALS = (NoQuorum, OutcomeUnknown, Conflict)
+REFUSALS = (NoQuorum, OutcomeUnknown, MembershipConflict)
 
 
 class DirectLinks:
@@ -169,7 +169,7 @@
             process.target_disks = {disk: disk for disk in voters}
             try:
                 await process.change_members(frozenset(voters), monotonic_us() + WITHIN)
-            except Conflict:
+            except MembershipConflict:
                 await process.end_change(monotonic_us() + WITHIN)
 
         try:
--- a/tests/platform/test_platform_control.py
+++ b/tests/platform/test_platform_control.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from meadowdock.config_store.contact import NoContact
+from meadowdock.config_store.exceptions import QuorumUnreachable
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 
 sys.path.append(str(Path(__file__).parents[2] / "platform"))
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("path", [MODIFY, FETCH])
 def test_a_member_without_a_quorum_names_the_control_address_of_one_that_has_it(path):
-    error = NoContact({operator_api.CONTROL: "10.0.0.2:8146", "operators": "10.0.0.2:7664"})
+    error = QuorumUnreachable({operator_api.CONTROL: "10.0.0.2:8146", "operators": "10.0.0.2:7664"})
     status, headers = answer(path, error)
     assert status == 307
     assert headers[b"location"] == f"http://10.0.0.2:8146{path}".encode()
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("path", [MODIFY, FETCH])
 @pytest.mark.parametrize("doors", [{}, {"operators": "10.0.0.2:7664"}])
 def test_without_a_known_control_address_it_is_refused_and_told_when_to_come_back(path, doors):
-    status, headers = answer(path, NoContact(doors))
+    status, headers = answer(path, QuorumUnreachable(doors))
     assert status == 503
     assert float(headers[b"retry-after"]) > 0
     assert b"location" not in headers
--- a/tests/support/planted_faults.py
+++ b/tests/support/planted_faults.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-import meadowdock.config_store.change
+import meadowdock.config_store.membership_change
 import meadowdock.config_store.store
 import meadowdock.config_store.transfer
 from meadowdock.consensus import NO_LOSSES, VoterSets
@@ -18,6 +18,6 @@
     for module in (
         meadowdock.config_store.store,
         meadowdock.config_store.transfer,
-        meadowdock.config_store.change,
+        meadowdock.config_store.membership_change,
     ):
         monkeypatch.setattr(module, "voter_sets_of", new_voters_alone)
