--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -23,7 +23,7 @@
         self.fresh, self.fresh_bytes = {}, 0
         self.packed = PackedCache(self.read)
         hedge_us = node.boot.apply_us // HEDGE_PART
-        self.fetcher = Fetcher(node.links, node.boot.link, hedge_us, WHOLE)
+        self.fetcher = Fetcher(node.rpc, node.boot.link, hedge_us, WHOLE)
 
     async def read(self, name):
         """The body of a chunk from memory or disk, or None."""
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -225,7 +225,7 @@
             for start in range(0, len(held), CHUNK):
                 last = start + CHUNK >= len(held)
                 put = [held[start : start + CHUNK], records if last else {}]
-                await self.daemon.node.links.call(address, "items.put", put, deadline)
+                await self.daemon.node.rpc.call(address, "items.put", put, deadline)
 
         await self.daemon.on_majority(lambda: self.keep(bodies.values(), records), there, deadline)
 
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -39,7 +39,9 @@
         asked = {
             a: (a, "member.hello", {"link": self.node.boot.link}) for a in self.known_addresses()
         }
-        answers = await self.node.links.answers(asked, monotonic_us() + self.timing.ask_us)
+        answers = await self.node.rpc.successful_responses(
+            asked, monotonic_us() + self.timing.ask_us
+        )
         for address, told in answers.items():
             self.note_hello(address, told)
         records = [t["record"] for t in answers.values() if t["record"]]
@@ -150,7 +152,7 @@
         await self.store.adopt(record)
         self.node.log(601, members=sorted(voters.values()))
         asks = {a: (a, "member.adopt", record) for a in answers}
-        await self.node.links.call_all(asks, monotonic_us() + self.timing.ask_us)
+        await self.node.rpc.call_all(asks, monotonic_us() + self.timing.ask_us)
 
 
 def place_told(hello):
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -41,9 +41,9 @@
     def member_handlers(self):
         """The link methods of membership."""
         return (
-            Liveness.handlers.bound(self)
-            | Votes.handlers.bound(self)
-            | MembershipChange.handlers.bound(self)
+            Liveness.handlers.bind(self)
+            | Votes.handlers.bind(self)
+            | MembershipChange.handlers.bind(self)
         )
 
     def member_loops(self):
@@ -229,7 +229,7 @@
         me = self.node.boot.link
         asks = {address: (address, "member.hello", {"link": me})}
         deadline = monotonic_us() + self.timing.ask_us
-        return address == me or bool(await self.node.links.answers(asks, deadline))
+        return address == me or bool(await self.node.rpc.successful_responses(asks, deadline))
 
     async def make_members(self, request):
         """POST /members: operators replace one member, or set all."""
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -100,7 +100,7 @@
             a for a in voters.values() if self.silence(a) > self.timing.silent_us
         }  # not waited for
         asked = [a for a in addresses if a != me and a not in silent]
-        hello = await self.node.links.answers(
+        hello = await self.node.rpc.successful_responses(
             {a: (a, "member.hello", {"link": me}) for a in asked},
             min(deadline, monotonic_us() + self.timing.ask_us),
         )
@@ -166,7 +166,7 @@
                     handler = {"member.adopt": self.on_adopt, "member.keys": self.on_keys}[method]
                     told = await handler(None, args)
                 else:
-                    told = await self.node.links.call(address, method, args, deadline)
+                    told = await self.node.rpc.call(address, method, args, deadline)
                 if told["disk"] == disk:
                     answers[disk] = told
             except (ConnectionFailed, Rejected, OSError):
--- a/packages/config_store/meadowdock/config_store/quorum_monitor.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -85,7 +85,7 @@
 
         async def one(address):
             try:
-                facts = await node.links.call(address, "member.hello", asker, deadline)
+                facts = await node.rpc.call(address, "member.hello", asker, deadline)
             except (ConnectionFailed, Rejected):
                 return
             self.daemon.note_hello(address, facts)
--- a/packages/config_store/meadowdock/config_store/repair.py
+++ b/packages/config_store/meadowdock/config_store/repair.py
@@ -102,7 +102,7 @@
 
     async def ask(self, address, method, args):
         """Call one member."""
-        return await self.node.links.call(address, method, args, monotonic_us() + COMPARE_WAIT)
+        return await self.node.rpc.call(address, method, args, monotonic_us() + COMPARE_WAIT)
 
     async def mend_keys(self, theirs):
         """Take newer accepted pairs, as if their writes had come late."""
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -69,13 +69,13 @@
     def answers(self):
         """The link methods that this process answers."""
         return (
-            ConfigStore.handlers.bound(self)
+            ConfigStore.handlers.bind(self)
             | self.member_handlers()
-            | Repairer.handlers.bound(self.repairer)
-            | Items.handlers.bound(self.items)
-            | TrailTransfer.handlers.bound(self.trail)
-            | Chunks.handlers.bound(self.chunks)
-            | LeaseRegister.handlers.bound(self.leases)
+            | Repairer.handlers.bind(self.repairer)
+            | Items.handlers.bind(self.items)
+            | TrailTransfer.handlers.bind(self.trail)
+            | Chunks.handlers.bind(self.chunks)
+            | LeaseRegister.handlers.bind(self.leases)
         )
 
     async def begin(self):
@@ -288,7 +288,7 @@
     async def ask_others(self, method, args, deadline):
         """{disk id: answer} of the other members that answer."""
         asks = {d: (a, method, args) for d, a in self.others().items()}
-        return await self.node.links.answers(asks, deadline)
+        return await self.node.rpc.successful_responses(asks, deadline)
 
     async def fetch(self, names):
         """{name: body} of chunks, from here or from other members, as far as they are to be had."""
@@ -300,10 +300,10 @@
         names = list(bodies)
 
         async def there(address):
-            missing = await self.node.links.call(address, "blob.missing", names, deadline)
+            missing = await self.node.rpc.call(address, "blob.missing", names, deadline)
             for start in range(0, len(missing), 64):
                 put = [bodies[name] for name in missing[start : start + 64]]
-                await self.node.links.call(address, "blob.put", put, deadline)
+                await self.node.rpc.call(address, "blob.put", put, deadline)
 
         async def here():
             for body in bodies.values():
@@ -315,7 +315,7 @@
         """Audit records to a durable quorum."""
 
         async def there(address):
-            await self.node.links.call(address, "audit.put", records, deadline)
+            await self.node.rpc.call(address, "audit.put", records, deadline)
 
         await self.on_majority(lambda: self.store.trail.put(records), there, deadline)
 
@@ -475,7 +475,7 @@
 
     async def refresh_rosters(self):
         """Ask every registry for its roster once."""
-        self.rosters = await self.node.links.answers(
+        self.rosters = await self.node.rpc.successful_responses(
             {a: (a, "reg.roster", None) for a in self.node.view.core("mdreg")},
             monotonic_us() + 500 * MILLISECOND,
         )
@@ -485,10 +485,10 @@
         proxies = sorted({a for r in self.rosters.values() for a in r["proxies"]})
         news = news_of(head)
         wait = self.node.boot.apply_us * STAGE_PARTS[0] // STAGE_PARTS[1]
-        await self.node.links.call_all(
+        await self.node.rpc.call_all(
             {a: (a, "manifest.stage", news) for a in proxies}, monotonic_us() + wait
         )
-        await self.node.links.call_all(
+        await self.node.rpc.call_all(
             {a: (a, "manifest.switch", head["version"]) for a in proxies}, monotonic_us() + wait
         )
 
--- a/packages/config_store/meadowdock/config_store/trail_transfer.py
+++ b/packages/config_store/meadowdock/config_store/trail_transfer.py
@@ -70,7 +70,7 @@
 
     async def ask(self, address, method, args):
         """Call one member."""
-        return await self.node.links.call(address, method, args, monotonic_us() + ASK_WAIT)
+        return await self.node.rpc.call(address, method, args, monotonic_us() + ASK_WAIT)
 
     @handlers.on("trail.digest")
     async def on_digest(self, peer, _):
@@ -110,7 +110,7 @@
 
         async def one(address, ended):
             try:
-                answer = await self.node.links.call(address, "trail.read", versions, deadline)
+                answer = await self.node.rpc.call(address, "trail.read", versions, deadline)
                 found.update((v, r) for v, r in answer.items() if is_record(v, r))
             except (ConnectionFailed, Rejected):
                 pass
@@ -161,7 +161,9 @@
     async def states(self, deadline):
         """{disk id: TrailState} of the other members that answer."""
         asks = {d: (a, "trail.state", 0) for d, a in self.others().items()}
-        told = await self.node.links.answers(asks, min(deadline, monotonic_us() + ASK_WAIT))
+        told = await self.node.rpc.successful_responses(
+            asks, min(deadline, monotonic_us() + ASK_WAIT)
+        )
         return {disk: TrailState(**facts) for disk, facts in told.items()}
 
     async def carry(self, on_majority, deadline):
@@ -184,7 +186,7 @@
 
         async def there(address):
             try:
-                while await self.node.links.call(address, "trail.catch_up", asked, deadline):
+                while await self.node.rpc.call(address, "trail.catch_up", asked, deadline):
                     await sleep_us(AGAIN)
             finally:
                 if address in newcomers:
--- a/packages/config_store/meadowdock/config_store/votes.py
+++ b/packages/config_store/meadowdock/config_store/votes.py
@@ -32,12 +32,12 @@
             return await self.answer(version, member, method, args)
         address = self.store.everybody[member]
         try:
-            return await self.node.links.call(
+            return await self.node.rpc.call(
                 address, "register", [version, member, method, args], deadline
             )
         except Rejected as shed:
             if shed.code == "old_members":
-                await self.store.adopt(shed.facts["record"])
+                await self.store.adopt(shed.details["record"])
             raise
 
     @handlers.on("register")
--- a/packages/configuration/meadowdock/configuration/fetch.py
+++ b/packages/configuration/meadowdock/configuration/fetch.py
@@ -122,8 +122,8 @@
     bytes that an answer may have; so many that it comes well within `hedge_us` over this
     process's link, else each would be asked for again of another member."""
 
-    def __init__(self, links, address, hedge_us, form):
-        self.links, self.address = links, address
+    def __init__(self, rpc, address, hedge_us, form):
+        self.rpc, self.address = rpc, address
         self.hedge_us, self.form = hedge_us, form
         self.slow = {}
         self.frame = FRAME_AT_FIRST
@@ -231,7 +231,7 @@
     async def request(self, member, names, offset, deadline, attempt):
         begun = monotonic_us()
         request = {"form": self.form, "names": names, "offset": offset, "frame": self.frame}
-        answer = await self.links.call(member, METHOD, request, deadline)
+        answer = await self.rpc.call(member, METHOD, request, deadline)
         attempt.heard = monotonic_us()
         self.fit_frame(attempt.heard - begun)
         return answer
@@ -253,7 +253,7 @@
 
     async def transfer_formerly(self, member, names, deadline):
         """From a member of the former version, which sends whole bodies."""
-        answer = await self.links.call(member, FORMER_METHOD, names, deadline)
+        answer = await self.rpc.call(member, FORMER_METHOD, names, deadline)
         bodies = {n: bytes(b) for n, b in answer.items() if fingerprint(bytes(b)) == n}
         lacking = [name for name in names if name not in bodies]
         if self.form == WHOLE:
--- a/packages/forwarding/meadowdock/forwarding/peers.py
+++ b/packages/forwarding/meadowdock/forwarding/peers.py
@@ -11,8 +11,14 @@
 import ormsgpack
 
 from meadowdock.forwarding.call import Call, Refused, Served, Unknown
-from meadowdock.rpc.frame import FRAME_MAX, LENGTH, SEAL, Proof, derive
-from meadowdock.rpc.link import Lag
+from meadowdock.rpc.frame import (
+    LENGTH_SIZE,
+    MAX_FRAME_SIZE,
+    TAG_SIZE,
+    FrameAuthenticator,
+    derive_key,
+)
+from meadowdock.rpc.link import QueueingDelayEstimator
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us
 from meadowdock.runtime.slab import Slab
 
@@ -25,7 +31,7 @@
 SILENT = 600 * MILLISECOND  # with calls pending and nothing heard for so long, a link is given up
 QUIET = 500 * MILLISECOND  # an address that took no link is left alone so long
 CLOGGED = 4 << 20
-CARRIED = FRAME_MAX - 65_536  # bytes of a call or answer that a frame takes
+CARRIED = MAX_FRAME_SIZE - 65_536  # bytes of a call or answer that a frame takes
 STILL = 300 * MILLISECOND  # between two looks: this process itself stood still
 MARGIN = 15 * MILLISECOND  # a neighbour ends a call this much before the home's due
 
@@ -41,14 +47,14 @@
         change the proof. ValueError when a frame fails it."""
         held = self.held + data if self.held else data
         at, size = 0, len(held)
-        while size - at >= LENGTH:
-            length = int.from_bytes(held[at : at + LENGTH], "big")
-            if length > FRAME_MAX:
+        while size - at >= LENGTH_SIZE:
+            length = int.from_bytes(held[at : at + LENGTH_SIZE], "big")
+            if length > MAX_FRAME_SIZE:
                 raise ValueError("frame too long")
-            end = at + LENGTH + SEAL + length
+            end = at + LENGTH_SIZE + TAG_SIZE + length
             if end > size:
                 break
-            body = self.proof.open(held[at + LENGTH : end])
+            body = self.proof.open(held[at + LENGTH_SIZE : end])
             if body is None:
                 raise ValueError("frame fails its proof")
             at = end
@@ -73,7 +79,10 @@
     def greet_proofs(self, opener):
         ways = (b"greeting-out", b"greeting-in")
         out, into = ways if opener else ways[::-1]
-        self.sealing, self.frames = Proof(BLANK, out), Frames(Proof(BLANK, into))
+        self.sealing, self.frames = (
+            FrameAuthenticator(BLANK, out),
+            Frames(FrameAuthenticator(BLANK, into)),
+        )
 
     def say(self, frame):
         self.out.append(ormsgpack.packb(frame))
@@ -110,9 +119,12 @@
     def prove(self, session, facts):
         """From here on frames are sealed under the session's key; the frames object is kept, since
         it may be walking."""
-        key = derive(self.peers.key, b"session", *facts)
+        key = derive_key(self.peers.key, b"session", *facts)
         out, into = (b"out", b"in") if self.opener else (b"in", b"out")
-        self.sealing, self.frames.proof = Proof(key, out), Proof(key, into)
+        self.sealing, self.frames.proof = (
+            FrameAuthenticator(key, out),
+            FrameAuthenticator(key, into),
+        )
         self.ready = True
 
 
@@ -149,9 +161,9 @@
     def on_greeting(self, frame):
         _, theirs, name, proof = frame
         facts = (self.mine, theirs, self.peers.name.encode(), name.encode())
-        if not hmac.compare_digest(proof, derive(self.peers.key, b"answerer", *facts)):
+        if not hmac.compare_digest(proof, derive_key(self.peers.key, b"answerer", *facts)):
             raise ValueError("the peer doesn't know the fleet key")
-        self.now_say([PROVED, derive(self.peers.key, b"opener", *facts), monotonic_us()])
+        self.now_say([PROVED, derive_key(self.peers.key, b"opener", *facts), monotonic_us()])
         self.prove(None, facts)
         self.peers.quiet_until.pop(self.address, None)
         unsent, self.unsent = self.unsent, {}
@@ -267,7 +279,7 @@
         super().__init__(peers)
         self.wire, wire.owner = wire, self
         self.running = {}
-        self.lag = Lag()
+        self.lag = QueueingDelayEstimator()
         self.facts = None
         self.greeted_at = 0  # when our part of the greeting was sent
         self.greet_proofs(False)
@@ -279,17 +291,17 @@
                 raise ValueError("not a link of ours")
             me = self.peers.name
             self.facts = (theirs, self.mine, name.encode(), me.encode())
-            proof = derive(self.peers.key, b"answerer", *self.facts)
+            proof = derive_key(self.peers.key, b"answerer", *self.facts)
             self.greeted_at = monotonic_us()
             self.now_say([PROVED, self.mine, me, proof])
             return
-        if not hmac.compare_digest(frame[1], derive(self.peers.key, b"opener", *self.facts)):
+        if not hmac.compare_digest(frame[1], derive_key(self.peers.key, b"opener", *self.facts)):
             raise ValueError("the opener doesn't know the fleet key")
         at = monotonic_us()
         if at - self.greeted_at > GREETING_WAIT:
             raise ValueError("the greeting took too long")  # and calls behind it as long
         if len(frame) > 2:  # else of the former version, which told no time here
-            self.lag.of(frame[2], at)  # so that the first call's delay is seen, too
+            self.lag.measure(frame[2], at)  # so that the first call's delay is seen, too
         self.prove(None, self.facts)
         self.say([TAKES_AIM])  # a former version passes over frames that it does not know
 
@@ -299,7 +311,7 @@
             _, slot, generation, left, sent_at, service, instance, repeatable, rank = frame[:9]
             join_us, wait_us, bare, id, head, body = frame[9:15]
             at = monotonic_us()
-            lag = self.lag.of(sent_at, at)
+            lag = self.lag.measure(sent_at, at)
             left -= lag
             handle = (slot, generation)
             call = Call(
@@ -355,7 +367,7 @@
 
     def __init__(self, gate, key, name, rng, log):
         self.gate, self.wires, self.reactor = gate, gate.wires, gate.reactor
-        self.key, self.name, self.rng, self.log = derive(key, b"gate"), name, rng, log
+        self.key, self.name, self.rng, self.log = derive_key(key, b"gate"), name, rng, log
         self.outgoing = {}
         self.incoming = set()
         self.quiet_until = {}
--- a/packages/membership/meadowdock/membership/__init__.py
+++ b/packages/membership/meadowdock/membership/__init__.py
@@ -13,7 +13,7 @@
 
 import immutables
 
-from meadowdock.rpc import ConnectionFailed, Handlers, Rejected, Rhythm
+from meadowdock.rpc import ConnectionFailed, Handlers, PeriodicSchedule, Rejected
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us
 
 VIEW_MAX, SHELF_MAX, SAMPLE = 10, 32, 5
@@ -56,7 +56,7 @@
     me: Entry
     seeds: tuple
     rng: object
-    links: object
+    rpc: object
     log: object
     entries: immutables.Map = field(default_factory=immutables.Map)
     gone: immutables.Map = field(default_factory=immutables.Map)
@@ -67,7 +67,7 @@
     quiet: dict = field(default_factory=dict)  # partner that didn't answer: (until, span)
 
     def __post_init__(self):
-        self.rhythm = Rhythm(self.me.address)
+        self.schedule = PeriodicSchedule(self.me.address)
 
     handlers = Handlers()
 
@@ -170,7 +170,7 @@
         if partner is None:
             return True
         try:
-            told = await self.links.call(
+            told = await self.rpc.call(
                 partner,
                 "view.shuffle",
                 [list(e) for e in self.sample()],
@@ -194,7 +194,7 @@
             answered = await self.turn()
             # a young view fills fast, a settled one takes its time, a silent partner is passed by
             turn = TURN if answered and self.settled(monotonic_us() - born) else TURN // 5
-            await self.rhythm.rest(turn)
+            await self.schedule.sleep(turn)
 
     async def farewell(self):
         """Tell a few neighbours that this process leaves."""
@@ -202,7 +202,7 @@
         others = sorted(self.entries)
         chosen = self.rng.sample(others, min(6, len(others)))
         news = [list(self.me)]
-        await self.links.call_all(
+        await self.rpc.call_all(
             {a: (a, "view.shuffle", news) for a in {*chosen, *self.core("mdreg")}},
             monotonic_us() + 300 * MILLISECOND,
         )
--- a/packages/model_checker/meadowdock/model_checker/actor.py
+++ b/packages/model_checker/meadowdock/model_checker/actor.py
@@ -190,13 +190,13 @@
     def __init__(self, actors: Actors, actor: int, start: bytes) -> None:
         self.operation, self.kernel = actors.operations[actor], actors.kernel
         self.implementation, self.start = actors.implementation, start
-        self.links, self.counter = ParkedLinks(), BroadcastCounter()
+        self.rpc, self.counter = ParkedLinks(), BroadcastCounter()
         self.outcome, self.round, self.sent = None, 0, ()
         self.process, self.deadline = None, 0
 
     async def begin(self, nursery: trio.Nursery) -> None:
         """Start the operation, up to its first requests."""
-        node = make_node(self.operation.name, self.links, nursery)
+        node = make_node(self.operation.name, self.rpc, nursery)
         record = ormsgpack.unpackb(self.start)
         store = await make_store(self.implementation, self.operation.name, record)
         target = {disk: disk for disk in getattr(self.operation, "target", ())}
@@ -222,19 +222,19 @@
     async def proceed(self) -> None:
         """Until it waits for answers of requests that it sent, or has ended."""
         await self.kernel.settle()
-        while self.outcome is None and not self.links.new and self.counter.waiting == 0:
+        while self.outcome is None and not self.rpc.new and self.counter.waiting == 0:
             if not await self.kernel.next_timer():
                 raise AssertionError(f"{self.operation.name} waits for nothing")
-        if self.links.new:
+        if self.rpc.new:
             self.round += 1
-            self.sent = self.links.close_round(self.round)
+            self.sent = self.rpc.close_round(self.round)
 
     async def feed(self, event: Event) -> None:
         """Give it one event, up to its next requests."""
         if event.kind is EventKind.EXPIRED:
             await self.kernel.advance_to(self.deadline / SECOND)
         else:
-            self.links.resolve(event)
+            self.rpc.resolve(event)
         await self.proceed()
 
 
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -76,7 +76,7 @@
     boot = SimpleNamespace(link=name, hall="", members=(), seeds=("seed",), losses=1)
     runtime = SimpleNamespace(rng=random.Random(name))
     return SimpleNamespace(
-        boot=boot, runtime=runtime, links=links, nursery=nursery, incarnation=0, stopping=False
+        boot=boot, runtime=runtime, rpc=links, nursery=nursery, incarnation=0, stopping=False
     )
 
 
--- a/packages/model_checker/meadowdock/model_checker/replica.py
+++ b/packages/model_checker/meadowdock/model_checker/replica.py
@@ -56,7 +56,7 @@
             told = await getattr(members, HANDLERS[method])(None, ormsgpack.unpackb(args))
             answer = packed(["ok", told])
         except Rejected as rejected:
-            answer = packed(["rejected", rejected.code, rejected.facts])
+            answer = packed(["rejected", rejected.code, rejected.details])
         return self.captured(store), answer
 
     async def restored(self, state: ReplicaState) -> Store:
--- a/packages/process/meadowdock/process/__init__.py
+++ b/packages/process/meadowdock/process/__init__.py
@@ -13,7 +13,7 @@
 from meadowdock.admin_http import App, Reply, Table
 from meadowdock.logs import Log
 from meadowdock.membership import Entry, View
-from meadowdock.rpc import Links, Peer, serve
+from meadowdock.rpc import ConnectionPool, Peer, serve_connection
 from meadowdock.runtime import (
     MILLISECOND,
     SECOND,
@@ -82,11 +82,11 @@
         self.boot, self.runtime, self.nursery = boot, runtime, nursery
         self.log = log or Log(boot.name)
         self.incarnation = runtime.wall_us()
-        self.links = Links(
+        self.rpc = ConnectionPool(
             nursery, runtime.net, boot.fleet_key, runtime.rng, Peer(boot.name, boot.link), self.log
         )
         me = Entry(boot.link, boot.role, boot.hall, self.incarnation, 0, False, 0)
-        self.view = View(me, boot.seeds, runtime.rng, self.links, self.log)
+        self.view = View(me, boot.seeds, runtime.rng, self.rpc, self.log)
         self.stopping = False
         self.stop_due = None
         self.asked, self.hurry, self.http_end = trio.Event(), trio.Event(), trio.Event()
@@ -115,14 +115,14 @@
         further = {a: App(table, daemon, self.log) for a, table in daemon.doors().items()}
         self.apps = [self.app, *further.values()]
         await daemon.begin()
-        handlers = daemon.answers() | View.handlers.bound(self.view)
+        handlers = daemon.answers() | View.handlers.bind(self.view)
         nursery = self.nursery
         boot, runtime = self.boot, self.runtime
         await nursery.start(
-            runtime.net.serve_links,
+            runtime.net.serve_streams,
             boot.link,
             partial(
-                serve,
+                serve_connection,
                 key=boot.fleet_key,
                 rng=runtime.rng,
                 name=boot.name,
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -96,7 +96,7 @@
     def next_confirm(self):
         if self.failed:
             return monotonic_us() + self.part_of_apply(RETRY_PART)
-        return self.node.view.rhythm.next(self.part_of_apply(CONFIRM_PART))
+        return self.node.view.schedule.next_wakeup(self.part_of_apply(CONFIRM_PART))
 
     def part_of_apply(self, part):
         return self.node.boot.apply_us // part
@@ -168,9 +168,7 @@
         """[(head, address)], or nothing."""
         try:
             due = monotonic_us() + wait
-            return [
-                (await self.node.links.call(address, "manifest.head", self.newest, due), address)
-            ]
+            return [(await self.node.rpc.call(address, "manifest.head", self.newest, due), address)]
         except (ConnectionFailed, Rejected):
             return []
 
--- a/packages/proxy/meadowdock/proxy/endpoints.py
+++ b/packages/proxy/meadowdock/proxy/endpoints.py
@@ -11,7 +11,7 @@
 import ormsgpack
 
 from meadowdock.load_sharing import Gauge, rho
-from meadowdock.rpc import derive
+from meadowdock.rpc import derive_key
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us
 
 BEAT = 500 * MILLISECOND
@@ -75,7 +75,7 @@
 
     def __init__(self, host, key, log):
         self.host, self.log = host, log
-        self.key = derive(key, b"token", host.encode())
+        self.key = derive_key(key, b"token", host.encode())
         self.by_address = {}
         self.occupations = {}
         self.waiters = {}  # service -> callables that may start a held call
--- a/packages/proxy/meadowdock/proxy/part.py
+++ b/packages/proxy/meadowdock/proxy/part.py
@@ -62,7 +62,7 @@
         node.view.heard = self.heard
 
     def answers(self):
-        return Part.handlers.bound(self) | Delivery.handlers.bound(self.delivery)
+        return Part.handlers.bind(self) | Delivery.handlers.bind(self.delivery)
 
     @property
     def out(self):
@@ -82,7 +82,7 @@
         while True:
             self.delivery.look_at_pulse()
             await self.tidy()
-            wanted = self.node.view.rhythm.next(PULSE)
+            wanted = self.node.view.schedule.next_wakeup(PULSE)
             await sleep_us(wanted - monotonic_us())
             self.late_turns = self.late_turns + 1 if monotonic_us() - wanted > BEHIND else 0
 
@@ -123,7 +123,9 @@
             if stale and not self.stale_told:
                 self.node.log(704, seq=self.walker.lists.seq, epoch=self.walker.lists.epoch)
             self.stale_told = bool(stale)
-            with deadline_scope(self.node.view.rhythm.next(BEAT_CORE if lists.seq else YOUNG_BEAT)):
+            with deadline_scope(
+                self.node.view.schedule.next_wakeup(BEAT_CORE if lists.seq else YOUNG_BEAT)
+            ):
                 await self.registry_came.wait()
                 await sleep_us(GATHER)
             self.registry_came = trio.Event()
@@ -162,7 +164,7 @@
 
         async def beat_to(registry):
             try:
-                answer = await self.node.links.call(registry, "reg.beat", beat, deadline)
+                answer = await self.node.rpc.call(registry, "reg.beat", beat, deadline)
             except (ConnectionFailed, Rejected):
                 return
             self.epoch_floor = max(self.epoch_floor or 0, answer.get("epoch", 0))
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -42,7 +42,7 @@
         self.staged = staged  # takes (ways, head, count of fetched chunks)
         self.chunks, self.running = {}, {}
         hedge_us = node.boot.apply_us // HEDGE_PART
-        self.fetcher = Fetcher(node.links, node.boot.link, hedge_us, ROUTING)
+        self.fetcher = Fetcher(node.rpc, node.boot.link, hedge_us, ROUTING)
 
     async def stage(self, head, source):
         """True once it, or a newer one, is staged; False if its chunks were not to be had."""
--- a/packages/proxy/meadowdock/proxy/walk.py
+++ b/packages/proxy/meadowdock/proxy/walk.py
@@ -222,7 +222,7 @@
         }
         self.book.spilled(way.service, 1, at)
         try:
-            told = await self.node.links.call(target.address, "call.run", args, due)
+            told = await self.node.rpc.call(target.address, "call.run", args, due)
         except Rejected as shed:
             call.tried.add(target.address)
             if shed.code == "busy":
--- a/packages/registry/meadowdock/registry/lease.py
+++ b/packages/registry/meadowdock/registry/lease.py
@@ -149,7 +149,7 @@
         async def one(address, over):
             nonlocal answer, unclear
             try:
-                facts = await self.node.links.call(address, method, request.encode(), deadline)
+                facts = await self.node.rpc.call(address, method, request.encode(), deadline)
                 granted = LeaseGranted.decode(facts)
                 if granted.sequence == request.sequence:
                     answer, self.preferred = granted, address
--- a/packages/registry/meadowdock/registry/part.py
+++ b/packages/registry/meadowdock/registry/part.py
@@ -68,7 +68,7 @@
 
     def answers(self):
         """The link methods that this process answers."""
-        return Part.handlers.bound(self)
+        return Part.handlers.bind(self)
 
     def loops(self):
         """The loops that the node keeps going."""
@@ -187,7 +187,7 @@
         }
         others = self.node.view.core("mdreg")
         self.told_regs = set(others)
-        await self.node.links.call_all(
+        await self.node.rpc.call_all(
             {a: (a, "reg.beat", beat) for a in others}, monotonic_us() + BEAT
         )
 
@@ -241,9 +241,9 @@
 
     def learn_refusal(self, refused):
         """A refusal by the register tells the epoch of who has the lease."""
-        if refused is not None and refused.facts.get("epoch"):
+        if refused is not None and refused.details.get("epoch"):
             self.reclaiming = False
-            self.learn_epoch(refused.facts["epoch"])
+            self.learn_epoch(refused.details["epoch"])
 
     async def collect_loop(self):
         """Each interval: ask all at once, wait for every answer up to a deadline, one list to all."""
@@ -258,14 +258,14 @@
         """Ask every proxy for its load, then send all of them one list."""
         interval, epoch = self.interval[1], self.epoch
         nodes = self.alive(self.roster)
-        answered = await self.node.links.answers(
+        answered = await self.node.rpc.successful_responses(
             {a: (a, "load.ask", None) for a in nodes}, monotonic_us() + interval * 6 // 10
         )
         if self.epoch != epoch:  # the lease ran out meanwhile, or this process stood still
             return
         self.seq += 1
         combined = {"epoch": epoch, "seq": self.seq, "nodes": answered}
-        sent = await self.node.links.call_all(
+        sent = await self.node.rpc.call_all(
             {a: (a, "load.list", combined) for a in nodes}, monotonic_us() + interval * 3 // 10
         )
         sheddings = [s for s in sent.values() if isinstance(s, Rejected) and s.code == "old_epoch"]
@@ -276,7 +276,7 @@
             "shed": len(sheddings),
         }
         if sheddings:
-            self.learn_epoch(max(s.facts["epoch"] for s in sheddings))
+            self.learn_epoch(max(s.details["epoch"] for s in sheddings))
 
     # ------------------------------------------------------------ stop
 
--- a/packages/rpc/meadowdock/rpc/__init__.py
+++ b/packages/rpc/meadowdock/rpc/__init__.py
@@ -3,21 +3,29 @@
 A link carries calls one way: the side that opened it asks, the other answers.
 """
 
-from meadowdock.rpc.frame import Proof, derive, read_frame, write_frame
-from meadowdock.rpc.link import ConnectionFailed, Handlers, Link, Links, Peer, Rejected, serve
-from meadowdock.rpc.rhythm import Rhythm
+from meadowdock.rpc.frame import FrameAuthenticator, derive_key, read_frame, write_frame
+from meadowdock.rpc.link import (
+    ClientConnection,
+    ConnectionFailed,
+    ConnectionPool,
+    Handlers,
+    Peer,
+    Rejected,
+    serve_connection,
+)
+from meadowdock.rpc.schedule import PeriodicSchedule
 
 __all__ = [
+    "ClientConnection",
     "ConnectionFailed",
+    "ConnectionPool",
+    "FrameAuthenticator",
     "Handlers",
-    "Link",
-    "Links",
     "Peer",
-    "Proof",
-    "Rhythm",
+    "PeriodicSchedule",
     "Rejected",
-    "derive",
+    "derive_key",
     "read_frame",
-    "serve",
+    "serve_connection",
     "write_frame",
 ]
--- a/packages/rpc/meadowdock/rpc/link.py
+++ b/packages/rpc/meadowdock/rpc/link.py
@@ -13,7 +13,13 @@
 import ormsgpack
 import trio
 
-from meadowdock.rpc.frame import Proof, Reader, derive, read_frame, write_frame
+from meadowdock.rpc.frame import (
+    FrameAuthenticator,
+    FrameReader,
+    derive_key,
+    read_frame,
+    write_frame,
+)
 from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us
 from meadowdock.runtime.slab import Slab
 
@@ -21,7 +27,7 @@
 GREETING_WAIT = SECOND
 SILENCE = 200 * MILLISECOND
 BLANK = b"\x00" * 32
-CALL, ANSWER, SHED, CANCEL = range(4)
+REQUEST, RESPONSE, REJECTION, CANCEL = range(4)
 BROKEN = (OSError, EOFError, ValueError, trio.BrokenResourceError, trio.ClosedResourceError)
 
 
@@ -32,12 +38,12 @@
 
 
 class Rejected(Exception):
-    """The peer's handler refused: a code and facts."""
+    """The peer's handler refused: a code and its details."""
 
-    def __init__(self, code, **facts):
+    def __init__(self, code, **details):
         super().__init__(code)
         self.code = code
-        self.facts = facts
+        self.details = details
 
 
 @dataclass(frozen=True)
@@ -67,7 +73,7 @@
 
         return register
 
-    def bound(self, owner):
+    def bind(self, owner):
         """The table of a class, bound to one of its objects."""
         made = Handlers()
         made.table = {method: handler.__get__(owner) for method, handler in self.table.items()}
@@ -83,7 +89,7 @@
     """The end of a frame that the socket took only in part: sealed already."""
 
 
-class Sender:
+class FrameWriter:
     """Frames towards the peer, in order. What the socket takes goes to it at once, in the turn of
     whoever has it; the rest, and all on streams that have no socket, goes by the writer task.
 
@@ -134,47 +140,57 @@
 # ---------------------------------------------------------------- greeting
 
 
-async def greet(stream, key, rng, me: Peer):
+async def client_handshake(stream, key, rng, me: Peer):
     """The opener's side: proves itself and the peer; gives reader, proofs and the peer."""
     mine = rng.randbytes(16)
-    reader = Reader(stream)
-    plain = Proof(BLANK, b"greeting-out"), Proof(BLANK, b"greeting-in")
+    reader = FrameReader(stream)
+    plain = FrameAuthenticator(BLANK, b"greeting-out"), FrameAuthenticator(BLANK, b"greeting-in")
     await write_frame(stream, plain[0], pack([MAGIC, mine, me.name, me.address]))
     theirs, name, proof = unpack(await read_frame(reader, plain[1]))
     facts = (mine, theirs, me.name.encode(), me.address.encode(), name.encode())
-    if not hmac.compare_digest(proof, derive(key, b"answerer", *facts)):
+    if not hmac.compare_digest(proof, derive_key(key, b"answerer", *facts)):
         raise ValueError("the peer doesn't know the fleet key")
-    await write_frame(stream, plain[0], pack(derive(key, b"opener", *facts)))
-    session = derive(key, b"session", *facts)
-    return reader, Proof(session, b"out"), Proof(session, b"in"), Peer(name, "")
-
-
-async def answer_greeting(stream, key, rng, name):
-    reader = Reader(stream)
-    plain = Proof(BLANK, b"greeting-in"), Proof(BLANK, b"greeting-out")
+    await write_frame(stream, plain[0], pack(derive_key(key, b"opener", *facts)))
+    session = derive_key(key, b"session", *facts)
+    return (
+        reader,
+        FrameAuthenticator(session, b"out"),
+        FrameAuthenticator(session, b"in"),
+        Peer(name, ""),
+    )
+
+
+async def server_handshake(stream, key, rng, name):
+    reader = FrameReader(stream)
+    plain = FrameAuthenticator(BLANK, b"greeting-in"), FrameAuthenticator(BLANK, b"greeting-out")
     magic, theirs, peer_name, address = unpack(await read_frame(reader, plain[1]))
     if magic != MAGIC:
         raise ValueError("not a link of ours")
     mine = rng.randbytes(16)
     facts = (theirs, mine, peer_name.encode(), address.encode(), name.encode())
-    await write_frame(stream, plain[0], pack([mine, name, derive(key, b"answerer", *facts)]))
+    await write_frame(stream, plain[0], pack([mine, name, derive_key(key, b"answerer", *facts)]))
     if not hmac.compare_digest(
-        unpack(await read_frame(reader, plain[1])), derive(key, b"opener", *facts)
+        unpack(await read_frame(reader, plain[1])), derive_key(key, b"opener", *facts)
     ):
         raise ValueError("the opener doesn't know the fleet key")
-    session = derive(key, b"session", *facts)
-    return reader, Proof(session, b"in"), Proof(session, b"out"), Peer(peer_name, address)
+    session = derive_key(key, b"session", *facts)
+    return (
+        reader,
+        FrameAuthenticator(session, b"in"),
+        FrameAuthenticator(session, b"out"),
+        Peer(peer_name, address),
+    )
 
 
 # ---------------------------------------------------------------- answering side
 
 
-class Lag:
+class QueueingDelayEstimator:
     """How long a frame lay between the two processes, beyond the least seen of late. The two
     clocks are never compared, only their difference with itself.
 
-    >>> lag = Lag()
-    >>> lag.of(1_000, 501_000), lag.of(2_000, 502_000), lag.of(3_000, 9_503_000)
+    >>> lag = QueueingDelayEstimator()
+    >>> lag.measure(1_000, 501_000), lag.measure(2_000, 502_000), lag.measure(3_000, 9_503_000)
     (0, 0, 9000000)
     """
 
@@ -186,8 +202,8 @@
         self.begun = None
         self.least = [float("inf"), float("inf")]
 
-    def of(self, sent_at, came_at):
-        if self.begun is None or came_at - self.begun > Lag.SPAN:
+    def measure(self, sent_at, came_at):
+        if self.begun is None or came_at - self.begun > QueueingDelayEstimator.SPAN:
             self.begun = came_at
             self.least = [self.least[1], float("inf")]
         apart = came_at - sent_at
@@ -195,22 +211,22 @@
         return apart - min(self.least)
 
 
-async def serve(stream, key, rng, name, handlers, log):
+async def serve_connection(stream, key, rng, name, handlers, log):
     """One incoming link, until it ends. Handlers run as tasks of the link."""
     async with stream:
         try:
             with trio.fail_after(GREETING_WAIT / SECOND):
-                reader, out, into, peer = await answer_greeting(stream, key, rng, name)
+                reader, out, into, peer = await server_handshake(stream, key, rng, name)
         except (*BROKEN, trio.TooSlowError, TypeError, ormsgpack.MsgpackDecodeError) as cause:
             # who gives up while greeting, since another answered it sooner, failed no proof
             if not isinstance(cause, (EOFError, trio.BrokenResourceError)):
                 log(201, cause=repr(cause))
             return
-        sender = Sender(1024)
+        sender = FrameWriter(1024)
         sender.attach(stream, out)
         # Invariant: running maps ids of calls being answered on this link to their scopes.
         running = {}
-        lag = Lag()
+        lag = QueueingDelayEstimator()
 
         async def write():
             async for first in sender.holding:
@@ -227,12 +243,12 @@
                     handler = handlers.table.get(method)
                     if handler is None:
                         raise Rejected("no_such_method", method=method)
-                    reply = pack([ANSWER, id, await handler(peer, args)])
+                    reply = pack([RESPONSE, id, await handler(peer, args)])
                 except Rejected as shed:
-                    reply = pack([SHED, id, shed.code, shed.facts])
+                    reply = pack([REJECTION, id, shed.code, shed.details])
                 except Exception as cause:  # a handler's defect must not end the link
                     log(105, task=f"link:{method}", cause=repr(cause))
-                    reply = pack([SHED, id, "broke", {"cause": repr(cause)}])
+                    reply = pack([REJECTION, id, "broke", {"cause": repr(cause)}])
                 running.pop(id, None)
                 try:
                     sender.put(reply)
@@ -245,9 +261,9 @@
             try:
                 while True:
                     kind, id, *rest = unpack(await read_frame(reader, into))
-                    if kind == CALL:
+                    if kind == REQUEST:
                         method, args, left, sent_at = rest
-                        left -= lag.of(sent_at, monotonic_us())
+                        left -= lag.measure(sent_at, monotonic_us())
                         # a cancel may lie right behind its call: the scope is there before the task
                         scope = running[tuple(id)] = deadline_scope(monotonic_us() + left)
                         if left <= 0:
@@ -273,13 +289,13 @@
     outcome: object = None
 
 
-class Link:
+class ClientConnection:
     """An open link. Invariant: once broken is set no call is accepted and none is left pending."""
 
     def __init__(self, peer, heard):
         self.peer = peer
         self.pending = Slab()
-        self.sender = Sender(4096)
+        self.sender = FrameWriter(4096)
         self.broken = None
         self.retired = False
         self.heard = heard
@@ -327,7 +343,7 @@
             pending = self.pending.get(tuple(id))
             if pending is None:
                 continue  # given up, or an earlier tenant of the slot
-            if kind == ANSWER:
+            if kind == RESPONSE:
                 pending.outcome = rest[0]
             else:
                 pending.outcome = Rejected(rest[0], **rest[1])
@@ -339,7 +355,7 @@
         asked = monotonic_us()
         pending = Pending()
         handle = self.pending.put(pending)
-        body = pack([CALL, handle, method, args, max(0, deadline - asked), asked])
+        body = pack([REQUEST, handle, method, args, max(0, deadline - asked), asked])
         pending.sent = self.sender.at_once()
         try:
             self.sender.put(body, handle)
@@ -378,17 +394,17 @@
     return link is not None and link.broken is None and not link.retired
 
 
-class Links:
+class ConnectionPool:
     """Links to peers, opened when first needed. Invariant: at most one opening per address."""
 
     def __init__(self, nursery, net, key, rng, me, log, open_wait=500 * MILLISECOND):
         self.nursery, self.net, self.key, self.rng = nursery, net, key, rng
         self.me, self.log, self.open_wait = me, log, open_wait
-        self.links = {}
+        self.connections = {}
         self.opening = {}
 
     async def call(self, address, method, args, deadline):
-        link = self.links.get(address)
+        link = self.connections.get(address)
         if not usable(link):
             link = await self.open(address, deadline)
         return await link.call(method, args, deadline)
@@ -397,7 +413,7 @@
         while address in self.opening:
             with deadline_scope(deadline):
                 await self.opening[address].wait()
-            link = self.links.get(address)
+            link = self.connections.get(address)
             if usable(link):
                 return link
             if monotonic_us() >= deadline:
@@ -405,13 +421,15 @@
         self.opening[address] = trio.Event()
         try:
             with deadline_scope(min(deadline, monotonic_us() + self.open_wait)):
-                stream = await self.net.open_link(address)
+                stream = await self.net.open_stream(address)
                 try:
-                    reader, out, into, peer = await greet(stream, self.key, self.rng, self.me)
+                    reader, out, into, peer = await client_handshake(
+                        stream, self.key, self.rng, self.me
+                    )
                 except BaseException:
                     await trio.aclose_forcefully(stream)
                     raise
-                link = self.links[address] = Link(peer, monotonic_us())
+                link = self.connections[address] = ClientConnection(peer, monotonic_us())
                 self.nursery.start_soon(self.own, link, stream, reader, out, into)
                 return link
             raise ConnectionFailed(False, "no link by the deadline")
@@ -424,7 +442,7 @@
         await link.run(stream, reader, out, into)
         self.log(202, peer=link.peer.name, cause=str(link.broken))
 
-    async def answers(self, asks, deadline):
+    async def successful_responses(self, asks, deadline):
         """As call_all, without those that gave no answer."""
         told = await self.call_all(asks, deadline)
         return {key: answer for key, answer in told.items() if not isinstance(answer, Exception)}
--- a/packages/runtime/meadowdock/runtime/net.py
+++ b/packages/runtime/meadowdock/runtime/net.py
@@ -37,7 +37,7 @@
     def __init__(self, host: str | None = None) -> None:
         self.host = host
 
-    async def serve_links(
+    async def serve_streams(
         self,
         address: str,
         handler: Callable[[trio.abc.Stream], Awaitable[None]],
@@ -47,7 +47,7 @@
         address = Address(address)
         await trio.serve_tcp(handler, address.port, host=address.host, task_status=task_status)
 
-    async def open_link(self, address: str) -> trio.abc.Stream:
+    async def open_stream(self, address: str) -> trio.abc.Stream:
         """A stream to an address."""
         address = Address(address)
         return await trio.open_tcp_stream(
--- a/packages/simulator/meadowdock/simulator/net.py
+++ b/packages/simulator/meadowdock/simulator/net.py
@@ -164,13 +164,13 @@
         self.made_wires.append(SimWires(self, nursery, reactor))
         return self.made_wires[-1]
 
-    async def serve_links(self, address, handler, task_status=trio.TASK_STATUS_IGNORED):
+    async def serve_streams(self, address, handler, task_status=trio.TASK_STATUS_IGNORED):
         async with trio.open_nursery() as nursery:
             self.web.links[address] = (nursery, handler, self)
             task_status.started()
             await trio.sleep_forever()
 
-    async def open_link(self, address):
+    async def open_stream(self, address):
         there = Address(address).host
         await self.web.carry(self.host, there)
         await self.web.carry(there, self.host)
--- a/packages/simulator/meadowdock/simulator/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -73,7 +73,7 @@
 def links_of(fleet):
     """How many links a proxy has, and how old the fleet is."""
     return {
-        "mdproxy": statistics.mean(len(proxy.links.links) for proxy in fleet.proxies()),
+        "mdproxy": statistics.mean(len(proxy.rpc.connections) for proxy in fleet.proxies()),
         "age_s": monotonic_us() / SECOND,
     }
 
--- a/packages/simulator/meadowdock/simulator/scale/lists.py
+++ b/packages/simulator/meadowdock/simulator/scale/lists.py
@@ -6,8 +6,8 @@
 from functools import partial
 
 from meadowdock.rpc import Peer
-from meadowdock.rpc.frame import LENGTH, Proof
-from meadowdock.rpc.link import CALL, pack, unpack
+from meadowdock.rpc.frame import LENGTH_SIZE, FrameAuthenticator
+from meadowdock.rpc.link import REQUEST, pack, unpack
 from meadowdock.simulator.scale.fleet import Hollow, listed
 from meadowdock.simulator.scale.places import places
 from meadowdock.simulator.world import run
@@ -26,7 +26,7 @@
     fleet = Hollow(world, SMALL_FLEET)
     await fleet.up()
     daemon = fleet.proxies()[0].daemon
-    proofs = [Proof(b"k" * 32, b"out") for _ in range(2)]
+    proofs = [FrameAuthenticator(b"k" * 32, b"out") for _ in range(2)]
     return [await cost_of_list(daemon, proofs, n, times) for n in sizes]
 
 
@@ -41,12 +41,12 @@
     first = daemon.walker.lists.seq + 1
     begun = time.process_time()
     frames = [
-        sender.seal(pack([CALL, [1, 1], "load.list", {**message, "seq": seq}, 1, 1]))
+        sender.seal(pack([REQUEST, [1, 1], "load.list", {**message, "seq": seq}, 1, 1]))
         for seq in range(first, first + times)
     ]
     made = time.process_time()
     for frame in frames:
-        await daemon.on_list(peer, unpack(receiver.open(frame[LENGTH:]))[3])
+        await daemon.on_list(peer, unpack(receiver.open(frame[LENGTH_SIZE:]))[3])
     taken = time.process_time()
     assert listed(daemon) == n
     return {
--- a/packages/simulator/meadowdock/simulator/scale/meter.py
+++ b/packages/simulator/meadowdock/simulator/scale/meter.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from meadowdock.rpc.frame import LENGTH, SEAL
-from meadowdock.rpc.link import CALL, unpack
+from meadowdock.rpc.frame import LENGTH_SIZE, TAG_SIZE
+from meadowdock.rpc.link import REQUEST, unpack
 from meadowdock.runtime import SECOND, monotonic_us
 
 GREETING = "greeting"
@@ -67,11 +67,11 @@
         """Count the frames that data completes."""
         unread = self.unread[direction]
         unread += data
-        while len(unread) >= LENGTH:
-            size = LENGTH + SEAL + int.from_bytes(unread[:LENGTH], "big")
+        while len(unread) >= LENGTH_SIZE:
+            size = LENGTH_SIZE + TAG_SIZE + int.from_bytes(unread[:LENGTH_SIZE], "big")
             if len(unread) < size:
                 return
-            method = self.method(direction, bytes(unread[LENGTH + SEAL : size]))
+            method = self.method(direction, bytes(unread[LENGTH_SIZE + TAG_SIZE : size]))
             del unread[:size]
             self.meter.note(self.node, method, direction, size)
 
@@ -81,7 +81,7 @@
             self.greeting[direction] -= 1
             return GREETING
         kind, id, *arguments = unpack(body)
-        if kind == CALL:
+        if kind == REQUEST:
             self.methods[tuple(id)] = arguments[0]
         return self.methods.get(tuple(id), GREETING)
 
@@ -114,13 +114,13 @@
     class Counted(net_class):
         meter = node = None
 
-        async def open_link(self, address):
-            return stream_class(await super().open_link(address), self.meter, self.node, True)
+        async def open_stream(self, address):
+            return stream_class(await super().open_stream(address), self.meter, self.node, True)
 
-        async def serve_links(self, address, handler, task_status=trio.TASK_STATUS_IGNORED):
+        async def serve_streams(self, address, handler, task_status=trio.TASK_STATUS_IGNORED):
             async def counted(stream):
                 await handler(stream_class(stream, self.meter, self.node, False))
 
-            await super().serve_links(address, counted, task_status=task_status)
+            await super().serve_streams(address, counted, task_status=task_status)
 
     return Counted
--- a/packages/simulator/meadowdock/simulator/scale/processes.py
+++ b/packages/simulator/meadowdock/simulator/scale/processes.py
@@ -66,7 +66,7 @@
         found = await measure_window(loopback, at, window, times)
         share = statistics.mean(shares)
         took = await change_seconds(loopback)
-        links = statistics.mean(len(node.links.links) for node in nodes)
+        links = statistics.mean(len(node.rpc.connections) for node in nodes)
         nursery.cancel_scope.cancel()
     return {
         **found,
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -222,7 +222,7 @@
             wall = lambda: WALL + monotonic_us()  # noqa: E731
             runtime = Runtime(process.net, disk, rng, offload=inline, wall_us=wall)
             process.node = Node(boot, runtime, nursery, Log(boot.name, self.trace, timed=False))
-            self.listen(process.node.links)
+            self.listen(process.node.rpc)
             disk.on_loss = process.kill
             gated = self.gated and role == "mdproxy"
             await nursery.start(process.node.run, GateProxy if gated else PARTS[role])
--- a/packages/soak/meadowdock/soak/cuts.py
+++ b/packages/soak/meadowdock/soak/cuts.py
@@ -102,7 +102,7 @@
         super().__init__(host)
         self.cuts = cuts
 
-    async def serve_links(
+    async def serve_streams(
         self,
         address: str,
         handler: Callable[[trio.abc.Stream], Awaitable[None]],
@@ -113,12 +113,12 @@
         async def take(stream: trio.SocketStream) -> None:
             await handler(CutStream(stream, self.cuts))
 
-        await super().serve_links(address, take, task_status)
+        await super().serve_streams(address, take, task_status)
 
-    async def open_link(self, address: str) -> trio.abc.Stream:
+    async def open_stream(self, address: str) -> trio.abc.Stream:
         """A stream, once joined."""
         await self.cuts.joined(Address(address).host)
-        return CutStream(await super().open_link(address), self.cuts)
+        return CutStream(await super().open_stream(address), self.cuts)
 
     def wires(self, nursery: trio.Nursery, reactor: Any) -> CutWires:
         """The network of the traffic path."""
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -78,7 +78,7 @@
 
 async def cut_from_mdconfs(world, host, span):
     """The answers of mdconf on other machines don't come; all else does."""
-    links = world.node("mdreg", host).links
+    links = world.node("mdreg", host).rpc
     original = links.call
 
     async def call(address, method, args, deadline):
@@ -154,7 +154,7 @@
         await watched(world)
         process = world.processes[f"mdreg@{host}"]
         sent = []
-        original = process.node.links.call
+        original = process.node.rpc.call
 
         async def call(address, method, args, deadline):
             if method == "load.list":
@@ -165,7 +165,7 @@
             return answer
 
         woken_at = 0
-        process.node.links.call = call
+        process.node.rpc.call = call
         await world.eventually(lambda: process.frozen is not None)
         await sleep_us(20 * SECOND)
         proxies = [world.daemon("mdproxy", h) for h in hosts(world)]
@@ -205,7 +205,7 @@
         await sleep_us(2 * SECOND)
         lease = world.daemon("mdreg", host).lease
         silent = lease.preferred
-        links = world.node("mdreg", host).links
+        links = world.node("mdreg", host).rpc
         original = links.call
 
         async def call(address, method, args, deadline):
@@ -342,7 +342,7 @@
         await world.eventually(lambda: any(e > old for e in holders(world).values()))
         place, other = hosts(world)
         world.meddle["load.list"] = None  # no newer list is there yet
-        links = world.node("mdproxy", other).links
+        links = world.node("mdproxy", other).rpc
 
         async def send():
             told = {"epoch": old, "seq": 10**6, "nodes": {}}
--- a/tests/configuration/test_manifest.py
+++ b/tests/configuration/test_manifest.py
@@ -278,8 +278,8 @@
         mine, other = hosts(world)
         daemon = world.daemon("mdproxy", mine)
         for core in world.core:
-            world.daemon("mdconf", core).node.links.call_all = no_switch(
-                world.daemon("mdconf", core).node.links.call_all, f"{mine}:7401"
+            world.daemon("mdconf", core).node.rpc.call_all = no_switch(
+                world.daemon("mdconf", core).node.rpc.call_all, f"{mine}:7401"
             )
         assert await world.configure(manifest([way("x", "/balances")])) == 2
         there = world.daemon("mdproxy", other).delivery
@@ -304,7 +304,7 @@
         mine = hosts(world)[0]
         daemon = world.daemon("mdproxy", mine)
         for core in world.core:
-            links = world.daemon("mdconf", core).node.links
+            links = world.daemon("mdconf", core).node.rpc
             links.call_all = no_switch(links.call_all, f"{mine}:7401")
         daemon.delivery.switch_told(2)
         assert daemon.delivery.version == 1
--- a/tests/load_sharing/test_load.py
+++ b/tests/load_sharing/test_load.py
@@ -101,7 +101,7 @@
         took = await world.eventually(lambda: proxy.walker.lists.epoch > old)
         assert took < 6 * SECOND
         other = next(h for h in world.core if h != holder)
-        links = world.node("mdreg", other).links
+        links = world.node("mdreg", other).rpc
         told = {"epoch": old, "seq": 10**6, "nodes": {}}
         got = await links.call_all(
             {0: (f"{hosts(world)[0]}:7401", "load.list", told)}, monotonic_us() + SECOND
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -76,7 +76,7 @@
     def __init__(self):
         super().__init__()
         self.processes, self.disks = {}, {}
-        self.links = DirectLinks(self.processes)
+        self.rpc = DirectLinks(self.processes)
         self.value, self.refused, self.count = [], set(), 0
         self.versions = dict.fromkeys((*DISKS, "a", "b"), 0)
         record = voters_record(1, FOUNDERS)
@@ -91,7 +91,7 @@
 
     async def start(self, name, record=None, files=None):
         store = await make_store(self.implementation, name, record, files)
-        node = make_node(name, self.links, None)
+        node = make_node(name, self.rpc, None)
         node.runtime = SimpleNamespace(rng=random.Random(f"{name}{self.count}"))
         process = self.implementation.members(node, store)
         process.proposer = process.make_proposer()
@@ -115,11 +115,11 @@
 
     @rule(silent=SOME_DISKS, mute=SOME_DISKS)
     def faults(self, silent, mute):
-        self.links.silent, self.links.mute = frozenset(silent), frozenset(mute)
+        self.rpc.silent, self.rpc.mute = frozenset(silent), frozenset(mute)
 
     @rule()
     def calm(self):
-        self.links.silent = self.links.mute = frozenset()
+        self.rpc.silent = self.rpc.mute = frozenset()
 
     @rule(disk=st.sampled_from(DISKS))
     def crash(self, disk):
--- a/tests/project/test_incidents.py
+++ b/tests/project/test_incidents.py
@@ -9,7 +9,7 @@
 from gates import SEEDS, asked, gated, listed
 
 from meadowdock.membership import VIEW_MAX, Entry, View
-from meadowdock.rpc import serve
+from meadowdock.rpc import serve_connection
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
 REGISTRIES_LATER = 450 * MILLISECOND  # as seen: they came up so much later than the proxies
@@ -80,7 +80,9 @@
 
     async def scenario():
         rng = random.Random(1)
-        await serve(Torn(data), b"k" * 32, rng, "me", {}, lambda n, **_: logged.append(n))
+        await serve_connection(
+            Torn(data), b"k" * 32, rng, "me", {}, lambda n, **_: logged.append(n)
+        )
 
     trio.run(scenario)
     assert logged == told
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -374,7 +374,7 @@
     async def scenario(world):
         await with_items(world, *many(100))
         names = world.daemon("mdconf", world.core[0]).head["ranges"]
-        links = world.node("mdproxy", "10.0.1.1").links
+        links = world.node("mdproxy", "10.0.1.1").rpc
         told = await links.call(f"{world.core[0]}:7421", "blob.get", names, monotonic_us() + SECOND)
         assert {fingerprint(bytes(body)) for body in told.values()} == set(names)
 
--- a/tests/rpc/test_sender.py
+++ b/tests/rpc/test_sender.py
@@ -8,9 +8,16 @@
 import pytest
 import trio
 
-from meadowdock.rpc import Handlers, Links, Peer, Proof, read_frame, serve
-from meadowdock.rpc.frame import Reader
-from meadowdock.rpc.link import Sender
+from meadowdock.rpc import (
+    ConnectionPool,
+    FrameAuthenticator,
+    Handlers,
+    Peer,
+    read_frame,
+    serve_connection,
+)
+from meadowdock.rpc.frame import FrameReader
+from meadowdock.rpc.link import FrameWriter
 
 KEY = b"k" * 32
 
@@ -28,8 +35,8 @@
 
     async def main():
         here, there = await streams()
-        sender, came, waited = Sender(1000), [], 0
-        sender.attach(here, Proof(KEY, b"out"))
+        sender, came, waited = FrameWriter(1000), [], 0
+        sender.attach(here, FrameAuthenticator(KEY, b"out"))
 
         async def write():
             nonlocal waited
@@ -39,7 +46,7 @@
                 sender.sent()
 
         async def read():
-            reader, into = Reader(there), Proof(KEY, b"out")
+            reader, into = FrameReader(there), FrameAuthenticator(KEY, b"out")
             while len(came) < len(bodies):
                 came.append(await read_frame(reader, into))
             nursery.cancel_scope.cancel()
@@ -67,14 +74,16 @@
 
     async def main():
         class Net:
-            async def open_link(self, address):
+            async def open_stream(self, address):
                 here, there = await streams()
-                nursery.start_soon(serve, there, KEY, random.Random(2), "there", handlers, print)
+                nursery.start_soon(
+                    serve_connection, there, KEY, random.Random(2), "there", handlers, print
+                )
                 return here
 
         async with trio.open_nursery() as nursery:
             me = Peer("here", "10.0.0.8:1")
-            links = Links(nursery, Net(), KEY, random.Random(3), me, lambda *_, **__: None)
+            links = ConnectionPool(nursery, Net(), KEY, random.Random(3), me, lambda *_, **__: None)
             due = round((trio.current_time() + 20) * 1_000_000)
             sizes = [random.Random(n).choice((1, 2_000, 200_000)) for n in range(80)]
             asks = {n: ("a", "echo", [n, b"x" * size]) for n, size in enumerate(sizes)}
--- a/tests/rpc/test_wire.py
+++ b/tests/rpc/test_wire.py
@@ -7,7 +7,14 @@
 import pytest
 import trio
 
-from meadowdock.rpc import ConnectionFailed, Handlers, Links, Peer, Rejected, serve
+from meadowdock.rpc import (
+    ConnectionFailed,
+    ConnectionPool,
+    Handlers,
+    Peer,
+    Rejected,
+    serve_connection,
+)
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import SimNet, run
 
@@ -28,16 +35,18 @@
 
     async def work(process, nursery):
         async def answer(stream):
-            await serve(stream, KEY, random.Random(2), "there", handlers, lambda *_, **__: None)
+            await serve_connection(
+                stream, KEY, random.Random(2), "there", handlers, lambda *_, **__: None
+            )
 
-        await nursery.start(process.net.serve_links, "10.0.0.9:1", answer)
+        await nursery.start(process.net.serve_streams, "10.0.0.9:1", answer)
         process.up.set()
 
     process = world.launch("there", "10.0.0.9", work)
     await process.up.wait()
     net = SimNet(world.web, "10.0.0.8")
     me = Peer("here", "10.0.0.8:1")
-    links = Links(world.nursery, net, key, random.Random(3), me, lambda *_, **__: None)
+    links = ConnectionPool(world.nursery, net, key, random.Random(3), me, lambda *_, **__: None)
     return links, ran, process
 
 
@@ -71,7 +80,7 @@
         with trio.move_on_after(0.1):
             await links.call("10.0.0.9:1", "echo", [10 * SECOND, "x"], monotonic_us() + 20 * SECOND)
         assert len(ran) == 1
-        link = links.links["10.0.0.9:1"]
+        link = links.connections["10.0.0.9:1"]
         assert len(link.pending) == 0
         assert link.broken is None
 
@@ -96,7 +105,7 @@
         half = next(iter(process.net.halves))
         half.arrive(b"\x00\x00\x00\x05" + b"s" * 16 + b"hello")
         await sleep_us(SECOND)
-        assert links.links["10.0.0.9:1"].broken is not None
+        assert links.connections["10.0.0.9:1"].broken is not None
         assert await links.call("10.0.0.9:1", "echo", [0, "b"], monotonic_us() + SECOND) == [
             "here",
             "b",
@@ -125,7 +134,7 @@
 
 
 def test_a_call_that_came_after_its_due_is_not_handled_even_if_its_cancel_was_lost(monkeypatch):
-    monkeypatch.setattr("meadowdock.rpc.link.Link.cancel", lambda *_: None)
+    monkeypatch.setattr("meadowdock.rpc.link.ClientConnection.cancel", lambda *_: None)
 
     async def scenario(world):
         links, ran, _ = await pair(world)
--- a/tests/simulator/test_scale.py
+++ b/tests/simulator/test_scale.py
@@ -9,8 +9,8 @@
 import trio
 import trio.testing
 
-from meadowdock.rpc import Links, Peer, serve
-from meadowdock.rpc.frame import Proof
+from meadowdock.rpc import ConnectionPool, Peer, serve_connection
+from meadowdock.rpc.frame import FrameAuthenticator
 from meadowdock.simulator.scale import (
     TABLES,
     Meter,
@@ -87,15 +87,15 @@
         def __init__(self, nursery):
             self.nursery = nursery
 
-        async def open_link(self, address):
+        async def open_stream(self, address):
             mine, theirs = trio.testing.memory_stream_pair()
             far = Metered(theirs, meter, "far", opener=False)
-            self.nursery.start_soon(serve, far, key, Rng, "far", Handlers, Log())
+            self.nursery.start_soon(serve_connection, far, key, Rng, "far", Handlers, Log())
             return Metered(mine, meter, "near", opener=True)
 
     async def main():
         async with trio.open_nursery() as nursery:
-            links = Links(nursery, Net(nursery), key, Rng, Peer("near", "n:1"), Log())
+            links = ConnectionPool(nursery, Net(nursery), key, Rng, Peer("near", "n:1"), Log())
             due = round(trio.current_time() * 1e6) + 5_000_000
             for size in (1, 1000, 70_000):
                 await links.call("f:1", "some.method", "y" * size, due)
@@ -107,7 +107,7 @@
             assert meter.frames[one, method, "sent"] == frames[one == "far"]
             for table in (meter.frames, meter.bytes):
                 assert table[one, method, "sent"] == table[other, method, "received"]
-    plain = Proof(b"", b"")
+    plain = FrameAuthenticator(b"", b"")
     assert meter.bytes["near", "some.method", "sent"] > 71_001 + 3 * len(plain.seal(b""))
 
 
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -39,8 +39,15 @@
 )
 from meadowdock.config_store.store import Store
 from meadowdock.logs import CATALOGUE
-from meadowdock.rpc import ConnectionFailed, Link, Peer, Proof, Rejected, serve
-from meadowdock.rpc.link import Handlers, greet, pack, unpack
+from meadowdock.rpc import (
+    ClientConnection,
+    ConnectionFailed,
+    FrameAuthenticator,
+    Peer,
+    Rejected,
+    serve_connection,
+)
+from meadowdock.rpc.link import Handlers, client_handshake, pack, unpack
 from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, monotonic_us, sleep_us
 from meadowdock.settings import BootErrors, load
 from meadowdock.simulator import SimDisk, run
@@ -242,7 +249,7 @@
             try:
                 answer = await original(address, method, args, due)
             except Rejected as refused:
-                self.refusals.setdefault(name, {})[refused.code] = sorted(refused.facts)
+                self.refusals.setdefault(name, {})[refused.code] = sorted(refused.details)
                 raise
             self.answers.setdefault(name, packed(answer))
             return answer
@@ -398,7 +405,7 @@
 
 async def ask_rare_methods(world, files):
     """The methods that only losses or former versions call."""
-    links = world.node("mdreg", world.core[0]).links
+    links = world.node("mdreg", world.core[0]).rpc
     disk = f"{STORING_ROLE}-{world.core[0]}"
     chunk = next(name for name in sorted(files) if name.startswith(f"{disk}/blob/")).split("/")[2]
     key = next(name for name in sorted(files) if name.startswith(f"{disk}/key/")).split("/")[2]
@@ -646,11 +653,17 @@
     outcomes = []
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
-            serve, there, FLEET_KEY, random.Random(2), "mdconf@10.0.0.1", link_handlers(), silent
+            serve_connection,
+            there,
+            FLEET_KEY,
+            random.Random(2),
+            "mdconf@10.0.0.1",
+            link_handlers(),
+            silent,
         )
         me = Peer("mdreg@10.0.0.2", "10.0.0.2:7411")
-        reader, out, into, peer = await greet(here, FLEET_KEY, random.Random(1), me)
-        link = Link(peer, monotonic_us())
+        reader, out, into, peer = await client_handshake(here, FLEET_KEY, random.Random(1), me)
+        link = ClientConnection(peer, monotonic_us())
         nursery.start_soon(link.run, here, reader, out, into)
         for method in ("echo", "refuse", "unknown", "wait"):
             try:
@@ -659,7 +672,7 @@
                     [method, await link.call(method, args, monotonic_us() + 300 * MILLISECOND)]
                 )
             except Rejected as refused:
-                outcomes.append([method, refused.code, refused.facts])
+                outcomes.append([method, refused.code, refused.details])
             except ConnectionFailed as failed:
                 outcomes.append([method, "failed", failed.sent])
         await sleep_us(SECOND)
@@ -669,13 +682,13 @@
 
 def sealed_frames():
     """Frames of one direction under a fixed key: the proof of each counts those before it."""
-    proof = Proof(FLEET_KEY, b"out")
+    proof = FrameAuthenticator(FLEET_KEY, b"out")
     return [proof.seal(body).hex() for body in (b"", b"first", b"first", b"\x00" * 100)]
 
 
 def opened_frames(frames):
     """The bodies of sealed frames; None for one that fails its proof."""
-    proof = Proof(FLEET_KEY, b"out")
+    proof = FrameAuthenticator(FLEET_KEY, b"out")
     return [readable(proof.open(bytes.fromhex(frame)[4:])) for frame in frames]
 
 
