--- a/packages/admin_http/meadowdock/admin_http/__init__.py
+++ b/packages/admin_http/meadowdock/admin_http/__init__.py
@@ -17,15 +17,15 @@
 
 PROBES = ("/live", "/ready")
 Headers = list[tuple[bytes, bytes]]
-Handler = Callable[..., Awaitable["Reply"]]  # of an App's owner and a Request
+Handler = Callable[..., Awaitable["Response"]]  # of an App's owner and a Request
 BROKE = [(b"md-verdict", b"may-have-run")]
 
 
-class TooLarge(Exception):
+class BodyTooLarge(Exception):
     """A request's body is over the limit."""
 
 
-class HungUp(Exception):
+class ClientDisconnected(Exception):
     """The caller closed the connection before the end of its request."""
 
 
@@ -46,26 +46,26 @@
         return next((v.decode("latin-1") for n, v in self.headers if n == name), None)
 
     async def body(self, limit: int | None = None) -> bytes:
-        """The whole body; raises TooLarge or HungUp."""
+        """The whole body; raises BodyTooLarge or ClientDisconnected."""
         limit = limit or self.body_max
         length = self.header(b"content-length")
         if length and length.isdigit() and int(length) > limit:
-            raise TooLarge
+            raise BodyTooLarge
         chunks, size = [], 0
         while True:
             event = await self.receive()
             if event["type"] == "http.disconnect":
-                raise HungUp
+                raise ClientDisconnected
             chunks.append(event.get("body", b""))
             size += len(chunks[-1])
             if size > limit:
-                raise TooLarge
+                raise BodyTooLarge
             if not event.get("more_body"):
                 return b"".join(chunks)
 
 
 @dataclass
-class Reply:
+class Response:
     """An answer; a body that isn't bytes is sent as JSON."""
 
     status: int
@@ -83,7 +83,7 @@
         ]
 
 
-class Table:
+class RouteTable:
     """Handlers by method and path; a path that ends in "*" takes all below it."""
 
     def __init__(self) -> None:
@@ -120,7 +120,7 @@
 class App:
     """The ASGI side. Invariant: working counts requests that were begun and not yet answered."""
 
-    def __init__(self, table: Table, owner: Any, log: Callable[..., None] | None) -> None:
+    def __init__(self, table: RouteTable, owner: Any, log: Callable[..., None] | None) -> None:
         self.table, self.owner, self.log = table, owner, log
         self.working = 0
         self.came_at = 0  # when the last request came that was no probe
@@ -145,12 +145,12 @@
         try:
             try:
                 reply, (data, headers) = await self.replied(request)
-            except HungUp:
+            except ClientDisconnected:
                 return
             except Exception as cause:  # a handler's defect: nobody can tell what was done
                 if self.log:
                     self.log(801, path=request.path, cause=repr(cause))
-                reply = Reply(500, {"code": "broke", "verdict": "may-have-run"}, BROKE)
+                reply = Response(500, {"code": "broke", "verdict": "may-have-run"}, BROKE)
                 data, headers = reply.lines()
             if self.closing or reply.status == 413:
                 headers.append((b"connection", b"close"))
@@ -159,16 +159,16 @@
         finally:
             self.working -= 1
 
-    async def replied(self, request: Request) -> tuple[Reply, tuple[bytes, Headers]]:
-        """The reply, and its lines: (Reply, (bytes, headers)). Raises HungUp."""
+    async def replied(self, request: Request) -> tuple[Response, tuple[bytes, Headers]]:
+        """The reply, and its lines: (Response, (bytes, headers)). Raises ClientDisconnected."""
         handler = self.table.find(request.method, request.path)
         try:
             if handler is None:
-                reply = Reply(404, {"code": "not_found"})
+                reply = Response(404, {"code": "not_found"})
             else:
                 reply = await handler(self.owner, request)
-        except TooLarge:
-            reply = Reply(413, {"code": "too_large", "verdict": "not-run"})
+        except BodyTooLarge:
+            reply = Response(413, {"code": "too_large", "verdict": "not-run"})
         return reply, reply.lines()
 
     async def idle(self) -> None:
--- a/packages/client/meadowdock/client/endpoint.py
+++ b/packages/client/meadowdock/client/endpoint.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from meadowdock.admin_http import App, Reply, Table
+from meadowdock.admin_http import App, Response, RouteTable
 from meadowdock.client.record import Got
 from meadowdock.runtime import (
     MILLISECOND,
@@ -25,7 +25,7 @@
     keeps the keys of run-once calls: with one, a key runs at most once here.
     Invariant: token is None iff this endpoint must enrol (again)."""
 
-    table = Table()
+    table = RouteTable()
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
 
     @table.on("GET", "/md/identity")
     async def identity(self, request):
-        return Reply(200, {"service": self.service, "incarnation": self.incarnation})
+        return Response(200, {"service": self.service, "incarnation": self.incarnation})
 
     @table.otherwise
     async def called(self, request):
@@ -66,12 +66,12 @@
         wanted = request.header(b"md-incarnation")
         if wanted is not None and wanted != self.incarnation:
             # meant for a former holder of this address: surely not run
-            return Reply(503, {"code": "other_incarnation"}, [(b"md-verdict", b"not-run")])
+            return Response(503, {"code": "other_incarnation"}, [(b"md-verdict", b"not-run")])
         data = await request.body()
         try:
             body = json.loads(data) if data else None
         except ValueError:
-            return Reply(400, {"code": "malformed"})
+            return Response(400, {"code": "malformed"})
         got = Got(
             request.method,
             request.path,
@@ -88,7 +88,7 @@
             if got.key and self.record is not None:
                 reply = await self.record.answer(got, self.handler)
             else:
-                reply = Reply(*await self.handler(got))
+                reply = Response(*await self.handler(got))
         finally:
             self.working -= 1
         load = self.load()
--- a/packages/client/meadowdock/client/record.py
+++ b/packages/client/meadowdock/client/record.py
@@ -19,7 +19,7 @@
 
 import ormsgpack
 
-from meadowdock.admin_http import Reply
+from meadowdock.admin_http import Response
 from meadowdock.runtime import MemoryDisk, fingerprint, sealed, unsealed
 
 MOST = 10_000
@@ -52,7 +52,7 @@
 
 
 def said(status, code, verdict):
-    return Reply(status, {"code": code, "verdict": verdict}, [(b"md-verdict", verdict.encode())])
+    return Response(status, {"code": code, "verdict": verdict}, [(b"md-verdict", verdict.encode())])
 
 
 class Record:
@@ -87,7 +87,7 @@
                 return said(422, "key_mismatch", "not-run")
             if kept.status is None:
                 return said(409, "key_may_have_run", "may-have-run")
-            return Reply(kept.status, kept.body)
+            return Response(kept.status, kept.body)
         if got.repeat:
             return said(409, "key_may_have_run", "may-have-run")  # it may have run elsewhere
         self.number += 1
@@ -99,7 +99,7 @@
         await self.keep(name, kept)
         self.known[name] = kept
         await self.forget()
-        return Reply(status, data)
+        return Response(status, data)
 
     async def keep(self, name, kept):
         body = ormsgpack.packb([kept.of, kept.number, kept.status, kept.body])
--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -22,8 +22,8 @@
         self.node, self.store, self.others = node, store, others
         self.fresh, self.fresh_bytes = {}, 0
         self.packed = PackedCache(self.read)
-        hedge_us = node.boot.apply_us // HEDGE_PART
-        self.fetcher = Fetcher(node.rpc, node.boot.link, hedge_us, WHOLE)
+        hedge_us = node.settings.apply_us // HEDGE_PART
+        self.fetcher = Fetcher(node.rpc, node.settings.link, hedge_us, WHOLE)
 
     async def read(self, name):
         """The body of a chunk from memory or disk, or None."""
@@ -40,7 +40,7 @@
 
     async def fetch(self, names, deadline=None):
         """{name: body} of those that are to be had. A disk or a member that stalls holds up nobody."""
-        limit = monotonic_us() + self.node.boot.apply_us // FETCH_PART
+        limit = monotonic_us() + self.node.settings.apply_us // FETCH_PART
         deadline = limit if deadline is None else min(deadline, limit)
         members = self.fetcher.spread(self.others().values())
         found = {name: self.fresh[name] for name in names if name in self.fresh}
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -28,7 +28,7 @@
         if daemon.store.record["next"] is not None:
             return True
         target = daemon.target()
-        return target is not None and daemon.node.boot.link not in target
+        return target is not None and daemon.node.settings.link not in target
 
     async def leave_membership(self, deadline):
         """Wait for a spare to take this voter's place, as long as one can. The others know by
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -12,7 +12,7 @@
 import ormsgpack
 import trio
 
-from meadowdock.admin_http import Reply
+from meadowdock.admin_http import Response
 from meadowdock.config_store.exceptions import RevisionConflict
 from meadowdock.config_store.store import HEAD, disk_failures_rejected
 from meadowdock.configuration import SIZE_MAX, cut_items
@@ -262,19 +262,19 @@
             facts = json.loads(await request.body(SIZE_MAX))
             items = facts["items"]
         except (ValueError, KeyError, TypeError, RecursionError):
-            return Reply(400, {"code": "malformed", "detail": 'wanted: {"items": [...]}'})
+            return Response(400, {"code": "malformed", "detail": 'wanted: {"items": [...]}'})
         try:
             version = await self.change(items)
         except config_items.Invalid as invalid:
-            return Reply(422, {"code": "invalid", "errors": invalid.errors})
+            return Response(422, {"code": "invalid", "errors": invalid.errors})
         except config_items.VersionConflict as conflict:
-            return Reply(409, version_conflict(conflict))
-        return Reply(200, {"state": "accepted", "version": version})
+            return Response(409, version_conflict(conflict))
+        return Response(200, {"state": "accepted", "version": version})
 
     async def make_read(self, request):
         """GET /items"""
         version, items = await self.read(monotonic_us() + self.daemon.read_wait)
-        return Reply(200, {"version": version, "items": items})
+        return Response(200, {"version": version, "items": items})
 
 
 def version_conflict(conflict):
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -37,7 +37,8 @@
         """Ask every other mdconf known; take newer records; bootstrap if this one may."""
         self.excuse_pause(self.still.look(monotonic_us()))
         asked = {
-            a: (a, "member.hello", {"link": self.node.boot.link}) for a in self.known_addresses()
+            a: (a, "member.hello", {"link": self.node.settings.link})
+            for a in self.known_addresses()
         }
         answers = await self.node.rpc.successful_responses(
             asked, monotonic_us() + self.timing.ask_us
@@ -63,7 +64,7 @@
                 *self.node.view.core("mdconf"),
                 *self.met,
             }
-            - {self.node.boot.link}
+            - {self.node.settings.link}
         )
 
     def excuse_pause(self, stood):
@@ -100,7 +101,7 @@
         fresh = {
             a: h for a, h in self.heard.items() if monotonic_us() - h.at < self.timing.silent_us
         }
-        return {**fresh, self.node.boot.link: me}
+        return {**fresh, self.node.settings.link: me}
 
     def silence(self, address):
         """How long an address has not answered."""
@@ -109,7 +110,7 @@
     @handlers.on("member.hello")
     async def on_hello(self, peer, asker):
         """Who this member is, its record, and whether it is well, leaving and in touch with a quorum."""
-        if asker and asker["link"] != self.node.boot.link:
+        if asker and asker["link"] != self.node.settings.link:
             self.met[asker["link"]] = monotonic_us()
         return {
             "disk": self.store.disk,
@@ -132,10 +133,10 @@
     def may_bootstrap(self, answers):
         """The lowest founder, once all are blank and were told the same founders: so of two
         differing lists none is founded, and a disk that was lost never stands for a blank one."""
-        others = set(self.founders) - {self.node.boot.link}
+        others = set(self.founders) - {self.node.settings.link}
         return (
             self.blank()
-            and self.node.boot.link == self.founders[0]
+            and self.node.settings.link == self.founders[0]
             and all(
                 a in answers and tuple(answers[a]["founders"] or ()) == self.founders
                 for a in others
@@ -144,8 +145,8 @@
 
     async def bootstrap(self, answers):
         """Make the first membership record and send it to the others."""
-        voters = {answers[a]["disk"]: a for a in self.founders if a != self.node.boot.link}
-        voters[self.store.disk] = self.node.boot.link
+        voters = {answers[a]["disk"]: a for a in self.founders if a != self.node.settings.link}
+        voters[self.store.disk] = self.node.settings.link
         places = {t["disk"]: place_told(t) for t in answers.values()}
         places[self.store.disk] = self.place
         record = with_places({"version": 1, "voters": voters, "next": None}, places)
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -5,7 +5,7 @@
 
 import json
 
-from meadowdock.admin_http import Reply
+from meadowdock.admin_http import Response
 from meadowdock.config_store.exceptions import MembershipConflict
 from meadowdock.config_store.liveness import Liveness
 from meadowdock.config_store.membership_change import MembershipChange
@@ -24,14 +24,14 @@
 
     def watch_members(self):
         """Set up from the boot; called by the constructor of Part."""
-        boot = self.node.boot
-        self.founders = tuple(sorted(boot.members or boot.seeds))
-        self.by_hand = bool(boot.members)  # operators choose; only lost disks are mended
-        self.founding = getattr(boot, "founding", True)
-        self.timing = MembershipTiming.of(boot)
-        self.place = FailureDomain(boot.hall, getattr(boot, "region", ""))
-        self.losses = getattr(boot, "losses", 1)
-        self.store.tolerance = self.tolerance = self.losses_to_bear(boot)
+        settings = self.node.settings
+        self.founders = tuple(sorted(settings.members or settings.seeds))
+        self.by_hand = bool(settings.members)  # operators choose; only lost disks are mended
+        self.founding = getattr(settings, "may_bootstrap", True)
+        self.timing = MembershipTiming.of(settings)
+        self.place = FailureDomain(settings.zone, getattr(settings, "region", ""))
+        self.losses = getattr(settings, "losses", 1)
+        self.store.tolerance = self.tolerance = self.losses_to_bear(settings)
         self.heard, self.met = {}, {}
         self.begun = self.known_at = monotonic_us()
         self.still = PauseDetector(SECOND, monotonic_us())
@@ -52,17 +52,17 @@
 
     # ------------------------------------------------------------ who should be a voter
 
-    def losses_to_bear(self, boot):
+    def losses_to_bear(self, settings):
         """Where operators chose the members, durability is what a majority of those can give."""
         if self.by_hand:
             return Tolerance()
         return Tolerance(
-            self.losses, getattr(boot, "zone_losses", 0), getattr(boot, "region_losses", 0)
+            self.losses, getattr(settings, "zone_losses", 0), getattr(settings, "region_losses", 0)
         )
 
     def spare(self):
         """No voter, and none is wanted."""
-        record, there, me = self.store.record, self.reachable(), self.node.boot.link
+        record, there, me = self.store.record, self.reachable(), self.node.settings.link
         if self.by_hand or me in self.store.everybody.values():
             return False
         if len(record["voters"]) >= wanted_voters(
@@ -91,7 +91,7 @@
         there = self.reachable()
         voters = {a: d for d, a in self.store.record["voters"].items()}
         swapped = {a for a, d in voters.items() if a in there and there[a].disk != d}
-        me = self.node.boot.link
+        me = self.node.settings.link
         if not self.store.voter and me not in swapped:
             return None
         answering = [a for a in voters if a in there and a not in swapped]
@@ -112,7 +112,9 @@
             leaving=tuple(sorted(a for a in voters if a in there and there[a].leaving)),
             dead=tuple(a for a in silent if self.silence(a) > self.timing.drop_us),
             quiet=frozenset(
-                a for a in voters - {self.node.boot.link} if self.silence(a) > self.timing.quiet_us
+                a
+                for a in voters - {self.node.settings.link}
+                if self.silence(a) > self.timing.quiet_us
             ),
             candidates=candidates,
             places=self.places_by_address(there),
@@ -167,7 +169,7 @@
             for d, a in record["voters"].items()
             if a in there and there[a].disk == d and there[a].well and not there[a].leaving
         )
-        me = self.node.boot.link
+        me = self.node.settings.link
         return able.index(me) if me in able else min(len(able), 2)
 
     def wish(self):
@@ -226,7 +228,7 @@
     async def answers_now(self, address):
         """Whether the mdconf at an address answers: who is replaced by another disk at its own
         address must be there, or nothing would change and be told as done."""
-        me = self.node.boot.link
+        me = self.node.settings.link
         asks = {address: (address, "member.hello", {"link": me})}
         deadline = monotonic_us() + self.timing.ask_us
         return address == me or bool(await self.node.rpc.successful_responses(asks, deadline))
@@ -240,20 +242,20 @@
                 addresses = set(facts["set"])
             else:
                 if facts["old"] not in addresses:
-                    return Reply(404, {"code": "member_unknown", "members": sorted(addresses)})
+                    return Response(404, {"code": "member_unknown", "members": sorted(addresses)})
                 addresses = addresses - {facts["old"]} | {facts["new"]}
                 if facts["old"] == facts["new"] and not await self.answers_now(facts["new"]):
-                    return Reply(409, {"code": "absent", "absent": [facts["new"]]})
+                    return Response(409, {"code": "absent", "absent": [facts["new"]]})
             if not all(isinstance(a, str) for a in addresses) or len(addresses) not in (1, 3, 5):
                 raise ValueError
         except (ValueError, KeyError, TypeError):
-            return Reply(400, {"code": "malformed", "detail": "1, 3 or 5 members by ip:port"})
+            return Response(400, {"code": "malformed", "detail": "1, 3 or 5 members by ip:port"})
         try:
             record = await self.change_members(addresses, monotonic_us() + self.timing.operator_us)
         except MembershipConflict as conflict:
-            return Reply(409, {"code": conflict.code, **conflict.facts})
+            return Response(409, {"code": conflict.code, **conflict.facts})
         self.node.log(607, version=record["version"], members=sorted(record["voters"].values()))
-        return Reply(
+        return Response(
             200,
             {
                 "state": "changed",
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -81,7 +81,7 @@
             if a not in there
             else there[a].disk != disk or not there[a].well
             for disk, a in newcomers.items()
-            if a != self.node.boot.link
+            if a != self.node.settings.link
         )
 
     async def revert_change(self, record, deadline):
@@ -95,7 +95,7 @@
 
     async def disks_at(self, addresses, deadline):
         """{disk id: address}; MembershipConflict if one that is no voter doesn't answer."""
-        me, voters = self.node.boot.link, self.store.record["voters"]
+        me, voters = self.node.settings.link, self.store.record["voters"]
         silent = {
             a for a in voters.values() if self.silence(a) > self.timing.silent_us
         }  # not waited for
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -8,7 +8,7 @@
 import ormsgpack
 
 from meadowdock import audit
-from meadowdock.admin_http import Reply
+from meadowdock.admin_http import Response
 from meadowdock.config_store import repair
 from meadowdock.config_store.exceptions import PlanExpired, RevisionConflict
 from meadowdock.config_store.item_changes import item_ranges, own_ranges
@@ -36,7 +36,7 @@
         data = await request.body(SIZE_MAX)
         found = await self.daemon.node.runtime.offload(checked, data)
         if not is_successful(found):
-            return Reply(422, {"code": "invalid", "errors": found.failure()})
+            return Response(422, {"code": "invalid", "errors": found.failure()})
         facts = found.unwrap()
         head = await self.daemon.read_head(monotonic_us() + self.daemon.operate_wait)
         old = await self.daemon.manifest_of(own_ranges(head)) if own_ranges(head) else EMPTY
@@ -45,7 +45,7 @@
         items = item_ranges(head)
         names = [*(name for name, _ in ranges), *items]
         if names == head["ranges"]:
-            return Reply(200, {"plan": None, "base": head["version"], "changes": changes})
+            return Response(200, {"plan": None, "base": head["version"], "changes": changes})
         made = self.daemon.node.runtime.wall_us()
         planned = {"base": head["version"], "ranges": names, "items": len(items), "made": made}
         body = ormsgpack.packb(planned)
@@ -54,7 +54,7 @@
             {**dict(ranges), plan: body}, monotonic_us() + 2 * self.daemon.operate_wait
         )
         self.daemon.node.log(604, plan=plan, base=head["version"])
-        return Reply(
+        return Response(
             200,
             {
                 "plan": plan,
@@ -75,7 +75,7 @@
         try:
             plan = json.loads(await request.body(65536))["plan"]
         except (ValueError, KeyError, TypeError):
-            return Reply(400, {"code": "malformed"})
+            return Response(400, {"code": "malformed"})
         if not is_fingerprint(plan):
             return PLAN_UNKNOWN
         head = await self.daemon.read_head(monotonic_us() + self.daemon.operate_wait)
@@ -155,7 +155,7 @@
                 changed = difference(old, await self.daemon.manifest_of(newer) if newer else EMPTY)
         except NoQuorum:
             pass  # too old: its range files are gone
-        return Reply(
+        return Response(
             409,
             {
                 "code": "outdated",
@@ -220,7 +220,7 @@
             state = "outdated"
         else:
             state = "expired" if self.expired(facts) else "open"
-        return Reply(
+        return Response(
             200,
             {
                 "plan": plan,
@@ -243,10 +243,10 @@
             "plan": head["plan"],
             "manifest": await self.daemon.manifest_of(own) if own else EMPTY,
         }
-        return Reply(200, {**facts, "items": standing(items)} if items else facts)
+        return Response(200, {**facts, "items": standing(items)} if items else facts)
 
 
-PLAN_UNKNOWN = Reply(
+PLAN_UNKNOWN = Response(
     404,
     {
         "code": "plan_unknown",
@@ -257,13 +257,13 @@
 
 def confirmed(plan, version):
     """The answer to a plan that was committed."""
-    return Reply(200, {"state": "confirmed", "plan": plan, "version": version})
+    return Response(200, {"state": "confirmed", "plan": plan, "version": version})
 
 
 def plan_expired(plan):
     """The answer to a plan that is too old."""
     detail = f"a plan can be confirmed for {repair.PLAN_LIFE // SECOND} s; plan again"
-    return Reply(410, {"code": "plan_expired", "plan": plan, "detail": detail})
+    return Response(410, {"code": "plan_expired", "plan": plan, "detail": detail})
 
 
 def kept_version(head, plan):
--- a/packages/config_store/meadowdock/config_store/quorum_monitor.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -79,9 +79,9 @@
     async def probe(self, writing):
         """Answers of all other members, as far as they come before a quorum is in touch."""
         answers, node = [], self.daemon.node
-        wait = min(node.boot.contact_us // PROBE_SHARE, self.daemon.timing.ask_us)
+        wait = min(node.settings.contact_us // PROBE_SHARE, self.daemon.timing.ask_us)
         deadline = monotonic_us() + wait
-        asker = {"link": node.boot.link}
+        asker = {"link": node.settings.link}
 
         async def one(address):
             try:
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -9,7 +9,7 @@
 import trio
 
 from meadowdock import audit, process
-from meadowdock.admin_http import Reply, Table, TooLarge
+from meadowdock.admin_http import BodyTooLarge, Response, RouteTable
 from meadowdock.config_store.chunks import Chunks
 from meadowdock.config_store.exceptions import QuorumUnreachable
 from meadowdock.config_store.handover import Handover
@@ -43,7 +43,7 @@
 class ConfigStore(Members, process.Daemon):
     """One mdconf: a voter or spare of the register, and the listener for operators."""
 
-    table = Table()
+    table = RouteTable()
     handlers = Handlers()
 
     def __init__(self, node):
@@ -66,7 +66,7 @@
         self.rosters = {}
         self.watch_members()
 
-    def answers(self):
+    def rpc_handlers(self):
         """The link methods that this process answers."""
         return (
             ConfigStore.handlers.bind(self)
@@ -78,7 +78,7 @@
             | LeaseRegister.handlers.bind(self.leases)
         )
 
-    async def begin(self):
+    async def prepare(self):
         """Read the disk before anything is served."""
         await self.store.load()
         self.leases.begin()
@@ -87,31 +87,31 @@
     @cached_property
     def audit_key(self):
         """The key that signs audit records."""
-        return audit.signing_key(self.node.boot.fleet_key)
+        return audit.signing_key(self.node.settings.fleet_key)
 
     @property
     def operate_wait(self):
         """How long work for an operator goes on while a quorum is in touch."""
-        return self.node.boot.ack_us
+        return self.node.settings.ack_us
 
     @property
     def answer_wait(self):
         """How long an operator waits for a small change before the answer is that it is unclear."""
-        return self.node.boot.ack_us // 4
+        return self.node.settings.ack_us // 4
 
     @property
     def read_wait(self):
         """How long an operator waits for a read: one under way, and the next."""
-        return self.node.boot.ack_us // 2
+        return self.node.settings.ack_us // 2
 
     @property
     def reading_wait(self):
         """For one quorum read, with time to mend what a change left apart."""
-        return self.node.boot.ack_us // 4
+        return self.node.settings.ack_us // 4
 
     def operator_doors(self):
         """{name: address} where operators reach this member."""
-        return {OPERATORS: self.node.boot.http}
+        return {OPERATORS: self.node.settings.http}
 
     async def change_items(self, items):
         """The head's version, once a quorum holds the change. items: mditems' form.
@@ -128,7 +128,7 @@
             raise NoQuorum("members")
         return (await self.items.read(monotonic_us() + self.read_wait))[1]
 
-    def loops(self):
+    def background_tasks(self):
         """The loops that the node keeps going."""
         return {
             **self.member_loops(),
@@ -138,18 +138,18 @@
             "trail": self.trail.run,
         }
 
-    async def leaving(self):
+    async def announce_shutdown(self):
         """Hand the vote to a spare, as long as one can come."""
-        reserve = min(self.node.stop_within // 3, 3 * SECOND // 2)  # for what comes after it
+        reserve = min(self.node.stop_timeout_us // 3, 3 * SECOND // 2)  # for what comes after it
         if self.store.record:
-            await self.handover.leave_membership(self.node.stop_due - reserve)
+            await self.handover.leave_membership(self.node.stop_deadline - reserve)
 
-    async def drained(self):
+    async def drain(self):
         """Secure on others what only this disk may hold."""
         if self.store.record:
-            await self.handover.secure_state(self.node.stop_due - SECOND // 4)
+            await self.handover.secure_state(self.node.stop_deadline - SECOND // 4)
 
-    def not_ready(self):
+    def unready_reasons(self):
         """Why this process is not ready; empty if it is."""
         wrong = self.store.files.wrong()
         if self.store.record is None:
@@ -363,7 +363,7 @@
         state, records = await self.trail.records(head["version"], deadline)
         if head.get("record"):
             records[head["version"]] = head["record"]
-        return Reply(
+        return Response(
             200,
             {
                 "version": head["version"],
@@ -398,11 +398,11 @@
 
     def denied(self, request):
         """The refusal of a request without the operators' key, or None."""
-        key = self.node.boot.operator_key
+        key = self.node.settings.operator_key
         given = request.header(b"authorization") or ""
         if key is None or hmac.compare_digest(given.encode(), f"Bearer {key}".encode()):
             return None
-        return Reply(401, {"code": "operator_unknown"})
+        return Response(401, {"code": "operator_unknown"})
 
     @table.on("POST", "/plan")
     async def plan(self, request):
@@ -437,7 +437,7 @@
     @table.on("GET", "/status")
     async def status(self, request):
         """The state of the fleet as seen from here."""
-        return self.denied(request) or Reply(200, await status_of(self))
+        return self.denied(request) or Response(200, await status_of(self))
 
     async def operate(self, work, request, lost=None):
         """Answer an operator. With `lost`, the work needs a quorum in touch as long as it goes on;
@@ -446,9 +446,9 @@
         if denied:
             return denied
         if not self.store.record:
-            return Reply(503, {"code": "not_founded"}, [(b"retry-after", b"1")])
+            return Response(503, {"code": "not_founded"}, [(b"retry-after", b"1")])
         if request.method == "POST" and self.too_few():
-            return Reply(503, {"code": "too_few_members"}, [(b"retry-after", b"1")])
+            return Response(503, {"code": "too_few_members"}, [(b"retry-after", b"1")])
         try:
             if lost is None:
                 return await work(request)
@@ -457,13 +457,13 @@
             return await self.contact.keep(lambda: work(request), lambda: lost("contact"), writing)
         except QuorumUnreachable as cause:
             return no_contact(request, cause.listeners.get(OPERATORS))
-        except TooLarge:
-            return Reply(413, {"code": "too_large", "errors": [f"over {SIZE_MAX} bytes"]})
+        except BodyTooLarge:
+            return Response(413, {"code": "too_large", "errors": [f"over {SIZE_MAX} bytes"]})
         except NoQuorum:
             return no_quorum()
         except OutcomeUnknown:
             detail = "the change may have been made; ask about the plan"
-            return Reply(504, {"code": "unclear", "detail": detail})
+            return Response(504, {"code": "unclear", "detail": detail})
 
     # ------------------------------------------------------------ delivery
 
@@ -484,7 +484,7 @@
         """Staged everywhere first, then switched close together. Who misses it asks by itself."""
         proxies = sorted({a for r in self.rosters.values() for a in r["proxies"]})
         news = news_of(head)
-        wait = self.node.boot.apply_us * STAGE_PARTS[0] // STAGE_PARTS[1]
+        wait = self.node.settings.apply_us * STAGE_PARTS[0] // STAGE_PARTS[1]
         await self.node.rpc.call_all(
             {a: (a, "manifest.stage", news) for a in proxies}, monotonic_us() + wait
         )
@@ -496,7 +496,7 @@
 def no_quorum():
     """The answer when too few members answer and nothing was changed."""
     detail = "too few members of the register answer; nothing was changed"
-    return Reply(503, {"code": "no_majority", "detail": detail}, [(b"retry-after", b"1")])
+    return Response(503, {"code": "no_majority", "detail": detail}, [(b"retry-after", b"1")])
 
 
 def no_contact(request, door):
@@ -504,7 +504,7 @@
     if door is None:
         return no_quorum()
     location = f"http://{door}{request.path}"
-    return Reply(307, {"code": "elsewhere"}, [(b"location", location.encode())])
+    return Response(307, {"code": "elsewhere"}, [(b"location", location.encode())])
 
 
 def news_of(head):
--- a/packages/config_store/meadowdock/config_store/timing.py
+++ b/packages/config_store/meadowdock/config_store/timing.py
@@ -28,10 +28,10 @@
     catch_up_us: int = CATCH_UP
 
     @classmethod
-    def of(cls, boot):
+    def of(cls, settings):
         """The durations that follow from a boot."""
-        contact = getattr(boot, "contact_us", CONTACT)
-        return cls(max(contact, SHORTEST_CONTACT), getattr(boot, "catch_up_us", CATCH_UP))
+        contact = getattr(settings, "contact_us", CONTACT)
+        return cls(max(contact, SHORTEST_CONTACT), getattr(settings, "catch_up_us", CATCH_UP))
 
     @property
     def ask_us(self):
--- a/packages/configuration/meadowdock/configuration/ways.py
+++ b/packages/configuration/meadowdock/configuration/ways.py
@@ -60,7 +60,7 @@
         return made
 
     def way(self, caller, method, path):
-        """(the way, None), or (None, the shedding's code)."""
+        """(the way, None), or (None, the rejection's code)."""
         if not CLEAN.match(path):
             return None, "malformed"
         # the longest path that any way has decides; a caller without it falls to no shorter one
--- a/packages/forwarding/meadowdock/forwarding/gate.py
+++ b/packages/forwarding/meadowdock/forwarding/gate.py
@@ -44,7 +44,7 @@
             boot.name,
             boot.gate_port,
             boot.link,
-            boot.hall,
+            boot.zone,
         )
         self.caller_name = (boot.service or "guest").encode()
         self.peers = Peers(self, boot.fleet_key, boot.name, rng, log)
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -73,10 +73,15 @@
 
 def make_node(name: str, links: object = None, nursery: trio.Nursery = None) -> SimpleNamespace:
     """As much of a node as the register's code uses."""
-    boot = SimpleNamespace(link=name, hall="", members=(), seeds=("seed",), losses=1)
+    settings = SimpleNamespace(link=name, zone="", members=(), seeds=("seed",), losses=1)
     runtime = SimpleNamespace(rng=random.Random(name))
     return SimpleNamespace(
-        boot=boot, runtime=runtime, rpc=links, nursery=nursery, incarnation=0, stopping=False
+        settings=settings,
+        runtime=runtime,
+        rpc=links,
+        nursery=nursery,
+        incarnation=0,
+        stopping=False,
     )
 
 
--- a/packages/proxy/meadowdock/proxy/call.py
+++ b/packages/proxy/meadowdock/proxy/call.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from meadowdock.outcome import NOT_RUN, RAN, Shedding, shedding
+from meadowdock.outcome import NOT_RUN, RAN, Rejection, rejection
 
 HOP = {
     b"connection",
@@ -78,7 +78,7 @@
     incarnation: str | None = None  # what the neighbour's list told, for spilled calls
     started: bool = False
     hung_up: bool = False
-    outcome: Answer | Shedding | None = None
+    outcome: Answer | Rejection | None = None
     may_have_run: bool = False  # some try's fate is unknown
     tried: set = field(default_factory=set)  # neighbours that refused, or broke
     sends: int = 0  # to neighbours and endpoints
@@ -96,8 +96,8 @@
         return self.path + ("?" + self.query if self.query else "")
 
     def shed(self, code, detail="", **changes):
-        """The final word. Once a try may have run, no shedding may claim not-run."""
-        made = shedding(code, detail, **changes)
+        """The final word. Once a try may have run, no rejection may claim not-run."""
+        made = rejection(code, detail, **changes)
         if self.may_have_run and made.verdict is NOT_RUN:
-            made = shedding("lost", f"an earlier try may have run; then {code}")
+            made = rejection("lost", f"an earlier try may have run; then {code}")
         self.outcome = made
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -99,7 +99,7 @@
         return self.node.view.schedule.next_wakeup(self.part_of_apply(CONFIRM_PART))
 
     def part_of_apply(self, part):
-        return self.node.boot.apply_us // part
+        return self.node.settings.apply_us // part
 
     async def confirm(self):
         """Ask the core for the head; fetch and stage what is newer. A doubt that arose after the
--- a/packages/proxy/meadowdock/proxy/gatepart.py
+++ b/packages/proxy/meadowdock/proxy/gatepart.py
@@ -42,33 +42,33 @@
 
     def __init__(self, node):
         super().__init__(node)
-        boot = node.boot
+        settings = node.settings
         self.reactor = Reactor(node.log)
         make = getattr(node.runtime.net, "wires", None)
         self.wires = (
             make(node.nursery, self.reactor)
             if make
-            else Wires(boot.host, node.nursery, self.reactor)
+            else Wires(settings.host, node.nursery, self.reactor)
         )
         self.gate = Gate(
             self.wires,
             self.reactor,
             self.book,
             self.dialect,
-            boot,
+            settings,
             node.runtime.rng,
             node.log,
             self,
         )
         self.walker.listed = self.listed
-        self.book.window = BEATS * boot.beat_us + boot.beat_us // 3
+        self.book.window = BEATS * settings.heartbeat_us + settings.heartbeat_us // 3
         self.sequences, self.left = {}, OrderedDict()
         self.closing = trio.Event()
         self.leaves = False  # the doors are about to close
         self.listening = 0
 
-    def loops(self):
-        return super().loops() | {
+    def background_tasks(self):
+        return super().background_tasks() | {
             "reactor": self.reactor.run,
             "arrivals": self.serve_arrivals,
             "neighbours": self.serve_neighbours,
@@ -82,12 +82,12 @@
 
     async def serve_arrivals(self):
         self.listening += 1
-        await self.wires.listen(self.node.boot.gate, self.gate.accept, self.closing)
+        await self.wires.listen(self.node.settings.gate_address, self.gate.accept, self.closing)
 
     async def serve_neighbours(self):
-        boot = self.node.boot
+        settings = self.node.settings
         self.listening += 1
-        await self.wires.listen(f"{boot.host}:{boot.gate_port}", self.gate.peers.accept)
+        await self.wires.listen(f"{settings.host}:{settings.gate_port}", self.gate.peers.accept)
 
     async def tidy(self):
         await super().tidy()
@@ -111,25 +111,25 @@
             occupation = self.book.occupations[service]
             occupation.rho = min(1.0, occupation.rho * self.gate.slowness(service, at))
             line[0] = occupation.rho
-            line += [self.node.boot.hall, self.gate.slot_us(service)]
+            line += [self.node.settings.zone, self.gate.slot_us(service)]
         return told
 
     def tries(self, gate):
         """A new service's second tries."""
-        terms = self.node.boot.tries
+        terms = self.node.settings.retry_budget
         nodes = max(1, len({n.address for told in gate.told_nodes.values() for n in told}))
         ratio, reserve = SAFE * terms["ratio"], int(SAFE * terms["reserve"])
         return Tries(nodes, self.born, ratio, reserve, terms["window_us"])
 
-    def settings_changed(self, boot):
+    def settings_changed(self, settings):
         """New settings of a running process: the service beside, and the bounds of second tries."""
-        self.gate.caller_name = (boot.service or "guest").encode()
+        self.gate.caller_name = (settings.service or "guest").encode()
         self.gate.tries = {
             service: self.tries(self.gate).after(old) for service, old in self.gate.tries.items()
         }
 
-    def not_ready(self):
-        why = super().not_ready()
+    def unready_reasons(self):
+        why = super().unready_reasons()
         return [*why, *([] if self.listening >= 2 else ["the doors are not open yet"])]
 
     # ------------------------------------------------------------ endpoints
@@ -137,16 +137,20 @@
     async def look_beside(self):
         """A process that has just started asks the endpoint beside who it is, since its next beat
         may be a whole interval away."""
-        boot, words = self.node.boot, self.dialect
-        while boot.app and monotonic_us() - self.born < boot.beat_us and not self.book.by_address:
+        settings, words = self.node.settings, self.dialect
+        while (
+            settings.app_address
+            and monotonic_us() - self.born < settings.heartbeat_us
+            and not self.book.by_address
+        ):
             await sleep_us(LOOK)
-            service = self.gate.table.services.get(boot.service) if self.gate.table else None
+            service = self.gate.table.services.get(settings.service) if self.gate.table else None
             if not service or not service.get("health"):
                 continue
             at = monotonic_us()
             try:
                 with deadline_scope(at + LOOK_WAIT):
-                    connection = self.node.runtime.net.http(boot.app)
+                    connection = self.node.runtime.net.http(settings.app_address)
                     status, lines, _ = await connection.request("GET", service["health"], [], b"")
                     await connection.close()
                     self.found_beside(status, {n.lower(): v for n, v in lines}, words)
@@ -156,11 +160,13 @@
     def found_beside(self, status, facts, words):
         instance = facts.get(words.told_instance.lower(), b"").decode("latin-1")
         slots = facts.get(words.load.lower(), b"").split(b",")[-1]
-        boot = self.node.boot
+        settings = self.node.settings
         well = status == 200 and instance and slots.isdigit() and int(slots)
         if well and not self.book.by_address and instance not in self.left:
             at = monotonic_us()
-            self.book.hold(Endpoint(boot.service, boot.app, instance, int(slots), at, at))
+            self.book.hold(
+                Endpoint(settings.service, settings.app_address, instance, int(slots), at, at)
+            )
             self.reactor.end_turn()
 
     def endpoint_beat(self, facts):
@@ -171,7 +177,7 @@
             return  # late: something newer is known
         held = self.book.by_address.get(facts["address"])
         if held is None or held.incarnation != instance:
-            if facts["address"].rpartition(":")[0] not in self.node.boot.local:
+            if facts["address"].rpartition(":")[0] not in self.node.settings.local_addresses:
                 raise Denied(403, "not_local", "the endpoint's address is of another machine")
             if held is not None:
                 self.forget(held.incarnation)  # a late beat of it doesn't take the address back
@@ -210,11 +216,11 @@
 
     # ------------------------------------------------------------ stop
 
-    async def leaving(self):
+    async def announce_shutdown(self):
         self.gate.closing = True
 
-    async def drained(self):
-        gate, last = self.gate, self.node.stop_due - SECOND
+    async def drain(self):
+        gate, last = self.gate, self.node.stop_deadline - SECOND
         self.leaves = True
         await self.tell_core()
         while monotonic_us() - gate.came_at < QUIET and monotonic_us() < last:
@@ -226,4 +232,4 @@
             gate.shut()
             await sleep_us(10 * MILLISECOND)
         await sleep_us(FLUSH)
-        await super().drained()
+        await super().drain()
--- a/packages/proxy/meadowdock/proxy/keys.py
+++ b/packages/proxy/meadowdock/proxy/keys.py
@@ -37,7 +37,7 @@
         self.known = OrderedDict()
 
     def begin(self, caller, key, fingerprint, at):
-        """None: go on. An answer: the call ran, this is what it said. Else a shedding's code."""
+        """None: go on. An answer: the call ran, this is what it said. Else a rejection's code."""
         while self.known and next(iter(self.known.values())).at + KEEP < at:
             self.known.popitem(last=False)
         known = self.known.get((caller, key))
--- a/packages/proxy/meadowdock/proxy/part.py
+++ b/packages/proxy/meadowdock/proxy/part.py
@@ -9,10 +9,10 @@
 import trio
 
 from meadowdock import process
-from meadowdock.admin_http import HungUp, Reply, Table, TooLarge
+from meadowdock.admin_http import BodyTooLarge, ClientDisconnected, Response, RouteTable
 from meadowdock.configuration import GUEST
 from meadowdock.load_sharing import LoadList, Node
-from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, Shedding, shedding
+from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, Rejection, rejection
 from meadowdock.proxy.call import Answer, Call, passed_on
 from meadowdock.proxy.delivery import Delivery
 from meadowdock.proxy.endpoints import BEAT, WINDOW, Book, Denied
@@ -43,14 +43,14 @@
     """Invariants: lists only go up in (epoch, seq), from epoch_floor on, which is None until a
     registry told its highest epoch; walker.ways is delivery's active version."""
 
-    table = Table()
+    table = RouteTable()
     handlers = Handlers()
 
     def __init__(self, node):
         self.node = node
-        boot = node.boot
-        self.book = Book(boot.host, boot.fleet_key, node.log)
-        self.walker = Walker(node, self.book, Tries(boot.nodes_expected, monotonic_us()))
+        settings = node.settings
+        self.book = Book(settings.host, settings.fleet_key, node.log)
+        self.walker = Walker(node, self.book, Tries(settings.nodes_expected, monotonic_us()))
         self.delivery = Delivery(node, self.put_in_force)
         self.keys = Keys()
         self.asked_at = self.born = monotonic_us()
@@ -61,7 +61,7 @@
         self.beaten, self.registry_came = set(), trio.Event()
         node.view.heard = self.heard
 
-    def answers(self):
+    def rpc_handlers(self):
         return Part.handlers.bind(self) | Delivery.handlers.bind(self.delivery)
 
     @property
@@ -69,7 +69,7 @@
         """Is this node out of the rotation?"""
         return self.node.stopping
 
-    def loops(self):
+    def background_tasks(self):
         return {
             "manifest": self.delivery.run,
             "pulse": self.pulse_loop,
@@ -95,7 +95,7 @@
     def put_in_force(self, ways):
         self.walker.ways = ways
 
-    def not_ready(self):
+    def unready_reasons(self):
         age = monotonic_us() - self.born
         return [
             *([] if self.delivery.active else ["the core hasn't confirmed a manifest here yet"]),
@@ -134,7 +134,7 @@
         me = self.node.view.me
         beat = {
             "address": me.address,
-            "http": self.node.boot.http,
+            "http": self.node.settings.http,
             "role": "mdproxy",
             "hall": me.hall,
             "incarnation": me.incarnation,
@@ -215,7 +215,7 @@
     # ------------------------------------------------------------ endpoints
 
     def local(self, request):
-        if request.peer not in self.node.boot.local:
+        if request.peer not in self.node.settings.local_addresses:
             raise Denied(403, "not_local", f"only this machine's endpoints, not {request.peer}")
 
     async def facts(self, request, wanted):
@@ -247,7 +247,7 @@
                 raise Denied(503, "no_manifest")
             if facts["service"] not in self.walker.ways.services:
                 raise Denied(404, "service_unknown", facts["service"])
-            if facts["address"].rpartition(":")[0] not in self.node.boot.local:
+            if facts["address"].rpartition(":")[0] not in self.node.settings.local_addresses:
                 raise Denied(403, "not_local", "the endpoint's address is of another machine")
         except Denied as denied:
             return said(denied)
@@ -259,7 +259,7 @@
             monotonic_us(),
             self.node.runtime.wall_us(),
         )
-        return Reply(200, {"token": token, "beat_us": BEAT, "window_us": WINDOW})
+        return Response(200, {"token": token, "beat_us": BEAT, "window_us": WINDOW})
 
     @table.on("POST", "/md/beat")
     async def beat(self, request):
@@ -277,7 +277,7 @@
             )
         except Denied as denied:
             return said(denied)
-        return Reply(200, {"beat_us": BEAT, "window_us": WINDOW})
+        return Response(200, {"beat_us": BEAT, "window_us": WINDOW})
 
     @table.on("POST", "/md/leave")
     async def leave(self, request):
@@ -285,7 +285,7 @@
             self.book.leave((await self.facts(request, {"token": TOKEN}))["token"])
         except Denied as denied:
             return said(denied)
-        return Reply(200, {})
+        return Response(200, {})
 
     @table.on("GET", "/md/status")
     async def status(self, request):
@@ -294,7 +294,7 @@
         except Denied as denied:
             return said(denied)
         lists = self.walker.lists
-        return Reply(
+        return Response(
             200,
             {
                 "version": self.delivery.version,
@@ -319,14 +319,14 @@
         """Any other path is a call."""
         try:
             made = await self.admitted(request)
-        except TooLarge:
-            made = shedding("too_large")
+        except BodyTooLarge:
+            made = rejection("too_large")
         call = made if isinstance(made, Call) else None
         if call:
             self.walker.count("calls")
             self.walker.tries.request(monotonic_us())
             made = await self.watched(call, request)
-        if request.header(b"md-repeat") and isinstance(made, Shedding) and made.verdict is NOT_RUN:
+        if request.header(b"md-repeat") and isinstance(made, Rejection) and made.verdict is NOT_RUN:
             # what is refused here may have run where it was sent before
             made = replace(made, verdict=MAY_HAVE_RUN)
         return self.reply(made, call)
@@ -335,43 +335,45 @@
         """A Call, or the Shedding or earlier Answer that ends the request here."""
         ways = self.walker.ways
         if ways is None:
-            return shedding("no_manifest")
+            return rejection("no_manifest")
         if self.behind():
-            return shedding("busy", "this proxy is behind with its own work")
+            return rejection("busy", "this proxy is behind with its own work")
         await self.delivery.current()
         ways = self.walker.ways
         caller, token = GUEST, request.header(b"md-token")
         if token is not None:
             young = monotonic_us() - self.born < WINDOW
             caller = (
-                self.book.caller(token, young) if request.peer in self.node.boot.local else None
+                self.book.caller(token, young)
+                if request.peer in self.node.settings.local_addresses
+                else None
             )
             if caller is None:
-                return shedding("bad_token")
+                return rejection("bad_token")
         way, code = ways.way(caller, request.method, request.path)
         if way is None:
-            return shedding(code)
+            return rejection(code)
         body = await request.body(ways.services[way.service]["body_max"])
         key, due_us = request.header(b"md-key"), request.header(b"md-due")
         if key is not None and not NAME.match(key):
-            return shedding("malformed", "md-key must be 1 to 128 of A-Z a-z 0-9 . _ : -")
+            return rejection("malformed", "md-key must be 1 to 128 of A-Z a-z 0-9 . _ : -")
         if due_us is not None and not (due_us.isdigit() and len(due_us) < 16):
-            return shedding("malformed", "md-due must be whole microseconds")
+            return rejection("malformed", "md-due must be whole microseconds")
         repeat = request.header(b"md-repeat")
         if repeat not in (None, "1") or (repeat and key is None):
-            return shedding("malformed", "md-repeat must be 1, with an md-key")
+            return rejection("malformed", "md-repeat must be 1, with an md-key")
         if body and not is_json(body):
-            return shedding("malformed", "body is no JSON")
+            return rejection("malformed", "body is no JSON")
         if not request.query.isascii():
-            return shedding("malformed", "query")
+            return rejection("malformed", "query")
         total = min(way.total_us, int(due_us)) if due_us is not None else way.total_us
-        if self.node.stop_due is not None:
-            total = min(total, self.node.stop_due - monotonic_us() - 100 * MILLISECOND)
+        if self.node.stop_deadline is not None:
+            total = min(total, self.node.stop_deadline - monotonic_us() - 100 * MILLISECOND)
             if total <= 0:
-                return shedding("stopping")
+                return rejection("stopping")
         self.calls += 1
         return Call(
-            id=f"{self.node.incarnation:x}-{self.node.boot.host}-{self.calls}",
+            id=f"{self.node.incarnation:x}-{self.node.settings.host}-{self.calls}",
             caller=caller,
             method=request.method,
             path=request.path,
@@ -395,7 +397,7 @@
             )
             known = self.keys.begin(call.caller, call.key, print_of, monotonic_us())
             if isinstance(known, str):
-                return shedding(known)
+                return rejection(known)
             if known is not None:
                 return known
         try:
@@ -414,7 +416,7 @@
             if print_of is not None:
                 self.keys.end(call.caller, call.key, self.fate(call), call.outcome, monotonic_us())
         if call.outcome is None:
-            raise HungUp
+            raise ClientDisconnected
         return call.outcome
 
     def fate(self, call):
@@ -429,19 +431,19 @@
         cut_off = call.cut_off if call else self.delivery.cut_off
         lines = [
             (b"md-verdict", outcome.verdict.value.encode()),
-            (b"md-node", self.node.boot.name.encode()),
+            (b"md-node", self.node.settings.name.encode()),
             *([(b"md-call", call.id.encode())] if call else []),
             (b"md-version", str(call.version if call else self.delivery.version).encode()),
             *([(b"md-cut-off", b"1")] if cut_off else []),
         ]
         if isinstance(outcome, Answer):
             self.walker.count(f"answer.{outcome.status // 100}xx")
-            return Reply(outcome.status, outcome.body, [*outcome.headers, *lines])
+            return Response(outcome.status, outcome.body, [*outcome.headers, *lines])
         self.walker.count(f"shed.{outcome.code}")
         if outcome.retry_after_us:
             seconds = -(-outcome.retry_after_us // SECOND)
             lines.append((b"retry-after", str(seconds).encode()))
-        return Reply(outcome.status, outcome.body(), lines)
+        return Response(outcome.status, outcome.body(), lines)
 
     # ------------------------------------------------------------ spilled calls
 
@@ -477,7 +479,7 @@
         )
         self.walker.count("taken")
         outcome = await self.walker.walk(call)
-        if isinstance(outcome, Shedding):
+        if isinstance(outcome, Rejection):
             raise Rejected(outcome.code)
         return {
             "status": outcome.status,
@@ -487,13 +489,13 @@
 
     # ------------------------------------------------------------ stop
 
-    def hurried(self):
+    def abort_requests(self):
         self.walker.hurried()
 
-    async def leaving(self):
+    async def announce_shutdown(self):
         await self.tell_core()
 
-    async def drained(self):
+    async def drain(self):
         while len(self.walker.slab):
             await sleep_us(10 * MILLISECOND)
 
@@ -536,7 +538,7 @@
 
 
 def said(denied):
-    return Reply(denied.status, {"code": denied.code, "detail": denied.detail})
+    return Response(denied.status, {"code": denied.code, "detail": denied.detail})
 
 
 def is_json(body):
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -41,8 +41,8 @@
         self.former = former  # gives what the next table is made from: (ways, head) or None
         self.staged = staged  # takes (ways, head, count of fetched chunks)
         self.chunks, self.running = {}, {}
-        hedge_us = node.boot.apply_us // HEDGE_PART
-        self.fetcher = Fetcher(node.rpc, node.boot.link, hedge_us, ROUTING)
+        hedge_us = node.settings.apply_us // HEDGE_PART
+        self.fetcher = Fetcher(node.rpc, node.settings.link, hedge_us, ROUTING)
 
     async def stage(self, head, source):
         """True once it, or a newer one, is staged; False if its chunks were not to be had."""
@@ -93,7 +93,9 @@
             self.node.runtime.rng.shuffle(missing)  # two stagings fetch different ones first
             # Kept as they come, also when this staging ends before it is complete.
             fetch = Fetch(missing, self.sources(source), self.chunks)
-            await self.fetcher.run(fetch, monotonic_us() + self.node.boot.apply_us // FETCH_PART)
+            await self.fetcher.run(
+                fetch, monotonic_us() + self.node.settings.apply_us // FETCH_PART
+            )
         return all(name in self.chunks for name in wanted)
 
     def sources(self, source):
--- a/packages/proxy/meadowdock/proxy/walk.py
+++ b/packages/proxy/meadowdock/proxy/walk.py
@@ -8,7 +8,7 @@
 import trio
 
 from meadowdock.load_sharing import Choice, Home, LoadList, Wheel, choose
-from meadowdock.outcome import NOT_RUN, TABLE
+from meadowdock.outcome import NOT_RUN, REJECTION_CODES
 from meadowdock.proxy.call import Answer, passed_on
 from meadowdock.proxy.endpoints import BadAnswer, check_answer, told_load
 from meadowdock.rpc import ConnectionFailed, Rejected
@@ -124,7 +124,7 @@
 
     def decide(self, call):
         service, at = call.way.service, monotonic_us()
-        load, me = self.ways.load, self.node.boot.link
+        load, me = self.ways.load, self.node.settings.link
         home = self.book.home(service)
         occupation = self.book.occupations.get(service)
         facts = Home(
@@ -250,7 +250,7 @@
     def unknown(self, call, code, again, tries_left):
         """A try's fate is unknown: try again only on a way that is safe to repeat."""
         call.may_have_run = True
-        over = call.hung_up or self.node.hurry.is_set() or monotonic_us() >= call.due
+        over = call.hung_up or self.node.abort_requested.is_set() or monotonic_us() >= call.due
         if call.way.safe and tries_left and not over:
             return again
         return call.shed(code)
@@ -423,8 +423,10 @@
 
 
 def surely_not_run(code):
-    """What a neighbour's shedding says. An unknown word claims nothing."""
-    return code == "no_such_method" or (code in TABLE and TABLE[code][1] is NOT_RUN)
+    """What a peer's rejection says. An unknown word claims nothing."""
+    return code == "no_such_method" or (
+        code in REJECTION_CODES and REJECTION_CODES[code].verdict is NOT_RUN
+    )
 
 
 def holds(body, want):
--- a/packages/registry/meadowdock/registry/lease.py
+++ b/packages/registry/meadowdock/registry/lease.py
@@ -60,7 +60,7 @@
     def __init__(self, node, key, duration_us):
         self.node, self.key, self.duration_us = node, key, duration_us
         # a random number: a restarted process is another holder, whatever the wall clock says
-        self.holder = f"{node.boot.link}/{node.runtime.rng.getrandbits(64):016x}"
+        self.holder = f"{node.settings.link}/{node.runtime.rng.getrandbits(64):016x}"
         self.sequence = 0
         self.held = None
         self.preferred = None  # the mdconf that answered last
--- a/packages/registry/meadowdock/registry/part.py
+++ b/packages/registry/meadowdock/registry/part.py
@@ -5,7 +5,7 @@
 import trio
 
 from meadowdock import process
-from meadowdock.admin_http import Table
+from meadowdock.admin_http import RouteTable
 from meadowdock.config_store.lease_messages import COLLECTOR_KEY
 from meadowdock.registry.duty import ranking
 from meadowdock.registry.lease import Lease, duration_of
@@ -41,14 +41,14 @@
     iff this process holds the collector's lease at this moment, under that epoch; seq goes up
     within an epoch; reclaiming is True from the end of an own lease until another's is known."""
 
-    table = Table()
+    table = RouteTable()
     handlers = Handlers()
 
     def __init__(self, node):
         self.node = node
         self.roster = {}  # proxies: address -> (beat, heard)
         self.regs = {}  # other mdregs: address -> (beat, heard)
-        self.lease = Lease(node, COLLECTOR_KEY, duration_of(node.boot.contact_us))
+        self.lease = Lease(node, COLLECTOR_KEY, duration_of(node.settings.contact_us))
         self.reclaiming = False
         self.seen_epoch = 0
         self.seq = 0
@@ -66,15 +66,15 @@
         """The epoch of the lease held at this moment, or None."""
         return self.lease.epoch
 
-    def answers(self):
+    def rpc_handlers(self):
         """The link methods that this process answers."""
         return Part.handlers.bind(self)
 
-    def loops(self):
+    def background_tasks(self):
         """The loops that the node keeps going."""
         return {"beat": self.beat_loop, "lease": self.lease_loop, "collect": self.collect_loop}
 
-    def not_ready(self):
+    def unready_reasons(self):
         """Why this process is not ready; empty if it is."""
         return [] if self.node.view.core("mdconf") else ["no mdconf known"]
 
@@ -140,11 +140,11 @@
         """What is known here: proxies, registries, the collector, the last collection."""
         at = monotonic_us()
         return {
-            "reg": self.node.boot.link,
+            "reg": self.node.settings.link,
             "proxies": {
                 a: {**beat, "heard_us_ago": at - heard} for a, (beat, heard) in self.roster.items()
             },
-            "regs": self.alive(self.regs) + [self.node.boot.link],
+            "regs": self.alive(self.regs) + [self.node.settings.link],
             "collector": self.epoch,
             "seen_epoch": self.seen_epoch,
             "last": self.last,
@@ -224,8 +224,8 @@
 
     def vacant(self):
         """Was nobody the collector for as long as this process must wait by its rank?"""
-        live = [*self.alive(self.regs), self.node.boot.link]
-        rank = ranking(COLLECTOR, live).index(self.node.boot.link)
+        live = [*self.alive(self.regs), self.node.settings.link]
+        rank = ranking(COLLECTOR, live).index(self.node.settings.link)
         return monotonic_us() - self.collector_seen >= SETTLE * (1 + 2 * rank)
 
     async def acquire(self):
@@ -280,7 +280,7 @@
 
     # ------------------------------------------------------------ stop
 
-    async def leaving(self):
+    async def announce_shutdown(self):
         """Release the lease and tell the other registries."""
         await self.lease.release()
         await self.tell()
--- a/packages/settings/meadowdock/settings/__init__.py
+++ b/packages/settings/meadowdock/settings/__init__.py
@@ -169,27 +169,27 @@
 
 
 @dataclass(frozen=True)
-class Boot:
+class ProcessSettings:
     """The checked settings of one process."""
 
     # Invariant: made only by `checked`, so every field has passed SCHEMA and the cross-checks.
     role: str
     host: str
-    hall: str
+    zone: str
     seeds: tuple
     fleet_key: bytes
     data: str | None
     members: tuple
-    local: frozenset
+    local_addresses: frozenset
     nodes_expected: int
     operator_key: str | None
     http_port: int
     link_port: int
     gate_port: int = 7402  # where the mdproxy of other machines hand calls over
-    gate: str | None = None  # ip:port where calls of this machine arrive
+    gate_address: str | None = None  # ip:port where calls of this machine arrive
     service: str | None = None  # of the endpoint beside
-    app: str | None = None  # ip:port of the endpoint beside
-    founding: bool = True  # may this process take part in founding the register
+    app_address: str | None = None  # ip:port of the endpoint beside
+    may_bootstrap: bool = True  # may this process take part in founding the register
     losses: int = 1  # members lost at once to be borne: 2 * losses + 1 voters are wanted
     zone_losses: int = 0  # whole zones lost at once to be borne
     region_losses: int = 0  # whole regions lost at once to be borne
@@ -200,9 +200,9 @@
     linger_us: int = 1_200_000  # a stopping process keeps its doors open for so long
     stop_us: int = 4_700_000  # and ends within this; linger_us is less
     catch_up_us: int = 4 * SECOND  # how long a machine that is back still counts as lost
-    beat_us: int = 500_000  # how often endpoints beat
+    heartbeat_us: int = 500_000  # how often endpoints beat
     drain_us: int = 2 * SECOND  # how long an endpoint serves on once it said that it drains
-    tries: dict = field(default_factory=lambda: dict(TRIES))
+    retry_budget: dict = field(default_factory=lambda: dict(TRIES))
 
     @property
     def name(self) -> str:
@@ -220,7 +220,7 @@
         return f"{self.host}:{self.http_port}"
 
 
-class BootErrors(Exception):
+class InvalidSettings(Exception):
     """Every error of a boot file and its flags."""
 
     def __init__(self, errors: Iterable[str]) -> None:
@@ -228,11 +228,11 @@
         self.errors = errors
 
 
-def checked(role: str, facts: dict[str, Any]) -> Boot:
-    """A Boot, or BootErrors with every error and its path.
+def checked(role: str, facts: dict[str, Any]) -> ProcessSettings:
+    """A Boot, or InvalidSettings with every error and its path.
 
     >>> try: checked("mdreg", {"host": "x", "hall": "H", "zone": "b"})
-    ... except BootErrors as bad: print(bad)
+    ... except InvalidSettings as bad: print(bad)
     boot: 'seeds' is a required property
     boot: Additional properties are not allowed ('zone' was unexpected)
     boot: one of fleet_key and fleet_key_file is needed
@@ -247,26 +247,28 @@
         found += store_errors(facts)
     found += address_errors(facts)
     if not found:
-        linger, stop = (facts.get(f, getattr(Boot, f)) for f in ("linger_us", "stop_us"))
+        linger, stop = (facts.get(f, getattr(ProcessSettings, f)) for f in ("linger_us", "stop_us"))
         if linger >= stop:
             found.append(("boot.linger_us", f"{linger} is not less than stop_us, {stop}"))
     if found:
-        raise BootErrors([f"{path}: {message}" for path, message in sorted(set(found), key=str)])
+        raise InvalidSettings(
+            [f"{path}: {message}" for path, message in sorted(set(found), key=str)]
+        )
     http_port, link_port = PORTS[role]
-    return Boot(
+    return ProcessSettings(
         role=role,
         host=facts["host"],
-        hall=facts["hall"],
+        zone=facts["hall"],
         seeds=tuple(facts["seeds"]),
         fleet_key=bytes.fromhex(key),
         data=facts.get("data"),
         members=tuple(facts.get("members", ())),
-        local=frozenset([facts["host"], *facts.get("local", ())]),
+        local_addresses=frozenset([facts["host"], *facts.get("local", ())]),
         nodes_expected=facts.get("nodes_expected", 8),
         operator_key=operator_key,
         http_port=facts.get("http_port", http_port),
         link_port=facts.get("link_port", link_port),
-        **{name: facts[name] for name in OPTIONAL if name in facts},
+        **{FIELDS.get(name, name): facts[name] for name in OPTIONAL if name in facts},
     )
 
 
@@ -311,6 +313,14 @@
     return found
 
 
+# Fields whose name in boot files is another.
+FIELDS = {
+    "gate": "gate_address",
+    "app": "app_address",
+    "founding": "may_bootstrap",
+    "beat_us": "heartbeat_us",
+    "tries": "retry_budget",
+}
 OPTIONAL = (
     "gate_port",
     "gate",
@@ -374,17 +384,17 @@
         return None
 
 
-def load(role: str, boot: str | None = None, **flags: Any) -> Boot:
-    """The settings of a boot file, if one is named, and flags over them; raises BootErrors."""
+def load(role: str, boot: str | None = None, **flags: Any) -> ProcessSettings:
+    """The settings of a boot file, if one is named, and flags over them; raises InvalidSettings."""
     facts = {}
     if boot is not None:
         try:
             with open(boot, "rb") as file:
                 facts = tomllib.load(file)
         except OSError as cause:
-            raise BootErrors([f"boot: can't be read: {cause}"]) from None
+            raise InvalidSettings([f"boot: can't be read: {cause}"]) from None
         except (tomllib.TOMLDecodeError, UnicodeDecodeError) as cause:
-            raise BootErrors([f"boot: is no TOML: {cause}"]) from None
+            raise InvalidSettings([f"boot: is no TOML: {cause}"]) from None
     given = {name: value for name, value in flags.items() if value is not None}
     if "seeds" in given:
         seeds = given["seeds"]
@@ -399,7 +409,9 @@
     return value if isinstance(value, list) else str(value)
 
 
-def command(role: str, start: Callable[[Boot], None], **extra: Callable) -> Callable[..., None]:
+def command(
+    role: str, start: Callable[[ProcessSettings], None], **extra: Callable
+) -> Callable[..., None]:
     """The command line of a daemon: run, check, --version, --help, and extra commands of
     (boot file, **flags)."""
     import fire  # here, since who makes a Boot by itself has no command line
@@ -437,7 +449,7 @@
         os.environ.setdefault("PAGER", "cat")
         try:
             fire.Fire({"run": run, "check": check, **extra}, command=words, name=role)
-        except BootErrors as bad:
+        except InvalidSettings as bad:
             print("\n".join(bad.errors), file=sys.stderr)
             sys.exit(2)
 
--- a/packages/simulator/meadowdock/simulator/overload.py
+++ b/packages/simulator/meadowdock/simulator/overload.py
@@ -55,10 +55,10 @@
 async def offered(world, factor, shared, span):
     """Open loop at every machine alike; gives counts."""
     await world.whole()
-    await world.eventually(lambda: not world.node("mdconf", world.core[0]).not_ready())
+    await world.eventually(lambda: not world.node("mdconf", world.core[0]).unready_reasons())
     await world.configure(manifest("m"))
     for host in world.application:
-        await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
+        await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
 
         async def work(got):
             await sleep_us(TOOK)
--- a/packages/simulator/meadowdock/simulator/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -84,11 +84,13 @@
     seeds = set(world.boot("mdproxy", next(iter(world.application))).seeds)
     return {
         "mdproxy": [f"mdproxy@{host}" for host in world.application],
-        "mdreg": [node.boot.name for node in registries if node is not collector],
-        "collector": [collector.boot.name],
-        "mdconf": [node.boot.name for node in stores],
-        "seed": [node.boot.name for node in (*registries, *stores) if node.boot.link in seeds],
-        "deliverer": [stores[0].boot.name],
+        "mdreg": [node.settings.name for node in registries if node is not collector],
+        "collector": [collector.settings.name],
+        "mdconf": [node.settings.name for node in stores],
+        "seed": [
+            node.settings.name for node in (*registries, *stores) if node.settings.link in seeds
+        ],
+        "deliverer": [stores[0].settings.name],
     }
 
 
--- a/packages/simulator/meadowdock/simulator/scale/faults.py
+++ b/packages/simulator/meadowdock/simulator/scale/faults.py
@@ -56,7 +56,7 @@
     await fleet.up()
     begun = monotonic_us()
     away = cut_off(world, zones)
-    inside = [proxy for proxy in fleet.proxies() if proxy.boot.host not in away]
+    inside = [proxy for proxy in fleet.proxies() if proxy.settings.host not in away]
     store = next(k for k, host in enumerate(world.core[:VOTERS]) if host not in away)
     took, version = await fleet.change(CHANGED_WAIT_US, store, inside)
     await sleep_us(begun + lasting - monotonic_us())
--- a/packages/simulator/meadowdock/simulator/scale/fleet.py
+++ b/packages/simulator/meadowdock/simulator/scale/fleet.py
@@ -48,7 +48,7 @@
 
 async def stand_in(node, service):
     """An endpoint that is always there and idle, told to the proxy's book without a socket."""
-    book, host = node.daemon.book, node.boot.host
+    book, host = node.daemon.book, node.settings.host
     token = book.enrol(
         service, f"{host}:8000", "hollow", HOLLOW_CAPACITY, monotonic_us(), node.runtime.wall_us()
     )
@@ -99,7 +99,7 @@
                 nursery.start_soon(world.start, "mdconf", host)
             for host in world.application:
                 nursery.start_soon(self.start_proxy, host)
-        await self.wanted(lambda: not any(node.not_ready() for node in self.core("mdconf")))
+        await self.wanted(lambda: not any(node.unready_reasons() for node in self.core("mdconf")))
         await world.configure(manifest(self.n))
         await self.wanted(self.whole)
         await sleep_us(SETTLING)
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -10,7 +10,7 @@
 import trio
 
 from meadowdock import audit
-from meadowdock.admin_http import Table
+from meadowdock.admin_http import RouteTable
 from meadowdock.client import Endpoint, Record
 from meadowdock.runtime import (
     MILLISECOND,
@@ -89,7 +89,7 @@
     """An endpoint that may answer with what belongs to another call, header and all."""
 
     # Invariant: what is spoiled is spoiled on its way out; the endpoint's record holds its true answer
-    table = Table()
+    table = RouteTable()
     table.exact = Endpoint.table.exact
     last = spoilt = None  # (headers, body) of the last answer; what the next answer is instead
 
@@ -487,14 +487,14 @@
     async def live(self):
         world = self.world
         await world.whole()
-        await world.eventually(lambda: not world.node("mdconf", world.core[0]).not_ready())
+        await world.eventually(lambda: not world.node("mdconf", world.core[0]).unready_reasons())
         start = monotonic_us()
         version = await world.configure(manifest("m0"))
         self.history.operated.append(
             Operated("confirm", start, monotonic_us(), "ok", version, "m0")
         )
         for host, service in world.application.items():
-            await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
+            await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
             await self.place_endpoint(host, service)
         await sleep_us(SECOND)
         self.begun = monotonic_us()
--- a/packages/soak/meadowdock/soak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from meadowdock.admin_http import Reply, Table
+from meadowdock.admin_http import Response, RouteTable
 from meadowdock.forwarding import Dialect
 from meadowdock.local_fleet.fleet import PROGRAM_PACKAGES
 from meadowdock.process import Node
@@ -19,24 +19,24 @@
 from meadowdock.proxy.endpoints import Denied
 from meadowdock.proxy.gatepart import GatePart
 from meadowdock.runtime import Disk, NoDisk, Runtime
-from meadowdock.settings import Boot, load
+from meadowdock.settings import ProcessSettings, load
 from meadowdock.soak.cuts import CutNet, Cuts
 
 BEATS_PORT = 7403
 DIALECT = Dialect(stamp=b"md-stamp")
-beats = Table()
+beats = RouteTable()
 
 
 @beats.on("POST", "/beat")
-async def beat(daemon: SoakProxy, request: object) -> Reply:
+async def beat(daemon: SoakProxy, request: object) -> Response:
     """A beat of the endpoint beside."""
     import json
 
     try:
         daemon.endpoint_beat(json.loads(await request.body(1 << 16)))
     except Denied as denied:
-        return Reply(denied.status, {"code": denied.code})
-    return Reply(200, {})
+        return Response(denied.status, {"code": denied.code})
+    return Response(200, {})
 
 
 class SoakProxy(GatePart):
@@ -44,9 +44,9 @@
 
     dialect = DIALECT
 
-    def doors(self) -> dict:
+    def listeners(self) -> dict:
         """The door for beats."""
-        return {**super().doors(), f"{self.node.boot.host}:{BEATS_PORT}": beats}
+        return {**super().listeners(), f"{self.node.settings.host}:{BEATS_PORT}": beats}
 
 
 def part_of(role: str) -> type:
@@ -54,16 +54,18 @@
     return SoakProxy if role == "mdproxy" else import_module(f"{PROGRAM_PACKAGES[role]}.part").Part
 
 
-async def serve(boot: Boot, cuts_file: str) -> None:
+async def serve(settings: ProcessSettings, cuts_file: str) -> None:
     """Run until told to stop."""
-    cuts = Cuts(cuts_file, boot.host)
+    cuts = Cuts(cuts_file, settings.host)
     async with trio.open_nursery() as nursery:
-        if boot.role != "mdproxy":  # the gate's network watches for itself
+        if settings.role != "mdproxy":  # the gate's network watches for itself
             nursery.start_soon(cuts.watch, lambda: None)
-        runtime = Runtime(CutNet(boot.host, cuts), Disk(boot.data) if boot.data else NoDisk())
-        node = Node(boot, runtime, nursery)
+        runtime = Runtime(
+            CutNet(settings.host, cuts), Disk(settings.data) if settings.data else NoDisk()
+        )
+        node = Node(settings, runtime, nursery)
         nursery.start_soon(watch_signals, node)
-        await node.run(part_of(boot.role))
+        await node.run(part_of(settings.role))
 
 
 if __name__ == "__main__":
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -108,7 +108,7 @@
                 world.lose_disk("mdconf", host)
                 await world.start("mdconf", host)
                 conf = world.node("mdconf", host)
-                await world.eventually(lambda c=conf: not c.not_ready(), within=15 * SECOND)
+                await world.eventually(lambda c=conf: not c.unready_reasons(), within=15 * SECOND)
         await sleep_us(8 * SECOND)
         for host in world.core:  # and each copy is whole by itself, mended by digests
             assert world.daemon("mdconf", host).store.trail.state().tail == [1, 2, 3, 4, 5, 6]
--- a/tests/config_store/test_contact.py
+++ b/tests/config_store/test_contact.py
@@ -116,7 +116,7 @@
             cut_from(world, world.core[0], world.core)
         ((status, _, span),) = told
         assert status in (200, 503, 504)
-        assert span <= world.node("mdconf", world.core[0]).boot.ack_us // 4 + ON_THE_WAY
+        assert span <= world.node("mdconf", world.core[0]).settings.ack_us // 4 + ON_THE_WAY
         # a refused one doesn't hold; an unclear one may, and is acknowledged when sent again
         if status == 503:
             await sleep_us(2 * SECOND)
@@ -197,7 +197,7 @@
             world.disks["mdconf", host].stalled = trio.Event()
         status, _, span = await timed(change(world, [service("desk", 2)]))
         assert status == 504
-        assert span <= world.node("mdconf", world.core[0]).boot.ack_us // 4 + ON_THE_WAY
+        assert span <= world.node("mdconf", world.core[0]).settings.ack_us // 4 + ON_THE_WAY
         await sleep_us(3 * SECOND)
         for core in range(3):
             status, _, span = await timed(change(world, [service("desk", 2)], core))
--- a/tests/config_store/test_items_change.py
+++ b/tests/config_store/test_items_change.py
@@ -386,6 +386,6 @@
                 assert table.find(b"h.example", b"/499/").name == "r499"
                 assert table.limits.header_bytes == 9
         for host in world.application:
-            await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
+            await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
 
     run(scenario)
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -72,7 +72,7 @@
         records = list(fleet.records().values())
         assert {len(r["voters"]) for r in records} == {3}
         assert all(r == records[0] for r in records)
-        assert not any(world.node("mdconf", h).not_ready() for h in fleet.hosts)
+        assert not any(world.node("mdconf", h).unready_reasons() for h in fleet.hosts)
 
     run(scenario, seed)
 
@@ -139,7 +139,7 @@
         await sleep_us(6 * SECOND)
         assert len(world.trace.events(601)) == 1
         assert {r["version"] for r in fleet.records().values()} == {1}
-        assert all(world.node("mdconf", h).not_ready() for h in fleet.hosts)
+        assert all(world.node("mdconf", h).unready_reasons() for h in fleet.hosts)
 
     run(scenario, seed)
 
@@ -171,7 +171,7 @@
                 world.power_off("mdconf", old)
                 fleet.hosts.remove(old)
             await world.eventually(
-                lambda n=new: not world.node("mdconf", n).not_ready(), 3_200 * MILLISECOND
+                lambda n=new: not world.node("mdconf", n).unready_reasons(), 3_200 * MILLISECOND
             )
             await sleep_us(begun + 4 * SECOND - monotonic_us())
         operator.over = True
@@ -388,7 +388,7 @@
         disk.stalled = trio.Event()
         await world.start("mdconf", "10.0.3.1")
         new = world.node("mdconf", "10.0.3.1")
-        assert await world.eventually(lambda: not new.not_ready(), 7 * SECOND)
+        assert await world.eventually(lambda: not new.unready_reasons(), 7 * SECOND)
         assert await configure(world, 1, "10.0.3.1") == 1
         disk.stalled.set()
         disk.stalled = None
@@ -430,7 +430,7 @@
         world.core = fleet.hosts[:1]
         status, told = await world.operate("POST", "/plan", changed(1))
         assert (status, told["code"]) == (503, "too_few_members")
-        assert all(world.node("mdconf", h).not_ready() for h in fleet.hosts[:3])
+        assert all(world.node("mdconf", h).unready_reasons() for h in fleet.hosts[:3])
         await fleet.up(fleet.hosts[3:])
         await fleet.settle(fleet.hosts, 4 * SECOND)
         assert await configure(world, 1, fleet.hosts[0]) == 1
--- a/tests/config_store/test_members_change.py
+++ b/tests/config_store/test_members_change.py
@@ -23,7 +23,7 @@
         link = f"{host}:7421"
         status, told = await world.operate("POST", "/members", {"old": link, "new": link}, core=1)
         assert (status, told["state"]) == (200, "changed"), told
-        await world.eventually(lambda: not world.node("mdconf", host).not_ready())
+        await world.eventually(lambda: not world.node("mdconf", host).unready_reasons())
         world.kill(f"mdconf@{world.core[1]}")  # the new disk is needed for a majority now
         assert await world.configure(changed(1), core=2) == 2
         assert (await world.operate("GET", "/manifest"))[1]["version"] == 2
@@ -120,7 +120,7 @@
             status, told = await world.operate("POST", "/members", facts, 2)
             assert (status, told.get("state")) == (200, "changed"), told
         new = world.node("mdconf", "10.0.2.1")
-        await world.eventually(lambda: not new.not_ready(), within=12 * SECOND)
+        await world.eventually(lambda: not new.unready_reasons(), within=12 * SECOND)
         assert await world.configure(changed(1), core=2) == 2
 
     run(scenario)
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -48,7 +48,7 @@
         world.core = fleet.hosts
         status, told = await world.operate("POST", "/plan", changed(1))
         assert (status, told["code"]) == (503, "too_few_members")
-        assert world.node("mdconf", fleet.hosts[0]).not_ready() == [
+        assert world.node("mdconf", fleet.hosts[0]).unready_reasons() == [
             "too few members for the losses to be borne"
         ]
 
@@ -108,7 +108,7 @@
         return (
             all(r and r["next"] is None and r == records[0] for r in records)
             and self.voting_zones() == zones
-            and not any(self.world.node("mdconf", h).not_ready() for h in self.running())
+            and not any(self.world.node("mdconf", h).unready_reasons() for h in self.running())
         )
 
 
--- a/tests/config_store/test_repair.py
+++ b/tests/config_store/test_repair.py
@@ -39,7 +39,7 @@
         assert conf.daemon.store.disk != former
         assert not conf.daemon.store.voter
         assert files(world, host, "aside-" + conf.daemon.store.disk)  # nothing is thrown away
-        await world.eventually(lambda: not conf.not_ready(), within=15 * SECOND)
+        await world.eventually(lambda: not conf.unready_reasons(), within=15 * SECOND)
         world.kill(f"mdconf@{world.core[1]}")
         assert await world.configure(changed(1), core=2) == 2
 
@@ -80,7 +80,7 @@
         assert counts(world, host)[what] == len(files(world, host, kind)) > 0
         world.power_off("mdconf", host)
         await world.start("mdconf", host)
-        await world.eventually(lambda: not world.node("mdconf", host).not_ready())
+        await world.eventually(lambda: not world.node("mdconf", host).unready_reasons())
 
     run(scenario)
 
@@ -140,7 +140,9 @@
                     world.processes.pop(f"mdconf@{host}")
                     disk.power_off()
                     await world.start("mdconf", host)
-                    await world.eventually(lambda h=host: not world.node("mdconf", h).not_ready())
+                    await world.eventually(
+                        lambda h=host: not world.node("mdconf", h).unready_reasons()
+                    )
                 disk.lose_at = None
             if number > 400:
                 most = max(most, *(len(files(world, h, "blob")) for h in world.core))
@@ -193,13 +195,13 @@
         disk.full, disk.stalled = full, None if full else trio.Event()
         assert await world.configure(changed(1), core=1) == 2  # the others go on
         why = "can't be written" if full else "does not answer"
-        await world.eventually(lambda: any(why in w for w in conf.not_ready()))
+        await world.eventually(lambda: any(why in w for w in conf.unready_reasons()))
         status, told = await world.operate("GET", "/status")
         assert why in told["disk_here"]
         if not full:
             disk.stalled.set()
         disk.full, disk.stalled = False, None
-        await world.eventually(lambda: conf.not_ready() == [])
+        await world.eventually(lambda: conf.unready_reasons() == [])
         assert (await world.operate("GET", "/status"))[1]["disk_here"] == "good"
 
     run(scenario)
--- a/tests/config_store/test_trail.py
+++ b/tests/config_store/test_trail.py
@@ -280,7 +280,7 @@
         world.lose_disk("mdconf", world.core[1])
         await world.start("mdconf", world.core[1])
         await world.eventually(
-            lambda: not world.node("mdconf", world.core[1]).not_ready(), within=20 * SECOND
+            lambda: not world.node("mdconf", world.core[1]).unready_reasons(), within=20 * SECOND
         )
         world.kill(f"mdconf@{world.core[2]}")
         assert len((await checked_audit(world, 1, 41))["records"]) == 41
@@ -311,9 +311,9 @@
         world.lose_disk("mdconf", other)
         world.web.heal()
         await world.start("mdconf", other)
-        await world.eventually(lambda: not world.node("mdconf", other).not_ready())
+        await world.eventually(lambda: not world.node("mdconf", other).unready_reasons())
         leaders = [line["of"] for _, line in world.trace.events(607)]
-        assert leaders == [daemon.node.boot.name]
+        assert leaders == [daemon.node.settings.name]
         assert (await world.operate("GET", "/manifest", core=0))[1]["version"] == 61
         world.kill(f"mdconf@{third}")  # the only one that had seen all of it
         assert len((await checked_audit(world, 0, 61))["records"]) == 61
@@ -370,7 +370,7 @@
             for host in world.core:
                 await world.start("mdconf", host)
             for host in world.core:
-                await world.eventually(lambda h=host: not world.node("mdconf", h).not_ready())
+                await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
         head = await world.daemon("mdconf", world.core[0]).read_head(10**12)
         assert len(head["history"]) == repair.RANGES_KEPT
 
--- a/tests/configuration/test_manifest.py
+++ b/tests/configuration/test_manifest.py
@@ -292,7 +292,7 @@
             [world.node("mdproxy", other).view.me], monotonic_us()
         )
         await world.eventually(lambda: daemon.delivery.version == 2, every=MILLISECOND)
-        alone = daemon.node.boot.apply_us // SWITCH_ALONE_PART
+        alone = daemon.node.settings.apply_us // SWITCH_ALONE_PART
         assert monotonic_us() - staged_at < alone // 2
 
     run(scenario, application=("desk", "desk"))
--- a/tests/consensus/test_register.py
+++ b/tests/consensus/test_register.py
@@ -160,7 +160,7 @@
             for host in world.core:
                 await world.start("mdconf", host)
             conf = world.node("mdconf", world.core[0])
-            await world.eventually(lambda c=conf: not c.not_ready())
+            await world.eventually(lambda c=conf: not c.unready_reasons())
             status, told = await world.operate("GET", "/manifest")
             assert status == 200
             assert told["version"] >= acknowledged
@@ -176,12 +176,12 @@
         host = await first_with_a_blank_disk(world)
         conf = world.node("mdconf", host)
         await world.eventually(lambda: conf.daemon.store.record is not None)
-        assert conf.not_ready() == ["this disk is no member, or not fully yet"]
+        assert conf.unready_reasons() == ["this disk is no member, or not fully yet"]
         assert not conf.daemon.store.voter
         status, told = await world.operate("GET", "/manifest")  # it still serves operators
         assert (status, told["version"]) == (200, 1)
         assert await world.configure(manifest([way("new", "/balances")])) == 2
-        await world.eventually(lambda: not conf.not_ready(), within=15 * SECOND)
+        await world.eventually(lambda: not conf.unready_reasons(), within=15 * SECOND)
         world.kill(f"mdconf@{world.core[1]}")  # what was acknowledged does not need it
         status, told = await world.operate("GET", "/manifest", core=2)
         assert (status, told["version"]) == (200, 2)
@@ -200,7 +200,8 @@
         status, _ = await world.operate("GET", "/manifest")
         assert status == 503
         assert (
-            "no majority of the register answers" in world.node("mdconf", world.core[0]).not_ready()
+            "no majority of the register answers"
+            in world.node("mdconf", world.core[0]).unready_reasons()
         )
         assert await world.configure(manifest([way("new", "/balances")]), core=1) == 2
 
--- a/tests/forwarding/test_gate_rules.py
+++ b/tests/forwarding/test_gate_rules.py
@@ -527,7 +527,7 @@
         found = daemon.found_beside
         answers = []
         daemon.found_beside = lambda *facts: (answers.append(facts), found(*facts))
-        await world.eventually(lambda: not daemon.not_ready())
+        await world.eventually(lambda: not daemon.unready_reasons())
         await sleep_us(SECOND)
         assert answers and not daemon.book.by_address
         made = await asked(world, host)
@@ -557,7 +557,7 @@
         )
         assert monotonic_us() - began < 500 * MILLISECOND and walker.lists.seq == 0
         assert walker.lists.stale(monotonic_us(), 1 << 60)
-        await world.eventually(lambda: not world.node("mdproxy", guest).not_ready())
+        await world.eventually(lambda: not world.node("mdproxy", guest).unready_reasons())
         assert walker.lists.seq == 0
         assert set(await batch(world, guest, 4)) <= set(ends)
         # what it knows is not told again, the epoch alone; what is more, is
@@ -723,7 +723,7 @@
         for host in hosts(world):
             await world.stop(f"mdproxy@{host}")
             await world.start("mdproxy", host)
-            await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
+            await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
             await sleep_us(SECOND)
         over.set()
         await sleep_us(3 * SECOND)
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -289,7 +289,8 @@
     def __init__(self, why=()):
         self.logged = []
         self.node = SimpleNamespace(
-            not_ready=lambda: list(why), log=lambda number, **facts: self.logged.append(number)
+            unready_reasons=lambda: list(why),
+            log=lambda number, **facts: self.logged.append(number),
         )
         self.told = []
 
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from meadowdock.settings import BootErrors, checked, is_plain, schema_errors
+from meadowdock.settings import InvalidSettings, checked, is_plain, schema_errors
 
 FOLDER = Path(__file__).parents[2] / "platform"
 sys.path.insert(0, str(FOLDER))
@@ -82,14 +82,14 @@
 def test_a_proxy_is_told_its_place_and_the_bounds(file):
     settings = Settings("mdproxy", file)
     boot = settings.boot
-    assert (boot.host, boot.hall, boot.service) == ("127.0.9.1", "hill-a", "mill")
+    assert (boot.host, boot.zone, boot.service) == ("127.0.9.1", "hill-a", "mill")
     assert boot.seeds == ("127.0.9.1:9100", "127.0.9.2:9100")
     assert (boot.link_port, boot.http_port, boot.gate_port) == (9102, 9106, 9103)
-    assert boot.gate == "127.0.9.1:9091"
-    assert (boot.beat_us, boot.catch_up_us, boot.drain_us) == (700_000, 2_500_000, 1_500_000)
+    assert boot.gate_address == "127.0.9.1:9091"
+    assert (boot.heartbeat_us, boot.catch_up_us, boot.drain_us) == (700_000, 2_500_000, 1_500_000)
     assert (boot.linger_us, boot.stop_us) == (2_300_000, 5_000_000)
-    assert boot.tries == {"ratio": 0.25, "window_us": 8_000_000, "reserve": 30}
-    assert boot.founding is True
+    assert boot.retry_budget == {"ratio": 0.25, "window_us": 8_000_000, "reserve": 30}
+    assert boot.may_bootstrap is True
     assert boot.losses == 2
     assert boot.data is None
     assert settings.listeners == {"readiness": "127.0.9.1:9092", "controlPlane": "127.0.9.1:9090"}
@@ -132,7 +132,7 @@
 @pytest.mark.parametrize("content", [b"[localNode", b"\xff", b""])
 def test_a_file_that_cant_be_read_is_refused(file, content):
     file.write_bytes(content)
-    with pytest.raises(BootErrors):
+    with pytest.raises(InvalidSettings):
         Settings("mdreg", file)
 
 
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize(("name", "value"), [(n, v) for n, vs in WRONG.items() for v in vs])
 def test_a_wrong_field_of_a_boot_is_refused_by_its_path(name, value):
-    with pytest.raises(BootErrors, match=f"boot.{name}"):
+    with pytest.raises(InvalidSettings, match=f"boot.{name}"):
         checked("mdreg", {**GOOD, name: value})
 
 
@@ -189,11 +189,16 @@
 def test_defaults_and_members_founded_by_the_seeds():
     boot = checked("mdconf", {**GOOD, "data": "x", "members": []})
     assert boot.members == ()
-    assert (boot.founding, boot.losses, boot.gate, boot.service) == (True, 1, None, None)
+    assert (boot.may_bootstrap, boot.losses, boot.gate_address, boot.service) == (
+        True,
+        1,
+        None,
+        None,
+    )
     assert boot.linger_us < boot.stop_us
-    assert boot.tries["reserve"] == 24
+    assert boot.retry_budget["reserve"] == 24
     assert is_plain(GOOD)
-    with pytest.raises(BootErrors, match="'members' is needed"):
+    with pytest.raises(InvalidSettings, match="'members' is needed"):
         checked("mdconf", {**GOOD, "data": "x"})
 
 
@@ -217,14 +222,14 @@
     settings = Settings("mdproxy", file)
     heard = []
     node = SimpleNamespace(
-        boot=settings.boot,
+        settings=settings.boot,
         view=SimpleNamespace(seeds=settings.boot.seeds),
         daemon=SimpleNamespace(settings_changed=heard.append),
     )
     changed = EXAMPLE.replace("127.0.9.2:9090", "127.0.9.3:9090").replace("9091", "9099")
     file.write_text(changed.replace('"mill"', '"forge"').replace("0.25", "0.5"))
     apply_settings(node, settings.reread())
-    assert node.boot.seeds == node.view.seeds == ("127.0.9.1:9100", "127.0.9.3:9100")
-    assert (node.boot.service, node.boot.tries["ratio"]) == ("forge", 0.5)
-    assert node.boot.gate == "127.0.9.1:9091"
-    assert heard == [node.boot]
+    assert node.settings.seeds == node.view.seeds == ("127.0.9.1:9100", "127.0.9.3:9100")
+    assert (node.settings.service, node.settings.retry_budget["ratio"]) == ("forge", 0.5)
+    assert node.settings.gate_address == "127.0.9.1:9091"
+    assert heard == [node.settings]
--- a/tests/project/test_docs.py
+++ b/tests/project/test_docs.py
@@ -6,7 +6,7 @@
 import re
 
 from meadowdock.logs import CATALOGUE
-from meadowdock.outcome import SECOND, TABLE
+from meadowdock.outcome import REJECTION_CODES, SECOND
 
 DOCS = os.path.join(os.path.dirname(__file__), "..", "..", "docs")
 
@@ -27,9 +27,12 @@
     told = {
         r[0]: (int(r[1]), r[2], int(re.sub(r"\D", "", r[3]) or 0) * SECOND)
         for r in rows("calls.md")
-        if r[0] in TABLE
+        if r[0] in REJECTION_CODES
+    }
+    assert told == {
+        code: (kind.status, kind.verdict.value, kind.retry_after_us)
+        for code, kind in REJECTION_CODES.items()
     }
-    assert told == {code: (s, v.value, again) for code, (s, v, again, _) in TABLE.items()}
 
 
 def test_the_files_that_the_architecture_names_are_there():
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -7,9 +7,9 @@
 from mesh import answers, configured, counts, hosts, serving
 from returns.pipeline import is_successful
 
-from meadowdock.admin_http import Reply
+from meadowdock.admin_http import Response
 from meadowdock.client import Endpoint
-from meadowdock.outcome import TABLE
+from meadowdock.outcome import REJECTION_CODES
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 from meadowdock.simulator.checkers import second_tries
@@ -39,11 +39,15 @@
         ]
         for method, path, body, headers, code in cases:
             status, verdict, again, told = await raw(world, method, path, body, headers)
-            assert (told["code"], status, verdict) == (code, TABLE[code][0], "not-run"), (
+            assert (told["code"], status, verdict) == (
+                code,
+                REJECTION_CODES[code].status,
+                "not-run",
+            ), (
                 path,
                 told,
             )
-            assert (again is not None) == bool(TABLE[code][2])
+            assert (again is not None) == bool(REJECTION_CODES[code].retry_after_us)
         assert journal == []
 
     run(scenario, application=("desk",))
@@ -70,7 +74,7 @@
         lines = [(b"md-call", reply.get("call", call))]
         if "incarnation" in reply:
             lines.append((b"md-incarnation", reply["incarnation"]))
-        return Reply(reply.get("status", 200), reply.get("body", {"ok": True}), lines)
+        return Response(reply.get("status", 200), reply.get("body", {"ok": True}), lines)
 
     return Odd, ran, handle
 
@@ -174,7 +178,7 @@
 
         async def called(self, request):
             reply = await original(self, request)
-            return Reply(reply.status, reply.body, [*reply.headers, (b"md-verdict", b"not-run")])
+            return Response(reply.status, reply.body, [*reply.headers, (b"md-verdict", b"not-run")])
 
         made.app.table = type(Endpoint.table)()
         made.app.table.exact, made.app.table.fallback = Endpoint.table.exact, called
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -53,7 +53,7 @@
     """All processes up; these items in force on every proxy."""
     await world.whole()
     for host in world.core:
-        await world.eventually(lambda h=host: not world.node("mdconf", h).not_ready())
+        await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
     version = await world.set_items([service("desk"), *items])
     await in_force(world, version, 10 * SECOND)
     await sleep_us(3 * SECOND)
--- a/tests/proxy/test_endpoints.py
+++ b/tests/proxy/test_endpoints.py
@@ -151,7 +151,7 @@
         host, token = paper.proxy.rpartition(":")[0], paper.token
         world.kill(f"mdproxy@{host}")
         await world.start("mdproxy", host)
-        await world.eventually(lambda: not world.node("mdproxy", host).not_ready())
+        await world.eventually(lambda: not world.node("mdproxy", host).unready_reasons())
         found = await world.client(host, token).call("GET", "/ledger/1")
         assert found.unwrap().body["caller"] == "paper"
         await sleep_us(2 * SECOND)
--- a/tests/proxy/test_once.py
+++ b/tests/proxy/test_once.py
@@ -80,7 +80,7 @@
         for host in (home, other):
             if f"endpoint@{host}:8000" not in world.processes and host in disks:
                 await place(world, host, journal, disks)
-            await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
+            await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
         await sleep_us(2 * S)
         repeating = client if where != "elsewhere" else world.client(other)
         repeating.sent["k"] = True  # the caller knows that it may have sent it
@@ -124,7 +124,7 @@
         assert found[0].failure().verdict.value == "may-have-run"
         await world.start("mdproxy", home)
         await world.eventually(lambda: world.daemon("mdproxy", home).book.by_address)
-        await world.eventually(lambda: not world.node("mdproxy", home).not_ready())
+        await world.eventually(lambda: not world.node("mdproxy", home).unready_reasons())
         await call()
         assert found[1].unwrap().body == {"key": "k", "run": 1}
         assert len(journal) == 1
--- a/tests/proxy/test_stop.py
+++ b/tests/proxy/test_stop.py
@@ -7,7 +7,7 @@
 from mesh import configured, hosts, serving
 from returns.pipeline import is_successful
 
-from meadowdock.admin_http import Reply, Table
+from meadowdock.admin_http import Response, RouteTable
 from meadowdock.registry.part import Part
 from meadowdock.runtime import MILLISECOND, SECOND, HttpConnectionFailed, monotonic_us, sleep_us
 from meadowdock.simulator import run
@@ -57,7 +57,7 @@
             await sleep_us(100 * MILLISECOND)
             begun = monotonic_us()
             if hurry:
-                world.node("mdproxy", host).hurry.set()
+                world.node("mdproxy", host).abort_requested.set()
             took = await world.stop(f"mdproxy@{host}")
             assert took == monotonic_us() - begun
             assert (took < 500 * MILLISECOND) == hurry
@@ -84,7 +84,9 @@
             for role in ("mdreg", "mdconf"):
                 assert await world.stop(f"{role}@{host}") < 5 * SECOND
                 await world.start(role, host)
-                await world.eventually(lambda r=role, h=host: not world.node(r, h).not_ready())
+                await world.eventually(
+                    lambda r=role, h=host: not world.node(r, h).unready_reasons()
+                )
         await sleep_us(5 * SECOND)
         assert len(found) > 100
         assert all(is_successful(f) for f in found)
@@ -113,20 +115,26 @@
             read = (await world.operate("GET", "/manifest", core=1))[1]
             assert read["version"] == number + 2
             await world.start("mdconf", world.core[0])
-            await world.eventually(lambda: not world.node("mdconf", world.core[0]).not_ready())
+            await world.eventually(
+                lambda: not world.node("mdconf", world.core[0]).unready_reasons()
+            )
 
     run(scenario, application=("desk",))
 
 
 def test_a_further_door_is_served_and_stopped_with_the_first(monkeypatch):
-    further = Table()
+    further = RouteTable()
 
     @further.on("POST", "/slow")
     async def slow(daemon, request):
         await sleep_us(700 * MILLISECOND)
-        return Reply(200, {"of": daemon.node.boot.name, "got": (await request.body()).decode()})
+        return Response(
+            200, {"of": daemon.node.settings.name, "got": (await request.body()).decode()}
+        )
 
-    monkeypatch.setattr(Part, "doors", lambda daemon: {f"{daemon.node.boot.host}:7419": further})
+    monkeypatch.setattr(
+        Part, "listeners", lambda daemon: {f"{daemon.node.settings.host}:7419": further}
+    )
 
     async def scenario(world):
         await world.whole()
--- a/tests/runtime/test_http_seam.py
+++ b/tests/runtime/test_http_seam.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from meadowdock.admin_http import App, Reply, Table
+from meadowdock.admin_http import App, Response, RouteTable
 from meadowdock.runtime import HttpConnectionFailed, Net
 
 HOST = "127.0.0.1"
@@ -25,7 +25,7 @@
         self.reached, self.hung_up = trio.Event(), trio.Event()
 
 
-table = Table()
+table = RouteTable()
 
 
 @table.on("GET", "/held")
@@ -34,29 +34,29 @@
     while (await request.receive())["type"] != "http.disconnect":
         pass
     owner.hung_up.set()
-    return Reply(200)
+    return Response(200)
 
 
 @table.on("POST", "/unread")
 async def unread(owner, request):
-    return Reply(200, {})
+    return Response(200, {})
 
 
 @table.on("POST", "/small")
 async def small(owner, request):
-    return Reply(200, await request.body(limit=4))
+    return Response(200, await request.body(limit=4))
 
 
 @table.on("GET", "/broken")
 async def broken(owner, request):
-    return Reply(200, {"no": object()})
+    return Response(200, {"no": object()})
 
 
 @table.otherwise
 async def told(owner, request):
     body = await request.body()
     owner.told.append((request.method, request.path, request.query, body))
-    return Reply(200, b"%d" % len(owner.told) + b":" + body, [(b"content-type", b"text/plain")])
+    return Response(200, b"%d" % len(owner.told) + b":" + body, [(b"content-type", b"text/plain")])
 
 
 @asynccontextmanager
--- a/tests/support/core_fleet.py
+++ b/tests/support/core_fleet.py
@@ -68,7 +68,7 @@
             self.store(h).record is not None
             and self.store(h).record["voters"] == wanted
             and self.store(h).record["next"] is None
-            and not self.world.node("mdconf", h).not_ready()
+            and not self.world.node("mdconf", h).unready_reasons()
             for h in hosts
         )
 
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -41,10 +41,10 @@
     async def whole(world):
         terms = places_terms
         await world.whole()
-        await world.eventually(lambda: not world.node("mdconf", world.core[0]).not_ready())
+        await world.eventually(lambda: not world.node("mdconf", world.core[0]).unready_reasons())
         await world.set_items(terms.get("items") or items())
         for host in world.application:
-            await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
+            await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
         world.ends = {}
         for host, name in world.application.items():
             if name:
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -49,7 +49,7 @@
 )
 from meadowdock.rpc.link import Handlers, client_handshake, pack, unpack
 from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, monotonic_us, sleep_us
-from meadowdock.settings import BootErrors, load
+from meadowdock.settings import InvalidSettings, load
 from meadowdock.simulator import SimDisk, run
 from meadowdock.simulator.wires import SimWire
 
@@ -400,7 +400,9 @@
         "mdreg": world.core[0],
         "mdproxy": next(iter(world.application)),
     }
-    return {role: sorted(world.daemon(role, host).answers().table) for role, host in hosts.items()}
+    return {
+        role: sorted(world.daemon(role, host).rpc_handlers().table) for role, host in hosts.items()
+    }
 
 
 async def ask_rare_methods(world, files):
@@ -479,10 +481,10 @@
         await world.whole()
         for host in world.core:
             node = world.node(STORING_ROLE, host)
-            await world.eventually(lambda node=node: not node.not_ready())
+            await world.eventually(lambda node=node: not node.unready_reasons())
         for host in world.application:
             node = world.node("mdproxy", host)
-            await world.eventually(lambda node=node: not node.not_ready())
+            await world.eventually(lambda node=node: not node.unready_reasons())
         found = [await read_back(world, core) for core in range(CORE)]
         found[0]["proxies"] = [
             (await http_answer(world, f"{host}:7400", "GET", "/md/status"))["body"]["version"]
@@ -578,14 +580,14 @@
     made, conversations = {}, Conversations()
     await world.whole()
     member = world.node(STORING_ROLE, world.core[0])
-    await world.eventually(lambda: not member.not_ready())
+    await world.eventually(lambda: not member.unready_reasons())
     made["before any revision"] = await raw(world, GATE_REQUESTS["answered beside"] % (CALL % 0))
     await world.set_items(
         gate_items(service("none"), route("none", prefix="/none/", services=("none",)))
     )
     with conversations.recorded():
         for host, name in world.application.items():
-            await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
+            await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
             await world.stand_in(host, name)
         await listed(world)
         for number, (case, request) in enumerate(GATE_REQUESTS.items(), 1):
@@ -750,21 +752,21 @@
         {
             "role": boot.role,
             "host": boot.host,
-            "hall": boot.hall,
+            "hall": boot.zone,
             "seeds": boot.seeds,
             "fleet_key": boot.fleet_key,
             "data": boot.data,
             "members": boot.members,
-            "local": boot.local,
+            "local": boot.local_addresses,
             "nodes_expected": boot.nodes_expected,
             "operator_key": boot.operator_key,
             "http_port": boot.http_port,
             "link_port": boot.link_port,
             "gate_port": boot.gate_port,
-            "gate": boot.gate,
+            "gate": boot.gate_address,
             "service": boot.service,
-            "app": boot.app,
-            "founding": boot.founding,
+            "app": boot.app_address,
+            "founding": boot.may_bootstrap,
             "losses": boot.losses,
             "zone_losses": boot.zone_losses,
             "region_losses": boot.region_losses,
@@ -775,9 +777,9 @@
             "linger_us": boot.linger_us,
             "stop_us": boot.stop_us,
             "catch_up_us": boot.catch_up_us,
-            "beat_us": boot.beat_us,
+            "beat_us": boot.heartbeat_us,
             "drain_us": boot.drain_us,
-            "tries": boot.tries,
+            "tries": boot.retry_budget,
         }
     )
 
@@ -789,7 +791,7 @@
         path.write_text(text)
         try:
             boot = load(role, str(path))
-        except BootErrors as wrong:
+        except InvalidSettings as wrong:
             return {"errors": str(wrong).splitlines()}
     return {"accepted": normal_form(boot), "name": boot.name, "link": boot.link}
 
--- a/tests/support/item_changes.py
+++ b/tests/support/item_changes.py
@@ -25,4 +25,4 @@
     """The core alone: no manifest was ever set."""
     await world.whole()
     for host in world.core:
-        await world.eventually(lambda h=host: not world.node("mdconf", h).not_ready())
+        await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
--- a/tests/support/mesh.py
+++ b/tests/support/mesh.py
@@ -21,10 +21,10 @@
     """All daemons up, a manifest in force on every proxy."""
     await world.whole()
     for host in world.core:
-        await world.eventually(lambda h=host: not world.node("mdconf", h).not_ready())
+        await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
     await world.configure(facts or manifest())
     for host in world.application:
-        await world.eventually(lambda h=host: not world.node("mdproxy", h).not_ready())
+        await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
 
 
 async def serving(world, journal=None, facts=None, took_us=10 * MILLISECOND, **endpoint):
