--- a/packages/registry/meadowdock/registry/__init__.py
+++ b/packages/registry/meadowdock/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Core: who is alive, the load collector, duties by key."""
+"""The registry (program mdreg): which nodes are alive, and the load collector among its replicas."""
--- a/packages/registry/meadowdock/registry/__main__.py
+++ b/packages/registry/meadowdock/registry/__main__.py
@@ -1,10 +1,10 @@
-"""The mdreg daemon's command line."""
+"""The command line of the registry daemon, mdreg."""
 
 from meadowdock.process import start
-from meadowdock.registry.part import Part
+from meadowdock.registry.server import RegistryServer
 from meadowdock.settings import command
 
-main = command("mdreg", start(Part))
+main = command("mdreg", start(RegistryServer))
 
 if __name__ == "__main__":
     main()
--- /dev/null
+++ b/packages/registry/meadowdock/registry/heartbeats.py
@@ -0,0 +1,54 @@
+"""Heartbeats of this registry to the others, from which they learn whether it is alive, the highest
+epoch of the collector's lease, and whether this registry holds that lease."""
+
+from __future__ import annotations
+
+import trio
+
+from meadowdock.membership import Entry
+from meadowdock.process import Node
+from meadowdock.registry.election import CollectorElection
+from meadowdock.registry.messages import HEARTBEAT_METHOD, REGISTRY_ROLE, RegistryHeartbeat
+from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us
+
+HEARTBEAT_INTERVAL_US = 500 * MILLISECOND
+
+
+class HeartbeatSender:
+    """Sends heartbeats at an interval, and at once when a registry is found that had none yet."""
+
+    def __init__(self, node: Node, election: CollectorElection) -> None:
+        self.node = node
+        self.election = election
+        self.receivers: set[str] = set()  # addresses that the last heartbeat went to
+        self.registry_joined = trio.Event()
+
+    def on_member(self, entry: Entry) -> None:
+        """Called with each update of the membership view."""
+        if entry.role == REGISTRY_ROLE and entry.address not in self.receivers:
+            self.registry_joined.set()
+
+    async def send_and_wait(self) -> None:
+        """Send one heartbeat, then wait until the next is due."""
+        self.registry_joined = trio.Event()
+        await self.send()
+        with deadline_scope(monotonic_us() + HEARTBEAT_INTERVAL_US):
+            await self.registry_joined.wait()
+
+    async def send(self) -> None:
+        """Send one heartbeat to every other registry, and wait for the answers."""
+        me = self.node.view.me
+        heartbeat = RegistryHeartbeat(
+            address=me.address,
+            zone=me.hall,
+            incarnation=me.incarnation,
+            shutting_down=self.node.stopping,
+            highest_epoch=self.election.highest_epoch,
+            collector_epoch=self.election.epoch,
+        ).to_wire()
+        registries = self.node.view.core(REGISTRY_ROLE)
+        self.receivers = set(registries)
+        await self.node.rpc.call_all(
+            {address: (address, HEARTBEAT_METHOD, heartbeat) for address in registries},
+            monotonic_us() + HEARTBEAT_INTERVAL_US,
+        )
--- a/packages/simulator/meadowdock/simulator/faults.py
+++ b/packages/simulator/meadowdock/simulator/faults.py
@@ -114,7 +114,8 @@
     holders = [
         ("mdreg", h)
         for h in day.world.core
-        if f"mdreg@{h}" in day.world.processes and day.world.daemon("mdreg", h).epoch is not None
+        if f"mdreg@{h}" in day.world.processes
+        and day.world.daemon("mdreg", h).election.epoch is not None
     ]
     hit = day.one(holders, 0, span, day.kill) if place % 2 else day.freeze(holders, 0, span)
     await hit
--- a/packages/simulator/meadowdock/simulator/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -25,10 +25,10 @@
     """A fleet at rest for one window, then one change of its configuration."""
     fleet = Hollow(world, n)
     await fleet.up()
-    collector = next(node for node in fleet.core("mdreg") if node.daemon.epoch is not None)
-    rounds, before = collector.daemon.seq, fleet.meter.taken()
+    collector = next(node for node in fleet.core("mdreg") if node.daemon.election.epoch is not None)
+    rounds, before = collector.daemon.collector.sequence, fleet.meter.taken()
     await sleep_us(window)
-    rounds, steady = collector.daemon.seq - rounds, fleet.meter.since(before)
+    rounds, steady = collector.daemon.collector.sequence - rounds, fleet.meter.since(before)
     states, links = states_of(fleet), links_of(fleet)
     before = fleet.meter.taken()
     took, _ = await fleet.change(CHANGED_WAIT_US)
@@ -58,12 +58,18 @@
     chunks = fleet.proxies()[0].daemon.delivery.stager.chunks
     return {
         "mdproxy": statistics.mean(map(state_of_proxy, fleet.proxies())),
-        "mdreg": statistics.mean(packed(node.daemon.roster) for node in fleet.core("mdreg")),
+        "mdreg": statistics.mean(map(state_of_registry, fleet.core("mdreg"))),
         "mdconf": statistics.mean(packed(node.daemon.rosters) for node in fleet.core("mdconf")),
         "manifest": sum(map(len, chunks.values())),
     }
 
 
+def state_of_registry(node):
+    """Bytes of a registry's table of proxies."""
+    records = node.daemon.proxies.records
+    return packed({a: (r.heartbeat.wire, r.heard_at) for a, r in records.items()})
+
+
 def state_of_proxy(node):
     """Bytes of a proxy's load lists and membership view."""
     entries = [state.entry for state in node.view.entries.values()]
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -203,8 +203,8 @@
         host, epoch = await one_holder(world)
         await watched(world)
         await sleep_us(2 * SECOND)
-        lease = world.daemon("mdreg", host).lease
-        silent = lease.preferred
+        lease = world.daemon("mdreg", host).election.lease
+        silent = lease.preferred_store
         links = world.node("mdreg", host).rpc
         original = links.call
 
@@ -218,7 +218,7 @@
         await sleep_us(8 * SECOND)
         assert holders(world) == {host: epoch}
         silent = None
-        process = world.processes[f"mdconf@{lease.preferred.partition(':')[0]}"]
+        process = world.processes[f"mdconf@{lease.preferred_store.partition(':')[0]}"]
         process.freeze()
         await sleep_us(8 * SECOND)
         assert holders(world) == {host: epoch}
@@ -245,19 +245,19 @@
     async def scenario(world):
         await world.whole()
         host, epoch = await one_holder(world)
-        lease = world.daemon("mdreg", host).lease
+        lease = world.daemon("mdreg", host).election.lease
         asked = {}
-        original = lease.ask
+        original = lease.send
 
         async def ask(method, request, deadline):
             asked[monotonic_us()] = request
             return await original(method, request, deadline)
 
-        lease.ask = ask
+        lease.send = ask
         world.meddle[RENEW] = 300 * MILLISECOND
-        renewal = lease.held
-        await world.eventually(lambda: lease.held is not renewal)
-        assert lease.held.expires_at - DURATION in asked
+        renewal = lease.granted
+        await world.eventually(lambda: lease.granted is not renewal)
+        assert lease.granted.expires_at - DURATION in asked
         assert monotonic_us() - min(asked) >= 300 * MILLISECOND
 
     run(scenario, application=("desk",))
@@ -268,11 +268,11 @@
         await world.whole()
         host, epoch = await one_holder(world)
         await watched(world)
-        lease = world.daemon("mdreg", host).lease
+        lease = world.daemon("mdreg", host).election.lease
         # just renewed, so that waiting for its end takes longest
-        renewal = lease.held
-        await world.eventually(lambda: lease.held is not renewal)
-        expires_at = lease.held.expires_at
+        renewal = lease.granted
+        await world.eventually(lambda: lease.granted is not renewal)
+        expires_at = lease.granted.expires_at
         world.nursery.start_soon(world.stop, f"mdreg@{host}")
         await world.eventually(lambda: any(e > epoch for e in holders(world).values()))
         assert monotonic_us() < expires_at
--- a/tests/forwarding/test_gate_rules.py
+++ b/tests/forwarding/test_gate_rules.py
@@ -540,12 +540,12 @@
     async def scenario(world):
         guest, *ends = hosts(world)
         reg = world.daemon("mdreg", world.core[0])
-        collect = reg.collect
+        collect = reg.collector.collect
 
         async def nothing():
             await trio.lowlevel.checkpoint()
 
-        reg.collect = nothing
+        reg.collector.collect = nothing
         world.kill(f"mdproxy@{guest}")
         await sleep_us(100 * MILLISECOND)
         began = monotonic_us()
@@ -561,11 +561,11 @@
         assert walker.lists.seq == 0
         assert set(await batch(world, guest, 4)) <= set(ends)
         # what it knows is not told again, the epoch alone; what is more, is
-        assert reg.stand_in(len(ends)) == {"epoch": reg.seen_epoch}
-        assert reg.stand_in(None) == {}
-        assert set(reg.stand_in(0)["nodes"]) == wanted
+        assert reg.provisional_list(len(ends)).to_wire() == {"epoch": reg.election.highest_epoch}
+        assert reg.provisional_list(None).to_wire() == {}
+        assert set(reg.provisional_list(0).to_wire()["nodes"]) == wanted
         # a real list replaces it
-        reg.collect = collect
+        reg.collector.collect = collect
         await world.eventually(lambda: walker.lists.seq)
         real = gate.told_nodes
         assert {n.address for n in real["desk"]} == wanted
@@ -658,13 +658,13 @@
                 listed = address_of(home) in {
                     n.address for n in gate_of(world, guest).told_nodes.get("desk", ())
                 }
-                on_roster = address_of(home) in reg.roster
+                on_roster = address_of(home) in reg.proxies
                 seen.append((daemon.node.stopping, daemon.closing.is_set(), on_roster, listed))
                 await sleep_us(5 * MILLISECOND)
 
         async def doors():
             await daemon.closing.wait()
-            at_close.append(address_of(home) in reg.roster)
+            at_close.append(address_of(home) in reg.proxies)
 
         world.nursery.start_soon(watch)
         world.nursery.start_soon(doors)
--- a/tests/load_sharing/test_load.py
+++ b/tests/load_sharing/test_load.py
@@ -85,7 +85,7 @@
         then = [(p.walker.lists.epoch, p.walker.lists.seq) for p in proxies]
         assert len({epoch for epoch, _ in first + then}) == 1
         assert all(9 <= b[1] - a[1] <= 11 for a, b in zip(first, then, strict=True))
-        holders = [h for h in world.core if world.daemon("mdreg", h).epoch is not None]
+        holders = [h for h in world.core if world.daemon("mdreg", h).election.epoch is not None]
         assert len(holders) == 1
 
     run(scenario)
@@ -94,8 +94,8 @@
 def test_a_dead_collector_is_replaced_under_a_higher_epoch_and_an_old_list_is_refused():
     async def scenario(world):
         await serving(world)
-        holder = next(h for h in world.core if world.daemon("mdreg", h).epoch is not None)
-        old = world.daemon("mdreg", holder).epoch
+        holder = next(h for h in world.core if world.daemon("mdreg", h).election.epoch is not None)
+        old = world.daemon("mdreg", holder).election.epoch
         world.kill(f"mdreg@{holder}")
         proxy = world.daemon("mdproxy", hosts(world)[0])
         took = await world.eventually(lambda: proxy.walker.lists.epoch > old)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -71,7 +71,7 @@
             await world.start("mdproxy", host)
         proxies = {f"{h}:7401" for h in hosts(world)}
         left = world.daemon("mdreg", world.core[2])
-        await world.eventually(lambda: proxies <= set(left.roster))
+        await world.eventually(lambda: proxies <= set(left.proxies.records))
         for host in hosts(world):
             view = world.node("mdproxy", host).view
             await world.eventually(lambda v=view: len(v.core("mdconf")) == 3)
@@ -85,13 +85,13 @@
         host = hosts(world)[0]
         address = f"{host}:7401"
         reg = world.daemon("mdreg", world.core[0])
-        first = reg.roster[address][0]["incarnation"]
+        first = reg.proxies.records[address].heartbeat.incarnation
         world.kill(f"mdproxy@{host}")
-        assert await world.eventually(lambda: address not in reg.roster) <= 3 * SECOND
+        assert await world.eventually(lambda: address not in reg.proxies) <= 3 * SECOND
         await world.start("mdproxy", host)
-        await world.eventually(lambda: address in reg.roster)
-        assert reg.roster[address][0]["incarnation"] > first
+        await world.eventually(lambda: address in reg.proxies)
+        assert reg.proxies.records[address].heartbeat.incarnation > first
         await world.stop(f"mdproxy@{host}")
-        assert address not in reg.roster  # told, not timed out
+        assert address not in reg.proxies  # told, not timed out
 
     run(scenario)
--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -22,7 +22,7 @@
     linearizable,
     unexplained_keys,
 )
-from meadowdock.registry.lease import Lease
+from meadowdock.registry.lease_client import LeaseClient
 from meadowdock.runtime import (
     MILLISECOND,
     SECOND,
@@ -317,6 +317,6 @@
 
 def test_one_holds_the_lease_and_with_a_planted_lease_without_end_two(monkeypatch):
     assert run(most_holders, application=("desk",)) == 1
-    without_end = property(lambda lease: lease.held.epoch if lease.held else None)
-    monkeypatch.setattr(Lease, "epoch", without_end)
+    without_end = property(lambda lease: lease.granted.epoch if lease.granted else None)
+    monkeypatch.setattr(LeaseClient, "epoch", without_end)
     assert run(most_holders, application=("desk",)) == 2
--- a/tests/proxy/test_stop.py
+++ b/tests/proxy/test_stop.py
@@ -8,7 +8,7 @@
 from returns.pipeline import is_successful
 
 from meadowdock.admin_http import Response, RouteTable
-from meadowdock.registry.part import Part
+from meadowdock.registry.server import RegistryServer
 from meadowdock.runtime import MILLISECOND, SECOND, HttpConnectionFailed, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
@@ -133,7 +133,7 @@
         )
 
     monkeypatch.setattr(
-        Part, "listeners", lambda daemon: {f"{daemon.node.settings.host}:7419": further}
+        RegistryServer, "listeners", lambda daemon: {f"{daemon.node.settings.host}:7419": further}
     )
 
     async def scenario(world):
--- a/tests/runtime/test_freeze.py
+++ b/tests/runtime/test_freeze.py
@@ -40,16 +40,16 @@
 def test_a_frozen_collector_is_replaced_and_knows_so_when_it_wakes():
     async def scenario(world):
         await serving(world)
-        holder = next(h for h in world.core if world.daemon("mdreg", h).epoch is not None)
+        holder = next(h for h in world.core if world.daemon("mdreg", h).election.epoch is not None)
         process = world.processes[f"mdreg@{holder}"]
-        old = process.node.daemon.epoch
+        old = process.node.daemon.election.epoch
         process.freeze()
         proxy = world.daemon("mdproxy", hosts(world)[0])
         assert await world.eventually(lambda: proxy.walker.lists.epoch > old) < 6 * SECOND
         process.wake()
         await sleep_us(3 * SECOND)
         assert world.trace.events(702, 705)  # it knows that its lease is over
-        holders = {h: world.daemon("mdreg", h).epoch for h in world.core}
+        holders = {h: world.daemon("mdreg", h).election.epoch for h in world.core}
         assert [e for e in holders.values() if e is not None] == [proxy.walker.lists.epoch]
 
     run(scenario)
--- a/tests/support/lease_checks.py
+++ b/tests/support/lease_checks.py
@@ -9,7 +9,7 @@
 
 def holders(world):
     """{host: epoch} of all that believe at this moment that their lease is valid."""
-    found = {p.host: p.node.daemon.epoch for p in registries(world) if p.node.daemon}
+    found = {p.host: p.node.daemon.election.epoch for p in registries(world) if p.node.daemon}
     return {host: epoch for host, epoch in found.items() if epoch is not None}
 
 
