--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -25,7 +25,7 @@
     def replaceable(self):
         """Is a change of members under way, or would the policy put a spare in this one's place?"""
         daemon = self.daemon
-        if daemon.store.record["next"] is not None:
+        if daemon.store.membership.is_joint:
             return True
         target = daemon.target()
         return target is not None and daemon.node.settings.link not in target
--- a/packages/config_store/meadowdock/config_store/lease.py
+++ b/packages/config_store/meadowdock/config_store/lease.py
@@ -111,7 +111,7 @@
             record = None if old is None else LeaseRecord.decode(old)
             return transition(record, request).encode()
 
-        if not self.daemon.store.record:
+        if not self.daemon.store.membership:
             raise Rejected(NO_MAJORITY)
         try:
             value = await self.daemon.proposer.change(
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from meadowdock.config_store.membership_record import with_places
+from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.consensus import FailureDomain
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import monotonic_us, sleep_us
@@ -31,7 +31,9 @@
         """Asks every mdconf known, directly. Wanted: all hold the newest record."""
         while True:
             await self.ask_all()
-            await sleep_us(self.timing.hear_us if self.store.record else self.timing.bootstrap_us)
+            await sleep_us(
+                self.timing.hear_us if self.store.membership else self.timing.bootstrap_us
+            )
 
     async def ask_all(self):
         """Ask every other mdconf known; take newer records; bootstrap if this one may."""
@@ -48,10 +50,10 @@
         records = [t["record"] for t in answers.values() if t["record"]]
         newest = max(records, key=lambda r: r["version"], default=None)
         if newest is not None:
-            await self.store.adopt(newest)
+            await self.store.adopt(MembershipConfiguration.from_record(newest))
         elif self.may_bootstrap(answers):
             await self.bootstrap(answers)
-        if self.store.record is None:
+        if self.store.membership is None:
             self.known_at = monotonic_us()
 
     def known_addresses(self):
@@ -114,7 +116,7 @@
             self.met[asker["link"]] = monotonic_us()
         return {
             "disk": self.store.disk,
-            "record": self.store.record,
+            "record": self.store.membership.to_record() if self.store.membership else None,
             "founders": self.founders if self.blank() else None,
             "well": self.store.files.wrong() is None,
             "leaving": self.node.stopping,
@@ -149,10 +151,10 @@
         voters[self.store.disk] = self.node.settings.link
         places = {t["disk"]: place_told(t) for t in answers.values()}
         places[self.store.disk] = self.place
-        record = with_places({"version": 1, "voters": voters, "next": None}, places)
-        await self.store.adopt(record)
+        membership = MembershipConfiguration(1, voters).with_places(places)
+        await self.store.adopt(membership)
         self.node.log(601, members=sorted(voters.values()))
-        asks = {a: (a, "member.adopt", record) for a in answers}
+        asks = {a: (a, "member.adopt", membership.to_record()) for a in answers}
         await self.node.rpc.call_all(asks, monotonic_us() + self.timing.ask_us)
 
 
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -9,7 +9,6 @@
 from meadowdock.config_store.exceptions import MembershipConflict
 from meadowdock.config_store.liveness import Liveness
 from meadowdock.config_store.membership_change import MembershipChange
-from meadowdock.config_store.membership_record import places_of
 from meadowdock.config_store.policy import Observed, choose_voters, wanted_voters
 from meadowdock.config_store.timing import MembershipTiming
 from meadowdock.config_store.transfer import Transfer
@@ -62,34 +61,33 @@
 
     def spare(self):
         """No voter, and none is wanted."""
-        record, there, me = self.store.record, self.reachable(), self.node.settings.link
+        membership, there, me = self.store.membership, self.reachable(), self.node.settings.link
         if self.by_hand or me in self.store.everybody.values():
             return False
-        if len(record["voters"]) >= wanted_voters(
-            len({*there, *record["voters"].values()}), self.tolerance
-        ):
+        voters = set(membership.voters.values())
+        if len(membership.voters) >= wanted_voters(len({*there, *voters}), self.tolerance):
             return True
         # fewer vote than could where that lets a zone or a region be lost
         watched = monotonic_us() - self.begun >= 2 * self.timing.stable_us
-        return watched and me not in self.chosen(set(record["voters"].values()), there)
+        return watched and me not in self.chosen(voters, there)
 
     def too_few(self):
         """No write of these voters would outlive the losses to be borne; or, for a while after
         the start, fewer voters than those losses need, and more may still come."""
-        record = self.store.record
-        if record is None or self.by_hand:
+        membership = self.store.membership
+        if membership is None or self.by_hand:
             return False
         if not self.store.voter_sets.can_be_durable():
             return True
         return (
-            len(record["voters"]) < 2 * self.losses + 1
+            len(membership.voters) < 2 * self.losses + 1
             and monotonic_us() - self.known_at < self.timing.start_us
         )
 
     def target(self):
         """The addresses that should be the voters', if others than now or under other disks."""
         there = self.reachable()
-        voters = {a: d for d, a in self.store.record["voters"].items()}
+        voters = {a: d for d, a in self.store.membership.voters.items()}
         swapped = {a for a, d in voters.items() if a in there and there[a].disk != d}
         me = self.node.settings.link
         if not self.store.voter and me not in swapped:
@@ -125,7 +123,7 @@
         """(voters, candidates). A voter's disk that answers at another address: its machine got a
         new number. While the old address answers too, one of both is a copy, and neither is
         touched."""
-        record, candidates = self.store.record, []
+        candidates = []
         for address in sorted(set(there) - voters):
             heard = there[address]
             if (
@@ -134,7 +132,7 @@
                 or monotonic_us() - heard.since < self.timing.stable_us
             ):
                 continue
-            former = record["voters"].get(heard.disk)
+            former = self.store.membership.voters.get(heard.disk)
             if former is None:
                 candidates.append(address)
             elif former not in there and former in voters:
@@ -143,7 +141,7 @@
 
     def places_by_address(self, there):
         """{address: FailureDomain}: as told by those that answer, else as the record has it."""
-        places = places_of(self.store.record)
+        places = self.store.membership.places
         kept = {a: places[d] for d, a in self.store.everybody.items() if d in places}
         return kept | {a: h.place for a, h in there.items() if h.place != FailureDomain()}
 
@@ -151,22 +149,22 @@
         """Does a voter that answers run elsewhere than the record says?"""
         if self.by_hand:
             return False  # nothing goes by it
-        known = places_of(self.store.record)
+        known = self.store.membership.places
         return any(
             a in there
             and there[a].disk == d
             and there[a].place not in (FailureDomain(), known.get(d, FailureDomain()))
-            for d, a in self.store.record["voters"].items()
+            for d, a in self.store.membership.voters.items()
         )
 
     # ------------------------------------------------------------ who acts
 
     def rank(self):
         """How many members come before this one to act."""
-        there, record = self.reachable(), self.store.record
+        there = self.reachable()
         able = sorted(
             a
-            for d, a in record["voters"].items()
+            for d, a in self.store.membership.voters.items()
             if a in there and there[a].disk == d and there[a].well and not there[a].leaving
         )
         me = self.node.settings.link
@@ -175,15 +173,15 @@
     def wish(self):
         """What this process would do about the members: (record's version, the version to end or
         the wanted addresses), or None."""
-        record = self.store.record
-        if record is None or self.changing or self.store.files.wrong():
+        membership = self.store.membership
+        if membership is None or self.changing or self.store.files.wrong():
             return None
-        if record["next"] is not None:
-            if self.joint[0] != record["version"]:
-                self.joint = record["version"], monotonic_us()
-            return (record["version"], None) if self.store.voter else None
+        if membership.is_joint:
+            if self.joint[0] != membership.version:
+                self.joint = membership.version, monotonic_us()
+            return (membership.version, None) if self.store.voter else None
         target = self.target()
-        return None if target is None else (record["version"], target)
+        return None if target is None else (membership.version, target)
 
     async def act_loop(self):
         """One member acts: the lowest that can; each further one after a longer wait, should
@@ -204,11 +202,11 @@
             deadline = monotonic_us() + self.timing.change_us
             try:
                 if target is None:
-                    record = await self.end_change(deadline)
+                    membership = await self.end_change(deadline)
                 else:
-                    record = await self.change_members(target, deadline)
+                    membership = await self.change_members(target, deadline)
                 self.node.log(
-                    607, version=record["version"], members=sorted(record["voters"].values())
+                    607, version=membership.version, members=sorted(membership.voters.values())
                 )
             except (
                 NoQuorum,
@@ -237,7 +235,7 @@
         """POST /members: operators replace one member, or set all."""
         try:
             facts = json.loads(await request.body(65536))
-            addresses = set(self.store.record["voters"].values())
+            addresses = set(self.store.membership.voters.values())
             if "set" in facts:
                 addresses = set(facts["set"])
             else:
@@ -251,15 +249,17 @@
         except (ValueError, KeyError, TypeError):
             return Response(400, {"code": "malformed", "detail": "1, 3 or 5 members by ip:port"})
         try:
-            record = await self.change_members(addresses, monotonic_us() + self.timing.operator_us)
+            membership = await self.change_members(
+                addresses, monotonic_us() + self.timing.operator_us
+            )
         except MembershipConflict as conflict:
             return Response(409, {"code": conflict.code, **conflict.facts})
-        self.node.log(607, version=record["version"], members=sorted(record["voters"].values()))
+        self.node.log(607, version=membership.version, members=sorted(membership.voters.values()))
         return Response(
             200,
             {
                 "state": "changed",
-                "version": record["version"],
-                "members": {a: d for d, a in record["voters"].items()},
+                "version": membership.version,
+                "members": {a: d for d, a in membership.voters.items()},
             },
         )
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -5,13 +5,7 @@
 import trio
 
 from meadowdock.config_store.exceptions import MembershipConflict
-from meadowdock.config_store.membership_record import (
-    begun_change,
-    ended_change,
-    newcomers_of,
-    reverted_change,
-    voter_sets_of,
-)
+from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import disk_failures_rejected
 from meadowdock.consensus import OutcomeUnknown, VoterSets
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
@@ -35,12 +29,14 @@
             disks = await self.disks_at(addresses, deadline)
             places = self.places_by_address(self.reachable())
             places = {d: places[a] for d, a in disks.items() if a in places}
-            record = await self.step_members(lambda r: begun_change(r, disks, places), deadline)
-            if record["next"] is None:
-                return record
-            if record["next"] != disks:
-                raise MembershipConflict("another_change", next=record["next"])
-            return await self.end_known(record, deadline)
+            membership = await self.step_members(
+                lambda current: current.change_begun(disks, places), deadline
+            )
+            if not membership.is_joint:
+                return membership
+            if membership.next_voters != disks:
+                raise MembershipConflict("another_change", next=membership.next_voters)
+            return await self.end_known(membership, deadline)
         finally:
             self.changing -= 1
 
@@ -48,32 +44,35 @@
         """End the change that is under way, whoever began it, with the disks it was begun for."""
         self.changing += 1
         try:
-            record = await self.step_members(lambda r: r, deadline)
-            return record if record["next"] is None else await self.end_known(record, deadline)
+            membership = await self.step_members(lambda current: current, deadline)
+            return await self.end_known(membership, deadline) if membership.is_joint else membership
         finally:
             self.changing -= 1
 
-    async def end_known(self, record, deadline):
-        """record is known to a majority of both sides. What another ended meanwhile, and began
+    async def end_known(self, membership, deadline):
+        """membership is known to a majority of both sides. What another ended meanwhile, and began
         anew, is not ended here: its keys aren't transferred yet. The newcomers must hold
         everything first; if one of them is gone, or can't, the change is taken back."""
-        if self.hopeless(record):
-            return await self.revert_change(record, deadline)
+        if self.hopeless(membership):
+            return await self.revert_change(membership, deadline)
         await self.transfer_state(deadline)
-        ended = await self.step_members(
-            lambda r: ended_change(r) if r["version"] == record["version"] else r, deadline
-        )
-        if ended["version"] > record["version"] + 1:
-            raise MembershipConflict("another_change", next=ended["next"])
+
+        def end(current):
+            same = current.version == membership.version
+            return current.change_ended() if same else current
+
+        ended = await self.step_members(end, deadline)
+        if ended.version > membership.version + 1:
+            raise MembershipConflict("another_change", next=ended.next_voters)
         return ended
 
-    def hopeless(self, record):
+    def hopeless(self, membership):
         """Is a newcomer gone, or the transfer to it under way for longer than two attempts?"""
-        newcomers = newcomers_of(record)
+        newcomers = membership.newcomers
         if not newcomers:
             return False
         version, since = self.joint
-        if version == record["version"] and monotonic_us() - since > 2 * self.timing.change_us:
+        if version == membership.version and monotonic_us() - since > 2 * self.timing.change_us:
             return True
         there = self.reachable()
         return any(
@@ -84,18 +83,21 @@
             if a != self.node.settings.link
         )
 
-    async def revert_change(self, record, deadline):
+    async def revert_change(self, membership, deadline):
         """The former voters alone again: all that was accepted meanwhile is on a majority of
         them too."""
-        await self.transfer_back(record, deadline)
-        await self.step_members(
-            lambda r: reverted_change(r) if r["version"] == record["version"] else r, deadline
-        )
-        raise MembershipConflict("newcomer_gone", absent=sorted(newcomers_of(record).values()))
+        await self.transfer_back(membership, deadline)
+
+        def revert(current):
+            same = current.version == membership.version
+            return current.change_reverted() if same else current
+
+        await self.step_members(revert, deadline)
+        raise MembershipConflict("newcomer_gone", absent=sorted(membership.newcomers.values()))
 
     async def disks_at(self, addresses, deadline):
         """{disk id: address}; MembershipConflict if one that is no voter doesn't answer."""
-        me, voters = self.node.settings.link, self.store.record["voters"]
+        me, voters = self.node.settings.link, self.store.membership.voters
         silent = {
             a for a in voters.values() if self.silence(a) > self.timing.silent_us
         }  # not waited for
@@ -118,26 +120,30 @@
         return disks
 
     async def step_members(self, make, deadline):
-        """One change of the record: agreed in the register, then known to a quorum of it."""
+        """One change of the membership configuration: agreed in the register, then known to a
+        quorum of it."""
         old, members = self.store.voter_sets, self.store.everybody
         # more members may be what durability lacks, so a quorum decides on members
         enough = VoterSets.is_quorum
 
-        def checked_make(kept):
-            base = self.store.record
-            return make(kept if kept and kept["version"] > base["version"] else base)
+        def checked_make(record):
+            known_here = self.store.membership
+            newer = record and record["version"] > known_here.version
+            base = MembershipConfiguration.from_record(record) if newer else known_here
+            return make(base).to_record()
 
         record = await self.proposer.change(MEMBERS, checked_make, deadline, enough)
-        voter_sets = VoterSets(old.sets + voter_sets_of(record).sets)
-        members = {**members, **record["voters"], **(record["next"] or {})}
+        membership = MembershipConfiguration.from_record(record)
+        voter_sets = VoterSets(old.sets + membership.voter_sets().sets)
+        members = {**members, **membership.members}
 
         def known(answers):
             return voter_sets.is_quorum(answers)
 
         if not known(await self.broadcast_to(members, "member.adopt", record, deadline, known)):
             raise OutcomeUnknown(MEMBERS)
-        await self.store.adopt(record)
-        return record
+        await self.store.adopt(membership)
+        return membership
 
     # ------------------------------------------------------------ what members are told
 
@@ -145,14 +151,14 @@
     async def on_adopt(self, peer, record):
         """Take a newer membership record; answers the disk and version here."""
         with disk_failures_rejected():
-            await self.store.adopt(record)
-        return {"disk": self.store.disk, "version": self.store.record["version"]}
+            await self.store.adopt(MembershipConfiguration.from_record(record))
+        return {"disk": self.store.disk, "version": self.store.membership.version}
 
     @handlers.on("member.keys")
     async def on_keys(self, peer, record):
         """Told only once the record is known here: no older round adds a key after that."""
         with disk_failures_rejected():
-            await self.store.adopt(record)
+            await self.store.adopt(MembershipConfiguration.from_record(record))
         return {"disk": self.store.disk, "keys": sorted(self.store.acceptor.keys.values())}
 
     async def broadcast_to(self, members, method, args, deadline, enough):
--- a/packages/config_store/meadowdock/config_store/quorum_monitor.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -71,7 +71,7 @@
         answers = await self.probe(writing)
         if self.fresh(writing):
             return
-        if self.daemon.store.record:
+        if self.daemon.store.membership:
             self.daemon.note_no_quorum()
         able = [answer.doors for answer in answers if answer.may_take_over]
         raise QuorumUnreachable(self.daemon.node.runtime.rng.choice(able) if able else {})
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -118,13 +118,13 @@
 
         Raises meadowdock.configuration.items.Invalid, meadowdock.configuration.items.VersionConflict or NoQuorum (surely not done), or
         OutcomeUnknown."""
-        if not self.store.record or self.too_few():
+        if not self.store.membership or self.too_few():
             raise NoQuorum("members")
         return await self.items.change(items)
 
     async def read_items(self):
         """The standing items, by kind and name, from a quorum read. Raises NoQuorum."""
-        if not self.store.record:
+        if not self.store.membership:
             raise NoQuorum("members")
         return (await self.items.read(monotonic_us() + self.read_wait))[1]
 
@@ -141,18 +141,18 @@
     async def announce_shutdown(self):
         """Hand the vote to a spare, as long as one can come."""
         reserve = min(self.node.stop_timeout_us // 3, 3 * SECOND // 2)  # for what comes after it
-        if self.store.record:
+        if self.store.membership:
             await self.handover.leave_membership(self.node.stop_deadline - reserve)
 
     async def drain(self):
         """Secure on others what only this disk may hold."""
-        if self.store.record:
+        if self.store.membership:
             await self.handover.secure_state(self.node.stop_deadline - SECOND // 4)
 
     def unready_reasons(self):
         """Why this process is not ready; empty if it is."""
         wrong = self.store.files.wrong()
-        if self.store.record is None:
+        if self.store.membership is None:
             return ["the register isn't founded, or its members aren't known yet"]
         return [
             *([wrong] if wrong else []),
@@ -170,7 +170,7 @@
     async def transfer_files(self, deadline, enough=None):
         """The audit trail and the range files of the head, until enough(members that hold them):
         if not told otherwise, all newcomers and a quorum of both sides."""
-        enough = enough or self.transferred(self.store.record)
+        enough = enough or self.transferred(self.store.membership)
         head = await self.proposer.read(HEAD, deadline) or NO_HEAD
         spread = partial(self.on_majority, enough=enough)
         await self.trail.carry(spread, deadline)
@@ -189,7 +189,7 @@
 
     async def read_head(self, deadline):
         """A majority read. Those that ask while one is under way share the next."""
-        if not self.store.record:
+        if not self.store.membership:
             raise NoQuorum(HEAD)
         if self.next_reading is None:
             self.next_reading = Reading()
@@ -234,7 +234,7 @@
         """Keeps the head known, this member's range files whole, and old ones off the disk."""
         while True:
             await self.store.files.look()
-            if self.store.record:
+            if self.store.membership:
                 try:
                     head = await self.read_head(monotonic_us() + SECOND)
                     await self.mend(head)
@@ -445,7 +445,7 @@
         denied = self.denied(request)
         if denied:
             return denied
-        if not self.store.record:
+        if not self.store.membership:
             return Response(503, {"code": "not_founded"}, [(b"retry-after", b"1")])
         if request.method == "POST" and self.too_few():
             return Response(503, {"code": "too_few_members"}, [(b"retry-after", b"1")])
--- a/packages/config_store/meadowdock/config_store/status.py
+++ b/packages/config_store/meadowdock/config_store/status.py
@@ -21,7 +21,7 @@
         "head": head["version"],
         "majority": majority,
         "members": members,
-        "members_change": (daemon.store.record or {}).get("next"),
+        "members_change": daemon.store.membership.next_voters if daemon.store.membership else None,
         "disk_here": daemon.store.files.wrong() or "good",
         "mended_here": dict(daemon.repairer.counts),
         "catching_up": {"audit_records": len(daemon.store.trail.missing(head["version"]))},
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -7,7 +7,7 @@
 import ormsgpack
 import trio
 
-from meadowdock.config_store.membership_record import voter_sets_of
+from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.trail import AuditTrail
 from meadowdock.consensus import NO_LOSSES, Acceptor, VoterSets
 from meadowdock.rpc import Rejected
@@ -16,6 +16,9 @@
 RECORDS_KEPT = 2  # the newest, and one to go on from should that be damaged
 
 
+# The configuration of a rescued member must be newer than any that the lost members can have.
+RESCUE_VERSION_STEP = 1000
+
 HEAD = "manifest/head"  # the register key of the current revision
 
 
@@ -33,10 +36,7 @@
         self.adopting = trio.Lock()
         self.blank_at_start = False
         self.disk = None
-        # {"version": n, "voters": {disk id: address}, "next": the same, or None, "places": {disk
-        # id: [zone, region]}}; while next is set the members change, and a quorum is a majority of
-        # voters and one of next. Records of former versions have no places.
-        self.record = None
+        self.membership: MembershipConfiguration | None = None
         self.tolerance = NO_LOSSES
         self.trail = AuditTrail(self.files)
 
@@ -47,7 +47,7 @@
         for version in reversed(versions):
             body = unsealed(await self.files.read(f"members/{version}"))
             if body is not None:
-                self.record = ormsgpack.unpackb(body)
+                self.membership = MembershipConfiguration.from_record(ormsgpack.unpackb(body))
                 break
         forgot = bool(versions) and (body is None or version != versions[-1])
         await self.trail.load()
@@ -69,20 +69,25 @@
     @property
     def blank(self):
         """Never was a member: nothing is here, nor was when the process began."""
-        return self.blank_at_start and self.record is None
+        return self.blank_at_start and self.membership is None
 
-    async def adopt(self, record):
-        """One at a time: an older record that took longer to write must not follow a newer."""
-        if self.record is not None and record["version"] <= self.record["version"]:
+    async def adopt(self, membership):
+        """Store a newer membership configuration, then go by it. One at a time: an older one that
+        took longer to write must not follow a newer."""
+        if not self.is_newer(membership):
             return
         async with self.adopting:
-            if self.record is not None and record["version"] <= self.record["version"]:
+            if not self.is_newer(membership):
                 return
-            name = f"members/{record['version']:08d}"
-            await self.files.write(name, sealed(ormsgpack.packb(record)))
-            self.record = record
+            name = f"members/{membership.version:08d}"
+            await self.files.write(name, sealed(ormsgpack.packb(membership.to_record())))
+            self.membership = membership
             await self.remove_old_records()
 
+    def is_newer(self, membership):
+        """Whether a membership configuration is newer than the one here."""
+        return self.membership is None or membership.version > self.membership.version
+
     async def remove_old_records(self):
         """Keep the newest two membership records."""
         names = sorted(await self.files.names("members"))
@@ -92,14 +97,14 @@
     @property
     def everybody(self):
         """{disk id: address} of all that have a vote."""
-        if self.record is None:
-            return {}
-        return {**self.record["voters"], **(self.record["next"] or {})}
+        return {} if self.membership is None else self.membership.members
 
     @property
     def voter_sets(self) -> VoterSets:
-        """The voter sets of the present record."""
-        return voter_sets_of(self.record, self.tolerance)
+        """The voter sets of the present membership configuration."""
+        if self.membership is None:
+            return VoterSets(tolerance=self.tolerance)
+        return self.membership.voter_sets(self.tolerance)
 
     @property
     def voter(self):
@@ -109,7 +114,7 @@
     @property
     def settled(self):
         """A member whatever becomes of a change under way."""
-        return self.record is not None and self.disk in self.record["voters"]
+        return self.membership is not None and self.disk in self.membership.voters
 
     async def put_blob(self, body):
         """Store a chunk; gives its name."""
@@ -204,10 +209,11 @@
     await store.load()
     head = store.acceptor.states.get(fingerprint(HEAD.encode()))
     version = head.value["version"] if head and head.value else 0
-    if change and store.record:
-        record = {"version": store.record["version"] + 1000, "voters": {store.disk: link}}
-        await store.adopt({**record, "next": None})
-    return f"disk {store.disk}, manifest version {version}, members' record {store.record}"
+    if change and store.membership:
+        rescued = store.membership.version + RESCUE_VERSION_STEP
+        await store.adopt(MembershipConfiguration(rescued, {store.disk: link}))
+    record = store.membership.to_record() if store.membership else None
+    return f"disk {store.disk}, manifest version {version}, members' record {record}"
 
 
 @contextmanager
--- a/packages/config_store/meadowdock/config_store/trail_transfer.py
+++ b/packages/config_store/meadowdock/config_store/trail_transfer.py
@@ -172,7 +172,7 @@
         but not for ever: it may be gone for good. Raises NoQuorum."""
         state = self.trail.state()
         told = await self.states(deadline)
-        voters = [list(self.store.record["voters"])]
+        voters = [list(self.store.membership.voters)]
         if not holds_majorities(voters, {self.store.disk, *told}):
             raise NoQuorum("audit trail")
         for other in told.values():
@@ -199,9 +199,9 @@
 
     def newcomers(self):
         """{address: trio.Event} of the other disks that come in with the change under way."""
-        record = self.store.record
-        disks = set(record["next"] or {}) - set(record["voters"]) - {self.store.disk}
-        return {record["next"][disk]: trio.Event() for disk in disks}
+        newcomers = self.store.membership.newcomers
+        disks = set(newcomers) - {self.store.disk}
+        return {newcomers[disk]: trio.Event() for disk in disks}
 
     @handlers.on("trail.catch_up")
     async def on_catch_up(self, peer, state):
--- a/packages/config_store/meadowdock/config_store/transfer.py
+++ b/packages/config_store/meadowdock/config_store/transfer.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import trio
 
-from meadowdock.config_store.membership_record import newcomers_of, voter_sets_of
 from meadowdock.consensus import NoQuorum, OutcomeUnknown, VoterSets
 
 KEYS_AT_ONCE = 16  # keys
@@ -13,12 +14,13 @@
 class Transfer:
     """Of Part."""
 
-    def transferred_to(self, side, record, required=()):
+    def transferred_to(self, side, membership, required=()):
         """enough(members): is a transfer to one side ({disk id: address}) of the record complete?
         Those required and a quorum of both sides hold it, and a durable quorum of that side if its
         members allow one."""
-        joint = voter_sets_of(record)
-        new = voter_sets_of(record | {"voters": side, "next": None}, self.tolerance)
+        joint = membership.voter_sets()
+        side_alone = replace(membership, voters=side, next_voters=None)
+        new = side_alone.voter_sets(self.tolerance)
         required = set(required)
 
         def enough(members):
@@ -31,29 +33,32 @@
 
         return enough
 
-    def transferred(self, record):
+    def transferred(self, membership):
         """As transferred_to, for the end of the change under way: all newcomers hold it too."""
-        return self.transferred_to(record["next"] or record["voters"], record, newcomers_of(record))
+        side = membership.next_voters or membership.voters
+        return self.transferred_to(side, membership, membership.newcomers)
 
     async def transfer_state(self, deadline):
         """To the new side. If another record is known meanwhile, this one isn't ended."""
-        record = self.store.record
-        await self.transfer_listed_keys(record, self.transferred(record), deadline)
+        membership = self.store.membership
+        await self.transfer_listed_keys(membership, self.transferred(membership), deadline)
         await self.transfer_files(deadline)
 
-    async def transfer_back(self, record, deadline):
+    async def transfer_back(self, membership, deadline):
         """To the former side: what was accepted meanwhile may stand on newcomers' disks."""
-        enough = self.transferred_to(record["voters"], record)
-        await self.transfer_listed_keys(record, enough, deadline)
+        enough = self.transferred_to(membership.voters, membership)
+        await self.transfer_listed_keys(membership, enough, deadline)
         await self.transfer_files(deadline, enough)
 
-    async def transfer_listed_keys(self, record, enough, deadline):
+    async def transfer_listed_keys(self, membership, enough, deadline):
         """All keys that the former voters list, to both sides."""
 
         def listed(answers):
-            return VoterSets.of([record["voters"]]).is_quorum(answers)
+            return VoterSets.of([membership.voters]).is_quorum(answers)
 
-        answers = await self.broadcast_to(record["voters"], "member.keys", record, deadline, listed)
+        answers = await self.broadcast_to(
+            membership.voters, "member.keys", membership.to_record(), deadline, listed
+        )
         if not listed(answers):
             raise NoQuorum("keys")
         keys = sorted({k for t in answers.values() for k in t["keys"]})
--- a/packages/config_store/meadowdock/config_store/votes.py
+++ b/packages/config_store/meadowdock/config_store/votes.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import disk_failures_rejected
 from meadowdock.consensus import KeyStateLost, Proposer
 from meadowdock.rpc import Handlers, Rejected
@@ -22,7 +23,7 @@
             self.ask,
             self.node.runtime.rng,
             self.node.nursery,
-            lambda: self.store.record["version"] if self.store.record else 0,
+            lambda: self.store.membership.version if self.store.membership else 0,
         )
 
     async def ask(self, member, method, args, deadline, version):
@@ -37,7 +38,7 @@
             )
         except Rejected as shed:
             if shed.code == "old_members":
-                await self.store.adopt(shed.details["record"])
+                await self.store.adopt(MembershipConfiguration.from_record(shed.details["record"]))
             raise
 
     @handlers.on("register")
@@ -50,8 +51,8 @@
         store = self.store
         if member != store.disk or not store.voter:
             raise Rejected("other_member", disk=store.disk)
-        if version < store.record["version"]:
-            raise Rejected("old_members", record=store.record)
+        if version < store.membership.version:
+            raise Rejected("old_members", record=store.membership.to_record())
         try:
             with disk_failures_rejected():
                 if method == "write" and self.handover.retired:
--- a/packages/model_checker/meadowdock/model_checker/actor.py
+++ b/packages/model_checker/meadowdock/model_checker/actor.py
@@ -275,5 +275,5 @@
         if run.round > len(history):
             history = (*history, ())
         key = tuple(frozenset(of_round) for of_round in history)
-        version = run.process.store.record["version"]
+        version = run.process.store.membership.version
         return View(actor, start, key, history, run.sent, run.outcome, version)
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -11,6 +11,7 @@
 import trio
 
 from meadowdock.config_store.members import Members
+from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
 from meadowdock.runtime import MemoryDisk, sealed
 
@@ -37,7 +38,7 @@
     async def transfer_files(self, deadline: int, enough: Callable | None = None) -> None:
         """Chunks are no part of the model."""
 
-    def hopeless(self, record: dict) -> bool:
+    def hopeless(self, membership: MembershipConfiguration) -> bool:
         """Who is reachable is no part of the model: newcomers always are."""
         return False
 
@@ -94,7 +95,7 @@
     store = implementation.store(disk, random.Random(disk_id), no_log)
     await store.load()
     if record is not None:
-        await store.adopt(record)
+        await store.adopt(MembershipConfiguration.from_record(record))
     return store
 
 
--- a/packages/model_checker/meadowdock/model_checker/replica.py
+++ b/packages/model_checker/meadowdock/model_checker/replica.py
@@ -6,6 +6,7 @@
 
 import ormsgpack
 
+from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
 from meadowdock.consensus.acceptor import AcceptorState
 from meadowdock.model_checker.process import Implementation, make_node, make_store, packed
@@ -63,7 +64,7 @@
         """The running process in this state: its memory need not be what its disk holds."""
         store = await make_store(self.implementation, state.disk, None, dict(state.files))
         record, acceptor = ormsgpack.unpackb(state.memory)
-        store.record = record
+        store.membership = None if record is None else MembershipConfiguration.from_record(record)
         store.acceptor.states = {
             folder: AcceptorState(tuple(promised), tuple(accepted), value, file)
             for folder, (_, promised, accepted, value, file) in acceptor.items()
@@ -107,7 +108,8 @@
         file = 1 if len(folders.get(folder, ())) == 1 else state.file_version
         key, kept = store.acceptor.keys[folder], (state.promised, state.accepted, state.value)
         acceptor[folder] = [key, *kept, file]
-    return store.disk, files, packed([store.record, acceptor])
+    record = None if store.membership is None else store.membership.to_record()
+    return store.disk, files, packed([record, acceptor])
 
 
 def unpacked_keys(memory: bytes) -> dict[str, tuple]:
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -9,6 +9,7 @@
 from core_fleet import SEEDS, Fleet, changed, configure, read_back
 from mesh import configured
 
+from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import Proposer
 from meadowdock.runtime import (
@@ -69,9 +70,9 @@
         fleet = Fleet(world, core=7, losses=1)
         await fleet.up()
         await sleep_us(5 * SECOND)
-        records = list(fleet.records().values())
-        assert {len(r["voters"]) for r in records} == {3}
-        assert all(r == records[0] for r in records)
+        memberships = list(fleet.memberships().values())
+        assert {len(m.voters) for m in memberships} == {3}
+        assert all(m == memberships[0] for m in memberships)
         assert not any(world.node("mdconf", h).unready_reasons() for h in fleet.hosts)
 
     run(scenario, seed)
@@ -85,7 +86,7 @@
         fleet.founding = False
         await fleet.up(fleet.hosts[2:])
         await sleep_us(5 * SECOND)
-        assert not any(fleet.records().values())
+        assert not any(fleet.memberships().values())
         assert not world.trace.events(601)
 
     run(scenario, seed)
@@ -99,7 +100,7 @@
         fleet.told = fleet.hosts[1:4]
         await fleet.up(fleet.hosts[1::2])
         await sleep_us(5 * SECOND)
-        assert not any(fleet.records().values())
+        assert not any(fleet.memberships().values())
 
     run(scenario, seed)
 
@@ -111,14 +112,14 @@
         fleet = Fleet(world, core=3)
         await fleet.founded()
         assert await configure(world, 1, fleet.hosts[0]) == 1
-        record = fleet.store(fleet.hosts[0]).record
+        membership = fleet.store(fleet.hosts[0]).membership
         for host in fleet.hosts:
             world.power_off("mdconf", host)
         fleet.founding = founding
         await sleep_us(SECOND)
         await fleet.up()
         assert await fleet.settle(fleet.hosts) <= 2 * SECOND
-        assert fleet.store(fleet.hosts[0]).record == record
+        assert fleet.store(fleet.hosts[0]).membership == membership
         assert await read_back(world, fleet.hosts[1]) == 1
 
     run(scenario, seed)
@@ -138,7 +139,7 @@
         await fleet.up()
         await sleep_us(6 * SECOND)
         assert len(world.trace.events(601)) == 1
-        assert {r["version"] for r in fleet.records().values()} == {1}
+        assert {m.version for m in fleet.memberships().values()} == {1}
         assert all(world.node("mdconf", h).unready_reasons() for h in fleet.hosts)
 
     run(scenario, seed)
@@ -192,17 +193,17 @@
     async def scenario(world):
         fleet = Fleet(world, core=3)
         await fleet.founded()
-        record = fleet.store(fleet.hosts[0]).record
+        membership = fleet.store(fleet.hosts[0]).membership
         host = fleet.hosts[seed % 3]
         world.power_off("mdconf", host)
         await sleep_us(1_500 * MILLISECOND)
         await world.start("mdconf", host)
         await sleep_us(3 * SECOND)
-        assert all(r == record for r in fleet.records().values())
+        assert all(m == membership for m in fleet.memberships().values())
         world.power_off("mdconf", host)
         fleet.hosts.remove(host)
         await sleep_us(20 * SECOND)
-        assert all(r == record for r in fleet.records().values())
+        assert all(m == membership for m in fleet.memberships().values())
         fleet.hosts.append("10.0.3.1")
         await world.start("mdconf", "10.0.3.1")
         assert await fleet.settle(fleet.hosts) <= 2_500 * MILLISECOND
@@ -297,13 +298,13 @@
         await store.load()
         assert store.blank
         former = store.disk
-        await store.adopt({"version": 1, "voters": {former: "a"}, "next": None})
-        await store.adopt({"version": 2, "voters": {"z": "b"}, "next": None})
+        await store.adopt(MembershipConfiguration(1, {former: "a"}))
+        await store.adopt(MembershipConfiguration(2, {"z": "b"}))
         disk.files["members/00000002"] = b"rotten"
         again = Store(disk, random.Random(2), lambda *_, **__: None)
         await again.load()
         assert again.disk != former
-        assert again.record["version"] == 1
+        assert again.membership.version == 1
         assert not again.blank
 
     run(work)
@@ -320,10 +321,10 @@
         await store.load()
         async with trio.open_nursery() as nursery:
             for version in (2, 3):
-                record = {"version": version, "voters": {"a": "x"}, "next": None}
-                nursery.start_soon(store.adopt, record)
+                membership = MembershipConfiguration(version, {"a": "x"})
+                nursery.start_soon(store.adopt, membership)
                 await sleep_us(10 * MILLISECOND)
-        assert store.record["version"] == 3
+        assert store.membership.version == 3
 
     run(work)
 
@@ -362,7 +363,7 @@
         for host in fleet.hosts:  # nobody gets further than the first step
             world.daemon("mdconf", host).transfer_files = forever
         await world.start("mdconf", "10.0.3.1")
-        await world.eventually(lambda: fleet.store(fleet.hosts[0]).record["next"])
+        await world.eventually(lambda: fleet.store(fleet.hosts[0]).membership.next_voters)
         world.power_off("mdconf", "10.0.3.1")
         world.lose_disk("mdconf", "10.0.3.1")
         for host in fleet.hosts:
@@ -426,7 +427,7 @@
     async def scenario(world):
         fleet = Fleet(world, core=5, losses=2)
         await fleet.up(fleet.hosts[:3])
-        await world.eventually(lambda: all(fleet.records().values()))
+        await world.eventually(lambda: all(fleet.memberships().values()))
         world.core = fleet.hosts[:1]
         status, told = await world.operate("POST", "/plan", changed(1))
         assert (status, told["code"]) == (503, "too_few_members")
@@ -446,7 +447,7 @@
     async def scenario(world):
         fleet = Fleet(world, core=3, losses=2)
         await fleet.up()
-        await world.eventually(lambda: all(fleet.records().values()))
+        await world.eventually(lambda: all(fleet.memberships().values()))
         took = await fleet.settle(fleet.hosts, 8 * SECOND)
         assert 3 * SECOND <= took <= 6 * SECOND
         assert await configure(world, 1, fleet.hosts[0]) == 1
@@ -494,17 +495,21 @@
         await configured(world)
         host = world.core[0]
         daemon = world.daemon("mdconf", world.core[1])
-        record = daemon.store.record
+        membership = daemon.store.membership
         world.power_off("mdconf", host)
         world.lose_disk("mdconf", host)
         world.daemon("mdconf", world.core[2]).changing = daemon.changing = 1  # they don't mend it
         await world.start("mdconf", host)
         world.daemon("mdconf", host).changing = 1
-        await world.eventually(lambda: world.daemon("mdconf", host).store.record)
+        await world.eventually(lambda: world.daemon("mdconf", host).store.membership)
         told = await daemon.broadcast_to(
-            record["voters"], "member.keys", record, monotonic_us() + SECOND, lambda answers: False
+            membership.voters,
+            "member.keys",
+            membership.to_record(),
+            monotonic_us() + SECOND,
+            lambda answers: False,
         )
-        assert set(told) == {d for d, a in record["voters"].items() if a != f"{host}:7421"}
+        assert set(told) == {d for d, a in membership.voters.items() if a != f"{host}:7421"}
 
     run(scenario, seed)
 
@@ -514,28 +519,28 @@
         fleet = Fleet(world, core=3)
         await fleet.founded()
         daemon = world.daemon("mdconf", fleet.hosts[0])
-        disks = dict(daemon.store.record["voters"])
+        disks = dict(daemon.store.membership.voters)
         daemon.changing = 1
         for host in fleet.hosts[1:]:
             world.daemon("mdconf", host).changing = 1
 
-        def begin(r):
-            return {"version": r["version"] + 1, "voters": r["voters"], "next": disks}
+        def begin(current):
+            return MembershipConfiguration(current.version + 1, current.voters, disks)
 
         first = await daemon.step_members(begin, monotonic_us() + SECOND)
 
         async def meanwhile(due):
             """The other ends the change, and begins the next."""
             await daemon.step_members(
-                lambda r: {"version": r["version"] + 1, "voters": disks, "next": None}, due
+                lambda current: MembershipConfiguration(current.version + 1, disks), due
             )
             await daemon.step_members(begin, due)
 
         daemon.transfer_files = meanwhile
         with pytest.raises(Exception, match="another_change"):
             await daemon.end_known(first, monotonic_us() + 2 * SECOND)
-        assert daemon.store.record["next"] == disks
-        assert daemon.store.record["version"] == first["version"] + 2
+        assert daemon.store.membership.next_voters == disks
+        assert daemon.store.membership.version == first.version + 2
 
     run(scenario)
 
--- a/tests/config_store/test_members_change.py
+++ b/tests/config_store/test_members_change.py
@@ -61,7 +61,7 @@
                 await world.start("mdconf", host)
                 old = world.core[index]
                 facts = {"old": f"{old}:7421", "new": f"{host}:7421"}
-                await world.eventually(lambda h=host: world.daemon("mdconf", h).store.record)
+                await world.eventually(lambda h=host: world.daemon("mdconf", h).store.membership)
                 status, told = await world.operate("POST", "/members", facts, index)
                 assert (status, told.get("state")) == (200, "changed"), told
                 world.core[index] = host
@@ -90,7 +90,7 @@
         await configured(world)
         world.halls["10.0.2.1"] = "a"
         await world.start("mdconf", "10.0.2.1")
-        await world.eventually(lambda: world.daemon("mdconf", "10.0.2.1").store.record)
+        await world.eventually(lambda: world.daemon("mdconf", "10.0.2.1").store.membership)
         daemon = world.daemon("mdconf", world.core[1])
         killed = trio.Event()
 
@@ -112,7 +112,7 @@
         world.nursery.start_soon(first)
         await killed.wait()
         await world.start("mdconf", world.core[1])
-        await world.eventually(lambda: world.daemon("mdconf", world.core[1]).store.record)
+        await world.eventually(lambda: world.daemon("mdconf", world.core[1]).store.membership)
         other = {"old": f"{world.core[2]}:7421", "new": "10.0.2.1:7421"}
         status, told = await world.operate("POST", "/members", other, 2)
         assert (status, told["code"]) == (409, "another_change")
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -8,6 +8,7 @@
 import trio
 from core_fleet import SEEDS, Fleet, changed, configure, read_back
 
+from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import FailureDomain, Tolerance, VoterSets
 from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, sleep_us
@@ -99,14 +100,14 @@
         return facts
 
     def voting_zones(self):
-        record = self.store(self.running()[0]).record
-        return sorted(self.zones[a.split(":")[0]] for a in record["voters"].values())
+        membership = self.store(self.running()[0]).membership
+        return sorted(self.zones[a.split(":")[0]] for a in membership.voters.values())
 
     def steady(self, zones):
         """The voters are in these zones, all agree, and none of them is unready."""
-        records = list(self.records().values())
+        memberships = list(self.memberships().values())
         return (
-            all(r and r["next"] is None and r == records[0] for r in records)
+            all(m and m.next_voters is None and m == memberships[0] for m in memberships)
             and self.voting_zones() == zones
             and not any(self.world.node("mdconf", h).unready_reasons() for h in self.running())
         )
@@ -138,9 +139,9 @@
         await sleep_us(6 * SECOND)
         assert await configure(world, 1, fleet.hosts[0]) == 1
         await world.eventually(lambda: fleet.steady(fleet.voting_zones()), 3 * SECOND)
-        record = fleet.store(fleet.hosts[0]).record
+        membership = fleet.store(fleet.hosts[0]).membership
         await sleep_us(10 * SECOND)
-        assert fleet.records()[fleet.hosts[4]] == record
+        assert fleet.memberships()[fleet.hosts[4]] == membership
         for host in (fleet.hosts[0], *fleet.hosts[3:]):
             world.power_off("mdconf", host)
             world.lose_disk("mdconf", host)
@@ -158,7 +159,7 @@
         assert fleet.voting_zones() == ["a1", "b1", "c1"]
         world.power_off("mdconf", fleet.hosts[2])
         await world.eventually(
-            lambda: fleet.store(fleet.hosts[0]).record["version"] >= 3, 8 * SECOND
+            lambda: fleet.store(fleet.hosts[0]).membership.version >= 3, 8 * SECOND
         )
         assert fleet.voting_zones() == ["a1", "b1", "c1"]
 
@@ -174,17 +175,18 @@
         await fleet.founded()
         for host in fleet.hosts:
             store = fleet.store(host)
-            former = {"version": 2, "voters": store.record["voters"], "next": None}
+            former = MembershipConfiguration(2, store.membership.voters)
             await store.adopt(former)
-            assert store.record == former
+            assert store.membership == former
+            assert "places" not in former.to_record()
         for host in fleet.hosts:
             world.power_off("mdconf", host)
         await fleet.up()
-        wanted = {fleet.store(h).disk: [z, z[0]] for h, z in fleet.zones.items()}
+        wanted = {fleet.store(h).disk: FailureDomain(z, z[0]) for h, z in fleet.zones.items()}
         await world.eventually(
-            lambda: all(r.get("places") == wanted for r in fleet.records().values()), 4 * SECOND
+            lambda: all(m.places == wanted for m in fleet.memberships().values()), 4 * SECOND
         )
-        assert fleet.store(fleet.hosts[0]).record["voters"] == former["voters"]
+        assert fleet.store(fleet.hosts[0]).membership.voters == former.voters
         assert await configure(world, 1, fleet.hosts[0]) == 1
 
     run(scenario, seed)
@@ -195,7 +197,7 @@
 
 async def change_begun(world, fleet):
     await world.eventually(
-        lambda: fleet.store(fleet.hosts[0]).record["next"], 6 * SECOND, MILLISECOND
+        lambda: fleet.store(fleet.hosts[0]).membership.next_voters, 6 * SECOND, MILLISECOND
     )
 
 
@@ -233,7 +235,7 @@
         slowed = {"write": store.acceptor, "put_blob": store, "put": store.trail}[slow]
         slow_down(slowed, slow)
         await world.eventually(
-            lambda: store.disk in (fleet.store(fleet.hosts[0]).record["voters"]),
+            lambda: store.disk in (fleet.store(fleet.hosts[0]).membership.voters),
             9 * SECOND,
             MILLISECOND,
         )
@@ -289,11 +291,11 @@
         await world.start("mdconf", "10.0.3.1")
         slow_down(fleet.store("10.0.3.1").acceptor, "write", 3600 * SECOND)
         await change_begun(world, fleet)
-        version = fleet.store(fleet.hosts[0]).record["version"]
+        version = fleet.store(fleet.hosts[0]).membership.version
         await world.eventually(
-            lambda: fleet.store(fleet.hosts[0]).record["version"] > version, 20 * SECOND
+            lambda: fleet.store(fleet.hosts[0]).membership.version > version, 20 * SECOND
         )
-        assert len(fleet.store(fleet.hosts[0]).record["voters"]) == 3
+        assert len(fleet.store(fleet.hosts[0]).membership.voters) == 3
         assert await configure(world, 1, fleet.hosts[0]) == 1
 
     run(scenario)
@@ -317,10 +319,10 @@
         world.power_off("mdconf", fleet.hosts[4])
         await sleep_us(20 * SECOND)
         assert behind.acceptor.read("manifest/head")[1] is None
-        assert fleet.store(fleet.hosts[0]).record["next"]
+        assert fleet.store(fleet.hosts[0]).membership.next_voters
         repaired()
         await world.eventually(
-            lambda: not fleet.store(fleet.hosts[0]).record["next"], 10 * SECOND, MILLISECOND
+            lambda: not fleet.store(fleet.hosts[0]).membership.next_voters, 10 * SECOND, MILLISECOND
         )
         assert behind.acceptor.read("manifest/head")[1]["version"] == 1
 
@@ -357,12 +359,12 @@
 
 
 def voters(world, fleet):
-    return {a.split(":")[0] for a in fleet.store(fleet.running()[0]).record["voters"].values()}
+    return {a.split(":")[0] for a in fleet.store(fleet.running()[0]).membership.voters.values()}
 
 
 def steady(fleet):
-    records = list(fleet.records().values())
-    return all(r == records[0] and r["next"] is None for r in records)
+    memberships = list(fleet.memberships().values())
+    return all(m == memberships[0] and m.next_voters is None for m in memberships)
 
 
 async def with_spares(world, core=7):
@@ -383,7 +385,7 @@
         assert await world.stop(f"mdconf@{host}") <= 5 * SECOND
         assert len(voters(world, fleet)) == 3
         assert host not in voters(world, fleet)
-        assert fleet.store(fleet.running()[0]).record["next"] is None
+        assert fleet.store(fleet.running()[0]).membership.next_voters is None
         # so a loss right after it can be borne
         lost = sorted(voters(world, fleet))[which]
         world.power_off("mdconf", lost)
@@ -476,12 +478,12 @@
     async def scenario(world):
         fleet = Fleet(world, core=3)
         await fleet.founded()
-        record = fleet.store(fleet.hosts[0]).record
+        membership = fleet.store(fleet.hosts[0]).membership
         took = await world.stop(f"mdconf@{fleet.hosts[1]}")
         assert took <= 2 * SECOND
         await world.start("mdconf", fleet.hosts[1])
         await sleep_us(3 * SECOND)
-        assert all(r == record for r in fleet.records().values())
+        assert all(m == membership for m in fleet.memberships().values())
 
     run(scenario)
 
@@ -495,7 +497,7 @@
         store = Store(disk, random.Random(1), log_nothing)
         await store.load()
         for version in range(1, 40):
-            await store.adopt({"version": version, "voters": {"a": "x"}, "next": None})
+            await store.adopt(MembershipConfiguration(version, {"a": "x"}))
         assert await disk.names("members") == ["00000038", "00000039"]
 
     run(work)
--- a/tests/consensus/test_register.py
+++ b/tests/consensus/test_register.py
@@ -175,7 +175,7 @@
         await configured(world)
         host = await first_with_a_blank_disk(world)
         conf = world.node("mdconf", host)
-        await world.eventually(lambda: conf.daemon.store.record is not None)
+        await world.eventually(lambda: conf.daemon.store.membership is not None)
         assert conf.unready_reasons() == ["this disk is no member, or not fully yet"]
         assert not conf.daemon.store.voter
         status, told = await world.operate("GET", "/manifest")  # it still serves operators
--- a/tests/model_checker/test_model_register.py
+++ b/tests/model_checker/test_model_register.py
@@ -74,7 +74,7 @@
     """Planted: a ballot of a former configuration is still voted on."""
 
     async def answer(self, version, member, method, args):
-        current = self.store.record["version"] if self.store.record else version
+        current = self.store.membership.version if self.store.membership else version
         return await super().answer(max(version, current), member, method, args)
 
 
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -185,7 +185,7 @@
     @invariant()
     def records_only_go_up(self):
         for name, process in self.processes.items():
-            version = process.store.record["version"] if process.store.record else 0
+            version = process.store.membership.version if process.store.membership else 0
             assert version >= self.versions[name]
             self.versions[name] = version
 
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -182,7 +182,7 @@
     """An mdconf's part, its register a dict of this process."""
 
     def __init__(self, fails=None):
-        self.store = SimpleNamespace(record={"version": 1})
+        self.store = SimpleNamespace(membership=object())
         self.node = SimpleNamespace(runtime=SimpleNamespace(offload=self.apart))
         self.held, self.fails, self.beside = {}, fails, 0
 
@@ -191,7 +191,7 @@
         return work(*args)
 
     def check(self):
-        if self.store.record is None:
+        if self.store.membership is None:
             raise NoQuorum("members")
         if self.fails:
             raise self.fails("x")
@@ -281,7 +281,7 @@
     assert why["errorMessage"]
     assert (b"retry-after" in headers) is (status == 503)
     assert asked(control, daemon, "GET", "/api/config/fetch")[0] == status
-    daemon.store.record = None
+    daemon.store.membership = None
     assert modify(daemon, change(*SERVICES))[0] == 503
 
 
--- a/tests/support/core_fleet.py
+++ b/tests/support/core_fleet.py
@@ -65,9 +65,9 @@
         """Each of these is ready and knows exactly these as the voters, under their disks."""
         wanted = {self.store(h).disk: f"{h}:7421" for h in hosts}
         return all(
-            self.store(h).record is not None
-            and self.store(h).record["voters"] == wanted
-            and self.store(h).record["next"] is None
+            self.store(h).membership is not None
+            and self.store(h).membership.voters == wanted
+            and self.store(h).membership.next_voters is None
             and not self.world.node("mdconf", h).unready_reasons()
             for h in hosts
         )
@@ -75,8 +75,8 @@
     async def settle(self, hosts, within=4 * SECOND):
         return await self.world.eventually(lambda: self.voting(hosts), within, 10 * MILLISECOND)
 
-    def records(self):
-        return {h: self.store(h).record for h in self.running()}
+    def memberships(self):
+        return {h: self.store(h).membership for h in self.running()}
 
 
 async def configure(world, number, host):
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -37,6 +37,7 @@
     ReleaseLease,
     RenewLease,
 )
+from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
 from meadowdock.logs import CATALOGUE
 from meadowdock.rpc import (
@@ -137,7 +138,7 @@
     disk = MemoryDisk()
     store = new_store(disk)
     await store.load()
-    await store.adopt(MEMBERSHIP)
+    await store.adopt(MembershipConfiguration.from_record(MEMBERSHIP))
     await store.put_blob(CHUNK)
     await store.acceptor.prepare("configuration", (4, "00a1"))
     await store.acceptor.write("configuration", (4, "00a1"), ACCEPTED)
@@ -188,7 +189,7 @@
     return readable(
         {
             "disk": store.disk,
-            "membership": store.record,
+            "membership": store.membership and store.membership.to_record(),
             "voters": sorted(store.everybody),
             "keys": states,
             "lost": store.acceptor.lost_keys(),
--- a/tests/support/planted_faults.py
+++ b/tests/support/planted_faults.py
@@ -2,22 +2,14 @@
 
 from __future__ import annotations
 
-import meadowdock.config_store.membership_change
-import meadowdock.config_store.store
-import meadowdock.config_store.transfer
+from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.consensus import NO_LOSSES, VoterSets
 
 
 def plant_new_voters_alone(monkeypatch):
     """Planted: while members change, a quorum is one of the new voters."""
 
-    def new_voters_alone(record, tolerance=NO_LOSSES):
-        sets = [record["next"] or record["voters"]] if record else []
-        return VoterSets.of(sets, tolerance=tolerance)
+    def new_voters_alone(membership, tolerance=NO_LOSSES):
+        return VoterSets.of([membership.next_voters or membership.voters], tolerance=tolerance)
 
-    for module in (
-        meadowdock.config_store.store,
-        meadowdock.config_store.transfer,
-        meadowdock.config_store.membership_change,
-    ):
-        monkeypatch.setattr(module, "voter_sets_of", new_voters_alone)
+    monkeypatch.setattr(MembershipConfiguration, "voter_sets", new_voters_alone)
