--- a/packages/forwarding/meadowdock/forwarding/gate.py
+++ b/packages/forwarding/meadowdock/forwarding/gate.py
@@ -17,7 +17,16 @@
 from meadowdock.forwarding.invariants import Invariants
 from meadowdock.forwarding.outlets import Pool
 from meadowdock.forwarding.peers import CARRIED, Peers
-from meadowdock.load_sharing import Choice, Home, LoadList, Wheel, choose
+from meadowdock.load_sharing import (
+    FORWARD,
+    LOCAL,
+    REJECT,
+    Choice,
+    LoadList,
+    LocalEndpointState,
+    RoundRobin,
+    choose,
+)
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us
 
 RETRY_LEAST = 20 * MILLISECOND
@@ -139,7 +148,7 @@
         self.admission.rate(call, at)
         self.count("calls")
         self.figures.arrived(call)
-        self.tries_of(service).request(at)
+        self.tries_of(service).deposit(at)
         self.calls.add(call)
         self.place(call)
         return None
@@ -165,22 +174,25 @@
     def tries_of(self, service):
         tries = self.tries.get(service)
         if tries is None:
-            tries = self.tries[service] = self.settings.tries(self)
+            tries = self.tries[service] = self.settings.new_retry_budget(self)
         return tries
 
     # ------------------------------------------------------------ where it goes
 
     def decide(self, call):
         service, at = call.service, monotonic_us()
-        home = self.book.home(service)
-        occupation = self.book.occupations.get(service)
-        facts = Home(
+        home = self.book.local_endpoint(service)
+        occupation = self.book.service_loads.get(service)
+        facts = LocalEndpointState(
             rho=occupation.rho if occupation else 0.0,
-            room=home is not None and home.room,
-            present=home is not None,
+            has_capacity=home is not None and home.has_capacity,
+            available=home is not None,
         )
         view = LoadList(
-            self.lists.epoch, self.lists.seq, self.lists.at, self.told_nodes.get(service, ())
+            self.lists.epoch,
+            self.lists.seq,
+            self.lists.received_at,
+            self.told_nodes.get(service, ()),
         )
         out = {a for s, a in self.left_out if s == service} if self.left_out else ()
         load = self.load
@@ -201,7 +213,7 @@
             load["stale_us"],
             avoided,
         )
-        if choice.kind == "shed" and home is not None:
+        if choice.placement is REJECT and home is not None:
             choice = self.any_room(service, view, avoided) or choice
         return choice, home
 
@@ -210,14 +222,14 @@
         omega, then any below 1, may have a slot free now."""
         for ceiling in (self.load["omega"], 1.0):
             nodes = [n for n in view.accepting(self.me, ceiling) if n.address not in avoided]
-            node = self.wheel(service).turn(nodes)
+            node = self.wheel(service).pick(nodes)
             if node is not None:
-                return Choice("spill", node, "full-any-room")
+                return Choice(FORWARD, node, "full-any-room")
         return None
 
     def wheel(self, key):
         if key not in self.wheels:
-            self.wheels[key] = Wheel(self.rng.choice("0123456789"))
+            self.wheels[key] = RoundRobin(self.rng.choice("0123456789"))
         return self.wheels[key]
 
     def near(self, nodes):
@@ -233,12 +245,12 @@
         while True:
             choice, home = self.decide(call)
             self.count(f"rule.{choice.rule}")
-            if choice.kind == "home":
+            if choice.placement is LOCAL:
                 return self.start(call, home)
-            if choice.kind != "spill" or len(call.tried) >= TRIED:
+            if choice.placement is not FORWARD or len(call.tried) >= TRIED:
                 return self.hold(call, home)
             if len(call.head) + len(call.body) > CARRIED:  # no link takes it
-                room = home is not None and home.room
+                room = home is not None and home.has_capacity
                 return self.start(call, home) if room else self.hold(call, home)
             if self.spill(call, choice.target):
                 return None
@@ -249,7 +261,7 @@
         at = monotonic_us()
         self.figures.started(call, at)
         self.admission.started(call, at)
-        self.book.enter(endpoint, at)
+        self.book.acquire_slot(endpoint, at)
         self.pool(endpoint).run(call)
 
     def pool(self, endpoint):
@@ -269,7 +281,7 @@
             return False
         self.count("spilled")
         call.target, call.instance, call.begun = link, node.incarnation, monotonic_us()
-        self.book.spilled(call.service, 1, monotonic_us())
+        self.book.adjust_forwarded(call.service, 1, monotonic_us())
         call.timer = self.reactor.at(call.due + SLACK, lambda: self.overdue(call))
         link.run(call, waits)
         return True
@@ -296,7 +308,7 @@
         """No neighbour is known to have room. It waits here if that will likely be in time; else, or
         without a home, one of the neighbours may let it wait."""
         at = monotonic_us()
-        if home is not None and home.room:
+        if home is not None and home.has_capacity:
             return self.start(call, home)
         if home is not None:
             call.retry_us = self.admission.wait_us(call, home.capacity, at)
@@ -308,7 +320,7 @@
                 for n in self.told_nodes.get(call.service, ())
                 if n.address != self.me and not n.draining and n.address not in call.asked
             ]
-            node = self.wheel((call.service, "waits")).turn(self.near(nodes))
+            node = self.wheel((call.service, "waits")).pick(self.near(nodes))
             if node is None or len(call.head) + len(call.body) > CARRIED:
                 break
             call.asked.add(node.address)
@@ -326,7 +338,7 @@
 
     def join(self, call):
         """Into the queue for a slot here."""
-        self.book.waiters.setdefault(call.service, partial(self.wake, call.service))
+        self.book.slot_waiters.setdefault(call.service, partial(self.wake, call.service))
         self.admission.queue(call.service).join(call)
         call.place_until = self.admission.place_until(call)
         call.timer = self.reactor.at(call.place_until, lambda: self.waited(call))
@@ -339,7 +351,7 @@
 
     def outstayed(self, call):
         """It lost its place: it goes behind those that can still end in their aim, or is refused."""
-        home = self.book.home(call.service)
+        home = self.book.local_endpoint(call.service)
         if home is not None and self.admission.may_wait_on(call, home.capacity, monotonic_us()):
             self.join(call)
         else:
@@ -364,8 +376,8 @@
         """Room may have appeared at home: the first in line go there."""
         queue = self.admission.queue(service)
         while len(queue):
-            home = self.book.home(service)
-            if home is None or not home.room:
+            home = self.book.local_endpoint(service)
+            if home is None or not home.has_capacity:
                 break
             call, at = self.unwait(queue.next()), monotonic_us()
             if at > call.place_until:  # its timer comes late: this process stood still
@@ -373,8 +385,10 @@
                 continue
             self.invariants.starting(call, self.admission, at)
             self.start(call, home)
-        home = self.book.home(service)
-        self.invariants.woken(service, len(queue), home is not None and home.room, monotonic_us())
+        home = self.book.local_endpoint(service)
+        self.invariants.woken(
+            service, len(queue), home is not None and home.has_capacity, monotonic_us()
+        )
         if len(queue) and home is None:
             self.place_waiting(service)
 
@@ -390,7 +404,7 @@
         for call in queue.in_order():
             if call.waiting is not queue:
                 continue  # one before it made room for it
-            gone = self.book.home(service) is None
+            gone = self.book.local_endpoint(service) is None
             if not call.home:  # a neighbour's call is never spilled again: its home looks further
                 if gone:
                     queue.leave(call)
@@ -399,7 +413,7 @@
                 continue
             call.tried.clear()
             call.asked.clear()
-            if gone or self.decide(call)[0].kind == "spill":
+            if gone or self.decide(call)[0].placement is FORWARD:
                 queue.leave(call)
                 self.unwait(call)
                 self.place(call)
@@ -410,7 +424,7 @@
         self.left_out = set()
         nodes = max(1, len({n.address for told in told_nodes.values() for n in told}))
         for tries in self.tries.values():
-            tries.shared_by(nodes)
+            tries.share_between(nodes)
         self.fleet_us = {
             service: sum(known) / len(known)
             for service, told in told_nodes.items()
@@ -428,15 +442,19 @@
         self.figures.arrived(call)
         if monotonic_us() >= call.due:
             return self.finish(call, Refused("late", 0))
-        home = self.book.home(call.service)
+        home = self.book.local_endpoint(call.service)
         if home is None:
             return self.finish(call, Refused("gone", 0))
         if call.instance and home.incarnation != call.instance:
-            others = [e for e in self.book.of(call.service) if e.incarnation == call.instance]
+            others = [
+                e
+                for e in self.book.available_endpoints(call.service)
+                if e.incarnation == call.instance
+            ]
             home = others[0] if others else home
         at = monotonic_us()
         self.admission.rate(call, at)
-        if home.room:  # then nobody is in the queue
+        if home.has_capacity:  # then nobody is in the queue
             return self.start(call, home)
         call.retry_us = self.admission.wait_us(call, home.capacity, at)
         if self.admission.may_join(call, call.retry_us, at):
@@ -467,7 +485,7 @@
     def let_go_target(self, call):
         link, call.target = call.target, None
         if link is not None:
-            self.book.spilled(call.service, -1, monotonic_us())
+            self.book.adjust_forwarded(call.service, -1, monotonic_us())
         self.unwait(call)
         return link
 
@@ -507,17 +525,17 @@
         if endpoint is not None:
             at = monotonic_us()
             self.admission.freed(call, at)
-            self.book.leave_slot(endpoint, at)
+            self.book.release_slot(endpoint, at)
 
     def no_connection(self, call, endpoint):
-        self.book.doubt(endpoint)
+        self.book.mark_unreachable(endpoint)
         self.free(call)
         self.after_not_run(call, "unreached")
 
     def other_endpoint(self, endpoint):
         """Another endpoint has this address now."""
         self.log(405, address=endpoint.address, why="another instance answers")
-        self.book.lose(endpoint, "another instance answers")
+        self.book.remove(endpoint, "another instance answers")
 
     def not_run(self, call, code):
         """The endpoint says, or it is certain, that it did not run."""
@@ -531,7 +549,7 @@
         if not call.home:
             return self.finish(call, Refused(TURNED_AWAY if call.sends else code, 0))
         if call.sends == 0 or (
-            self.tries_left(call) and self.tries_of(call.service).permit(monotonic_us())
+            self.tries_left(call) and self.tries_of(call.service).try_withdraw(monotonic_us())
         ):
             return self.place(call)
         return self.give_up(call, code)
@@ -552,7 +570,11 @@
         self.count(f"unknown.{code}")
         call.maybe_run = True
         again = call.home and call.repeatable and not call.abandoned and code != "no_answer"
-        if again and self.tries_left(call) and self.tries_of(call.service).permit(monotonic_us()):
+        if (
+            again
+            and self.tries_left(call)
+            and self.tries_of(call.service).try_withdraw(monotonic_us())
+        ):
             self.count("second_try")
             self.place(call)
         else:
@@ -580,7 +602,7 @@
     def slowness(self, service, at):
         """How much longer calls take here than over all nodes of the service: 1 to SLOWEST."""
         own, all_us = self.slot_us(service), self.fleet_us.get(service, 0)
-        cold = any(e.warm_at > at for e in self.book.of(service))
+        cold = any(e.slow_start_until > at for e in self.book.available_endpoints(service))
         ratio = own / all_us if all_us else 1.0
         return min(SLOWEST, max(COLD if cold else 1.0, ratio * ratio))
 
@@ -606,18 +628,18 @@
 
     def facts(self, service):
         """What this node knows of a service now, for a report: room, line, mean times, load."""
-        home = self.book.home(service)
-        occupation = self.book.occupations.get(service)
+        home = self.book.local_endpoint(service)
+        occupation = self.book.service_loads.get(service)
         return {
-            "busy": sum(e.in_flight for e in self.book.of(service)),
+            "busy": sum(e.in_flight for e in self.book.available_endpoints(service)),
             "capacity": home.capacity if home is not None else 0,
             "waiting": len(self.admission.queue(service)),
             "rho": round(occupation.rho, 2) if occupation is not None else None,
-            "told": home.told if home is not None else None,
+            "told": home.reported_load if home is not None else None,
             "slot_ms": self.slot_us(service) // MILLISECOND,
             "fleet_slot_ms": int(self.fleet_us.get(service, 0)) // MILLISECOND,
             "peers": {n.address: round(n.rho, 2) for n in self.told_nodes.get(service, ())},
-            "list_ms": (monotonic_us() - self.lists.at) // MILLISECOND,
+            "list_ms": (monotonic_us() - self.lists.received_at) // MILLISECOND,
         }
 
     def tidy(self, at):
@@ -628,7 +650,7 @@
             caller.look(at)
         for key, pool in list(self.pools.items()):
             pool.tidy(at)
-            if pool.endpoint.gone and not pool.outlets and not pool.opening:
+            if pool.endpoint.removed and not pool.outlets and not pool.opening:
                 del self.pools[key]
         self.reactor.end_turn()
 
--- a/packages/forwarding/meadowdock/forwarding/outlets.py
+++ b/packages/forwarding/meadowdock/forwarding/outlets.py
@@ -125,7 +125,7 @@
         if call is None or call.end is None:
             outlet.call = None
             self.keep(outlet, ALIVE)
-        elif self.endpoint.gone or self.endpoint.draining or monotonic_us() >= call.due:
+        elif self.endpoint.removed or self.endpoint.draining or monotonic_us() >= call.due:
             outlet.call = None
             self.keep(outlet, ALIVE)
             self.gate.not_run(call, "late" if monotonic_us() >= call.due else "gone")
@@ -198,7 +198,7 @@
         except ValueError:
             return
         if slots > 0:
-            self.endpoint.told, self.endpoint.told_at = (
+            self.endpoint.reported_load, self.endpoint.reported_load_at = (
                 min(1.0, (running + waiting) / slots),
                 monotonic_us(),
             )
@@ -229,7 +229,7 @@
     # ------------------------------------------------------------ keeping
 
     def keep(self, outlet, alive_us):
-        if self.endpoint.gone or alive_us <= 0 or outlet.wire.closed:
+        if self.endpoint.removed or alive_us <= 0 or outlet.wire.closed:
             outlet.drop()
             return
         outlet.idle_until = monotonic_us() + alive_us
@@ -242,7 +242,7 @@
 
     def tidy(self, at):
         """Idle connections that the endpoint is about to close, or all once it is gone."""
-        for outlet in [o for o in self.idle if o.idle_until <= at or self.endpoint.gone]:
+        for outlet in [o for o in self.idle if o.idle_until <= at or self.endpoint.removed]:
             outlet.drop()
 
 
--- a/packages/load_sharing/meadowdock/load_sharing/__init__.py
+++ b/packages/load_sharing/meadowdock/load_sharing/__init__.py
@@ -1,40 +1,48 @@
-"""The load sharing policy: pure, no I/O. After Koegel, Wahl, Scharf, Necker (2009), sections
-IV-C and V-B; docs/design.md tells what is kept and what is changed.
+"""The load sharing policy: pure, no I/O.
 
->>> state(0.2, 0.8, 0.9), state(0.85, 0.8, 0.9), state(0.9, 0.8, 0.9)
+It follows Koegel, Wahl, Scharf and Necker (2009), sections IV-C and V-B; docs/design.md says what
+is kept and what is changed.
+
+>>> load_state(0.2, 0.8, 0.9), load_state(0.85, 0.8, 0.9), load_state(0.9, 0.8, 0.9)
 ('accepting', 'passive', 'offloading')
 >>> round(best_omega(x=0.5, b=relocation_overhead(e=1000, f=50)), 3)
 0.976
 """
 
-from meadowdock.load_sharing.gauge import Gauge, rho
+from meadowdock.load_sharing.gauge import Gauge, load_level
 from meadowdock.load_sharing.policy import (
     ACCEPTING,
+    FORWARD,
+    LOCAL,
     OFFLOADING,
     PASSIVE,
+    REJECT,
     Choice,
-    Home,
     LoadList,
-    Node,
-    Wheel,
+    LocalEndpointState,
+    NodeLoad,
+    RoundRobin,
     choose,
-    state,
+    load_state,
 )
 from meadowdock.load_sharing.sizing import best_omega, relocation_overhead
 
 __all__ = [
     "ACCEPTING",
+    "FORWARD",
+    "LOCAL",
     "OFFLOADING",
     "PASSIVE",
+    "REJECT",
     "Choice",
     "Gauge",
-    "Home",
     "LoadList",
-    "Node",
-    "Wheel",
+    "LocalEndpointState",
+    "NodeLoad",
+    "RoundRobin",
     "best_omega",
     "choose",
+    "load_level",
+    "load_state",
     "relocation_overhead",
-    "rho",
-    "state",
 ]
--- a/packages/load_sharing/meadowdock/load_sharing/gauge.py
+++ b/packages/load_sharing/meadowdock/load_sharing/gauge.py
@@ -1,12 +1,12 @@
-"""Mean occupation over the last interval, from calls in flight.
+"""The load level of a node: mean occupation over the last interval, from requests in flight.
 
 >>> gauge = Gauge(0)
 >>> gauge.set(0, 4); gauge.set(500, 8)
->>> gauge.take(1000)
+>>> gauge.take_mean(1000)
 6.0
->>> gauge.take(2000)
+>>> gauge.take_mean(2000)
 8.0
->>> gauge.take(2000)
+>>> gauge.take_mean(2000)
 8.0
 """
 
@@ -14,47 +14,52 @@
 
 
 class Gauge:
-    """The mean of a level over time, interval by interval."""
+    """The time-weighted mean of a level, interval by interval; times are in microseconds.
+
+    Invariants: area is the integral of the level from interval_start to updated_at; updated_at
+    never goes back.
+    """
 
-    # Invariants: area is the integral of level from start to at; at never goes back.
     def __init__(self, at: int) -> None:
-        self.start = self.at = at
-        self.level = 0
-        self.area = 0
+        self.interval_start = self.updated_at = at
+        self.level: float = 0
+        self.area: float = 0
 
     def set(self, at: int, level: float) -> None:
-        """The level is another one from a moment on."""
-        self.area += self.level * max(0, at - self.at)
-        self.at = max(at, self.at)
+        """Record that the level changed at a moment."""
+        self.area += self.level * max(0, at - self.updated_at)
+        self.updated_at = max(at, self.updated_at)
         self.level = level
 
-    def take(self, at: int) -> float:
-        """The mean since the last take; begins the next interval."""
+    def take_mean(self, at: int) -> float:
+        """The mean since the last call of this method; begins the next interval."""
         self.set(at, self.level)
-        length = self.at - self.start
+        length = self.updated_at - self.interval_start
         mean = self.area / length if length else float(self.level)
-        self.start, self.area = self.at, 0
+        self.interval_start, self.area = self.updated_at, 0
         return mean
 
 
-def rho(
+def load_level(
     mean_in_flight: float,
-    mean_spilled: float,
+    mean_forwarded: float,
     capacity: float,
-    share: float,
-    told: float | None = None,
+    forwarded_weight: float,
+    reported_load: float | None = None,
 ) -> float:
-    """The load level in 0..1: calls handled here, the small share that spilled calls keep
-    costing at home, over the capacity; never below what the endpoint tells of itself.
+    """The load level rho, in 0..1.
+
+    Requests handled here, plus the small share (`forwarded_weight`) that forwarded requests keep
+    costing here, over the capacity in requests; never below what the endpoint reports of itself.
 
-    >>> rho(8, 10, 10, 0.05)
+    >>> load_level(8, 10, 10, 0.05)
     0.85
-    >>> rho(1, 0, 10, 0.05, told=0.7)
+    >>> load_level(1, 0, 10, 0.05, reported_load=0.7)
     0.7
-    >>> rho(30, 0, 10, 0.05)
+    >>> load_level(30, 0, 10, 0.05)
     1.0
     """
     if capacity <= 0:
         return 1.0
-    own = (mean_in_flight + share * mean_spilled) / capacity
-    return min(1.0, max(own, told or 0.0))
+    measured = (mean_in_flight + forwarded_weight * mean_forwarded) / capacity
+    return min(1.0, max(measured, reported_load or 0.0))
--- a/packages/load_sharing/meadowdock/load_sharing/model.py
+++ b/packages/load_sharing/meadowdock/load_sharing/model.py
@@ -10,7 +10,13 @@
 import random
 from dataclasses import dataclass
 
-from meadowdock.load_sharing.policy import Home, LoadList, Node, Wheel, choose
+from meadowdock.load_sharing.policy import (
+    LoadList,
+    LocalEndpointState,
+    NodeLoad,
+    RoundRobin,
+    choose,
+)
 
 
 @dataclass(frozen=True)
@@ -44,10 +50,10 @@
     used = [0] * 2 * s.nodes
     area, since = [0.0] * 2 * s.nodes, [0] * 2 * s.nodes
     rho = [0.0] * s.nodes
-    wheels = [Wheel() for _ in names]
+    wheels = [RoundRobin() for _ in names]
     turn = 0
     ends = []  # (time, node, resources)
-    told = LoadList(1, 1, 0, tuple(Node(n, 0.0, "", False) for n in names))
+    told = LoadList(1, 1, 0, tuple(NodeLoad(n, 0.0, "", False) for n in names))
     next_list = s.interval_us
     states = ["home"] * s.nodes
     flips = lists = 0
@@ -69,7 +75,7 @@
         while True:
             room = s.sharing == "paper" or fits(home, s.e)
             chosen = choose(
-                Home(rho[home], room),
+                LocalEndpointState(rho[home], room),
                 told,
                 wheels[home],
                 at,
@@ -108,7 +114,7 @@
                 1,
                 told.seq + 1,
                 next_list,
-                tuple(Node(n, r, "", False) for n, r in zip(names, rho, strict=True)),
+                tuple(NodeLoad(n, r, "", False) for n, r in zip(names, rho, strict=True)),
             )
             next_list += s.interval_us
         while ends and ends[0][0] <= at:
--- a/packages/proxy/meadowdock/proxy/call.py
+++ b/packages/proxy/meadowdock/proxy/call.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class EndpointResponse:
     """Invariant: whole and checked; made only from an endpoint's answer that passed its checks."""
 
     status: int
@@ -78,7 +78,7 @@
     incarnation: str | None = None  # what the neighbour's list told, for spilled calls
     started: bool = False
     hung_up: bool = False
-    outcome: Answer | Rejection | None = None
+    outcome: EndpointResponse | Rejection | None = None
     may_have_run: bool = False  # some try's fate is unknown
     tried: set = field(default_factory=set)  # neighbours that refused, or broke
     sends: int = 0  # to neighbours and endpoints
--- a/packages/proxy/meadowdock/proxy/endpoints.py
+++ b/packages/proxy/meadowdock/proxy/endpoints.py
@@ -10,17 +10,17 @@
 
 import ormsgpack
 
-from meadowdock.load_sharing import Gauge, rho
+from meadowdock.load_sharing import Gauge, load_level
 from meadowdock.rpc import derive_key
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us
 
-BEAT = 500 * MILLISECOND
-WINDOW = 1_500 * MILLISECOND  # three beats
-STILL = 250 * MILLISECOND
-NAME_GRACE = 5 * SECOND  # an endpoint that left may end its own calls under its name
+HEARTBEAT_INTERVAL = 500 * MILLISECOND
+HEARTBEAT_TIMEOUT = 1_500 * MILLISECOND  # three beats
+PAUSE_THRESHOLD = 250 * MILLISECOND
+DEPARTED_TOKEN_TTL = 5 * SECOND  # an endpoint that left may end its own calls under its name
 
 
-class Denied(Exception):
+class RegistrationDenied(Exception):
     def __init__(self, status, code, detail=""):
         super().__init__(code)
         self.status, self.code, self.detail = status, code, detail
@@ -36,63 +36,65 @@
     incarnation: str
     capacity: int
     issued: int
-    beat_at: int
+    heartbeat_at: int
     in_flight: int = 0
     draining: bool = False
-    gone: bool = False
-    doubted: bool = False  # took no connection; until its next beat
-    told: float | None = None
-    told_at: int = 0
-    warm_at: int = 0  # it is slow until then
-    idle: list = field(default_factory=list)
+    removed: bool = False
+    unreachable: bool = False  # took no connection; until its next beat
+    reported_load: float | None = None
+    reported_load_at: int = 0
+    slow_start_until: int = 0  # it is slow until then
+    idle_connections: list = field(default_factory=list)
 
     @property
     def identity(self):
         return self.service, self.address, self.incarnation
 
     @property
-    def present(self):
-        return not (self.draining or self.gone or self.doubted)
+    def available(self):
+        return not (self.draining or self.removed or self.unreachable)
 
     @property
-    def room(self):
-        return self.present and self.in_flight < self.capacity
+    def has_capacity(self):
+        return self.available and self.in_flight < self.capacity
 
 
-class Occupation:
+class ServiceLoad:
     """Gauges of one service on this node, and the rho of the last interval."""
 
     def __init__(self, at):
-        self.flight, self.spilled = Gauge(at), Gauge(at)
-        self.spilled_now = 0
+        self.in_flight, self.forwarded = Gauge(at), Gauge(at)
+        self.forwarded_now = 0
         self.rho = 0.0
 
 
-class Book:
+class EndpointRegistry:
     """Invariants: by_address holds at most one endpoint an address, never a gone one; a token is
     good only for the process it was made for: while that is enrolled, and after it left for
-    NAME_GRACE unless another took its address."""
+    DEPARTED_TOKEN_TTL unless another took its address."""
 
     def __init__(self, host, key, log):
         self.host, self.log = host, log
         self.key = derive_key(key, b"token", host.encode())
         self.by_address = {}
-        self.occupations = {}
-        self.waiters = {}  # service -> callables that may start a held call
-        self.closing = []  # connections to close, by the loop that owns them
+        self.service_loads = {}
+        self.slot_waiters = {}  # service -> callables that may start a held call
+        self.connections_to_close = []  # connections to close, by the loop that owns them
         self.last_issued = 0
-        self.left = {}  # the facts of a token whose process left -> until when it is good
-        self.still = PauseDetector(STILL, monotonic_us())
-        self.window = WINDOW  # an endpoint that is silent for so long is gone
+        self.departed_tokens = {}  # the facts of a token whose process left -> until when it is good
+        self.pause_detector = PauseDetector(PAUSE_THRESHOLD, monotonic_us())
+        self.heartbeat_timeout_us = (
+            HEARTBEAT_TIMEOUT  # an endpoint that is silent for so long is gone
+        )
 
     # ------------------------------------------------------------ tokens
 
-    def token(self, service, address, incarnation, issued):
+    def issue_token(self, service, address, incarnation, issued):
         body = ormsgpack.packb([service, address, incarnation, issued])
         seal = hmac.digest(self.key, body, "sha256")[:16]
         return base64.urlsafe_b64encode(seal + body).decode()
 
-    def read_token(self, token):
+    def verify_token(self, token):
         """(service, address, incarnation, issued) or None."""
         try:
             raw = base64.b64decode(token.encode("ascii"), altchars=b"-_", validate=True)
@@ -103,161 +105,177 @@
         except (binascii.Error, UnicodeEncodeError, ormsgpack.MsgpackDecodeError):
             return None
 
-    def caller(self, token, young):
+    def authenticate(self, token, young):
         """The name that a token proves, or None. A young process, which hasn't heard all beats
         yet, takes a good seal for an address that nobody else holds."""
-        facts = self.read_token(token)
+        facts = self.verify_token(token)
         if facts is None:
             return None
         held = self.by_address.get(facts[1])
         if held is None:
-            return facts[0] if young or self.left.get(facts, 0) > monotonic_us() else None
+            return (
+                facts[0] if young or self.departed_tokens.get(facts, 0) > monotonic_us() else None
+            )
         # the same process may have enrolled again meanwhile: no other has its incarnation
         return facts[0] if held.identity == facts[:3] else None
 
     # ------------------------------------------------------------ enrolment
 
-    def enrol(self, service, address, incarnation, capacity, at, wall):
-        self.last_issued = issued = max(self.last_issued + 1, wall)
+    def register(self, service, address, incarnation, capacity, at, wall_us):
+        self.last_issued = issued = max(self.last_issued + 1, wall_us)
         held = self.by_address.get(address)
         if held is not None and held.identity == (service, address, incarnation):
-            held.capacity, held.beat_at = capacity, at
-            return self.token(service, address, incarnation, held.issued)
-        self.hold(Endpoint(service, address, incarnation, capacity, issued, at))
-        return self.token(service, address, incarnation, issued)
+            held.capacity, held.heartbeat_at = capacity, at
+            return self.issue_token(service, address, incarnation, held.issued)
+        self.add(Endpoint(service, address, incarnation, capacity, issued, at))
+        return self.issue_token(service, address, incarnation, issued)
 
-    def hold(self, endpoint):
+    def add(self, endpoint):
         held = self.by_address.get(endpoint.address)
         if held is not None:
-            self.lose(held, "address taken")
-        self.left = {f: until for f, until in self.left.items() if f[1] != endpoint.address}
+            self.remove(held, "address taken")
+        self.departed_tokens = {
+            f: good_until
+            for f, good_until in self.departed_tokens.items()
+            if f[1] != endpoint.address
+        }
         self.by_address[endpoint.address] = endpoint
-        self.occupations.setdefault(endpoint.service, Occupation(endpoint.beat_at))
+        self.service_loads.setdefault(endpoint.service, ServiceLoad(endpoint.heartbeat_at))
         self.log(
             401,
             service=endpoint.service,
             address=endpoint.address,
             incarnation=endpoint.incarnation,
         )
-        self.freed(endpoint.service)
+        self.notify_waiters(endpoint.service)
 
-    def beat(self, token, capacity, draining, load, at):
-        facts = self.read_token(token)
+    def heartbeat(self, token, capacity, draining, load, at):
+        facts = self.verify_token(token)
         if facts is None:
-            raise Denied(401, "bad_token")
+            raise RegistrationDenied(401, "bad_token")
         service, address, incarnation, issued = facts
         held = self.by_address.get(address)
         if held is not None and held.issued > issued:
-            raise Denied(409, "superseded", "another enrolment holds the address")
+            raise RegistrationDenied(409, "superseded", "another enrolment holds the address")
         if held is None or held.issued != issued:
-            self.hold(Endpoint(service, address, incarnation, capacity, issued, at))
+            self.add(Endpoint(service, address, incarnation, capacity, issued, at))
             self.last_issued = max(self.last_issued, issued)
             held = self.by_address[address]
-        held.beat_at, held.capacity, held.doubted = at, capacity, False
+        held.heartbeat_at, held.capacity, held.unreachable = at, capacity, False
         if load is not None:
-            held.told, held.told_at = load, at
+            held.reported_load, held.reported_load_at = load, at
         if draining:
-            self.drain(held)
-        self.freed(service)
+            self.start_draining(held)
+        self.notify_waiters(service)
 
-    def drain(self, endpoint):
+    def start_draining(self, endpoint):
         if not endpoint.draining:
             endpoint.draining = True
             self.log(402, service=endpoint.service, address=endpoint.address)
-            self.freed(endpoint.service)
+            self.notify_waiters(endpoint.service)
 
-    def leave(self, token):
-        facts = self.read_token(token)
+    def deregister(self, token):
+        facts = self.verify_token(token)
         if facts is None:
-            raise Denied(401, "bad_token")
+            raise RegistrationDenied(401, "bad_token")
         held = self.by_address.get(facts[1])
         if held is not None and (*held.identity, held.issued) == facts:
-            self.left = {f: until for f, until in self.left.items() if until > monotonic_us()}
-            self.left[facts] = monotonic_us() + NAME_GRACE
-            self.lose(held, "left")
-
-    def lose(self, endpoint, why):
-        if endpoint.gone:
+            self.departed_tokens = {
+                f: good_until
+                for f, good_until in self.departed_tokens.items()
+                if good_until > monotonic_us()
+            }
+            self.departed_tokens[facts] = monotonic_us() + DEPARTED_TOKEN_TTL
+            self.remove(held, "left")
+
+    def remove(self, endpoint, why):
+        if endpoint.removed:
             return
-        endpoint.gone = True
+        endpoint.removed = True
         self.by_address.pop(endpoint.address, None)
-        self.closing += endpoint.idle
-        endpoint.idle = []
+        self.connections_to_close += endpoint.idle_connections
+        endpoint.idle_connections = []
         self.log(403, service=endpoint.service, address=endpoint.address, why=why)
-        self.freed(endpoint.service)
+        self.notify_waiters(endpoint.service)
 
-    def doubt(self, endpoint):
-        if not endpoint.doubted and not endpoint.gone:
-            endpoint.doubted = True
+    def mark_unreachable(self, endpoint):
+        if not endpoint.unreachable and not endpoint.removed:
+            endpoint.unreachable = True
             self.log(404, service=endpoint.service, address=endpoint.address)
-            self.freed(endpoint.service)
+            self.notify_waiters(endpoint.service)
 
-    def expire(self, at):
-        stood = self.still.look(at)  # beats may lie unread
+    def remove_expired(self, at):
+        stood = self.pause_detector.look(at)  # beats may lie unread
         for endpoint in self.by_address.values():
-            endpoint.beat_at += stood
+            endpoint.heartbeat_at += stood
         for endpoint in list(self.by_address.values()):
-            if at - endpoint.beat_at > self.window:
-                self.lose(endpoint, "no beat")
+            if at - endpoint.heartbeat_at > self.heartbeat_timeout_us:
+                self.remove(endpoint, "no beat")
 
     # ------------------------------------------------------------ use
 
-    def of(self, service):
-        return [e for e in self.by_address.values() if e.service == service and e.present]
+    def available_endpoints(self, service):
+        return [e for e in self.by_address.values() if e.service == service and e.available]
 
-    def home(self, service):
+    def local_endpoint(self, service):
         """The endpoint here that takes the next call: the emptiest of those present."""
-        return min(self.of(service), key=lambda e: e.in_flight / e.capacity, default=None)
+        return min(
+            self.available_endpoints(service), key=lambda e: e.in_flight / e.capacity, default=None
+        )
 
-    def level(self, service, at):
-        occupation = self.occupations.get(service)
-        if occupation is not None:
+    def update_gauges(self, service, at):
+        load = self.service_loads.get(service)
+        if load is not None:
             level = sum(e.in_flight for e in self.by_address.values() if e.service == service)
-            occupation.flight.set(at, level)
-            occupation.spilled.set(at, occupation.spilled_now)
-        return occupation
+            load.in_flight.set(at, level)
+            load.forwarded.set(at, load.forwarded_now)
+        return load
 
-    def enter(self, endpoint, at):
+    def acquire_slot(self, endpoint, at):
         endpoint.in_flight += 1
-        self.level(endpoint.service, at)
+        self.update_gauges(endpoint.service, at)
 
-    def leave_slot(self, endpoint, at):
+    def release_slot(self, endpoint, at):
         endpoint.in_flight -= 1
-        self.level(endpoint.service, at)
-        self.freed(endpoint.service)
+        self.update_gauges(endpoint.service, at)
+        self.notify_waiters(endpoint.service)
 
-    def spilled(self, service, change, at):
-        occupation = self.occupations.setdefault(service, Occupation(at))
-        occupation.spilled_now += change
-        self.level(service, at)
+    def adjust_forwarded(self, service, change, at):
+        load = self.service_loads.setdefault(service, ServiceLoad(at))
+        load.forwarded_now += change
+        self.update_gauges(service, at)
 
-    def freed(self, service):
-        wake = self.waiters.get(service)
+    def notify_waiters(self, service):
+        wake = self.slot_waiters.get(service)
         if wake:
             wake()
 
-    def measure(self, at, share):
+    def measure_load(self, at, share):
         """Ends the interval: a new rho for every service that has an endpoint here."""
-        for service, occupation in self.occupations.items():
+        for service, load in self.service_loads.items():
             here = [e for e in self.by_address.values() if e.service == service]
-            told = [e.told for e in here if e.told is not None and at - e.told_at < 2 * SECOND]
-            occupation.rho = rho(
-                occupation.flight.take(at),
-                occupation.spilled.take(at),
+            told = [
+                e.reported_load
+                for e in here
+                if e.reported_load is not None and at - e.reported_load_at < 2 * SECOND
+            ]
+            load.rho = load_level(
+                load.in_flight.take_mean(at),
+                load.forwarded.take_mean(at),
                 sum(e.capacity for e in here),
                 share,
                 sum(told) / len(told) if told else None,
             )
         return {
             service: [
-                self.occupations[service].rho,
-                (self.home(service) or here[0]).incarnation,
-                self.home(service) is None,
+                self.service_loads[service].rho,
+                (self.local_endpoint(service) or here[0]).incarnation,
+                self.local_endpoint(service) is None,
             ]
-            for service, here in self.services().items()
+            for service, here in self.endpoints_by_service().items()
         }
 
-    def services(self):
+    def endpoints_by_service(self):
         found = {}
         for endpoint in self.by_address.values():
             found.setdefault(endpoint.service, []).append(endpoint)
@@ -267,7 +285,7 @@
 # ---------------------------------------------------------------- the endpoint's answer
 
 
-class BadAnswer(Exception):
+class InvalidEndpointResponse(Exception):
     pass
 
 
@@ -275,30 +293,30 @@
     raise ValueError(word)
 
 
-def check_answer(endpoint, service, call_id, status, headers, body):
+def check_endpoint_response(endpoint, service, call_id, status, headers, body):
     """Raises BadAnswer unless the answer is whole and is this call's. Gives lower-case headers."""
     lines = [(name.lower(), value) for name, value in headers]
     facts = dict(lines)
     chunked = facts.get(b"transfer-encoding", b"").lower() == b"chunked"
     if b"content-length" not in facts and not chunked and status not in (204, 304):
-        raise BadAnswer("no length, so nobody knows if it is whole")
+        raise InvalidEndpointResponse("no length, so nobody knows if it is whole")
     if not 200 <= status <= 599:
-        raise BadAnswer(f"status {status}")
+        raise InvalidEndpointResponse(f"status {status}")
     if facts.get(b"content-encoding", b"identity").lower() != b"identity":
-        raise BadAnswer("encoded body")
+        raise InvalidEndpointResponse("encoded body")
     if body:
         try:
             json.loads(body, parse_constant=no_constant)
         except (ValueError, RecursionError):
-            raise BadAnswer("body is no JSON") from None
+            raise InvalidEndpointResponse("body is no JSON") from None
     elif status not in (204, 304):
-        raise BadAnswer("empty body")
+        raise InvalidEndpointResponse("empty body")
     told_call = facts.get(b"md-call")
     if (service["echo"] or told_call is not None) and told_call != call_id.encode():
-        raise BadAnswer("another call's id")
+        raise InvalidEndpointResponse("another call's id")
     told_incarnation = facts.get(b"md-incarnation")
     if told_incarnation is not None and told_incarnation != endpoint.incarnation.encode():
-        raise BadAnswer("another incarnation")
+        raise InvalidEndpointResponse("another incarnation")
     return lines
 
 
--- a/packages/proxy/meadowdock/proxy/walk.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -7,10 +7,18 @@
 
 import trio
 
-from meadowdock.load_sharing import Choice, Home, LoadList, Wheel, choose
+from meadowdock.load_sharing import (
+    FORWARD,
+    LOCAL,
+    Choice,
+    LoadList,
+    LocalEndpointState,
+    RoundRobin,
+    choose,
+)
 from meadowdock.outcome import NOT_RUN, REJECTION_CODES
-from meadowdock.proxy.call import Answer, passed_on
-from meadowdock.proxy.endpoints import BadAnswer, check_answer, told_load
+from meadowdock.proxy.call import EndpointResponse, passed_on
+from meadowdock.proxy.endpoints import InvalidEndpointResponse, check_endpoint_response, told_load
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLISECOND, HttpConnectionFailed, deadline_scope, monotonic_us
 from meadowdock.runtime.slab import Slab
@@ -20,12 +28,12 @@
 REMEMBERED = 1_000  # ways of a service
 
 
-class Holding:
+class SlotQueue:
     """Calls of one service that wait for a slot here. Invariant: first come, first served; an
     entry is either in line or has been told its fate, never both."""
 
-    def __init__(self, walker, service):
-        self.walker, self.service = walker, service
+    def __init__(self, forwarder, service):
+        self.forwarder, self.service = forwarder, service
         self.line = deque()
         self.hold_us = {}  # way -> how long its calls hold a slot, smoothed: ways may be unlike
 
@@ -40,15 +48,15 @@
 
     def wake(self):
         while self.line:
-            home = self.walker.book.home(self.service)
+            home = self.forwarder.endpoints.local_endpoint(self.service)
             if home is None:
                 while self.line:
                     self.line.popleft()[1].set()
                 return
-            if not home.room:
+            if not home.has_capacity:
                 return
             call, told = self.line.popleft()
-            self.walker.take(call, home)
+            self.forwarder.take(call, home)
             told.set()
 
     def ended(self, call, took_us):
@@ -59,15 +67,15 @@
             del self.hold_us[next(iter(self.hold_us))]
 
 
-class Walker:
+class Forwarder:
     """Invariants: every call under way is in the slab, with its continuation in call.step; a call
     holds a slot of call.endpoint iff that is not None."""
 
-    def __init__(self, node, book, tries):
-        self.node, self.book, self.tries = node, book, tries
+    def __init__(self, node, endpoints, retry_budget):
+        self.node, self.endpoints, self.retry_budget = node, endpoints, retry_budget
         self.slab = Slab()
-        self.lists = LoadList()
-        self.told_nodes = {}  # service -> tuple of meadowdock.load_sharing.Node, of the latest list
+        self.load_list = LoadList()
+        self.nodes_by_service = {}  # service -> tuple of meadowdock.load_sharing.Node, of the latest list
         self.left_out = set()  # (service, neighbour) that had no room, until the next list
         self.wheels = {}
         self.holdings = {}
@@ -79,8 +87,8 @@
 
     def holding(self, service):
         if service not in self.holdings:
-            made = self.holdings[service] = Holding(self, service)
-            self.book.waiters[service] = made.wake
+            made = self.holdings[service] = SlotQueue(self, service)
+            self.endpoints.slot_waiters[service] = made.wake
         return self.holdings[service]
 
     # ------------------------------------------------------------ driving
@@ -106,39 +114,42 @@
     def take(self, call, endpoint):
         """A slot of the endpoint, and what comes next with it."""
         call.endpoint = endpoint
-        self.book.enter(endpoint, monotonic_us())
+        self.endpoints.acquire_slot(endpoint, monotonic_us())
         return self.endpoint_step
 
     def let_go(self, call):
         if call.endpoint is not None:
             endpoint, call.endpoint = call.endpoint, None
-            self.book.leave_slot(endpoint, monotonic_us())
+            self.endpoints.release_slot(endpoint, monotonic_us())
 
     def second_try(self, call):
         """May this call be sent once more? Counts it if so. The first sending is always free."""
         if call.sends == 0:
             return True
-        return self.tries.permit(monotonic_us())
+        return self.retry_budget.try_withdraw(monotonic_us())
 
     # ------------------------------------------------------------ arrival
 
     def decide(self, call):
         service, at = call.way.service, monotonic_us()
         load, me = self.ways.load, self.node.settings.link
-        home = self.book.home(service)
-        occupation = self.book.occupations.get(service)
-        facts = Home(
+        home = self.endpoints.local_endpoint(service)
+        occupation = self.endpoints.service_loads.get(service)
+        facts = LocalEndpointState(
             rho=occupation.rho if occupation else 0.0,
-            room=home is not None and home.room,
-            present=home is not None,
+            has_capacity=home is not None and home.has_capacity,
+            available=home is not None,
         )
         view = LoadList(
-            self.lists.epoch, self.lists.seq, self.lists.at, self.told_nodes.get(service, ())
+            self.load_list.epoch,
+            self.load_list.seq,
+            self.load_list.received_at,
+            self.nodes_by_service.get(service, ()),
         )
         return choose(
             facts,
             view,
-            self.wheels.setdefault(service, Wheel()),
+            self.wheels.setdefault(service, RoundRobin()),
             at,
             me,
             load["phi"],
@@ -147,34 +158,34 @@
             frozenset(call.tried) | {a for s, a in self.left_out if s == service},
         )
 
-    def listed(self, lists, told_nodes):
+    def use_load_list(self, load_list, nodes_by_service):
         """A new list is in hand."""
-        self.lists, self.told_nodes = lists, told_nodes
+        self.load_list, self.nodes_by_service = load_list, nodes_by_service
         self.left_out = set()
 
     async def look_up_step(self, call):
         """A key that may have run somewhere: only the record of the endpoint here can tell more."""
-        home = self.book.home(call.way.service)
+        home = self.endpoints.local_endpoint(call.way.service)
         if home is None or not self.ways.services[call.way.service].get("record"):
             return call.shed("key_may_have_run")
-        return self.take(call, home) if home.room else call.shed("busy")
+        return self.take(call, home) if home.has_capacity else call.shed("busy")
 
     async def choose_step(self, call):
         choice: Choice = self.decide(call)
         self.count(f"rule.{choice.rule}")
-        if choice.kind == "home":
-            return self.take(call, self.book.home(call.way.service))
-        if choice.kind == "spill" and call.spills <= call.way.spill[1]:
+        if choice.placement is LOCAL:
+            return self.take(call, self.endpoints.local_endpoint(call.way.service))
+        if choice.placement is FORWARD and call.spills <= call.way.spill[1]:
             call.target = choice.target
             return self.spill_step
         return self.hold_step
 
     async def hold_step(self, call):
         """No room anywhere: wait a little for a slot at home, if that is likely to help."""
-        home = self.book.home(call.way.service)
+        home = self.endpoints.local_endpoint(call.way.service)
         if home is None:
             return call.shed("home_gone")
-        if home.room:
+        if home.has_capacity:
             return self.take(call, home)
         holding = self.holding(call.way.service)
         wait_us = call.way.arrival[0]
@@ -220,7 +231,7 @@
             "incarnation": target.incarnation,
             "version": call.version,
         }
-        self.book.spilled(way.service, 1, at)
+        self.endpoints.adjust_forwarded(way.service, 1, at)
         try:
             told = await self.node.rpc.call(target.address, "call.run", args, due)
         except Rejected as shed:
@@ -241,8 +252,8 @@
             code = "no_answer" if monotonic_us() >= due else "lost"
             return self.unknown(call, code, self.choose_step, call.spills <= way.spill[1])
         finally:
-            self.book.spilled(way.service, -1, monotonic_us())
-        call.outcome = Answer(
+            self.endpoints.adjust_forwarded(way.service, -1, monotonic_us())
+        call.outcome = EndpointResponse(
             told["status"], [(bytes(n), bytes(v)) for n, v in told["headers"]], told["body"]
         )
         return None
@@ -257,15 +268,19 @@
 
     async def enter_spilled(self, call):
         """At the neighbour: everything is checked here again, and refused as not run."""
-        home = self.book.home(call.way.service)
+        home = self.endpoints.local_endpoint(call.way.service)
         if home is None:
             return call.shed("home_gone")
         if home.incarnation != call.incarnation:
-            known = [e for e in self.book.of(call.way.service) if e.incarnation == call.incarnation]
+            known = [
+                e
+                for e in self.endpoints.available_endpoints(call.way.service)
+                if e.incarnation == call.incarnation
+            ]
             if not known:
                 return call.shed("home_gone", "another incarnation")
             home = known[0]
-        if not home.room:
+        if not home.has_capacity:
             return call.shed("busy")
         return self.take(call, home)
 
@@ -273,11 +288,11 @@
 
     async def endpoint_step(self, call):
         endpoint, way = call.endpoint, call.way
-        if not endpoint.present:
+        if not endpoint.available:
             self.let_go(call)
             return self.after_not_run(call)
         # a call that a neighbour shed has been nowhere yet: home keeps it, as the paper's would
-        if call.reached and not self.tries.permit(monotonic_us()):
+        if call.reached and not self.retry_budget.try_withdraw(monotonic_us()):
             return call.shed("busy", "no second tries left")
         call.sends += 1
         call.reached += 1
@@ -304,8 +319,8 @@
                     started,
                 )
                 try:
-                    lines = check_answer(endpoint, service, call.id, status, lines, body)
-                except BadAnswer as bad:
+                    lines = check_endpoint_response(endpoint, service, call.id, status, lines, body)
+                except InvalidEndpointResponse as bad:
                     await connection.close()
                     self.node.log(405, address=endpoint.address, why=str(bad), call=call.id)
                     self.count("answer.bad")
@@ -323,27 +338,27 @@
             return self.not_sent(call, endpoint)
         load = told_load(lines)
         if load is not None:
-            endpoint.told, endpoint.told_at = load, monotonic_us()
+            endpoint.reported_load, endpoint.reported_load_at = load, monotonic_us()
         self.holding(way.service).ended(call, monotonic_us() - begun)
         word = SAID.get((status, dict(lines).get(b"md-verdict")))
         if word is not None:
             self.let_go(call)
             self.count(f"endpoint.{word}")
             return self.after_not_run(call, "busy") if word == "busy" else call.shed(word)
-        call.outcome = Answer(status, passed_on(lines), body)
+        call.outcome = EndpointResponse(status, passed_on(lines), body)
         return None
 
     def not_sent(self, call, endpoint):
         """Nothing of the call left here, so what comes next is no second sending."""
         call.sends -= 1
         call.reached -= 1
-        self.book.doubt(endpoint)
+        self.endpoints.mark_unreachable(endpoint)
         self.let_go(call)
         return self.after_not_run(call)
 
     def after_unknown(self, call, code):
         again = None if call.repeat else self.endpoint_step
-        if call.endpoint is None or not call.endpoint.present:
+        if call.endpoint is None or not call.endpoint.available:
             self.let_go(call)
             again = self.choose_step if call.home and not call.repeat else None
         tries_left = again is not None and call.endpoint_tries <= call.way.endpoint[1]
@@ -370,8 +385,8 @@
 
     async def connection(self, endpoint, service):
         """One that is free, or a new one, which proves service and incarnation first."""
-        while endpoint.idle:
-            connection = endpoint.idle.pop()
+        while endpoint.idle_connections:
+            connection = endpoint.idle_connections.pop()
             if not connection.stale():
                 return connection
             await connection.close()
@@ -387,18 +402,22 @@
             if status != 200 or not holds(body, want):
                 await connection.close()
                 self.node.log(405, address=endpoint.address, why="identity")
-                self.book.lose(endpoint, "identity")
+                self.endpoints.remove(endpoint, "identity")
                 raise HttpConnectionFailed(False, "another process answers there")
-        if endpoint.gone:
+        if endpoint.removed:
             await connection.close()
             raise HttpConnectionFailed(False, "endpoint is gone")
         return connection
 
     def keep(self, endpoint, connection):
-        if not endpoint.gone and not connection.stale() and len(endpoint.idle) < endpoint.capacity:
-            endpoint.idle.append(connection)
+        if (
+            not endpoint.removed
+            and not connection.stale()
+            and len(endpoint.idle_connections) < endpoint.capacity
+        ):
+            endpoint.idle_connections.append(connection)
         else:
-            self.book.closing.append(connection)
+            self.endpoints.connections_to_close.append(connection)
 
     def hurried(self):
         """A second signal: calls at an endpoint end now, as may have run."""
@@ -408,8 +427,8 @@
 
     async def tidy(self):
         """Endpoints that no longer beat, connections that nobody uses."""
-        self.book.expire(monotonic_us())
-        closing, self.book.closing = self.book.closing, []
+        self.endpoints.remove_expired(monotonic_us())
+        closing, self.endpoints.connections_to_close = self.endpoints.connections_to_close, []
         for connection in closing:
             await connection.close()
 
--- a/packages/proxy/meadowdock/proxy/gatepart.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -8,9 +8,9 @@
 
 from meadowdock.configuration.check import LOAD
 from meadowdock.forwarding import Gate, Reactor, Wires
-from meadowdock.proxy.endpoints import Denied, Endpoint
+from meadowdock.proxy.endpoints import Endpoint, RegistrationDenied
 from meadowdock.proxy.part import Part
-from meadowdock.proxy.tries import Tries
+from meadowdock.proxy.retry_budget import RetryBudget
 from meadowdock.runtime import (
     MILLISECOND,
     SECOND,
@@ -34,7 +34,7 @@
 )
 
 
-class GatePart(Part):
+class GatewayProxy(Part):
     """Invariants: gate.table is delivery's active items; sequences holds the highest beat's number of
     each instance enrolled here; left holds instances that left, the oldest first."""
 
@@ -53,15 +53,17 @@
         self.gate = Gate(
             self.wires,
             self.reactor,
-            self.book,
+            self.endpoints,
             self.dialect,
             settings,
             node.runtime.rng,
             node.log,
             self,
         )
-        self.walker.listed = self.listed
-        self.book.window = BEATS * settings.heartbeat_us + settings.heartbeat_us // 3
+        self.forwarder.use_load_list = self.listed
+        self.endpoints.heartbeat_timeout_us = (
+            BEATS * settings.heartbeat_us + settings.heartbeat_us // 3
+        )
         self.sequences, self.left = {}, OrderedDict()
         self.closing = trio.Event()
         self.leaves = False  # the doors are about to close
@@ -100,7 +102,7 @@
         self.gate.put_in_force(ways.items, ways.load)
 
     def listed(self, lists, told_nodes):
-        type(self.walker).listed(self.walker, lists, told_nodes)
+        type(self.forwarder).use_load_list(self.forwarder, lists, told_nodes)
         self.gate.listed(lists, told_nodes)
         self.reactor.end_turn()
 
@@ -108,24 +110,25 @@
         """As the paper's level, grown by how slow the endpoint here is; with zone and mean time."""
         told, at = super().measure(), monotonic_us()
         for service, line in told.items():
-            occupation = self.book.occupations[service]
+            occupation = self.endpoints.service_loads[service]
             occupation.rho = min(1.0, occupation.rho * self.gate.slowness(service, at))
             line[0] = occupation.rho
             line += [self.node.settings.zone, self.gate.slot_us(service)]
         return told
 
-    def tries(self, gate):
+    def new_retry_budget(self, gate):
         """A new service's second tries."""
         terms = self.node.settings.retry_budget
         nodes = max(1, len({n.address for told in gate.told_nodes.values() for n in told}))
         ratio, reserve = SAFE * terms["ratio"], int(SAFE * terms["reserve"])
-        return Tries(nodes, self.born, ratio, reserve, terms["window_us"])
+        return RetryBudget(nodes, self.born, ratio, reserve, terms["window_us"])
 
     def settings_changed(self, settings):
         """New settings of a running process: the service beside, and the bounds of second tries."""
         self.gate.caller_name = (settings.service or "guest").encode()
         self.gate.tries = {
-            service: self.tries(self.gate).after(old) for service, old in self.gate.tries.items()
+            service: self.new_retry_budget(self.gate).carry_over(old)
+            for service, old in self.gate.tries.items()
         }
 
     def unready_reasons(self):
@@ -141,7 +144,7 @@
         while (
             settings.app_address
             and monotonic_us() - self.born < settings.heartbeat_us
-            and not self.book.by_address
+            and not self.endpoints.by_address
         ):
             await sleep_us(LOOK)
             service = self.gate.table.services.get(settings.service) if self.gate.table else None
@@ -162,23 +165,25 @@
         slots = facts.get(words.load.lower(), b"").split(b",")[-1]
         settings = self.node.settings
         well = status == 200 and instance and slots.isdigit() and int(slots)
-        if well and not self.book.by_address and instance not in self.left:
+        if well and not self.endpoints.by_address and instance not in self.left:
             at = monotonic_us()
-            self.book.hold(
+            self.endpoints.add(
                 Endpoint(settings.service, settings.app_address, instance, int(slots), at, at)
             )
             self.reactor.end_turn()
 
-    def endpoint_beat(self, facts):
+    def endpoint_heartbeat(self, facts):
         """One beat of the endpoint beside. facts: service, address, instance, capacity (calls at
         once), draining, warm_us (how much longer it is slow), sequence. Raises Denied."""
         instance, sequence, at = facts["instance"], facts["sequence"], monotonic_us()
         if instance in self.left or sequence <= self.sequences.get(instance, -1):
             return  # late: something newer is known
-        held = self.book.by_address.get(facts["address"])
+        held = self.endpoints.by_address.get(facts["address"])
         if held is None or held.incarnation != instance:
             if facts["address"].rpartition(":")[0] not in self.node.settings.local_addresses:
-                raise Denied(403, "not_local", "the endpoint's address is of another machine")
+                raise RegistrationDenied(
+                    403, "not_local", "the endpoint's address is of another machine"
+                )
             if held is not None:
                 self.forget(held.incarnation)  # a late beat of it doesn't take the address back
             held = Endpoint(
@@ -190,21 +195,21 @@
                 at,
                 draining=facts["draining"],  # who waits must not start there meanwhile
             )
-            self.book.hold(held)
+            self.endpoints.add(held)
         self.sequences[instance] = sequence
-        held.beat_at, held.capacity, held.doubted = at, facts["capacity"], False
-        held.warm_at = at + facts["warm_us"]
+        held.heartbeat_at, held.capacity, held.unreachable = at, facts["capacity"], False
+        held.slow_start_until = at + facts["warm_us"]
         if facts["draining"]:
-            self.book.drain(held)
-        self.book.freed(held.service)
+            self.endpoints.start_draining(held)
+        self.endpoints.notify_waiters(held.service)
         self.reactor.end_turn()
 
-    def endpoint_leave(self, instance):
+    def deregister_endpoint(self, instance):
         """The endpoint ends; nothing of it is used again."""
         self.forget(instance)
-        for endpoint in list(self.book.by_address.values()):
+        for endpoint in list(self.endpoints.by_address.values()):
             if endpoint.incarnation == instance:
-                self.book.lose(endpoint, "left")
+                self.endpoints.remove(endpoint, "left")
         self.reactor.end_turn()
 
     def forget(self, instance):
--- a/packages/proxy/meadowdock/proxy/part.py
+++ b/packages/proxy/meadowdock/proxy/part.py
@@ -11,14 +11,19 @@
 from meadowdock import process
 from meadowdock.admin_http import BodyTooLarge, ClientDisconnected, Response, RouteTable
 from meadowdock.configuration import GUEST
-from meadowdock.load_sharing import LoadList, Node
+from meadowdock.load_sharing import LoadList, NodeLoad
 from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, Rejection, rejection
-from meadowdock.proxy.call import Answer, Call, passed_on
+from meadowdock.proxy.call import Call, EndpointResponse, passed_on
 from meadowdock.proxy.delivery import Delivery
-from meadowdock.proxy.endpoints import BEAT, WINDOW, Book, Denied
-from meadowdock.proxy.keys import Keys
-from meadowdock.proxy.tries import Tries
-from meadowdock.proxy.walk import Walker
+from meadowdock.proxy.endpoints import (
+    HEARTBEAT_INTERVAL,
+    HEARTBEAT_TIMEOUT,
+    EndpointRegistry,
+    RegistrationDenied,
+)
+from meadowdock.proxy.forwarder import Forwarder
+from meadowdock.proxy.idempotency_keys import IdempotencyKeys, KeyRejected
+from meadowdock.proxy.retry_budget import RetryBudget
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import (
     MILLISECOND,
@@ -49,10 +54,12 @@
     def __init__(self, node):
         self.node = node
         settings = node.settings
-        self.book = Book(settings.host, settings.fleet_key, node.log)
-        self.walker = Walker(node, self.book, Tries(settings.nodes_expected, monotonic_us()))
+        self.endpoints = EndpointRegistry(settings.host, settings.fleet_key, node.log)
+        self.forwarder = Forwarder(
+            node, self.endpoints, RetryBudget(settings.nodes_expected, monotonic_us())
+        )
         self.delivery = Delivery(node, self.put_in_force)
-        self.keys = Keys()
+        self.keys = IdempotencyKeys()
         self.asked_at = self.born = monotonic_us()
         self.late_turns = 0
         self.stale_told = False
@@ -87,20 +94,28 @@
             self.late_turns = self.late_turns + 1 if monotonic_us() - wanted > BEHIND else 0
 
     async def tidy(self):
-        await self.walker.tidy()
+        await self.forwarder.tidy()
 
     def behind(self):
         return self.late_turns > 1
 
     def put_in_force(self, ways):
-        self.walker.ways = ways
+        self.forwarder.ways = ways
 
     def unready_reasons(self):
         age = monotonic_us() - self.born
         return [
             *([] if self.delivery.active else ["the core hasn't confirmed a manifest here yet"]),
-            *(["the endpoints beside were not all heard yet"] if age < BEAT + HEARD else []),
-            *(["no load list yet"] if not self.walker.lists.epoch and age < 2 * SECOND else []),
+            *(
+                ["the endpoints beside were not all heard yet"]
+                if age < HEARTBEAT_INTERVAL + HEARD
+                else []
+            ),
+            *(
+                ["no load list yet"]
+                if not self.forwarder.load_list.epoch and age < 2 * SECOND
+                else []
+            ),
         ]
 
     def heard(self, entry):
@@ -115,13 +130,15 @@
         """Beats to every mdreg; and, without a collector, the end of each interval."""
         while True:
             await self.tell_core()
-            load = self.walker.ways.load if self.walker.ways else None
+            load = self.forwarder.ways.load if self.forwarder.ways else None
             if load and monotonic_us() - self.asked_at > 2 * load["interval_us"]:
                 self.measure()
-            lists = self.walker.lists
+            lists = self.forwarder.load_list
             stale = load and lists.stale(monotonic_us(), load["stale_us"])
             if stale and not self.stale_told:
-                self.node.log(704, seq=self.walker.lists.seq, epoch=self.walker.lists.epoch)
+                self.node.log(
+                    704, seq=self.forwarder.load_list.seq, epoch=self.forwarder.load_list.epoch
+                )
             self.stale_told = bool(stale)
             with deadline_scope(
                 self.node.view.schedule.next_wakeup(BEAT_CORE if lists.seq else YOUNG_BEAT)
@@ -143,8 +160,8 @@
             "cut_off": self.delivery.cut_off,
             "leaving": self.out,
             # without a list: of so many nodes this one knows
-            "listless": None if self.walker.lists.seq else self.nodes_known(),
-            "interval_us": self.walker.ways.load["interval_us"] if self.walker.ways else None,
+            "listless": None if self.forwarder.load_list.seq else self.nodes_known(),
+            "interval_us": self.forwarder.ways.load["interval_us"] if self.forwarder.ways else None,
             "endpoints": [
                 {
                     "service": e.service,
@@ -154,9 +171,9 @@
                     "capacity": e.capacity,
                     "draining": e.draining,
                 }
-                for e in self.book.by_address.values()
+                for e in self.endpoints.by_address.values()
             ],
-            "counts": dict(self.walker.counts),
+            "counts": dict(self.forwarder.counts),
         }
         regs = self.node.view.core("mdreg")
         self.beaten = set(regs)
@@ -176,29 +193,29 @@
         self.learn_nodes([answer["nodes"] for answer in answers if answer.get("nodes")])
 
     def nodes_known(self):
-        return len({n.address for told in self.walker.told_nodes.values() for n in told})
+        return len({n.address for told in self.forwarder.nodes_by_service.values() for n in told})
 
     def learn_nodes(self, told):
         """Before the first list: who beats to the registries, as a stand-in that is stale from the
         beginning. Told by several, the one that knows the most counts; asked anew at each beat,
         since registries that have just started themselves hear of the proxies one by one."""
-        if told and not self.walker.lists.seq:
-            self.walker.listed(LoadList(), by_service(max(told, key=len)))
+        if told and not self.forwarder.load_list.seq:
+            self.forwarder.use_load_list(LoadList(), by_service(max(told, key=len)))
 
     def measure(self):
         at = monotonic_us()
         self.asked_at = at
-        return self.book.measure(at, self.walker.ways.load["share"])
+        return self.endpoints.measure_load(at, self.forwarder.ways.load["share"])
 
     @handlers.on("load.ask")
     async def on_ask(self, peer, _):
-        if self.walker.ways is None or self.out:
+        if self.forwarder.ways is None or self.out:
             return {}
         return self.measure()
 
     @handlers.on("load.list")
     async def on_list(self, peer, told):
-        lists = self.walker.lists
+        lists = self.forwarder.load_list
         if self.epoch_floor is None:  # it may be a former holder's that stood still
             raise Rejected("epoch_unknown")
         known = max(lists.epoch, self.epoch_floor)
@@ -207,7 +224,7 @@
             raise Rejected("old_epoch", epoch=known)
         if (told["epoch"], told["seq"]) <= (lists.epoch, lists.seq):
             return {}
-        self.walker.listed(
+        self.forwarder.use_load_list(
             LoadList(told["epoch"], told["seq"], monotonic_us()), by_service(told["nodes"])
         )
         return {}
@@ -216,16 +233,18 @@
 
     def local(self, request):
         if request.peer not in self.node.settings.local_addresses:
-            raise Denied(403, "not_local", f"only this machine's endpoints, not {request.peer}")
+            raise RegistrationDenied(
+                403, "not_local", f"only this machine's endpoints, not {request.peer}"
+            )
 
     async def facts(self, request, wanted):
         self.local(request)
         try:
             facts = json.loads(await request.body(65536))
         except ValueError:
-            raise Denied(400, "malformed", "body is no JSON") from None
+            raise RegistrationDenied(400, "malformed", "body is no JSON") from None
         if not isinstance(facts, dict):
-            raise Denied(400, "malformed", "body is no object")
+            raise RegistrationDenied(400, "malformed", "body is no object")
         wrong = [
             f"{name}: {why}"
             for name, (check, why) in wanted.items()
@@ -236,22 +255,24 @@
             if name not in facts and why[0] != "?"
         ]
         if wrong:
-            raise Denied(400, "malformed", "; ".join(wrong))
+            raise RegistrationDenied(400, "malformed", "; ".join(wrong))
         return facts
 
     @table.on("POST", "/md/enrol")
     async def enrol(self, request):
         try:
             facts = await self.facts(request, ENROL)
-            if self.walker.ways is None:
-                raise Denied(503, "no_manifest")
-            if facts["service"] not in self.walker.ways.services:
-                raise Denied(404, "service_unknown", facts["service"])
+            if self.forwarder.ways is None:
+                raise RegistrationDenied(503, "no_manifest")
+            if facts["service"] not in self.forwarder.ways.services:
+                raise RegistrationDenied(404, "service_unknown", facts["service"])
             if facts["address"].rpartition(":")[0] not in self.node.settings.local_addresses:
-                raise Denied(403, "not_local", "the endpoint's address is of another machine")
-        except Denied as denied:
+                raise RegistrationDenied(
+                    403, "not_local", "the endpoint's address is of another machine"
+                )
+        except RegistrationDenied as denied:
             return said(denied)
-        token = self.book.enrol(
+        token = self.endpoints.register(
             facts["service"],
             facts["address"],
             facts["incarnation"],
@@ -259,31 +280,33 @@
             monotonic_us(),
             self.node.runtime.wall_us(),
         )
-        return Response(200, {"token": token, "beat_us": BEAT, "window_us": WINDOW})
+        return Response(
+            200, {"token": token, "beat_us": HEARTBEAT_INTERVAL, "window_us": HEARTBEAT_TIMEOUT}
+        )
 
     @table.on("POST", "/md/beat")
     async def beat(self, request):
         try:
             facts = await self.facts(request, BEAT_FACTS)
-            read = self.book.read_token(facts["token"])
-            if read and self.walker.ways and read[0] not in self.walker.ways.services:
-                raise Denied(404, "service_unknown", read[0])
-            self.book.beat(
+            read = self.endpoints.verify_token(facts["token"])
+            if read and self.forwarder.ways and read[0] not in self.forwarder.ways.services:
+                raise RegistrationDenied(404, "service_unknown", read[0])
+            self.endpoints.heartbeat(
                 facts["token"],
                 facts["capacity"],
                 facts.get("draining", False),
                 facts.get("load"),
                 monotonic_us(),
             )
-        except Denied as denied:
+        except RegistrationDenied as denied:
             return said(denied)
-        return Response(200, {"beat_us": BEAT, "window_us": WINDOW})
+        return Response(200, {"beat_us": HEARTBEAT_INTERVAL, "window_us": HEARTBEAT_TIMEOUT})
 
     @table.on("POST", "/md/leave")
     async def leave(self, request):
         try:
-            self.book.leave((await self.facts(request, {"token": TOKEN}))["token"])
-        except Denied as denied:
+            self.endpoints.deregister((await self.facts(request, {"token": TOKEN}))["token"])
+        except RegistrationDenied as denied:
             return said(denied)
         return Response(200, {})
 
@@ -291,22 +314,24 @@
     async def status(self, request):
         try:
             self.local(request)
-        except Denied as denied:
+        except RegistrationDenied as denied:
             return said(denied)
-        lists = self.walker.lists
+        lists = self.forwarder.load_list
         return Response(
             200,
             {
                 "version": self.delivery.version,
                 "cut_off": self.delivery.cut_off,
-                "listed": {s: [n.address for n in ns] for s, ns in self.walker.told_nodes.items()},
+                "listed": {
+                    s: [n.address for n in ns] for s, ns in self.forwarder.nodes_by_service.items()
+                },
                 "list": {"epoch": lists.epoch, "seq": lists.seq},
-                "rho": {s: o.rho for s, o in self.book.occupations.items()},
-                "calls_under_way": len(self.walker.slab),
-                "counts": self.walker.counts,
+                "rho": {s: o.rho for s, o in self.endpoints.service_loads.items()},
+                "calls_under_way": len(self.forwarder.slab),
+                "counts": self.forwarder.counts,
                 "second_tries": {
-                    "requests": self.walker.tries.requests,
-                    "tries": self.walker.tries.tries,
+                    "requests": self.forwarder.retry_budget.requests,
+                    "tries": self.forwarder.retry_budget.retries,
                 },
                 "neighbours": sorted(self.node.view.entries),
             },
@@ -323,8 +348,8 @@
             made = rejection("too_large")
         call = made if isinstance(made, Call) else None
         if call:
-            self.walker.count("calls")
-            self.walker.tries.request(monotonic_us())
+            self.forwarder.count("calls")
+            self.forwarder.retry_budget.deposit(monotonic_us())
             made = await self.watched(call, request)
         if request.header(b"md-repeat") and isinstance(made, Rejection) and made.verdict is NOT_RUN:
             # what is refused here may have run where it was sent before
@@ -332,19 +357,19 @@
         return self.reply(made, call)
 
     async def admitted(self, request):
-        """A Call, or the Shedding or earlier Answer that ends the request here."""
-        ways = self.walker.ways
+        """A Call, or the Shedding or earlier EndpointResponse that ends the request here."""
+        ways = self.forwarder.ways
         if ways is None:
             return rejection("no_manifest")
         if self.behind():
             return rejection("busy", "this proxy is behind with its own work")
         await self.delivery.current()
-        ways = self.walker.ways
+        ways = self.forwarder.ways
         caller, token = GUEST, request.header(b"md-token")
         if token is not None:
-            young = monotonic_us() - self.born < WINDOW
+            young = monotonic_us() - self.born < HEARTBEAT_TIMEOUT
             caller = (
-                self.book.caller(token, young)
+                self.endpoints.authenticate(token, young)
                 if request.peer in self.node.settings.local_addresses
                 else None
             )
@@ -396,8 +421,8 @@
                 b"\0".join([call.method.encode(), call.target_path.encode(), call.body])
             )
             known = self.keys.begin(call.caller, call.key, print_of, monotonic_us())
-            if isinstance(known, str):
-                return rejection(known)
+            if isinstance(known, KeyRejected):
+                return rejection(known.code)
             if known is not None:
                 return known
         try:
@@ -410,11 +435,11 @@
                     nursery.cancel_scope.cancel()
 
                 nursery.start_soon(watch)
-                await self.walker.walk(call)
+                await self.forwarder.walk(call)
                 nursery.cancel_scope.cancel()
         finally:
             if print_of is not None:
-                self.keys.end(call.caller, call.key, self.fate(call), call.outcome, monotonic_us())
+                self.keys.end(call.caller, call.key, self.fate(call), call.outcome)
         if call.outcome is None:
             raise ClientDisconnected
         return call.outcome
@@ -422,10 +447,8 @@
     def fate(self, call):
         if call.outcome is None:
             spilling = call.target is not None
-            return (
-                MAY_HAVE_RUN if call.started or call.may_have_run or spilling else NOT_RUN
-            ).value
-        return call.outcome.verdict.value
+            return MAY_HAVE_RUN if call.started or call.may_have_run or spilling else NOT_RUN
+        return call.outcome.verdict
 
     def reply(self, outcome, call):
         cut_off = call.cut_off if call else self.delivery.cut_off
@@ -436,10 +459,10 @@
             (b"md-version", str(call.version if call else self.delivery.version).encode()),
             *([(b"md-cut-off", b"1")] if cut_off else []),
         ]
-        if isinstance(outcome, Answer):
-            self.walker.count(f"answer.{outcome.status // 100}xx")
+        if isinstance(outcome, EndpointResponse):
+            self.forwarder.count(f"answer.{outcome.status // 100}xx")
             return Response(outcome.status, outcome.body, [*outcome.headers, *lines])
-        self.walker.count(f"shed.{outcome.code}")
+        self.forwarder.count(f"shed.{outcome.code}")
         if outcome.retry_after_us:
             seconds = -(-outcome.retry_after_us // SECOND)
             lines.append((b"retry-after", str(seconds).encode()))
@@ -450,7 +473,7 @@
     @handlers.on("call.run")
     async def on_run(self, peer, args):
         """A neighbour's call. Way, service, incarnation, drain, room and due are checked here."""
-        ways = self.walker.ways
+        ways = self.forwarder.ways
         if ways is None:
             raise Rejected("no_manifest")
         if self.node.stopping:
@@ -477,8 +500,8 @@
             home=False,
             incarnation=args["incarnation"],
         )
-        self.walker.count("taken")
-        outcome = await self.walker.walk(call)
+        self.forwarder.count("taken")
+        outcome = await self.forwarder.walk(call)
         if isinstance(outcome, Rejection):
             raise Rejected(outcome.code)
         return {
@@ -490,13 +513,13 @@
     # ------------------------------------------------------------ stop
 
     def abort_requests(self):
-        self.walker.hurried()
+        self.forwarder.hurried()
 
     async def announce_shutdown(self):
         await self.tell_core()
 
     async def drain(self):
-        while len(self.walker.slab):
+        while len(self.forwarder.slab):
             await sleep_us(10 * MILLISECOND)
 
 
@@ -533,7 +556,7 @@
     found = {}
     for address, services in nodes.items():
         for service, facts in services.items():
-            found.setdefault(service, []).append(Node(address, *facts))
+            found.setdefault(service, []).append(NodeLoad(address, *facts))
     return {service: tuple(told) for service, told in found.items()}
 
 
--- /dev/null
+++ b/packages/proxy/meadowdock/proxy/retry_budget.py
@@ -0,0 +1,99 @@
+"""The retry budget of one node: a sliding window, and this node's part of the fleet's reserve.
+
+Retries may be at most a ratio of the requests of the last window (as Finagle's RetryBudget has
+it), so that they can't multiply the load of a fleet that is in trouble; the reserve lets a fleet
+with few requests retry at all.
+
+>>> budget = RetryBudget(nodes=8, created_at=0)
+>>> budget.try_withdraw(0)
+False
+>>> at = 10_000_000
+>>> [budget.try_withdraw(at) for _ in range(4)]
+[True, True, True, False]
+>>> for _ in range(100): budget.deposit(at + 1)
+>>> sum(budget.try_withdraw(at + 2) for _ in range(100))
+12
+>>> budget.try_withdraw(2 * at + 200_000)
+True
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass
+
+WINDOW_US = 10_000_000
+BUCKET_US = 100_000
+RETRY_RATIO = 0.15  # retries per request
+FLEET_RESERVE = 24  # retries in a window, over all nodes, however few requests there are
+
+
+@dataclass(slots=True)
+class Bucket:
+    """What was counted within BUCKET_US."""
+
+    number: int  # time // BUCKET_US
+    requests: int = 0
+    retries: int = 0
+
+
+class RetryBudget:
+    """Counts requests and retries; times are in microseconds.
+
+    Invariants: buckets are in order of time and none is older than window_us + BUCKET_US; requests
+    and retries are their sums. A process younger than a window has no reserve: the process that ran
+    here before may have used it.
+    """
+
+    def __init__(
+        self,
+        nodes: int,
+        created_at: int,
+        ratio: float = RETRY_RATIO,
+        reserve: int = FLEET_RESERVE,
+        window_us: int = WINDOW_US,
+    ) -> None:
+        self.ratio, self.fleet_reserve, self.window_us = ratio, reserve, window_us
+        self.created_at = created_at
+        self.buckets: deque[Bucket] = deque()
+        self.requests = self.retries = 0
+        self.share_between(nodes)
+
+    def share_between(self, nodes: int) -> None:
+        """So many nodes share the fleet's reserve now."""
+        self.reserve = self.fleet_reserve / nodes
+
+    def carry_over(self, former: RetryBudget) -> RetryBudget:
+        """Take over the counts of a budget with other limits."""
+        self.buckets, self.created_at = former.buckets, former.created_at
+        self.requests, self.retries = former.requests, former.retries
+        return self
+
+    def deposit(self, at: int) -> None:
+        """Count a request."""
+        self.current_bucket(at).requests += 1
+        self.requests += 1
+
+    def try_withdraw(self, at: int) -> bool:
+        """Count a retry and return True, if the budget allows one."""
+        bucket = self.current_bucket(at)
+        reserve = self.reserve if at - self.created_at >= self.window_us else 0
+        if self.retries + 1 > max(reserve, self.ratio * self.requests):
+            return False
+        bucket.retries += 1
+        self.retries += 1
+        return True
+
+    def current_bucket(self, at: int) -> Bucket:
+        """The bucket of a moment, after those that left the window are dropped."""
+        while self.buckets and self.expired(self.buckets[0], at):
+            dropped = self.buckets.popleft()
+            self.requests -= dropped.requests
+            self.retries -= dropped.retries
+        if not self.buckets or self.buckets[-1].number < at // BUCKET_US:
+            self.buckets.append(Bucket(at // BUCKET_US))
+        return self.buckets[-1]
+
+    def expired(self, bucket: Bucket, at: int) -> bool:
+        """Whether a bucket lies outside the window."""
+        return bucket.number * BUCKET_US + self.window_us + BUCKET_US <= at
--- a/packages/simulator/meadowdock/simulator/overload.py
+++ b/packages/simulator/meadowdock/simulator/overload.py
@@ -101,7 +101,7 @@
     found["shed"] = sum(
         n
         for h in world.application
-        for name, n in world.daemon("mdproxy", h).walker.counts.items()
+        for name, n in world.daemon("mdproxy", h).forwarder.counts.items()
         if name.startswith("spill.shed.")
     )
     found["p99_us"] = sorted(took)[len(took) * 99 // 100] if took else 0
--- a/packages/simulator/meadowdock/simulator/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -73,7 +73,7 @@
 def state_of_proxy(node):
     """Bytes of a proxy's load lists and membership view."""
     entries = [state.entry for state in node.view.entries.values()]
-    return packed(node.daemon.walker.told_nodes) + packed(entries)
+    return packed(node.daemon.forwarder.nodes_by_service) + packed(entries)
 
 
 def links_of(fleet):
--- a/packages/simulator/meadowdock/simulator/scale/fleet.py
+++ b/packages/simulator/meadowdock/simulator/scale/fleet.py
@@ -48,18 +48,18 @@
 
 async def stand_in(node, service):
     """An endpoint that is always there and idle, told to the proxy's book without a socket."""
-    book, host = node.daemon.book, node.settings.host
-    token = book.enrol(
+    book, host = node.daemon.endpoints, node.settings.host
+    token = book.register(
         service, f"{host}:8000", "hollow", HOLLOW_CAPACITY, monotonic_us(), node.runtime.wall_us()
     )
     while not node.stopping:
-        book.beat(token, HOLLOW_CAPACITY, False, 0.1, monotonic_us())
+        book.heartbeat(token, HOLLOW_CAPACITY, False, 0.1, monotonic_us())
         await sleep_us(HOLLOW_HEARTBEAT)
 
 
 def listed(daemon):
     """How many endpoints a proxy has on its load lists."""
-    return sum(map(len, daemon.walker.told_nodes.values()))
+    return sum(map(len, daemon.forwarder.nodes_by_service.values()))
 
 
 class Hollow:
--- a/packages/simulator/meadowdock/simulator/scale/lists.py
+++ b/packages/simulator/meadowdock/simulator/scale/lists.py
@@ -37,8 +37,8 @@
     nodes = {
         f"{host}:7401": {service: [0.1, "hollow", False]} for host, service in places(n)[1].items()
     }
-    message = {"epoch": daemon.walker.lists.epoch, "nodes": nodes}
-    first = daemon.walker.lists.seq + 1
+    message = {"epoch": daemon.forwarder.load_list.epoch, "nodes": nodes}
+    first = daemon.forwarder.load_list.seq + 1
     begun = time.process_time()
     frames = [
         sender.seal(pack([REQUEST, [1, 1], "load.list", {**message, "seq": seq}, 1, 1]))
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -15,7 +15,7 @@
 from meadowdock.forwarding import Dialect, Reactor
 from meadowdock.logs import Log
 from meadowdock.process import Node
-from meadowdock.proxy.gatepart import GatePart
+from meadowdock.proxy.gateway import GatewayProxy
 from meadowdock.proxy.part import Part as Proxy
 from meadowdock.registry.server import RegistryServer
 from meadowdock.rpc import ConnectionFailed
@@ -106,7 +106,7 @@
     runner.reschedule, runner.md_hooked = reschedule, True
 
 
-class GateProxy(GatePart):
+class GateProxy(GatewayProxy):
     dialect = DIALECT
 
 
@@ -177,7 +177,7 @@
     # ------------------------------------------------------------ places
 
     def place(self, core=3, application=("desk", "desk"), gate=False, **boots):
-        """gate: mdproxies are GateParts, the register is founded by the seeds. boots: further facts
+        """gate: mdproxies are GatewayProxies, the register is founded by the seeds. boots: further facts
         of every boot of a mdproxy."""
         self.gated, self.boots = gate, boots
         self.core = [f"10.0.0.{n}" for n in range(1, core + 1)]
@@ -361,7 +361,7 @@
             **facts,
         }
         if proxy.node.daemon is not None:
-            proxy.enter(lambda: proxy.node.daemon.endpoint_beat(told))
+            proxy.enter(lambda: proxy.node.daemon.endpoint_heartbeat(told))
 
     async def caller(self, host, address=None):
         """A caller's connection from this machine to its gate; failed is set if it came to none."""
--- a/packages/soak/meadowdock/soak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -1,7 +1,7 @@
 """One daemon of a soak: python -m meadowdock.soak.daemon ROLE BOOT_FILE CUTS_FILE.
 
 The product's own node and part; mdproxy with a gate, in the product's own names, and a door for the
-beats of its endpoint, which are JSON of GatePart.endpoint_beat's facts.
+beats of its endpoint, which are JSON of GatewayProxy.endpoint_heartbeat's facts.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from meadowdock.local_fleet.fleet import PROGRAM_PACKAGES
 from meadowdock.process import Node
 from meadowdock.process import signals as watch_signals
-from meadowdock.proxy.endpoints import Denied
-from meadowdock.proxy.gatepart import GatePart
+from meadowdock.proxy.endpoints import RegistrationDenied
+from meadowdock.proxy.gateway import GatewayProxy
 from meadowdock.runtime import Disk, NoDisk, Runtime
 from meadowdock.settings import ProcessSettings, load
 from meadowdock.soak.cuts import CutNet, Cuts
@@ -33,13 +33,13 @@
     import json
 
     try:
-        daemon.endpoint_beat(json.loads(await request.body(1 << 16)))
-    except Denied as denied:
+        daemon.endpoint_heartbeat(json.loads(await request.body(1 << 16)))
+    except RegistrationDenied as denied:
         return Response(denied.status, {"code": denied.code})
     return Response(200, {})
 
 
-class SoakProxy(GatePart):
+class SoakProxy(GatewayProxy):
     """mdproxy with a gate and a door for beats."""
 
     dialect = DIALECT
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -169,13 +169,13 @@
         await world.eventually(lambda: process.frozen is not None)
         await sleep_us(20 * SECOND)
         proxies = [world.daemon("mdproxy", h) for h in hosts(world)]
-        assert all(p.walker.lists.epoch > epoch for p in proxies)
+        assert all(p.forwarder.load_list.epoch > epoch for p in proxies)
         woken_at = monotonic_us()
         process.wake()
         await sleep_us(5 * SECOND)
         assert not [e for at, e in sent if at >= woken_at > 0 and e <= epoch]
         assert len(holders(world)) == 1
-        assert all(p.walker.lists.epoch > epoch for p in proxies)
+        assert all(p.forwarder.load_list.epoch > epoch for p in proxies)
 
     run(scenario)
 
@@ -309,13 +309,13 @@
         await sleep_us(DURATION)
         assert not holders(world)
         await sleep_us(SECOND)
-        last = proxy.walker.lists.epoch, proxy.walker.lists.seq
+        last = proxy.forwarder.load_list.epoch, proxy.forwarder.load_list.seq
         await sleep_us(17 * SECOND)
         assert not holders(world)
-        assert (proxy.walker.lists.epoch, proxy.walker.lists.seq) == last
+        assert (proxy.forwarder.load_list.epoch, proxy.forwarder.load_list.seq) == last
         for other in world.core[:2]:
             await world.start("mdconf", other)
-        await world.eventually(lambda: proxy.walker.lists.epoch > epoch, TAKEOVER)
+        await world.eventually(lambda: proxy.forwarder.load_list.epoch > epoch, TAKEOVER)
 
     run(scenario)
 
@@ -360,7 +360,9 @@
         await world.eventually(lambda: world.daemon("mdproxy", place).epoch_floor is not None)
         assert (await send()).code == "old_epoch"
         del world.meddle["load.list"]
-        await world.eventually(lambda: world.daemon("mdproxy", place).walker.lists.epoch > old)
+        await world.eventually(
+            lambda: world.daemon("mdproxy", place).forwarder.load_list.epoch > old
+        )
 
     run(scenario)
 
--- a/tests/configuration/test_manifest.py
+++ b/tests/configuration/test_manifest.py
@@ -450,7 +450,7 @@
         async def call():
             told.append((await world.http(host, "GET", f"{host}:7400", "/balances/1"))[1])
 
-        world.daemon("mdproxy", host).walker.book.by_address[f"{host}:8000"].capacity = 9
+        world.daemon("mdproxy", host).forwarder.endpoints.by_address[f"{host}:8000"].capacity = 9
         version = await world.configure(manifest([way("x", "/balances")]))
         async with trio.open_nursery() as nursery:
             for _ in range(700):
--- a/tests/forwarding/test_answers.py
+++ b/tests/forwarding/test_answers.py
@@ -305,7 +305,7 @@
         world.web.heal()
         await lost.done.wait()
         assert lost.status == 502
-        await world.eventually(lambda: world.daemon("mdproxy", peer).book.by_address)
+        await world.eventually(lambda: world.daemon("mdproxy", peer).endpoints.by_address)
         await sleep_us(2 * SECOND)
         made = await asked(world, home, target=b"/once/2", method=b"POST")
         assert made.status == 200
--- a/tests/forwarding/test_gate.py
+++ b/tests/forwarding/test_gate.py
@@ -6,7 +6,7 @@
 from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items, listed
 from item_builders import route, service
 
-from meadowdock.load_sharing import Node
+from meadowdock.load_sharing import NodeLoad
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
 
@@ -157,7 +157,7 @@
 
 def nodes_of(world, rhos):
     by_host = {host: world.ends[host].instance.decode() for host in rhos}
-    return tuple(Node(f"{h}:7401", rho, by_host[h], False) for h, rho in rhos.items())
+    return tuple(NodeLoad(f"{h}:7401", rho, by_host[h], False) for h, rho in rhos.items())
 
 
 async def batch(world, host, rho, rhos, count=6):
@@ -186,9 +186,9 @@
         gate = gate_of(world, home)
         for host in hosts(world):  # no news but the test's own
             gate_at = world.daemon("mdproxy", host)
-            gate_at.book.measure = lambda at, share: {}
+            gate_at.endpoints.measure_load = lambda at, share: {}
             gate_at.listed = lambda lists, told: None
-        world.daemon("mdproxy", home).walker.listed = lambda lists, told: None
+        world.daemon("mdproxy", home).forwarder.use_load_list = lambda lists, told: None
         omega, phi = gate.load["omega"], gate.load["phi"]
         low, mid = phi / 2, (phi + omega) / 2
         assert await batch(world, home, low, {b: low, c: low}) == [home] * 6
@@ -201,8 +201,8 @@
         # none accepts: home keeps
         assert await batch(world, home, omega, {b: mid, c: omega, d: mid}) == [home] * 6
         # no home
-        world.daemon("mdproxy", home).book.lose(
-            world.daemon("mdproxy", home).book.by_address[f"{home}:8000"], "test"
+        world.daemon("mdproxy", home).endpoints.remove(
+            world.daemon("mdproxy", home).endpoints.by_address[f"{home}:8000"], "test"
         )
         world.ends[home].left = True
         ran = await batch(world, home, None, {b: low, c: low, d: mid})
@@ -402,8 +402,8 @@
         home = hosts(world)[0]
         caller = await world.caller(home)
         world.ends[home].left = True  # no beats of its own any more
-        book = world.daemon("mdproxy", home).book
-        book.lose(book.by_address[f"{home}:8000"], "test")
+        book = world.daemon("mdproxy", home).endpoints
+        book.remove(book.by_address[f"{home}:8000"], "test")
         made = caller.ask()  # waits: nobody is there
         await sleep_us(20 * MILLISECOND)
         world.beat(home, world.ends[home], 1000, draining=True)
@@ -419,7 +419,7 @@
         old = world.ends[home]
         new_life = {"instance": "i-new"}
         world.beat(home, old, 50, **new_life)
-        book = world.daemon("mdproxy", home).book
+        book = world.daemon("mdproxy", home).endpoints
         assert book.by_address[old.address].incarnation == "i-new"
         world.beat(home, old, 60)
         assert book.by_address[old.address].incarnation == "i-new"
--- a/tests/forwarding/test_gate_faults.py
+++ b/tests/forwarding/test_gate_faults.py
@@ -161,9 +161,9 @@
         long = (await world.caller(host)).ask(b"/long/x", due_ms=10_000)
         await sleep_us(100 * MILLISECOND)
         end.process.freeze()
-        await world.eventually(lambda: not world.daemon("mdproxy", host).book.by_address)
+        await world.eventually(lambda: not world.daemon("mdproxy", host).endpoints.by_address)
         end.process.wake()
-        await world.eventually(lambda: world.daemon("mdproxy", host).book.by_address)
+        await world.eventually(lambda: world.daemon("mdproxy", host).endpoints.by_address)
         for _ in range(3):
             assert (await asked(world, host)).status == 200
         await long.done.wait()
@@ -339,12 +339,12 @@
 
 
 def test_a_hundred_neighbours_that_answer_nothing_are_passed_over_in_one_turn():
-    from meadowdock.load_sharing import LoadList, Node
+    from meadowdock.load_sharing import LoadList, NodeLoad
 
     async def scenario(world):
         home, good = hosts(world)
         gate = gate_of(world, home)
-        nodes = [Node(f"10.9.{n // 100}.{n % 100}:7401", 0.1, "i", False) for n in range(600)]
+        nodes = [NodeLoad(f"10.9.{n // 100}.{n % 100}:7401", 0.1, "i", False) for n in range(600)]
         real = gate.told_nodes["desk"]
         gate.listed(
             LoadList(gate.lists.epoch, gate.lists.seq, monotonic_us()), {"desk": (*nodes, *real)}
--- a/tests/forwarding/test_gate_rules.py
+++ b/tests/forwarding/test_gate_rules.py
@@ -10,7 +10,7 @@
 
 from meadowdock.forwarding.callers import KEEP_S, KEPT
 from meadowdock.forwarding.gate import EARLY
-from meadowdock.load_sharing import LoadList, Node
+from meadowdock.load_sharing import LoadList, NodeLoad
 from meadowdock.runtime import MILLISECOND, SECOND, Address, monotonic_us, sleep_us
 
 TRIES = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
@@ -22,7 +22,7 @@
 
 def line_of(world, host, rho, **facts):
     end = world.ends[host]
-    return Node(address_of(host), rho, end.instance.decode(), False, world.halls[host], **facts)
+    return NodeLoad(address_of(host), rho, end.instance.decode(), False, world.halls[host], **facts)
 
 
 def tell(world, host, rhos):
@@ -186,8 +186,8 @@
     """Each endpoint says that it is so full, until over is set."""
     while not over.is_set():
         for host in hosts(world):
-            for endpoint in world.daemon("mdproxy", host).book.by_address.values():
-                endpoint.told, endpoint.told_at = told[0], monotonic_us()
+            for endpoint in world.daemon("mdproxy", host).endpoints.by_address.values():
+                endpoint.reported_load, endpoint.reported_load_at = told[0], monotonic_us()
         await sleep_us(50 * MILLISECOND)
 
 
@@ -401,7 +401,7 @@
         tell(world, guest, {full: 0.1, free: 0.1})
         world.ends[full].left = True
         daemon, at = world.daemon("mdproxy", full), monotonic_us()
-        daemon.endpoint_leave(world.ends[full].instance.decode())
+        daemon.deregister_endpoint(world.ends[full].instance.decode())
         await made.done.wait()
         assert made.status == 200 and ran_at(world, made) == [free]
         assert monotonic_us() - at < 50 * MILLISECOND
@@ -429,8 +429,8 @@
         for n in range(2):
             calls.append((await world.caller(home)).ask(b"/once/%d" % n))
         await sleep_us(20 * MILLISECOND)
-        gate, book = gate_of(world, home), world.daemon("mdproxy", home).book
-        line, endpoint = gate.admission.queues["desk"], book.home("desk")
+        gate, book = gate_of(world, home), world.daemon("mdproxy", home).endpoints
+        line, endpoint = gate.admission.queues["desk"], book.local_endpoint("desk")
         assert len(line) == 2
         place = gate.place
 
@@ -438,7 +438,7 @@
             place(call)
             if endpoint.capacity == 1:
                 endpoint.capacity = 2
-                book.freed("desk")
+                book.notify_waiters("desk")
 
         gate.place = making_room
         tell(world, home, {other: 0.1})
@@ -498,8 +498,8 @@
         health(world, host, 200)
         daemon = await begun_anew(world, host)
         began = monotonic_us()
-        await world.eventually(lambda: daemon.book.by_address, within=500 * MILLISECOND)
-        endpoint = daemon.book.by_address[end.address]
+        await world.eventually(lambda: daemon.endpoints.by_address, within=500 * MILLISECOND)
+        endpoint = daemon.endpoints.by_address[end.address]
         assert (endpoint.incarnation, endpoint.capacity) == (end.instance.decode(), 4)
         made = await asked(world, host, target=b"/once/x")
         assert made.status == 200
@@ -507,7 +507,7 @@
         await sleep_us(SECOND - (monotonic_us() - began))
         enrolled = len(world.trace.events(401))
         world.beat(host, end, 1000, capacity=3)
-        assert daemon.book.by_address[end.address] is endpoint and endpoint.capacity == 3
+        assert daemon.endpoints.by_address[end.address] is endpoint and endpoint.capacity == 3
         assert len(world.trace.events(401)) == enrolled
         made = await asked(world, host, target=b"/once/y")
         assert made.status == 200 and gate_of(world, host).pools == {id(endpoint): pool}
@@ -523,13 +523,13 @@
         health(world, host, 503 if case == "unwell" else 200, slots)
         daemon = await begun_anew(world, host)
         if case == "left":
-            daemon.endpoint_leave(world.ends[host].instance.decode())
+            daemon.deregister_endpoint(world.ends[host].instance.decode())
         found = daemon.found_beside
         answers = []
         daemon.found_beside = lambda *facts: (answers.append(facts), found(*facts))
         await world.eventually(lambda: not daemon.unready_reasons())
         await sleep_us(SECOND)
-        assert answers and not daemon.book.by_address
+        assert answers and not daemon.endpoints.by_address
         made = await asked(world, host)
         assert made.status == 503 and not ran_at(world, made)
 
@@ -550,15 +550,15 @@
         await sleep_us(100 * MILLISECOND)
         began = monotonic_us()
         await world.start("mdproxy", guest)
-        walker, gate = world.daemon("mdproxy", guest).walker, gate_of(world, guest)
+        forwarder, gate = world.daemon("mdproxy", guest).forwarder, gate_of(world, guest)
         wanted = {address_of(h) for h in ends}
         await world.eventually(
             lambda: {n.address for n in gate.told_nodes.get("desk", ())} == wanted
         )
-        assert monotonic_us() - began < 500 * MILLISECOND and walker.lists.seq == 0
-        assert walker.lists.stale(monotonic_us(), 1 << 60)
+        assert monotonic_us() - began < 500 * MILLISECOND and forwarder.load_list.seq == 0
+        assert forwarder.load_list.stale(monotonic_us(), 1 << 60)
         await world.eventually(lambda: not world.node("mdproxy", guest).unready_reasons())
-        assert walker.lists.seq == 0
+        assert forwarder.load_list.seq == 0
         assert set(await batch(world, guest, 4)) <= set(ends)
         # what it knows is not told again, the epoch alone; what is more, is
         assert reg.provisional_list(len(ends)).to_wire() == {"epoch": reg.election.highest_epoch}
@@ -566,7 +566,7 @@
         assert set(reg.provisional_list(0).to_wire()["nodes"]) == wanted
         # a real list replaces it
         reg.collector.collect = collect
-        await world.eventually(lambda: walker.lists.seq)
+        await world.eventually(lambda: forwarder.load_list.seq)
         real = gate.told_nodes
         assert {n.address for n in real["desk"]} == wanted
         # and none comes after one
@@ -617,7 +617,7 @@
             world.web.heal()
         else:
             await world.start("mdproxy", bad)
-            await world.eventually(lambda: world.daemon("mdproxy", bad).book.by_address)
+            await world.eventually(lambda: world.daemon("mdproxy", bad).endpoints.by_address)
             await world.eventually(
                 lambda: address_of(bad) in {n.address for n in gate.told_nodes["desk"]}
             )
--- a/tests/load_sharing/test_load.py
+++ b/tests/load_sharing/test_load.py
@@ -80,9 +80,9 @@
         await serving(world)
         proxies = [world.daemon("mdproxy", h) for h in hosts(world)]
         await sleep_us(3 * SECOND)
-        first = [(p.walker.lists.epoch, p.walker.lists.seq) for p in proxies]
+        first = [(p.forwarder.load_list.epoch, p.forwarder.load_list.seq) for p in proxies]
         await sleep_us(5 * SECOND)
-        then = [(p.walker.lists.epoch, p.walker.lists.seq) for p in proxies]
+        then = [(p.forwarder.load_list.epoch, p.forwarder.load_list.seq) for p in proxies]
         assert len({epoch for epoch, _ in first + then}) == 1
         assert all(9 <= b[1] - a[1] <= 11 for a, b in zip(first, then, strict=True))
         holders = [h for h in world.core if world.daemon("mdreg", h).election.epoch is not None]
@@ -98,7 +98,7 @@
         old = world.daemon("mdreg", holder).election.epoch
         world.kill(f"mdreg@{holder}")
         proxy = world.daemon("mdproxy", hosts(world)[0])
-        took = await world.eventually(lambda: proxy.walker.lists.epoch > old)
+        took = await world.eventually(lambda: proxy.forwarder.load_list.epoch > old)
         assert took < 6 * SECOND
         other = next(h for h in world.core if h != holder)
         links = world.node("mdreg", other).rpc
@@ -107,7 +107,7 @@
             {0: (f"{hosts(world)[0]}:7401", "load.list", told)}, monotonic_us() + SECOND
         )
         assert got[0].code == "old_epoch"
-        assert proxy.walker.lists.seq < 10**6
+        assert proxy.forwarder.load_list.seq < 10**6
 
     run(scenario)
 
@@ -158,7 +158,7 @@
         await sleep_us(2 * SECOND)
         told = {
             n.address: n.rho
-            for n in world.daemon("mdproxy", hosts(world)[0]).walker.told_nodes["desk"]
+            for n in world.daemon("mdproxy", hosts(world)[0]).forwarder.nodes_by_service["desk"]
         }
         assert told[f"{hosts(world)[1]}:7401"] == 0.85
         assert told[f"{hosts(world)[0]}:7401"] == 0.0
--- a/tests/load_sharing/test_policy.py
+++ b/tests/load_sharing/test_policy.py
@@ -5,14 +5,17 @@
 import pytest
 
 from meadowdock.load_sharing import (
-    Home,
+    FORWARD,
+    LOCAL,
+    REJECT,
     LoadList,
-    Node,
-    Wheel,
+    LocalEndpointState,
+    NodeLoad,
+    RoundRobin,
     best_omega,
     choose,
+    load_state,
     relocation_overhead,
-    state,
 )
 from meadowdock.load_sharing.model import Setting, blocking
 
@@ -20,7 +23,7 @@
 
 
 def nodes(**rho):
-    return tuple(Node(a, r, "i", False) for a, r in rho.items())
+    return tuple(NodeLoad(a, r, "i", False) for a, r in rho.items())
 
 
 @pytest.mark.parametrize(
@@ -37,7 +40,7 @@
     ],
 )
 def test_states(rho, phi, omega, expected):
-    assert state(rho, phi, omega) == expected
+    assert load_state(rho, phi, omega) == expected
 
 
 @pytest.mark.parametrize(
@@ -48,64 +51,97 @@
     assert round(best_omega(x, relocation_overhead(e, f)), 4) == expected
 
 
-# home rho, room, present | list | list's age | chosen kind, target, rule
+# rho, has capacity, available | load list | its age | chosen placement, target, rule
 CHOICES = [
-    (0.0, True, True, nodes(b=0.0, c=0.0), 0, "home", None, "below-omega"),
-    (0.85, True, True, nodes(b=0.0), 0, "home", None, "below-omega"),
-    (0.9, True, True, nodes(b=0.0), 0, "spill", "b", "offloading"),
-    (1.0, True, True, nodes(b=0.79, c=0.0), 0, "spill", "b", "offloading"),
-    (1.0, True, True, nodes(b=0.8, c=0.1), 0, "spill", "c", "offloading"),
-    (1.0, True, True, nodes(b=0.8, c=0.95), 0, "home", None, "none-accept"),
-    (1.0, True, True, (), 0, "home", None, "none-accept"),
-    (1.0, True, True, (Node("b", 0.0, "i", True),), 0, "home", None, "none-accept"),
-    (1.0, True, True, nodes(a=0.0), 0, "home", None, "none-accept"),  # never to itself
-    (1.0, True, True, nodes(b=0.0), STALE + 1, "home", None, "stale"),
-    (0.5, False, True, nodes(b=0.0), 0, "spill", "b", "full"),
-    (0.5, False, True, nodes(b=0.0), STALE + 1, "spill", "b", "full"),
-    (0.5, False, True, nodes(b=0.85), 0, "shed", None, "full"),
-    (0.0, False, False, nodes(b=0.0), 0, "spill", "b", "gone"),
-    (0.0, False, False, nodes(b=0.85, c=0.95), 0, "spill", "b", "any-room"),
-    (0.0, False, False, nodes(c=0.95), 0, "spill", "c", "any-room"),
-    (0.0, False, False, nodes(b=1.0), 0, "shed", None, "gone"),
-    (0.0, False, False, (), 0, "shed", None, "gone"),
+    (0.0, True, True, nodes(b=0.0, c=0.0), 0, LOCAL, None, "below-omega"),
+    (0.85, True, True, nodes(b=0.0), 0, LOCAL, None, "below-omega"),
+    (0.9, True, True, nodes(b=0.0), 0, FORWARD, "b", "offloading"),
+    (1.0, True, True, nodes(b=0.79, c=0.0), 0, FORWARD, "b", "offloading"),
+    (1.0, True, True, nodes(b=0.8, c=0.1), 0, FORWARD, "c", "offloading"),
+    (1.0, True, True, nodes(b=0.8, c=0.95), 0, LOCAL, None, "none-accept"),
+    (1.0, True, True, (), 0, LOCAL, None, "none-accept"),
+    (1.0, True, True, (NodeLoad("b", 0.0, "i", True),), 0, LOCAL, None, "none-accept"),
+    (1.0, True, True, nodes(a=0.0), 0, LOCAL, None, "none-accept"),  # never to itself
+    (1.0, True, True, nodes(b=0.0), STALE + 1, LOCAL, None, "stale"),
+    (0.5, False, True, nodes(b=0.0), 0, FORWARD, "b", "full"),
+    (0.5, False, True, nodes(b=0.0), STALE + 1, FORWARD, "b", "full"),
+    (0.5, False, True, nodes(b=0.85), 0, REJECT, None, "full"),
+    (0.0, False, False, nodes(b=0.0), 0, FORWARD, "b", "gone"),
+    (0.0, False, False, nodes(b=0.85, c=0.95), 0, FORWARD, "b", "any-room"),
+    (0.0, False, False, nodes(c=0.95), 0, FORWARD, "c", "any-room"),
+    (0.0, False, False, nodes(b=1.0), 0, REJECT, None, "gone"),
+    (0.0, False, False, (), 0, REJECT, None, "gone"),
 ]
 
 
 @pytest.mark.parametrize("row", CHOICES)
-def test_choices(row):
-    rho, room, present, listed, age, kind, target, rule = row
-    told = LoadList(1, 1, 0, listed)
-    chosen = choose(Home(rho, room, present), told, Wheel(), age, "a", PHI, OMEGA, STALE)
-    found = (chosen.kind, chosen.target and chosen.target.address, chosen.rule)
-    assert found == (kind, target, rule)
+def test_choice(row):
+    rho, has_capacity, available, listed, age, placement, target, rule = row
+    local = LocalEndpointState(rho, has_capacity, available)
+    chosen = choose(local, LoadList(1, 1, 0, listed), RoundRobin(), age, "a", PHI, OMEGA, STALE)
+    found = (chosen.placement, chosen.target and chosen.target.address, chosen.rule)
+    assert found == (placement, target, rule)
 
 
-def test_all_new_calls_spill_in_turn_while_offloading():
-    told, wheel = LoadList(1, 1, 0, nodes(d=0.1, b=0.1, c=0.1)), Wheel()
+def test_all_new_requests_are_forwarded_in_turn_while_offloading():
+    load_list, round_robin = LoadList(1, 1, 0, nodes(d=0.1, b=0.1, c=0.1)), RoundRobin()
     chosen = [
-        choose(Home(0.95, True), told, wheel, 0, "a", PHI, OMEGA, STALE).target.address
+        choose(
+            LocalEndpointState(0.95, True), load_list, round_robin, 0, "a", PHI, OMEGA, STALE
+        ).target.address
         for _ in range(7)
     ]
     assert chosen == ["b", "c", "d", "b", "c", "d", "b"]
 
 
-def test_the_wheel_goes_on_over_a_changed_list():
-    wheel = Wheel()
+def test_round_robin_continues_over_a_changed_list():
+    round_robin = RoundRobin()
     first = choose(
-        Home(1, True), LoadList(1, 1, 0, nodes(b=0, c=0, d=0)), wheel, 0, "a", PHI, OMEGA, STALE
+        LocalEndpointState(1, True),
+        LoadList(1, 1, 0, nodes(b=0, c=0, d=0)),
+        round_robin,
+        0,
+        "a",
+        PHI,
+        OMEGA,
+        STALE,
     )
     then = choose(
-        Home(1, True), LoadList(1, 2, 0, nodes(c=0, d=0)), wheel, 0, "a", PHI, OMEGA, STALE
+        LocalEndpointState(1, True),
+        LoadList(1, 2, 0, nodes(c=0, d=0)),
+        round_robin,
+        0,
+        "a",
+        PHI,
+        OMEGA,
+        STALE,
     )
     last = choose(
-        Home(1, True), LoadList(1, 3, 0, nodes(b=0, c=0)), wheel, 0, "a", PHI, OMEGA, STALE
+        LocalEndpointState(1, True),
+        LoadList(1, 3, 0, nodes(b=0, c=0)),
+        round_robin,
+        0,
+        "a",
+        PHI,
+        OMEGA,
+        STALE,
     )
     assert [c.target.address for c in (first, then, last)] == ["b", "c", "b"]
 
 
-def test_a_node_that_refused_is_not_asked_again():
-    told = LoadList(1, 1, 0, nodes(b=0.1, c=0.1))
-    chosen = choose(Home(1, True), told, Wheel(), 0, "a", PHI, OMEGA, STALE, tried=frozenset({"b"}))
+def test_an_excluded_node_is_not_chosen():
+    load_list = LoadList(1, 1, 0, nodes(b=0.1, c=0.1))
+    chosen = choose(
+        LocalEndpointState(1, True),
+        load_list,
+        RoundRobin(),
+        0,
+        "a",
+        PHI,
+        OMEGA,
+        STALE,
+        excluded=frozenset({"b"}),
+    )
     assert chosen.target.address == "c"
 
 
--- a/tests/load_sharing/test_ways.py
+++ b/tests/load_sharing/test_ways.py
@@ -6,7 +6,7 @@
 from mesh import answers, counts, hosts, serving
 from returns.pipeline import is_successful
 
-from meadowdock.load_sharing import Node
+from meadowdock.load_sharing import NodeLoad
 from meadowdock.runtime import MILLISECOND, SECOND, sleep_us
 from meadowdock.simulator import run
 
@@ -64,13 +64,13 @@
         journal = []
         await serving(world, journal)
         host, other = hosts(world)
-        walker = world.daemon("mdproxy", host).walker
-        old = walker.told_nodes["desk"]
+        forwarder = world.daemon("mdproxy", host).forwarder
+        old = forwarder.nodes_by_service["desk"]
         world.kill(f"endpoint@{other}:8000")
         await world.endpoint(other, "desk", answers(10 * MILLISECOND, journal))
         await sleep_us(SECOND)
-        assert walker.told_nodes["desk"][0].incarnation != old[0].incarnation
-        walker.told_nodes = {"desk": (Node(*old[0]),)}
+        assert forwarder.nodes_by_service["desk"][0].incarnation != old[0].incarnation
+        forwarder.nodes_by_service = {"desk": (NodeLoad(*old[0]),)}
         client = world.client(host)
         found = (await client.call("GET", "/balances/1")).failure()
         assert (found.code, found.verdict.value) == ("home_gone", "not-run")
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -13,7 +13,7 @@
 from meadowdock.admin_http import App
 from meadowdock.configuration.items import Invalid, check, merge, standing
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
-from meadowdock.proxy.endpoints import Denied
+from meadowdock.proxy.endpoints import RegistrationDenied
 
 sys.path.insert(0, str(Path(__file__).parents[2] / "platform"))
 
@@ -294,12 +294,12 @@
         )
         self.told = []
 
-    def endpoint_beat(self, facts):
+    def endpoint_heartbeat(self, facts):
         if facts["service"] == "stranger":
-            raise Denied(403, "stranger")
+            raise RegistrationDenied(403, "stranger")
         self.told.append(facts)
 
-    def endpoint_leave(self, instance):
+    def deregister_endpoint(self, instance):
         self.told.append(instance)
 
 
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -229,8 +229,8 @@
         await sleep_us(SECOND)
         daemon = world.daemon("mdproxy", hosts(world)[0])
         assert len(journal) == 1
-        assert len(daemon.walker.slab) == 0
-        assert [e.in_flight for e in daemon.book.by_address.values()] == [0]
+        assert len(daemon.forwarder.slab) == 0
+        assert [e.in_flight for e in daemon.endpoints.by_address.values()] == [0]
 
     run(scenario, application=("desk",))
 
--- a/tests/proxy/test_endpoints.py
+++ b/tests/proxy/test_endpoints.py
@@ -50,7 +50,7 @@
         found = [await client.call("GET", "/balances/1") for _ in range(3)]
         assert all(is_successful(f) for f in found), found  # not-run at home, so spilled
         await sleep_us(2 * SECOND)
-        assert not world.daemon("mdproxy", host).book.by_address
+        assert not world.daemon("mdproxy", host).endpoints.by_address
 
     run(scenario)
 
@@ -79,7 +79,7 @@
         assert made[0].working == 0
         assert len(list(world.trace.events(402))) == 1
         assert monotonic_us() > at
-        counts = world.daemon("mdproxy", host).walker.counts
+        counts = world.daemon("mdproxy", host).forwarder.counts
         assert counts["rule.gone"] >= 4
 
     run(scenario)
@@ -171,6 +171,6 @@
         await sleep_us(2 * SECOND)
         found = (await world.client(host).call("GET", "/statements/1")).failure()
         assert found.code == "way_unknown"
-        assert not list(world.daemon("mdproxy", host).book.by_address.values())
+        assert not list(world.daemon("mdproxy", host).endpoints.by_address.values())
 
     run(scenario, application=("paper",))
--- a/tests/proxy/test_holding.py
+++ b/tests/proxy/test_holding.py
@@ -4,7 +4,7 @@
 
 from types import SimpleNamespace
 
-from meadowdock.proxy.walk import FIRST_HOLD, REMEMBERED, Holding
+from meadowdock.proxy.forwarder import FIRST_HOLD, REMEMBERED, SlotQueue
 from meadowdock.runtime import MILLISECOND
 
 
@@ -13,7 +13,7 @@
 
 
 def holding(*waiting):
-    made = Holding(None, "desk")
+    made = SlotQueue(None, "desk")
     for way, took_ms, times in (("long", 150, 100), ("short", 15, 1000)):
         for _ in range(times):
             made.ended(call(way), took_ms * MILLISECOND)
@@ -29,8 +29,8 @@
 
 
 def test_a_way_that_never_ran_counts_as_the_first_guess():
-    assert Holding(None, "desk").worth_it(call("x"), 1, FIRST_HOLD)
-    assert not Holding(None, "desk").worth_it(call("x"), 1, FIRST_HOLD - 1)
+    assert SlotQueue(None, "desk").worth_it(call("x"), 1, FIRST_HOLD)
+    assert not SlotQueue(None, "desk").worth_it(call("x"), 1, FIRST_HOLD - 1)
 
 
 def test_the_ways_seen_last_are_remembered():
--- a/tests/proxy/test_once.py
+++ b/tests/proxy/test_once.py
@@ -123,7 +123,7 @@
         await sleep_us(S)
         assert found[0].failure().verdict.value == "may-have-run"
         await world.start("mdproxy", home)
-        await world.eventually(lambda: world.daemon("mdproxy", home).book.by_address)
+        await world.eventually(lambda: world.daemon("mdproxy", home).endpoints.by_address)
         await world.eventually(lambda: not world.node("mdproxy", home).unready_reasons())
         await call()
         assert found[1].unwrap().body == {"key": "k", "run": 1}
--- a/tests/runtime/test_freeze.py
+++ b/tests/runtime/test_freeze.py
@@ -45,12 +45,12 @@
         old = process.node.daemon.election.epoch
         process.freeze()
         proxy = world.daemon("mdproxy", hosts(world)[0])
-        assert await world.eventually(lambda: proxy.walker.lists.epoch > old) < 6 * SECOND
+        assert await world.eventually(lambda: proxy.forwarder.load_list.epoch > old) < 6 * SECOND
         process.wake()
         await sleep_us(3 * SECOND)
         assert world.trace.events(702, 705)  # it knows that its lease is over
         holders = {h: world.daemon("mdreg", h).election.epoch for h in world.core}
-        assert [e for e in holders.values() if e is not None] == [proxy.walker.lists.epoch]
+        assert [e for e in holders.values() if e is not None] == [proxy.forwarder.load_list.epoch]
 
     run(scenario)
 
--- a/tests/support/gate_beliefs.py
+++ b/tests/support/gate_beliefs.py
@@ -23,8 +23,8 @@
     """From here on the load and the lists are the test's own."""
     for host in hosts(world):
         daemon = world.daemon("mdproxy", host)
-        daemon.book.measure = lambda at, share: {}
-        daemon.walker.listed = lambda lists, told: None
+        daemon.endpoints.measure_load = lambda at, share: {}
+        daemon.forwarder.use_load_list = lambda lists, told: None
 
 
 def believe_hold(gate, mean_us, service="desk"):
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -94,12 +94,12 @@
         if not name.startswith("mdproxy") or process.frozen is not None:
             continue
         daemon = process.node.daemon
-        gate, book = daemon.gate, daemon.book
+        gate, book = daemon.gate, daemon.endpoints
         found += [f"{name}: call {call.id} of {call.service}" for call in gate.calls]
         found += [
             f"{name}: {e.address} {e.in_flight}" for e in book.by_address.values() if e.in_flight
         ]
-        found += [f"{name}: {s} spilled" for s, o in book.occupations.items() if o.spilled_now]
+        found += [f"{name}: {s} spilled" for s, o in book.service_loads.items() if o.forwarded_now]
         found += [f"{name}: queue {s}" for s, q in gate.admission.queues.items() if len(q)]
         found += [f"{name}: pending {a}" for a, k in gate.peers.outgoing.items() if len(k.pending)]
         found += [f"{name}: opening" for pool in gate.pools.values() if pool.opening]
@@ -128,4 +128,4 @@
 
 def busy(world, host, rho, name="desk"):
     """The node's own view of its load, held there."""
-    world.daemon("mdproxy", host).book.occupations[name].rho = rho
+    world.daemon("mdproxy", host).endpoints.service_loads[name].rho = rho
--- a/tests/support/mesh.py
+++ b/tests/support/mesh.py
@@ -39,8 +39,9 @@
 
     def listed():
         return all(
-            services <= set(world.daemon("mdproxy", h).walker.told_nodes)
-            and sum(map(len, world.daemon("mdproxy", h).walker.told_nodes.values())) == len(made)
+            services <= set(world.daemon("mdproxy", h).forwarder.nodes_by_service)
+            and sum(map(len, world.daemon("mdproxy", h).forwarder.nodes_by_service.values()))
+            == len(made)
             for h in world.application
         )
 
@@ -49,7 +50,7 @@
 
 
 def counts(world, host):
-    return world.daemon("mdproxy", host).walker.counts
+    return world.daemon("mdproxy", host).forwarder.counts
 
 
 def hosts(world):
