--- /dev/null
+++ b/packages/admin_http/meadowdock/admin_http/app.py
@@ -0,0 +1,106 @@
+"""The ASGI application that a listener serves: it finds the handler and encodes its response."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+import trio
+
+from meadowdock.admin_http.exceptions import BodyTooLarge, ClientDisconnected
+from meadowdock.admin_http.messages import Headers, Request, Response
+from meadowdock.admin_http.routes import RouteTable
+from meadowdock.runtime import monotonic_us
+
+HEALTH_CHECK_PATHS = ("/live", "/ready")
+MAY_HAVE_RUN_HEADERS = [(b"md-verdict", b"may-have-run")]
+IDLE_POLL_S = 0.01
+
+Event = dict[str, Any]  # of ASGI
+
+
+class App:
+    """An ASGI 3.0 application over a table of routes.
+
+    owner: the first argument of each handler. log: takes event 801 when a handler fails.
+    Invariants: requests_in_flight counts requests that were received and not yet answered.
+    last_request_at: when the last request came that was no health check, in microseconds of the
+    monotonic clock. closing: each response asks the client to close the connection.
+    """
+
+    def __init__(self, table: RouteTable, owner: Any, log: Callable[..., None] | None) -> None:
+        self.table, self.owner, self.log = table, owner, log
+        self.requests_in_flight = 0
+        self.last_request_at = 0
+        self.closing = False
+
+    async def __call__(
+        self,
+        scope: dict[str, Any],
+        receive: Callable[[], Awaitable[Event]],
+        send: Callable[[Event], Awaitable[None]],
+    ) -> None:
+        """Serve one request, as ASGI asks for."""
+        if scope["type"] != "http":
+            return
+        request = request_of(scope, receive)
+        self.requests_in_flight += 1
+        if request.path not in HEALTH_CHECK_PATHS:
+            self.last_request_at = monotonic_us()
+        try:
+            try:
+                status, data, headers = await self.respond(request)
+            except ClientDisconnected:
+                return
+            if self.closing or status == 413:
+                headers.append((b"connection", b"close"))
+            await send({"type": "http.response.start", "status": status, "headers": headers})
+            await send({"type": "http.response.body", "body": data})
+        finally:
+            self.requests_in_flight -= 1
+
+    async def respond(self, request: Request) -> tuple[int, bytes, Headers]:
+        """The status, body and headers of the response.
+
+        :raises ClientDisconnected: there is nobody to answer.
+        """
+        try:
+            response = await self.handle(request)
+            return response.status, *response.encoded()
+        except ClientDisconnected:
+            raise
+        except Exception as cause:  # a defect of the handler: what it did is unknown
+            if self.log:
+                self.log(801, path=request.path, cause=repr(cause))
+            body = {"code": "broke", "verdict": "may-have-run"}
+            return 500, *Response(500, body, MAY_HAVE_RUN_HEADERS).encoded()
+
+    async def handle(self, request: Request) -> Response:
+        """The response of the request's handler, or that there is none."""
+        handler = self.table.find(request.method, request.path)
+        if handler is None:
+            return Response(404, {"code": "not_found"})
+        try:
+            return await handler(self.owner, request)
+        except BodyTooLarge:
+            return Response(413, {"code": "too_large", "verdict": "not-run"})
+
+    async def wait_idle(self) -> None:
+        """Return once no request is in flight."""
+        while self.requests_in_flight:
+            await trio.sleep(IDLE_POLL_S)
+
+
+def request_of(scope: dict[str, Any], receive: Callable[[], Awaitable[Event]]) -> Request:
+    """The request that an ASGI scope describes."""
+    raw_path = scope.get("raw_path")
+    path = raw_path.decode("latin-1") if raw_path else scope["path"]
+    client_host = (scope.get("client") or ("", 0))[0]
+    return Request(
+        method=scope["method"],
+        path=path.partition("?")[0],
+        query=scope["query_string"].decode("latin-1"),
+        headers=scope["headers"],
+        peer=client_host,
+        receive=receive,
+    )
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -140,14 +140,16 @@
 
     async def announce_shutdown(self):
         """Hand the vote to a spare, as long as one can come."""
-        reserve = min(self.node.stop_timeout_us // 3, 3 * SECOND // 2)  # for what comes after it
+        reserve = min(
+            self.node.shutdown.timeout_us // 3, 3 * SECOND // 2
+        )  # for what comes after it
         if self.store.membership:
-            await self.handover.leave_membership(self.node.stop_deadline - reserve)
+            await self.handover.leave_membership(self.node.shutdown.deadline - reserve)
 
     async def drain(self):
         """Secure on others what only this disk may hold."""
         if self.store.membership:
-            await self.handover.secure_state(self.node.stop_deadline - SECOND // 4)
+            await self.handover.secure_state(self.node.shutdown.deadline - SECOND // 4)
 
     def unready_reasons(self):
         """Why this process is not ready; empty if it is."""
--- /dev/null
+++ b/packages/process/meadowdock/process/node.py
@@ -0,0 +1,105 @@
+"""The node: what each daemon is made of, beside its own role.
+
+A node owns the process's rpc connections and listener, its membership view, its HTTP listeners,
+its background tasks and its shutdown.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+import trio
+
+from meadowdock.admin_http import App
+from meadowdock.logs import Log
+from meadowdock.membership import Entry, View
+from meadowdock.process.daemon import Daemon
+from meadowdock.process.health import with_health_checks
+from meadowdock.process.listeners import HttpListeners
+from meadowdock.process.shutdown import GracefulShutdown
+from meadowdock.process.supervision import supervise
+from meadowdock.rpc import ConnectionPool, Handlers, Peer, serve_connection
+from meadowdock.runtime import Runtime
+from meadowdock.settings import ProcessSettings
+
+
+class Node:
+    """One process of the mesh.
+
+    Invariants: daemon and listeners are set once, when the node runs; stopping goes from False to
+    True once, and is True from the moment at which shutdown begins. incarnation is the wall clock's
+    time of the start in microseconds: it orders the processes that have had this address.
+    """
+
+    daemon: Daemon
+    listeners: HttpListeners
+
+    def __init__(
+        self,
+        settings: ProcessSettings,
+        runtime: Runtime,
+        nursery: trio.Nursery,
+        log: Log | None = None,
+    ) -> None:
+        self.settings, self.runtime, self.nursery = settings, runtime, nursery
+        self.log = log or Log(settings.name)
+        self.incarnation = runtime.wall_us()
+        me = Peer(settings.name, settings.link)
+        self.rpc = ConnectionPool(
+            nursery, runtime.net, settings.fleet_key, runtime.rng, me, self.log
+        )
+        entry = Entry(settings.link, settings.role, settings.zone, self.incarnation, 0, False, 0)
+        self.view = View(entry, settings.seeds, runtime.rng, self.rpc, self.log)
+        self.stopping = False
+        self.shutdown = GracefulShutdown(self)
+
+    def unready_reasons(self) -> list[str]:
+        """Why this node is not ready; empty if it is."""
+        stopping = ["stopping"] if self.stopping else []
+        return [*stopping, *self.daemon.unready_reasons()]
+
+    async def run(
+        self,
+        make_daemon: Callable[[Node], Daemon],
+        task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
+    ) -> None:
+        """Serve until a shutdown is requested, then shut down and cancel the node's nursery.
+
+        Reports itself started once all listeners are open.
+        """
+        self.daemon = make_daemon(self)
+        self.listeners = HttpListeners(self.apps())
+        await self.daemon.prepare()
+        await self.serve_rpc(self.daemon.rpc_handlers() | View.handlers.bind(self.view))
+        tasks = {"view": self.view.run, **self.daemon.background_tasks()}
+        for name, task in tasks.items():
+            self.nursery.start_soon(supervise, name, task, self.log)
+        grace_us = self.shutdown.timeout_us - self.shutdown.linger_us
+        await self.nursery.start(self.listeners.serve, self.runtime.net, grace_us)
+        settings = self.settings
+        self.log(
+            101, role=settings.role, link=settings.link, http=settings.http, hall=settings.zone
+        )
+        task_status.started()
+        await self.shutdown.requested.wait()
+        await self.shutdown.run()
+
+    def apps(self) -> dict[str, App]:
+        """The HTTP apps by address: the process's own with the health checks, then the daemon's."""
+        own = {self.settings.http: with_health_checks(self.daemon.table)}
+        routes = {**own, **self.daemon.listeners()}
+        return {address: App(table, self.daemon, self.log) for address, table in routes.items()}
+
+    async def serve_rpc(self, handlers: Handlers) -> None:
+        """Open the rpc listener."""
+        settings, runtime = self.settings, self.runtime
+        serve = partial(
+            serve_connection,
+            key=settings.fleet_key,
+            rng=runtime.rng,
+            name=settings.name,
+            handlers=handlers,
+            log=self.log,
+        )
+        await self.nursery.start(runtime.net.serve_streams, settings.link, serve)
--- /dev/null
+++ b/packages/process/meadowdock/process/shutdown.py
@@ -0,0 +1,93 @@
+"""Graceful shutdown: what a node does between the first signal and the end of its process.
+
+In order: it reports itself not ready, tells its peers, keeps serving until load balancers and
+callers have noticed, waits for the requests in flight, and closes its listeners. A deadline bounds
+all of it; a second signal ends it at once.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import trio
+
+from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
+
+if TYPE_CHECKING:
+    from meadowdock.process.node import Node
+
+# Still serving for so long: the platform looks at readiness only once a second.
+DEFAULT_LINGER_US = 1_200 * MILLISECOND
+# The platform kills a process after about 6 s; a stop within 5 s is promised.
+DEFAULT_TIMEOUT_US = 4_700 * MILLISECOND
+# Listeners stay open until no request came for so long, for callers that ignore readiness...
+QUIET_PERIOD_US = 200 * MILLISECOND
+# ...but are closed so long before the deadline in any case.
+DRAIN_RESERVE_US = SECOND
+# After the deadline, for requests that came in just before the listeners were closed.
+LAST_REQUESTS_US = 400 * MILLISECOND
+
+
+class GracefulShutdown:
+    """The shutdown of one node.
+
+    Invariant: deadline is None until the shutdown begins. Times are in microseconds, and deadline
+    is one of the monotonic clock.
+    """
+
+    def __init__(self, node: Node) -> None:
+        self.node = node
+        self.linger_us = getattr(node.settings, "linger_us", DEFAULT_LINGER_US)
+        self.timeout_us = getattr(node.settings, "stop_us", DEFAULT_TIMEOUT_US)
+        self.deadline: int | None = None
+        self.requested, self.abort_requested = trio.Event(), trio.Event()
+
+    def signalled(self) -> None:
+        """A signal came: the first asks for a graceful shutdown, a further one for the end."""
+        if self.requested.is_set():
+            self.abort_requested.set()
+        else:
+            self.requested.set()
+
+    async def run(self) -> None:
+        """Shut the node down, then cancel its nursery."""
+        node = self.node
+        node.log(102, working=node.listeners.requests_in_flight())
+        node.stopping = True
+        node.listeners.end_connections()
+        self.deadline = monotonic_us() + self.timeout_us
+        with deadline_scope(self.deadline):
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(self.abort_when_requested, nursery.cancel_scope)
+                await self.linger()
+                await self.wait_for_quiet(self.deadline - DRAIN_RESERVE_US)
+                await node.daemon.drain()
+                await node.listeners.wait_idle()
+                nursery.cancel_scope.cancel()
+        node.listeners.closing.set()
+        with deadline_scope(max(self.deadline, monotonic_us()) + LAST_REQUESTS_US):
+            await node.listeners.closed.wait()
+        node.log(103, working=node.listeners.requests_in_flight())
+        node.nursery.cancel_scope.cancel()
+
+    async def abort_when_requested(self, scope: trio.CancelScope) -> None:
+        """At a second signal: abort the requests in flight and cancel the scope."""
+        await self.abort_requested.wait()
+        self.node.log(104)
+        self.node.daemon.abort_requests()
+        scope.cancel()
+
+    async def linger(self) -> None:
+        """Tell peers, and keep serving until readiness checks have seen that this node leaves."""
+        linger_until = monotonic_us() + self.linger_us
+        await self.node.daemon.announce_shutdown()
+        await self.node.view.farewell()
+        await sleep_us(linger_until - monotonic_us())
+
+    async def wait_for_quiet(self, latest: int) -> None:
+        """Keep the listeners open until requests cease, or until `latest`."""
+        while (
+            monotonic_us() - self.node.listeners.last_request_at() < QUIET_PERIOD_US
+            and monotonic_us() < latest
+        ):
+            await sleep_us(QUIET_PERIOD_US // 4)
--- a/packages/proxy/meadowdock/proxy/forwarder.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -261,7 +261,11 @@
     def unknown(self, call, code, again, tries_left):
         """A try's fate is unknown: try again only on a way that is safe to repeat."""
         call.may_have_run = True
-        over = call.hung_up or self.node.abort_requested.is_set() or monotonic_us() >= call.due
+        over = (
+            call.hung_up
+            or self.node.shutdown.abort_requested.is_set()
+            or monotonic_us() >= call.due
+        )
         if call.way.safe and tries_left and not over:
             return again
         return call.shed(code)
@@ -419,7 +423,7 @@
         else:
             self.endpoints.connections_to_close.append(connection)
 
-    def hurried(self):
+    def abort_requests(self):
         """A second signal: calls at an endpoint end now, as may have run."""
         for call in self.slab:
             if call.guard is not None:
--- a/packages/proxy/meadowdock/proxy/gateway.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -225,7 +225,7 @@
         self.gate.closing = True
 
     async def drain(self):
-        gate, last = self.gate, self.node.stop_deadline - SECOND
+        gate, last = self.gate, self.node.shutdown.deadline - SECOND
         self.leaves = True
         await self.tell_core()
         while monotonic_us() - gate.came_at < QUIET and monotonic_us() < last:
--- a/packages/proxy/meadowdock/proxy/part.py
+++ b/packages/proxy/meadowdock/proxy/part.py
@@ -392,8 +392,8 @@
         if not request.query.isascii():
             return rejection("malformed", "query")
         total = min(way.total_us, int(due_us)) if due_us is not None else way.total_us
-        if self.node.stop_deadline is not None:
-            total = min(total, self.node.stop_deadline - monotonic_us() - 100 * MILLISECOND)
+        if self.node.shutdown.deadline is not None:
+            total = min(total, self.node.shutdown.deadline - monotonic_us() - 100 * MILLISECOND)
             if total <= 0:
                 return rejection("stopping")
         self.calls += 1
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -10,7 +10,7 @@
 from meadowdock.configuration import ROUTING, Ways, assemble, unpack_chunk
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration.fetch import Fetch, Fetcher, answer_request
-from meadowdock.process import KNOWN
+from meadowdock.process import RECOVERABLE_ERRORS
 from meadowdock.runtime import monotonic_us
 
 HEDGE_PART = 20  # of apply_us: the wait for a silent member before the next is asked
@@ -77,7 +77,9 @@
     async def finish(self, staging):
         try:
             ways = await self.node.runtime.offload(self.build, staging.head)
-        except KNOWN as cause:  # a member made nonsense of a chunk: it is fetched again
+        except (
+            RECOVERABLE_ERRORS
+        ) as cause:  # a member made nonsense of a chunk: it is fetched again
             self.node.log(105, task="staging", cause=repr(cause))
             for name in staging.missing:
                 self.chunks.pop(name, None)
--- a/packages/simulator/meadowdock/simulator/net.py
+++ b/packages/simulator/meadowdock/simulator/net.py
@@ -199,7 +199,7 @@
         if self.web.apps.get(address, (None, None))[1] is self:
             del self.web.apps[address]
         with deadline_scope(monotonic_us() + grace_us):
-            await app.idle()
+            await app.wait_idle()
 
     def http(self, address, limit=4 << 20):
         return SimHttp(self, Address(address))
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -252,7 +252,7 @@
         """As the platform's polite signal."""
         process = self.processes.pop(name)
         begun = monotonic_us()
-        process.node.stop_requested.set()
+        process.node.shutdown.requested.set()
         await process.over.wait()
         return monotonic_us() - begun
 
--- a/packages/soak/meadowdock/soak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -14,8 +14,7 @@
 from meadowdock.admin_http import Response, RouteTable
 from meadowdock.forwarding import Dialect
 from meadowdock.local_fleet.fleet import PROGRAM_PACKAGES
-from meadowdock.process import Node
-from meadowdock.process import signals as watch_signals
+from meadowdock.process import Node, watch_signals
 from meadowdock.proxy.endpoints import RegistrationDenied
 from meadowdock.proxy.gateway import GatewayProxy
 from meadowdock.runtime import Disk, NoDisk, Runtime
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -369,7 +369,7 @@
     ).values()
     assert asked(shared, Beside(), "GET", "/api/readiness")[0] == 200
     assert beat_at(shared) == 200
-    assert readiness.below == []
+    assert readiness.prefixes == []
 
 
 def beat_at(table):
--- a/tests/proxy/test_stop.py
+++ b/tests/proxy/test_stop.py
@@ -57,7 +57,7 @@
             await sleep_us(100 * MILLISECOND)
             begun = monotonic_us()
             if hurry:
-                world.node("mdproxy", host).abort_requested.set()
+                world.node("mdproxy", host).shutdown.abort_requested.set()
             took = await world.stop(f"mdproxy@{host}")
             assert took == monotonic_us() - begun
             assert (took < 500 * MILLISECOND) == hurry
