--- a/packages/proxy/meadowdock/proxy/part.py
+++ b/packages/proxy/meadowdock/proxy/part.py
@@ -513,7 +513,7 @@
     # ------------------------------------------------------------ stop
 
     def abort_requests(self):
-        self.forwarder.hurried()
+        self.forwarder.abort_requests()
 
     async def announce_shutdown(self):
         await self.tell_core()
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -77,9 +77,7 @@
     async def finish(self, staging):
         try:
             ways = await self.node.runtime.offload(self.build, staging.head)
-        except (
-            RECOVERABLE_ERRORS
-        ) as cause:  # a member made nonsense of a chunk: it is fetched again
+        except RECOVERABLE_ERRORS as cause:  # a peer sent a malformed chunk: it is fetched again
             self.node.log(105, task="staging", cause=repr(cause))
             for name in staging.missing:
                 self.chunks.pop(name, None)
