--- a/packages/configuration/meadowdock/configuration/__init__.py
+++ b/packages/configuration/meadowdock/configuration/__init__.py
@@ -10,7 +10,7 @@
 )
 from meadowdock.configuration.packed import ROUTING, WHOLE, CorruptChunk, pack_chunk, unpack_chunk
 from meadowdock.configuration.ranges import assemble, cut, cut_items, difference, seal_range
-from meadowdock.configuration.ways import GUEST, Way, Ways
+from meadowdock.configuration.routing_table import GUEST, Route, RoutingTable, Stage
 
 __all__ = [
     "unpack_chunk",
@@ -22,8 +22,9 @@
     "SIZE_MAX",
     "TOTAL_WAIT_MAX",
     "Bad",
-    "Ways",
-    "Way",
+    "RoutingTable",
+    "Stage",
+    "Route",
     "assemble",
     "checked",
     "cut",
--- a/packages/proxy/meadowdock/proxy/call.py
+++ b/packages/proxy/meadowdock/proxy/call.py
@@ -68,7 +68,7 @@
     query: str
     headers: list
     body: bytes
-    way: object
+    route: object
     version: int
     due: int
     key: str | None = None
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from meadowdock.configuration import Ways
+from meadowdock.configuration import RoutingTable
 from meadowdock.proxy.staging import Stager
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us, sleep_us
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Staged:
-    ways: Ways
+    routing_table: RoutingTable
     head: dict
     since: int  # when a version newer than the one in force was first staged
 
@@ -52,11 +52,11 @@
 
     @property
     def version(self):
-        return self.active.ways.version if self.active else 0
+        return self.active.routing_table.version if self.active else 0
 
     @property
     def newest(self):
-        return self.staged.ways.version if self.staged else self.version
+        return self.staged.routing_table.version if self.staged else self.version
 
     # ------------------------------------------------------------ for calls
 
@@ -120,7 +120,7 @@
         # a fresh start serves only what the core confirmed: this machine may have served a newer
         # one than its neighbours have
         if self.staged is not None and (reached and whole if self.active is None else self.late):
-            self.switch(self.staged.ways.version)
+            self.switch(self.staged.routing_table.version)
         self.late = False
         # cut off until the core's version is in force here, or staged in its ordinary turn
         away = not (reached and whole)
@@ -200,17 +200,17 @@
     def former(self):
         """What the next table is made from."""
         former = self.staged or self.active
-        return former and (former.ways, former.head)
+        return former and (former.routing_table, former.head)
 
-    def on_staged(self, ways, head, fetched):
-        if ways.version <= self.newest:
+    def on_staged(self, routing_table, head, fetched):
+        if routing_table.version <= self.newest:
             return
         fresh = self.staged is None
         since = monotonic_us() if fresh else self.staged.since
-        self.staged = Staged(ways, head, since)
-        self.node.log(501, version=ways.version, fetched=fetched)
-        if self.active is not None and (self.late or ways.version <= self.told):
-            self.switch(ways.version)
+        self.staged = Staged(routing_table, head, since)
+        self.node.log(501, version=routing_table.version, fetched=fetched)
+        if self.active is not None and (self.late or routing_table.version <= self.told):
+            self.switch(routing_table.version)
         elif fresh and self.active is not None:
             self.node.nursery.start_soon(self.switch_alone, since)
 
@@ -219,7 +219,7 @@
         quickly don't put it off."""
         await sleep_us(self.part_of_apply(SWITCH_ALONE_PART))
         if self.staged is not None and self.staged.since == since:
-            self.switch(self.staged.ways.version)
+            self.switch(self.staged.routing_table.version)
 
     def switch_told(self, version):
         """It is in force elsewhere; here too, now or as soon as it is staged. Not at a fresh start:
@@ -230,13 +230,17 @@
 
     def switch(self, version):
         staged = self.staged
-        if staged is None or staged.ways.version > version or staged.ways.version <= self.version:
+        if (
+            staged is None
+            or staged.routing_table.version > version
+            or staged.routing_table.version <= self.version
+        ):
             return
         self.active, self.staged = staged, None
         self.stager.keep([staged.head])
-        self.put_in_force(staged.ways)
-        self.node.view.bump(version=staged.ways.version)
-        self.node.log(502, version=staged.ways.version)
+        self.put_in_force(staged.routing_table)
+        self.node.view.bump(version=staged.routing_table.version)
+        self.node.log(502, version=staged.routing_table.version)
 
     # ------------------------------------------------------------ answers
 
--- a/packages/proxy/meadowdock/proxy/forwarder.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -23,9 +23,9 @@
 from meadowdock.runtime import MILLISECOND, HttpConnectionFailed, deadline_scope, monotonic_us
 from meadowdock.runtime.slab import Slab
 
-FIRST_HOLD = 50 * MILLISECOND  # how long a call holds a slot, until one of its way was seen
+FIRST_HOLD = 50 * MILLISECOND  # how long a call holds a slot, until one of its route was seen
 SMOOTHED = 8
-REMEMBERED = 1_000  # ways of a service
+REMEMBERED = 1_000  # routes of a service
 
 
 class SlotQueue:
@@ -35,11 +35,11 @@
     def __init__(self, forwarder, service):
         self.forwarder, self.service = forwarder, service
         self.line = deque()
-        self.hold_us = {}  # way -> how long its calls hold a slot, smoothed: ways may be unlike
+        self.hold_us = {}  # route -> how long its calls hold a slot, smoothed: routes may be unlike
 
     def expected_us(self, call):
         """How long the call will hold a slot."""
-        return self.hold_us.get(call.way.name, FIRST_HOLD)
+        return self.hold_us.get(call.route.name, FIRST_HOLD)
 
     def worth_it(self, call, capacity, wait_us):
         """Would the call, if it joins now, likely be served within its wait?"""
@@ -60,9 +60,9 @@
             told.set()
 
     def ended(self, call, took_us):
-        """A call held its slot for so long; the ways seen last are remembered."""
-        mean_us = self.hold_us.pop(call.way.name, FIRST_HOLD)
-        self.hold_us[call.way.name] = mean_us + (took_us - mean_us) // SMOOTHED
+        """A call held its slot for so long; the routes seen last are remembered."""
+        mean_us = self.hold_us.pop(call.route.name, FIRST_HOLD)
+        self.hold_us[call.route.name] = mean_us + (took_us - mean_us) // SMOOTHED
         if len(self.hold_us) > REMEMBERED:
             del self.hold_us[next(iter(self.hold_us))]
 
@@ -80,7 +80,7 @@
         self.wheels = {}
         self.holdings = {}
         self.counts = {}
-        self.ways = None
+        self.routing_table = None
 
     def count(self, name):
         self.counts[name] = self.counts.get(name, 0) + 1
@@ -131,8 +131,8 @@
     # ------------------------------------------------------------ arrival
 
     def decide(self, call):
-        service, at = call.way.service, monotonic_us()
-        load, me = self.ways.load, self.node.settings.link
+        service, at = call.route.service, monotonic_us()
+        load, me = self.routing_table.load, self.node.settings.link
         home = self.endpoints.local_endpoint(service)
         occupation = self.endpoints.service_loads.get(service)
         facts = LocalEndpointState(
@@ -165,8 +165,8 @@
 
     async def look_up_step(self, call):
         """A key that may have run somewhere: only the record of the endpoint here can tell more."""
-        home = self.endpoints.local_endpoint(call.way.service)
-        if home is None or not self.ways.services[call.way.service].get("record"):
+        home = self.endpoints.local_endpoint(call.route.service)
+        if home is None or not self.routing_table.services[call.route.service].get("record"):
             return call.shed("key_may_have_run")
         return self.take(call, home) if home.has_capacity else call.shed("busy")
 
@@ -174,21 +174,21 @@
         choice: Choice = self.decide(call)
         self.count(f"rule.{choice.rule}")
         if choice.placement is LOCAL:
-            return self.take(call, self.endpoints.local_endpoint(call.way.service))
-        if choice.placement is FORWARD and call.spills <= call.way.spill[1]:
+            return self.take(call, self.endpoints.local_endpoint(call.route.service))
+        if choice.placement is FORWARD and call.spills <= call.route.relocation.retries:
             call.target = choice.target
             return self.spill_step
         return self.hold_step
 
     async def hold_step(self, call):
         """No room anywhere: wait a little for a slot at home, if that is likely to help."""
-        home = self.endpoints.local_endpoint(call.way.service)
+        home = self.endpoints.local_endpoint(call.route.service)
         if home is None:
             return call.shed("home_gone")
         if home.has_capacity:
             return self.take(call, home)
-        holding = self.holding(call.way.service)
-        wait_us = call.way.arrival[0]
+        holding = self.holding(call.route.service)
+        wait_us = call.route.arrival.wait_us
         if call.spills or not holding.worth_it(call, home.capacity, wait_us):
             return call.shed("busy")
         told = trio.Event()
@@ -203,7 +203,7 @@
         if call.endpoint is not None:
             return self.endpoint_step
         call.waits += 1
-        if told.is_set() and call.waits <= call.way.arrival[1]:
+        if told.is_set() and call.waits <= call.route.arrival.retries:
             return self.choose_step  # home is gone meanwhile
         return call.shed("busy")
 
@@ -215,8 +215,8 @@
         call.sends += 1
         call.spills += 1
         self.count("spilled")
-        target, way, at = call.target, call.way, monotonic_us()
-        due = min(call.due, at + way.spill[0] + way.endpoint[0])
+        target, route, at = call.target, call.route, monotonic_us()
+        due = min(call.due, at + route.relocation.wait_us + route.endpoint.wait_us)
         args = {
             "id": call.id,
             "caller": call.caller,
@@ -226,22 +226,24 @@
             "headers": [list(line) for line in call.headers],
             "body": call.body,
             "key": call.key,
-            "way": way.name,
-            "service": way.service,
+            "way": route.name,
+            "service": route.service,
             "incarnation": target.incarnation,
             "version": call.version,
         }
-        self.endpoints.adjust_forwarded(way.service, 1, at)
+        self.endpoints.adjust_forwarded(route.service, 1, at)
         try:
             told = await self.node.rpc.call(target.address, "call.run", args, due)
         except Rejected as shed:
             call.tried.add(target.address)
             if shed.code == "busy":
-                self.left_out.add((way.service, target.address))
+                self.left_out.add((route.service, target.address))
             self.count(f"spill.shed.{shed.code}")
             if surely_not_run(shed.code):
                 return self.choose_step
-            return self.unknown(call, shed.code, self.choose_step, call.spills <= way.spill[1])
+            return self.unknown(
+                call, shed.code, self.choose_step, call.spills <= route.relocation.retries
+            )
         except ConnectionFailed as broken:
             call.tried.add(target.address)
             self.count("spill.broke")
@@ -250,35 +252,37 @@
                 return self.choose_step
             call.reached += 1
             code = "no_answer" if monotonic_us() >= due else "lost"
-            return self.unknown(call, code, self.choose_step, call.spills <= way.spill[1])
+            return self.unknown(
+                call, code, self.choose_step, call.spills <= route.relocation.retries
+            )
         finally:
-            self.endpoints.adjust_forwarded(way.service, -1, monotonic_us())
+            self.endpoints.adjust_forwarded(route.service, -1, monotonic_us())
         call.outcome = EndpointResponse(
             told["status"], [(bytes(n), bytes(v)) for n, v in told["headers"]], told["body"]
         )
         return None
 
     def unknown(self, call, code, again, tries_left):
-        """A try's fate is unknown: try again only on a way that is safe to repeat."""
+        """A try's fate is unknown: try again only on a route that is safe to repeat."""
         call.may_have_run = True
         over = (
             call.hung_up
             or self.node.shutdown.abort_requested.is_set()
             or monotonic_us() >= call.due
         )
-        if call.way.safe and tries_left and not over:
+        if call.route.idempotent and tries_left and not over:
             return again
         return call.shed(code)
 
     async def enter_spilled(self, call):
         """At the neighbour: everything is checked here again, and refused as not run."""
-        home = self.endpoints.local_endpoint(call.way.service)
+        home = self.endpoints.local_endpoint(call.route.service)
         if home is None:
             return call.shed("home_gone")
         if home.incarnation != call.incarnation:
             known = [
                 e
-                for e in self.endpoints.available_endpoints(call.way.service)
+                for e in self.endpoints.available_endpoints(call.route.service)
                 if e.incarnation == call.incarnation
             ]
             if not known:
@@ -291,7 +295,7 @@
     # ------------------------------------------------------------ endpoint
 
     async def endpoint_step(self, call):
-        endpoint, way = call.endpoint, call.way
+        endpoint, route = call.endpoint, call.route
         if not endpoint.available:
             self.let_go(call)
             return self.after_not_run(call)
@@ -302,8 +306,11 @@
         call.reached += 1
         call.endpoint_tries += 1
         begun = monotonic_us()
-        due = min(call.due, begun + way.endpoint[0])
-        service = self.ways.services.get(way.service) or {"echo": False, "identity": False}
+        due = min(call.due, begun + route.endpoint.wait_us)
+        service = self.routing_table.services.get(route.service) or {
+            "echo": False,
+            "identity": False,
+        }
         sent = False
 
         def started():
@@ -343,7 +350,7 @@
         load = told_load(lines)
         if load is not None:
             endpoint.reported_load, endpoint.reported_load_at = load, monotonic_us()
-        self.holding(way.service).ended(call, monotonic_us() - begun)
+        self.holding(route.service).ended(call, monotonic_us() - begun)
         word = SAID.get((status, dict(lines).get(b"md-verdict")))
         if word is not None:
             self.let_go(call)
@@ -365,12 +372,14 @@
         if call.endpoint is None or not call.endpoint.available:
             self.let_go(call)
             again = self.choose_step if call.home and not call.repeat else None
-        tries_left = again is not None and call.endpoint_tries <= call.way.endpoint[1]
+        tries_left = again is not None and call.endpoint_tries <= call.route.endpoint.retries
         return self.unknown(call, code, again, tries_left)
 
     def after_not_run(self, call, code="unreachable"):
         """The endpoint surely didn't run it: a home may look again, a neighbour says so."""
-        tries_left = call.endpoint_tries <= call.way.endpoint[1] and monotonic_us() < call.due
+        tries_left = (
+            call.endpoint_tries <= call.route.endpoint.retries and monotonic_us() < call.due
+        )
         if call.home and tries_left and code != "busy" and not call.repeat:
             return self.choose_step
         return call.shed(code)
--- a/packages/proxy/meadowdock/proxy/gateway.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -95,11 +95,11 @@
         await super().tidy()
         self.gate.tidy(monotonic_us())
 
-    def put_in_force(self, ways):
-        if ways.load is LOAD:  # no operator has said anything of it
-            ways.load = {**LOAD, **GATE_LOAD}
-        super().put_in_force(ways)
-        self.gate.put_in_force(ways.items, ways.load)
+    def put_in_force(self, routing_table):
+        if routing_table.load is LOAD:  # no operator has said anything of it
+            routing_table.load = {**LOAD, **GATE_LOAD}
+        super().put_in_force(routing_table)
+        self.gate.put_in_force(routing_table.items, routing_table.load)
 
     def listed(self, lists, told_nodes):
         type(self.forwarder).use_load_list(self.forwarder, lists, told_nodes)
--- a/packages/proxy/meadowdock/proxy/part.py
+++ b/packages/proxy/meadowdock/proxy/part.py
@@ -46,7 +46,7 @@
 
 class Part(process.Daemon):
     """Invariants: lists only go up in (epoch, seq), from epoch_floor on, which is None until a
-    registry told its highest epoch; walker.ways is delivery's active version."""
+    registry told its highest epoch; walker.routing_table is delivery's active version."""
 
     table = RouteTable()
     handlers = Handlers()
@@ -99,8 +99,8 @@
     def behind(self):
         return self.late_turns > 1
 
-    def put_in_force(self, ways):
-        self.forwarder.ways = ways
+    def put_in_force(self, routing_table):
+        self.forwarder.routing_table = routing_table
 
     def unready_reasons(self):
         age = monotonic_us() - self.born
@@ -130,7 +130,7 @@
         """Beats to every mdreg; and, without a collector, the end of each interval."""
         while True:
             await self.tell_core()
-            load = self.forwarder.ways.load if self.forwarder.ways else None
+            load = self.forwarder.routing_table.load if self.forwarder.routing_table else None
             if load and monotonic_us() - self.asked_at > 2 * load["interval_us"]:
                 self.measure()
             lists = self.forwarder.load_list
@@ -161,7 +161,9 @@
             "leaving": self.out,
             # without a list: of so many nodes this one knows
             "listless": None if self.forwarder.load_list.seq else self.nodes_known(),
-            "interval_us": self.forwarder.ways.load["interval_us"] if self.forwarder.ways else None,
+            "interval_us": self.forwarder.routing_table.load["interval_us"]
+            if self.forwarder.routing_table
+            else None,
             "endpoints": [
                 {
                     "service": e.service,
@@ -205,11 +207,11 @@
     def measure(self):
         at = monotonic_us()
         self.asked_at = at
-        return self.endpoints.measure_load(at, self.forwarder.ways.load["share"])
+        return self.endpoints.measure_load(at, self.forwarder.routing_table.load["share"])
 
     @handlers.on("load.ask")
     async def on_ask(self, peer, _):
-        if self.forwarder.ways is None or self.out:
+        if self.forwarder.routing_table is None or self.out:
             return {}
         return self.measure()
 
@@ -262,9 +264,9 @@
     async def enrol(self, request):
         try:
             facts = await self.facts(request, ENROL)
-            if self.forwarder.ways is None:
+            if self.forwarder.routing_table is None:
                 raise RegistrationDenied(503, "no_manifest")
-            if facts["service"] not in self.forwarder.ways.services:
+            if facts["service"] not in self.forwarder.routing_table.services:
                 raise RegistrationDenied(404, "service_unknown", facts["service"])
             if facts["address"].rpartition(":")[0] not in self.node.settings.local_addresses:
                 raise RegistrationDenied(
@@ -289,7 +291,11 @@
         try:
             facts = await self.facts(request, BEAT_FACTS)
             read = self.endpoints.verify_token(facts["token"])
-            if read and self.forwarder.ways and read[0] not in self.forwarder.ways.services:
+            if (
+                read
+                and self.forwarder.routing_table
+                and read[0] not in self.forwarder.routing_table.services
+            ):
                 raise RegistrationDenied(404, "service_unknown", read[0])
             self.endpoints.heartbeat(
                 facts["token"],
@@ -358,13 +364,13 @@
 
     async def admitted(self, request):
         """A Call, or the Shedding or earlier EndpointResponse that ends the request here."""
-        ways = self.forwarder.ways
-        if ways is None:
+        routing_table = self.forwarder.routing_table
+        if routing_table is None:
             return rejection("no_manifest")
         if self.behind():
             return rejection("busy", "this proxy is behind with its own work")
         await self.delivery.current()
-        ways = self.forwarder.ways
+        routing_table = self.forwarder.routing_table
         caller, token = GUEST, request.header(b"md-token")
         if token is not None:
             young = monotonic_us() - self.born < HEARTBEAT_TIMEOUT
@@ -375,10 +381,10 @@
             )
             if caller is None:
                 return rejection("bad_token")
-        way, code = ways.way(caller, request.method, request.path)
-        if way is None:
+        route, code = routing_table.find_route(caller, request.method, request.path)
+        if route is None:
             return rejection(code)
-        body = await request.body(ways.services[way.service]["body_max"])
+        body = await request.body(routing_table.services[route.service]["body_max"])
         key, due_us = request.header(b"md-key"), request.header(b"md-due")
         if key is not None and not NAME.match(key):
             return rejection("malformed", "md-key must be 1 to 128 of A-Z a-z 0-9 . _ : -")
@@ -391,7 +397,7 @@
             return rejection("malformed", "body is no JSON")
         if not request.query.isascii():
             return rejection("malformed", "query")
-        total = min(way.total_us, int(due_us)) if due_us is not None else way.total_us
+        total = min(route.total_wait_us, int(due_us)) if due_us is not None else route.total_wait_us
         if self.node.shutdown.deadline is not None:
             total = min(total, self.node.shutdown.deadline - monotonic_us() - 100 * MILLISECOND)
             if total <= 0:
@@ -405,8 +411,8 @@
             query=request.query,
             headers=passed_on(request.headers),
             body=body,
-            way=way,
-            version=ways.version,
+            route=route,
+            version=routing_table.version,
             due=monotonic_us() + total,
             key=key,
             repeat=repeat is not None,
@@ -473,13 +479,13 @@
     @handlers.on("call.run")
     async def on_run(self, peer, args):
         """A neighbour's call. Way, service, incarnation, drain, room and due are checked here."""
-        ways = self.forwarder.ways
-        if ways is None:
+        routing_table = self.forwarder.routing_table
+        if routing_table is None:
             raise Rejected("no_manifest")
         if self.node.stopping:
             raise Rejected("stopping")
-        way, code = ways.way(args["caller"], args["method"], args["path"])
-        if way is None or way.service != args["service"]:
+        route, code = routing_table.find_route(args["caller"], args["method"], args["path"])
+        if route is None or route.service != args["service"]:
             raise Rejected(code or "way_forbidden")
         self.delivery.heard(args["version"], True)
         left = trio.current_effective_deadline()
@@ -491,11 +497,11 @@
             query=args["query"],
             headers=[(bytes(n), bytes(v)) for n, v in args["headers"]],
             body=bytes(args["body"]),
-            way=way,
-            version=ways.version,
+            route=route,
+            version=routing_table.version,
             due=int(left * SECOND) - MARGIN
             if left < float("inf")
-            else monotonic_us() + way.total_us,
+            else monotonic_us() + route.total_wait_us,
             key=args["key"],
             home=False,
             incarnation=args["incarnation"],
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -7,7 +7,7 @@
 import ormsgpack
 import trio
 
-from meadowdock.configuration import ROUTING, Ways, assemble, unpack_chunk
+from meadowdock.configuration import ROUTING, RoutingTable, assemble, unpack_chunk
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration.fetch import Fetch, Fetcher, answer_request
 from meadowdock.process import RECOVERABLE_ERRORS
@@ -38,8 +38,10 @@
 
     def __init__(self, node, former, staged):
         self.node = node
-        self.former = former  # gives what the next table is made from: (ways, head) or None
-        self.staged = staged  # takes (ways, head, count of fetched chunks)
+        self.former = (
+            former  # gives what the next table is made from: (routing table, head) or None
+        )
+        self.staged = staged  # takes (routing table, head, count of fetched chunks)
         self.chunks, self.running = {}, {}
         hedge_us = node.settings.apply_us // HEDGE_PART
         self.fetcher = Fetcher(node.rpc, node.settings.link, hedge_us, ROUTING)
@@ -76,13 +78,13 @@
 
     async def finish(self, staging):
         try:
-            ways = await self.node.runtime.offload(self.build, staging.head)
+            routing_table = await self.node.runtime.offload(self.build, staging.head)
         except RECOVERABLE_ERRORS as cause:  # a peer sent a malformed chunk: it is fetched again
             self.node.log(105, task="staging", cause=repr(cause))
             for name in staging.missing:
                 self.chunks.pop(name, None)
             return
-        self.staged(ways, staging.head, len(staging.missing))
+        self.staged(routing_table, staging.head, len(staging.missing))
         staging.complete = True
 
     async def fetch(self, staging, source):
@@ -119,12 +121,12 @@
         former = self.former()
         own, items = split_names(head)
         if former is None or own != split_names(former[1])[0]:
-            ways = Ways(head["version"], assemble(self.body(name) for name in own))
+            routing_table = RoutingTable(head["version"], assemble(self.body(name) for name in own))
         else:
-            ways = former[0]
+            routing_table = former[0]
         parsed = former[0].items.chunks if former else {}
         chunks = {name: parsed.get(name) or self.parse(name) for name in items}
-        return ways.with_chunks(head["version"], chunks)
+        return routing_table.with_chunks(head["version"], chunks)
 
     def parse(self, name):
         return config_items.parse_chunk(ormsgpack.unpackb(self.body(name))[1])
--- a/tests/config_store/test_items_change.py
+++ b/tests/config_store/test_items_change.py
@@ -348,8 +348,8 @@
             await world.eventually(
                 lambda h=host: world.daemon("mdproxy", h).delivery.version == 4, within=2 * SECOND
             )
-            ways = world.daemon("mdproxy", host).delivery.active.ways
-            assert ways.way("guest", "GET", "/balances")[0].name == "new"
+            ways = world.daemon("mdproxy", host).delivery.active.routing_table
+            assert ways.find_route("guest", "GET", "/balances")[0].name == "new"
             assert ways.items.find(b"h.example", b"/p/x").version == 2
 
     run(scenario)
@@ -380,7 +380,7 @@
                 lambda v=version: all(p.delivery.version == v for p in proxies), within=2 * SECOND
             )
             for proxy in proxies:
-                table = proxy.delivery.active.ways.items
+                table = proxy.delivery.active.routing_table.items
                 assert table.version == version
                 assert table.find(b"h.example", f"/turn{turn}/x".encode()).name == "r0"
                 assert table.find(b"h.example", b"/499/").name == "r499"
--- a/tests/configuration/test_items.py
+++ b/tests/configuration/test_items.py
@@ -8,7 +8,7 @@
 import pytest
 from item_builders import dropped, limits, route, service
 
-from meadowdock.configuration import Ways, assemble, cut, cut_items
+from meadowdock.configuration import RoutingTable, assemble, cut, cut_items
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration.check import LOAD
 
@@ -264,9 +264,9 @@
     facts = {"services": [{"name": "a"}], "budgets": [], "ways": [], "load": {}}
     held, _ = config_items.merge({}, [service("desk"), route("r")])
     bodies = [body for _, body in (*cut(facts), *cut_items(held))]
-    ways = Ways(2, assemble(bodies))
+    ways = RoutingTable(2, assemble(bodies))
     assert ways.items.find(b"h.example", b"/p/q").name == "r"
-    assert (ways.load, Ways(1, facts).items.routes) == (LOAD, {})
+    assert (ways.load, RoutingTable(1, facts).items.routes) == (LOAD, {})
     newer = ways.with_chunks(3, {})
     assert (newer.version, newer.items.version, newer.items.routes) == (3, 3, {})
     assert newer.services is ways.services
--- a/tests/configuration/test_manifest.py
+++ b/tests/configuration/test_manifest.py
@@ -10,7 +10,7 @@
 from mesh import configured, hosts, serving
 from returns.pipeline import is_successful
 
-from meadowdock.configuration import SIZE_MAX, Ways, checked, cut
+from meadowdock.configuration import SIZE_MAX, RoutingTable, checked, cut
 from meadowdock.proxy.delivery import SWITCH_ALONE_PART
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
@@ -70,7 +70,7 @@
     after = cut(checked(json.dumps(manifest(ways)).encode()).unwrap())
     assert len(before) > 200
     assert len({f for f, _ in after} - {f for f, _ in before}) == 1
-    assert Ways(1, facts).way("guest", "GET", "/p7/q777/deeper")[0].name == "w777"
+    assert RoutingTable(1, facts).find_route("guest", "GET", "/p7/q777/deeper")[0].name == "w777"
 
 
 LOOKUPS = [
@@ -93,8 +93,8 @@
 
 @pytest.mark.parametrize(("caller", "method", "path", "name", "code"), LOOKUPS)
 def test_lookups(caller, method, path, name, code):
-    ways = Ways(1, checked(json.dumps(manifest()).encode()).unwrap())
-    way_found, refused = ways.way(caller, method, path)
+    ways = RoutingTable(1, checked(json.dumps(manifest()).encode()).unwrap())
+    way_found, refused = ways.find_route(caller, method, path)
     assert (way_found and way_found.name, refused) == (name, code)
 
 
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -147,7 +147,7 @@
             assert took < 100 * MILLISECOND  # no wait for a silent one
             cache.get = original
             for delivery in deliveries(world):
-                found = delivery.active.ways.items.find(b"h3.example", b"/area10/x")
+                found = delivery.active.routing_table.items.find(b"h3.example", b"/area10/x")
                 assert found.version == 2 + turn
 
     run(scenario, application=PROXIES)
@@ -262,7 +262,7 @@
         assert 0 < largest < FRAME
         assert received < whole // 5, (received, whole, took)
         for delivery in deliveries(world):
-            table = delivery.active.ways.items
+            table = delivery.active.routing_table.items
             assert sum(len(prefixes) for prefixes in table.routes.values()) == 1400
 
     run(scenario, core=5, application=PROXIES)
@@ -344,10 +344,10 @@
         await with_items(world, *many(1400))
         assert len(parsed) > 15
         parsed.clear()
-        former = deliveries(world)[0].active.ways.items
+        former = deliveries(world)[0].active.routing_table.items
         await in_force(world, await world.set_items([many(1400, 2)[77]]))
         assert len(parsed) == 1
-        table = deliveries(world)[0].active.ways.items
+        table = deliveries(world)[0].active.routing_table.items
         assert table.find(b"h0.example", b"/area77/").version == 2
         assert table.routes[b"h1.example"] is former.routes[b"h1.example"]
         assert former.find(b"h0.example", b"/area77/").version == 1
--- a/tests/proxy/test_holding.py
+++ b/tests/proxy/test_holding.py
@@ -9,7 +9,7 @@
 
 
 def call(way):
-    return SimpleNamespace(way=SimpleNamespace(name=way))
+    return SimpleNamespace(route=SimpleNamespace(name=way))
 
 
 def holding(*waiting):
