--- a/packages/consensus/meadowdock/consensus/__init__.py
+++ b/packages/consensus/meadowdock/consensus/__init__.py
@@ -1,11 +1,20 @@
-"""A register of keys, kept on a majority of disks: prepare, then write, by ballots.
+"""A replicated register of keys, kept on a majority of disks (CASPaxos).
 
-No log and no leader: each change of a key reads the highest accepted value from a majority that
-promised its ballot, and writes the new value to a durable quorum under the same ballot.
+It has no log and no leader: each change of a key reads the highest accepted value from a quorum of
+acceptors that promised its ballot, and writes the new value to a durable quorum under that ballot.
 """
 
-from meadowdock.consensus.acceptor import Acceptor, KeyStateLost, for_each
-from meadowdock.consensus.proposer import NoQuorum, OutcomeUnknown, Proposer
+from meadowdock.consensus.acceptor import Acceptor, AcceptorState
+from meadowdock.consensus.ballot import ZERO_BALLOT, Ballot
+from meadowdock.consensus.concurrency import for_each
+from meadowdock.consensus.exceptions import (
+    ConsensusError,
+    KeyStateLost,
+    NoQuorum,
+    OutcomeUnknown,
+)
+from meadowdock.consensus.messages import PrepareRequest, ReadRequest, WriteRequest
+from meadowdock.consensus.proposer import MembershipConfiguration, Proposer
 from meadowdock.consensus.quorum import (
     NO_LOSSES,
     FailureDomain,
@@ -16,14 +25,22 @@
 
 __all__ = [
     "Acceptor",
+    "AcceptorState",
+    "Ballot",
+    "ConsensusError",
+    "FailureDomain",
     "KeyStateLost",
+    "MembershipConfiguration",
     "NO_LOSSES",
     "NoQuorum",
     "OutcomeUnknown",
-    "FailureDomain",
+    "PrepareRequest",
     "Proposer",
+    "ReadRequest",
     "Tolerance",
     "VoterSets",
+    "WriteRequest",
+    "ZERO_BALLOT",
     "for_each",
     "holds_majorities",
 ]
--- a/packages/consensus/meadowdock/consensus/acceptor.py
+++ b/packages/consensus/meadowdock/consensus/acceptor.py
@@ -1,64 +1,173 @@
-"""A member's side: promises and accepted values on its own disk, durable before any answer."""
+"""The acceptor of one voter: promises and accepted values of all keys, on its own disk.
+
+Each key has a folder, `key/<fingerprint of the key>`, with one file for its newest state; a change
+writes the next file before it removes the former, so a power loss leaves one or the other complete.
+Nothing is answered before its state is on the disk.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
 
 import ormsgpack
 import trio
 
+from meadowdock.consensus.ballot import ZERO_BALLOT, Ballot
+from meadowdock.consensus.concurrency import for_each
+from meadowdock.consensus.exceptions import KeyStateLost
+from meadowdock.consensus.messages import (
+    Acceptance,
+    AcceptedPair,
+    PrepareRequest,
+    Promise,
+    ReadRequest,
+    Refusal,
+    WriteRequest,
+)
 from meadowdock.runtime import fingerprint, sealed, unsealed
 
-ZERO = (0, "")
-
-
-class KeyStateLost(Exception):
-    """The file of a key failed its fingerprint: this member can't vote on the key."""
+if TYPE_CHECKING:
+    from meadowdock.runtime import Disk
 
 
 @dataclass(frozen=True)
 class AcceptorState:
-    """What one voter has promised and accepted for one key."""
+    """What one acceptor has promised and accepted for one key."""
 
-    # Invariants: accepted <= promised; value belongs to accepted; file counts the versions of
-    # the file that holds this state, and is on disk before the state is in Acceptor.states.
-    promised: tuple = ZERO
-    accepted: tuple = ZERO
-    value: object = None
+    # Invariants: accepted <= promised; value belongs to accepted; file_version counts the files
+    # written for the key, and that file is on disk before the state is in Acceptor.states.
+    promised: Ballot = ZERO_BALLOT
+    accepted: Ballot = ZERO_BALLOT
+    value: Any = None
     file_version: int = 0
 
+    def to_record(self, key: str) -> list[Any]:
+        """The content of the key's file."""
+        return [key, tuple(self.promised), tuple(self.accepted), self.value]
+
+    @classmethod
+    def from_record(cls, record: list[Any], file_version: int) -> AcceptorState:
+        """The state in a key's file; the key is the record's first element."""
+        _, promised, accepted, value = record
+        return cls(Ballot(*promised), Ballot(*accepted), value, file_version)
 
-async def for_each(work, names, at_once=16):
-    """work(name) for every name, a few at the same time: on a slow disk a start takes long
-    enough."""
-    left = list(reversed(names))
 
-    async def some():
-        while left:
-            await work(left.pop())
+def folder_of(key: str) -> str:
+    """The name of a key's folder."""
+    return fingerprint(key.encode())
 
-    async with trio.open_nursery() as nursery:
-        for _ in range(min(at_once, len(left))):
-            nursery.start_soon(some)
+
+def file_name(folder: str, file_version: int) -> str:
+    """The path of one state file of a key; the names sort by version."""
+    return f"key/{folder}/{file_version:012d}"
 
 
 class Acceptor:
-    """One voter: promises and accepted values of all keys, durable before they are told."""
-
-    def __init__(self, disk, log):
-        self.disk, self.log = disk, log
-        self.states = {}  # key's fingerprint -> AcceptorState, or None when lost
-        self.keys = {}  # key's fingerprint -> key
-        self.on_accepted = None  # called with (key, accepted value) once they are on disk
-        self.locks = {}
-
-    async def load(self):
-        """Read all keys. Of several versions of one key the newest counts; if that one is
-        damaged the key is lost here, since an older version would forget promises."""
+    """One voter: promises and accepted values of all keys, on the disk before they are answered.
+
+    The answers of prepare, write and read are in the form in which they are sent
+    (`meadowdock.consensus.messages`)."""
+
+    def __init__(self, disk: Disk, log: Callable[..., None]) -> None:
+        self.disk = disk
+        self.log = log
+        self.states: dict[str, AcceptorState | None] = {}  # folder -> state, or None if it is lost
+        self.keys: dict[str, str] = {}  # folder -> key
+        self.on_accepted: Callable[[str, Any], None] | None = None  # (key, accepted value) on disk
+        self.locks: dict[str, trio.Lock] = {}  # key -> lock
+
+    # ------------------------------------------------------------ requests of proposers
+
+    async def prepare(self, key: str, ballot: tuple[int, str]) -> tuple[str, tuple[Any, ...], Any]:
+        """Promise to accept nothing below this ballot, or refuse because of a higher promise.
+
+        :raises KeyStateLost: the state of the key on this disk is damaged.
+        """
+        async with self.lock(key):
+            answer = await self.promise(key, Ballot(*ballot))
+        return PrepareRequest.answer_to_wire(answer)
+
+    async def promise(self, key: str, ballot: Ballot) -> Promise | Refusal:
+        """As prepare, under the lock of the key."""
+        state = self.state_of(key)
+        if ballot <= state.promised:
+            return Refusal(state.promised)
+        await self.store_state(key, ballot, state.accepted, state.value)
+        return Promise(state.accepted, state.value)
+
+    async def write(
+        self, key: str, ballot: tuple[int, str], value: Any
+    ) -> tuple[str, tuple[Any, ...]]:
+        """Accept a value under a ballot, or refuse because of a higher promise.
+
+        :raises KeyStateLost: the state of the key on this disk is damaged.
+        """
+        async with self.lock(key):
+            answer = await self.accept(key, Ballot(*ballot), value)
+        return WriteRequest.answer_to_wire(answer)
+
+    async def accept(self, key: str, ballot: Ballot, value: Any) -> Acceptance | Refusal:
+        """As write, under the lock of the key."""
+        state = self.state_of(key)
+        if ballot < state.promised:
+            return Refusal(state.promised)
+        if ballot != state.accepted:
+            await self.store_state(key, ballot, ballot, value)
+        return Acceptance(ballot)
+
+    def read(self, key: str) -> tuple[tuple[Any, ...], Any]:
+        """The accepted ballot and value of a key.
+
+        :raises KeyStateLost: the state of the key on this disk is damaged.
+        """
+        state = self.state_of(key)
+        return ReadRequest.answer_to_wire(AcceptedPair(state.accepted, state.value))
+
+    # ------------------------------------------------------------ state
+
+    def lock(self, key: str) -> trio.Lock:
+        """The lock under which the state of one key is changed."""
+        return self.locks.setdefault(key, trio.Lock())
+
+    def state_of(self, key: str) -> AcceptorState:
+        """The state of a key, blank if it was never written.
+
+        :raises KeyStateLost: the state of the key on this disk is damaged.
+        """
+        state = self.states.get(folder_of(key), AcceptorState())
+        if state is None:
+            raise KeyStateLost(key)
+        return state
+
+    def lost_keys(self) -> list[str]:
+        """Folders of the keys whose newest file was damaged at the start."""
+        return sorted(folder for folder, state in self.states.items() if state is None)
+
+    async def store_state(self, key: str, promised: Ballot, accepted: Ballot, value: Any) -> None:
+        """Write a key's new state to disk, then take it into memory, then remove the former file."""
+        folder = folder_of(key)
+        former = self.states.get(folder) or AcceptorState()
+        state = AcceptorState(promised, accepted, value, former.file_version + 1)
+        body = ormsgpack.packb(state.to_record(key))
+        await self.disk.write(file_name(folder, state.file_version), sealed(body))
+        self.keys[folder] = key
+        self.states[folder] = state
+        if self.on_accepted:
+            self.on_accepted(key, value)
+        if former.file_version:
+            await self.disk.remove(file_name(folder, former.file_version))
+
+    # ------------------------------------------------------------ files
+
+    async def load(self) -> None:
+        """Read the states of all keys from the disk."""
         await for_each(self.load_key, await self.disk.names("key"))
 
-    async def load_key(self, folder):
-        """Read one key's newest file; a damaged one makes the key lost."""
+    async def load_key(self, folder: str) -> None:
+        """Read the newest file of one key. If it is damaged the key is lost here: an older file
+        would forget promises."""
         versions = await self.disk.names(f"key/{folder}")
         if not versions:
             return
@@ -68,81 +177,29 @@
             self.log(602, folder=folder, file=newest)
             self.states[folder] = None
             return
-        key, promised, accepted, value = ormsgpack.unpackb(body)
-        self.keys[folder] = key
-        self.states[folder] = AcceptorState(tuple(promised), tuple(accepted), value, int(newest))
-        await self.sweep(folder, newest)
+        record = ormsgpack.unpackb(body)
+        self.keys[folder] = record[0]
+        self.states[folder] = AcceptorState.from_record(record, int(newest))
+        await self.remove_older_files(folder, newest)
 
-    async def sweep(self, folder, newest):
-        """Remove the files of one key that are older than the newest."""
+    async def remove_older_files(self, folder: str, newest: str) -> None:
+        """Remove the files of one key that a power loss left beside the newest."""
         for version in await self.disk.names(f"key/{folder}"):
             if version < newest:
                 await self.disk.remove(f"key/{folder}/{version}")
 
-    def state_of(self, key):
-        """The state of a key, blank if it was never written. Raises KeyStateLost."""
-        state = self.states.get(fingerprint(key.encode()), AcceptorState())
-        if state is None:
-            raise KeyStateLost(key)
-        return state
+    async def rewrite_if_damaged(self, folder: str) -> bool:
+        """If the file of a key has become unreadable, write the state in memory anew.
 
-    def lost_keys(self):
-        """Folders of the keys whose newest file was damaged at the start."""
-        return sorted(folder for folder, state in self.states.items() if state is None)
-
-    async def keep(self, key, promised, accepted, value):
-        """Write a key's new state to disk, then hold it in memory, then remove the former file."""
-        folder = fingerprint(key.encode())
-        old = self.states.get(folder, AcceptorState()).file_version
-        body = ormsgpack.packb([key, promised, accepted, value])
-        await self.disk.write(f"key/{folder}/{old + 1:012d}", sealed(body))
-        self.keys[folder] = key
-        self.states[folder] = AcceptorState(promised, accepted, value, old + 1)
-        if self.on_accepted:
-            self.on_accepted(key, value)
-        if old:
-            await self.disk.remove(f"key/{folder}/{old:012d}")
-
-    async def rewrite_if_damaged(self, folder):
-        """If the file of a key went bad, write anew what this process knows; did it?"""
-        state = self.states.get(folder)
-        if state is None:
+        :returns: whether it was written.
+        """
+        if self.states.get(folder) is None:
             return False
-        async with self.lock(self.keys[folder]):
-            state = self.states[folder]
-            if (
-                unsealed(await self.disk.read(f"key/{folder}/{state.file_version:012d}"))
-                is not None
-            ):
-                return False
-            await self.keep(self.keys[folder], state.promised, state.accepted, state.value)
-            return True
-
-    def lock(self, key):
-        """The lock under which one key is changed."""
-        return self.locks.setdefault(key, trio.Lock())
-
-    async def prepare(self, key, ballot):
-        """("yes", accepted, value) once promised on disk, or ("no", the higher promise)."""
-        async with self.lock(key):
-            state = self.state_of(key)
-            if ballot <= state.promised:
-                return "no", state.promised, None
-            await self.keep(key, ballot, state.accepted, state.value)
-            return "yes", state.accepted, state.value
-
-    async def write(self, key, ballot, value):
-        """("yes", ballot) once accepted on disk, or ("no", the higher promise)."""
+        key = self.keys[folder]
         async with self.lock(key):
             state = self.state_of(key)
-            if ballot < state.promised:
-                return "no", state.promised
-            if ballot == state.accepted:
-                return "yes", ballot
-            await self.keep(key, ballot, ballot, value)
-            return "yes", ballot
-
-    def read(self, key):
-        """(accepted ballot, value) of a key. Raises KeyStateLost."""
-        state = self.state_of(key)
-        return state.accepted, state.value
+            file = file_name(folder, state.file_version)
+            if unsealed(await self.disk.read(file)) is not None:
+                return False
+            await self.store_state(key, state.promised, state.accepted, state.value)
+            return True
--- /dev/null
+++ b/packages/consensus/meadowdock/consensus/concurrency.py
@@ -0,0 +1,28 @@
+"""Bounded concurrency over a list of names."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable, Sequence
+
+import trio
+
+DEFAULT_CONCURRENCY = 16
+
+
+async def for_each(
+    action: Callable[[str], Awaitable[object]],
+    names: Sequence[str],
+    concurrency: int = DEFAULT_CONCURRENCY,
+) -> None:
+    """Await action(name) for every name, at most `concurrency` at the same time.
+
+    Reading one file after the other would make the start of a process on a slow disk long."""
+    remaining = list(reversed(names))
+
+    async def worker() -> None:
+        while remaining:
+            await action(remaining.pop())
+
+    async with trio.open_nursery() as nursery:
+        for _ in range(min(concurrency, len(remaining))):
+            nursery.start_soon(worker)
--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -1,274 +1,268 @@
-"""The asking side: changes and reads over a majority of members."""
+"""The proposer: changes and reads of keys over a quorum of acceptors.
+
+The algorithm is that of CASPaxos (D. Rystsov, "CASPaxos: Replicated State Machines without logs",
+2018): no log and no leader. A change prepares a ballot at a quorum, applies a function to the
+highest accepted value that it was promised, and writes the result under the same ballot.
+"""
 
 from __future__ import annotations
 
-from typing import NamedTuple
+import random
+from collections.abc import Awaitable, Callable, Iterable
+from dataclasses import dataclass
+from typing import Any
 
 import trio
 
-from meadowdock.consensus.acceptor import ZERO
+from meadowdock.consensus.answers import (
+    QuorumRule,
+    granted_by,
+    highest_ballot,
+    highest_promised_value,
+    is_decided,
+    refused_ballots,
+)
+from meadowdock.consensus.backoff import ReadRepairDelay, RetryDelay
+from meadowdock.consensus.ballot import Ballot
+from meadowdock.consensus.exceptions import NoQuorum, OutcomeUnknown
+from meadowdock.consensus.messages import (
+    AcceptedPair,
+    PrepareRequest,
+    ReadRequest,
+    Request,
+    WriteRequest,
+)
 from meadowdock.consensus.quorum import VoterSets
-from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
+from meadowdock.consensus.read import READ_TIMEOUT, QuorumRead
+from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us, sleep_us
 
-READ_WAIT = 100 * MILLISECOND
-FIRST_WAIT, LONGEST_WAIT = 8 * MILLISECOND, 400 * MILLISECOND  # between the tries of a change
-WAIT_SPANS = 16  # and no longer than so many times what a try took
-FIRST_LOOK, LONGEST_LOOK = 4 * MILLISECOND, 80 * MILLISECOND  # between the looks of a read
-PATIENCE, MOST_PATIENCE = 250 * MILLISECOND, SECOND  # before a read writes again what stands apart
+MIN_TIME_FOR_ATTEMPT = 50 * MILLISECOND  # us; with less until the deadline no attempt is begun
 
 
-class NoQuorum(Exception):
-    """Nothing of the change was written anywhere: it did not and will not take place."""
+@dataclass(frozen=True, slots=True)
+class MembershipConfiguration:
+    """The membership that one ballot is bound to, from its prepare to its write.
 
+    version: that of the membership record, sent along with each request, or None if acceptors
+    don't check it."""
 
-class OutcomeUnknown(Exception):
-    """Some members may have written the change: it may take place, or may have."""
+    voter_sets: VoterSets
+    version: int | None = None
 
 
-class Tried(NamedTuple):
-    """The outcome of one ballot."""
+@dataclass(frozen=True, slots=True)
+class AttemptResult:
+    """The result of one ballot."""
 
-    done: bool
-    value: object
-    wrote: bool  # some members may have accepted it
-    heard: bool  # a quorum answered
+    committed: bool
+    value: Any = None  # the new value, if committed
+    may_be_accepted: bool = False  # writes were sent, so some member may have accepted the value
+    quorum_answered: bool = False
 
 
 class Proposer:
-    """ask(member, method, args, deadline) -> answer, or raises. voter_sets() -> VoterSets, or lists
-    of voters: one list as a rule, the old and the new while members change. A prepare and a read
-    need a quorum; a write is done once it is on a durable quorum.
-    With version() -> the number of what voter_sets() gives, ask gets it as a last argument.
+    """Changes and reads keys on behalf of one process.
 
-    Invariants: round never goes down, and each ballot (round, name) is used for one value only.
-    The name must be unique to this process's life: a restarted proposer may reuse a round. The
-    voter_sets and version are the same from a ballot's prepare to its write: a promise of voters that
-    are no longer so allows no write among those that followed. A key's lock is held by the one
-    change of it that is under way from here: two from one place would only outrun each other."""
-
-    def __init__(self, name, voter_sets, ask, rng, nursery, version=None):
-        self.name, self.voter_sets, self.ask = name, voter_sets, ask
-        self.rng, self.nursery, self.version = rng, nursery, version
-        self.round = 0
-        self.locks = {}  # key -> trio.Lock
-        self.patience = PATIENCE  # twice as long as members lately stood apart before they agreed
+    name: unique to this incarnation of the process, since a restarted proposer may use a round
+    again. voter_sets(): the present voters, one set as a rule, the old and the new one during a
+    change of members. version(): the version of that membership. ask(member, method, arguments,
+    deadline, version): one member's answer in its form on the wire, or an exception; without
+    `version` its last argument is left out. nursery: runs the requests; one to a slow member ends
+    after the call that sent it, at its deadline at the latest. Times are in microseconds.
 
-    def ballot(self):
-        """A new ballot, higher than any seen."""
-        self.round += 1
-        return self.round, self.name
+    Invariants: round never goes down, and each ballot (round, name) is used for one value only.
+    Voter sets and version are the same from a ballot's prepare to its write: the promises of a
+    former membership allow no write under the next. The lock of a key is held by the one change of
+    it that is in progress here: two from the same process would only outrun each other.
+    """
 
-    def configuration(self):
-        """(voter_sets, what ask gets more) of one ballot."""
-        more = () if self.version is None else (self.version(),)
-        return VoterSets.of(self.voter_sets()), more
+    def __init__(
+        self,
+        name: str,
+        voter_sets: Callable[[], VoterSets | Iterable[Iterable[str]]],
+        ask: Callable[..., Awaitable[Any]],
+        rng: random.Random,
+        nursery: trio.Nursery,
+        version: Callable[[], int] | None = None,
+    ) -> None:
+        self.name = name
+        self.voter_sets = voter_sets
+        self.ask = ask
+        self.rng = rng
+        self.nursery = nursery
+        self.version = version
+        self.round = 0
+        self.locks: dict[str, trio.Lock] = {}  # by key
+        self.read_repair_delay = ReadRepairDelay(rng)
 
-    async def broadcast(self, configuration, method, args, deadline, enough):
-        """Answers so far, as soon as `enough(answers)` says so, all have answered, or the deadline.
-        Slower members are still told: their tasks end by themselves, at the deadline at the latest."""
-        voter_sets, more = configuration
-        answers, voters, done = {}, sorted(voter_sets.voters), trio.Event()
+    # ------------------------------------------------------------ membership
 
-        async def one(member):
-            try:
-                answers[member] = await self.ask(member, method, args, deadline, *more)
-            except Exception as cause:  # whatever broke, this member gave no answer
-                answers[member] = cause
-            if enough(answers) or len(answers) == len(voters):
-                done.set()
+    def configuration(self) -> MembershipConfiguration:
+        """The present membership."""
+        version = None if self.version is None else self.version()
+        return MembershipConfiguration(VoterSets.of(self.voter_sets()), version)
 
-        for member in voters:
-            self.nursery.start_soon(one, member)
-        with deadline_scope(deadline):
-            if voters:
-                await done.wait()
-        return {m: a for m, a in answers.items() if not isinstance(a, Exception)}
-
-    def voters(self):
-        """The voters of all voter sets, in order."""
+    def voters(self) -> list[str]:
+        """The members of all voter sets, in order."""
         return sorted(VoterSets.of(self.voter_sets()).voters)
 
-    def is_quorum(self, members):
-        """Whether these members hold a quorum of the present voter sets."""
+    def is_quorum(self, members: Iterable[str]) -> bool:
+        """Whether these members are a quorum of the present voter sets."""
         return VoterSets.of(self.voter_sets()).is_quorum(members)
 
-    def is_durable(self, members):
+    def is_durable(self, members: Iterable[str]) -> bool:
         """Whether these members are a durable quorum of the present voter sets."""
         return VoterSets.of(self.voter_sets()).is_durable(members)
 
-    async def change(self, key, make, deadline, enough=VoterSets.is_durable):
-        """make(old value) -> new value, or raises to leave all as it is. Gives the new value.
-        enough(voter sets, members): do these members' acceptances make the write done? They must
-        hold a quorum.
+    # ------------------------------------------------------------ operations
 
-        Raises NoQuorum (surely not done) or OutcomeUnknown (may be done)."""
+    async def change(
+        self,
+        key: str,
+        update: Callable[[Any], Any],
+        deadline: int,
+        rule: QuorumRule = VoterSets.is_durable,
+    ) -> Any:
+        """Replace the value of a key by update(value); its value is None if it has none.
+
+        update may run several times, and may raise to leave the key unchanged. rule: which members
+        have to accept the change; they must always include a quorum.
+
+        :returns: the new value.
+        :raises NoQuorum: the change was not and will not be applied.
+        :raises OutcomeUnknown: the change may have been applied, or may still be.
+        """
         lock = self.locks.setdefault(key, trio.Lock())
         with deadline_scope(deadline) as waiting:
             await lock.acquire()
         if waiting.cancelled_caught:
             raise NoQuorum(key)
         try:
-            return await self.change_alone(key, make, deadline, enough)
+            return await self.change_locked(key, update, deadline, rule)
         finally:
             lock.release()
 
-    async def change_alone(self, key, make, deadline, enough):
-        """As change, while this process changes the key nowhere else."""
-        wrote, wait = False, FIRST_WAIT
+    async def change_locked(
+        self, key: str, update: Callable[[Any], Any], deadline: int, rule: QuorumRule
+    ) -> Any:
+        """As change, under the lock of the key: attempts until one is committed."""
+        may_be_accepted = False
+        retry_delay = RetryDelay(self.rng)
         while True:
-            begun = monotonic_us()
-            tried = await self.attempt(key, make, deadline, enough)
-            if tried.done:
-                return tried.value
-            wrote |= tried.wrote
-            wait = min(wait, max(FIRST_WAIT, WAIT_SPANS * (monotonic_us() - begun)))
-            left = deadline - monotonic_us() - 50 * MILLISECOND
-            if left <= 0:
-                raise (OutcomeUnknown if wrote else NoQuorum)(key)
-            await sleep_us(
-                min(self.jittered(wait if tried.heard else max(wait, 50 * MILLISECOND)), left)
-            )
-            wait = min(2 * wait, LONGEST_WAIT)
-
-    async def ensure_accepted(self, key, ballot, enough, deadline):
-        """See to it that members for which enough(voter sets, members) is true hold the key's
-        newest accepted pair, at least that of this ballot. One round if they do already."""
+            started = monotonic_us()
+            result = await self.attempt(key, update, deadline, rule)
+            if result.committed:
+                return result.value
+            may_be_accepted |= result.may_be_accepted
+            duration = monotonic_us() - started
+            remaining = deadline - monotonic_us() - MIN_TIME_FOR_ATTEMPT
+            if remaining <= 0:
+                raise (OutcomeUnknown if may_be_accepted else NoQuorum)(key)
+            await sleep_us(min(retry_delay.draw(duration, result.quorum_answered), remaining))
+
+    async def read(self, key: str, deadline: int) -> Any:
+        """The value of a key, or None if it has none.
+
+        :raises NoQuorum: no quorum agreed before the deadline.
+        """
+        return await QuorumRead(self, key, deadline).run()
+
+    async def ensure_accepted(
+        self, key: str, ballot: tuple[int, str], rule: QuorumRule, deadline: int
+    ) -> None:
+        """Make sure that members that satisfy the rule have accepted the newest pair of a key, whose
+        ballot is at least the given one. One broadcast if they have already.
+
+        :raises NoQuorum, OutcomeUnknown: as change.
+        """
         configuration = self.configuration()
 
-        def held(answers):
-            newest, holders = highest(
-                {m: a for m, a in answers.items() if not isinstance(a, Exception)}
-            )
-            return newest >= ballot and enough(configuration[0], holders)
-
-        soon = min(deadline, monotonic_us() + READ_WAIT)
-        if not held(await self.broadcast(configuration, "read", [key], soon, held)):
-            await self.change(key, lambda old: old, deadline, enough)
-
-    async def attempt(self, key, make, deadline, enough=VoterSets.is_durable):
-        """One ballot, both rounds of it."""
-        ballot, configuration = self.ballot(), self.configuration()
-        voter_sets, wrote, new = configuration[0], False, None
-
-        def promised(answers):
-            return settled(answers, voter_sets, VoterSets.is_quorum)
-
-        def written(answers):
-            return settled(answers, voter_sets, enough)
-
-        told = await self.broadcast(configuration, "prepare", [key, ballot], deadline, promised)
-        if voter_sets.is_quorum(yes_of(told)):
-            yes = [told[member] for member in yes_of(told)]
-            accepted, value = max(((tuple(a[1]), a[2]) for a in yes), key=lambda p: p[0])
-            new, wrote = make(value if accepted != ZERO else None), True
-            told = await self.broadcast(
-                configuration, "write", [key, ballot, new], deadline, written
-            )
-            if enough(voter_sets, yes_of(told)):
-                return Tried(True, new, True, True)
-        self.learn(answer[1] for answer in told.values() if answer[0] == "no")
-        return Tried(False, None, wrote, voter_sets.is_quorum(told))
-
-    def learn(self, ballots):
-        """Go on above the highest round of these ballots."""
-        self.round = max([self.round, *(ballot[0] for ballot in ballots)])
-
-    def jittered(self, wait):
-        """A random wait of half to one and a half times the given one."""
-        return self.rng.randrange(wait // 2, wait + wait // 2)
-
-    async def read(self, key, deadline):
-        """The value that stands. One round if a majority agrees.
-
-        Members that are apart are mostly about to agree: a write is on its way to them, and a
-        ballot now would outrun it. So they are asked again, later each time, and what stands is
-        written again only if nothing moves among them for longer than a write takes; not while
-        a change from here is under way, which does the same. Raises NoQuorum."""
-        begun, look = monotonic_us(), FIRST_LOOK
-        longest = (deadline - begun) * 2 // 3  # some time must be left for a ballot
-        stands, since = None, begun
-        patience = self.some_patience(longest)
-        while True:
-            configuration = self.configuration()
-            voter_sets = configuration[0]
-            told = await self.broadcast(
-                configuration,
-                "read",
-                [key],
-                min(deadline, monotonic_us() + READ_WAIT),
-                lambda answers, voter_sets=voter_sets: agreed(answers, voter_sets) is not None,
-            )
-            same = agreed(told, voter_sets)
-            if same is not None:
-                if look > FIRST_LOOK:
-                    self.bear(2 * (monotonic_us() - begun), self.patience * 4 // 5)
-                return same[1]
-            self.learn(answer[0] for answer in told.values())
-            moved, stands = stands, highest(told)
-            if moved != stands or not voter_sets.is_quorum(told):
-                since = monotonic_us()
-            elif monotonic_us() - since > patience and not self.changing(key):
-                tried = await self.attempt(key, lambda old: old, deadline)
-                if tried.done:
-                    return tried.value
-                self.bear(2 * self.patience)
-                patience, since = self.some_patience(longest), monotonic_us()
-            if deadline <= monotonic_us():
-                raise NoQuorum(key)
-            await sleep_us(min(self.jittered(look), deadline - monotonic_us()))
-            look = min(2 * look, LONGEST_LOOK)
-
-    def bear(self, *spans):
-        """Set how long members may stand apart before a read writes, within its bounds."""
-        self.patience = min(max(PATIENCE, *spans), MOST_PATIENCE)
-
-    def some_patience(self, longest):
-        """A random wait of one to two times the patience, at most the longest."""
-        return min(self.rng.randrange(self.patience, 2 * self.patience), longest)
-
-    def changing(self, key):
-        """Whether a change of the key is under way from here."""
-        return key in self.locks and self.locks[key].locked()
-
-
-def settled(answers, voter_sets, enough):
-    """Agreed, or a quorum answered and one of it knows a higher ballot: who is silent would only
-    hold up the next try."""
-    heard = {m: a for m, a in answers.items() if not isinstance(a, Exception)}
-    return enough(voter_sets, yes_of(answers)) or (
-        voter_sets.is_quorum(heard) and any(a[0] == "no" for a in heard.values())
-    )
-
-
-def yes_of(answers):
-    """The members that agreed."""
-    return [m for m, a in answers.items() if not isinstance(a, Exception) and a[0] == "yes"]
+        def is_satisfied(answers: dict[str, AcceptedPair]) -> bool:
+            highest = highest_ballot(answers)
+            return highest.ballot >= ballot and rule(configuration.voter_sets, highest.members)
 
+        timeout = min(deadline, monotonic_us() + READ_TIMEOUT)
+        answers = await self.broadcast(configuration, ReadRequest(key), timeout, is_satisfied)
+        if not is_satisfied(answers):
+            await self.change(key, lambda old: old, deadline, rule)
 
-def agreed(answers, voter_sets):
-    """The accepted pair that a quorum holds and that is the highest told.
+    def is_changing(self, key: str) -> bool:
+        """Whether a change of the key is in progress from this process."""
+        return key in self.locks and self.locks[key].locked()
 
-    >>> agreed({"a": ((2, "x"), 7), "b": ((2, "x"), 7), "c": ((1, "y"), 6)}, ["abc"])
-    ((2, 'x'), 7)
-    >>> agreed({"a": ((2, "x"), 7), "b": ((1, "y"), 6), "c": ((1, "y"), 6)}, ["abc"]) is None
-    True
-    """
-    told = {m: (tuple(a[0]), a[1]) for m, a in answers.items() if not isinstance(a, Exception)}
-    if not told:
-        return None
-    highest = max(ballot for ballot, _ in told.values())
-    same = {m: pair for m, pair in told.items() if pair[0] == highest}
-    if not VoterSets.of(voter_sets).is_quorum(same):
-        return None
-    return next(iter(same.values()))
+    # ------------------------------------------------------------ one ballot
 
+    def next_ballot(self) -> Ballot:
+        """A new ballot, higher than any seen."""
+        self.round += 1
+        return Ballot(self.round, self.name)
 
-def highest(told):
-    """What stands highest of what is told, and who holds it: a write on its way moves it.
+    def learn(self, ballots: Iterable[Ballot]) -> None:
+        """Go on above the highest round of these ballots."""
+        self.round = max([self.round, *(ballot.round for ballot in ballots)])
+
+    async def attempt(
+        self,
+        key: str,
+        update: Callable[[Any], Any],
+        deadline: int,
+        rule: QuorumRule = VoterSets.is_durable,
+    ) -> AttemptResult:
+        """Both phases of one ballot. Raises what update raises."""
+        ballot = self.next_ballot()
+        configuration = self.configuration()
+        voter_sets = configuration.voter_sets
+
+        def is_prepared(answers: dict[str, Any]) -> bool:
+            return is_decided(answers, voter_sets, VoterSets.is_quorum)
+
+        def is_written(answers: dict[str, Any]) -> bool:
+            return is_decided(answers, voter_sets, rule)
+
+        prepare = PrepareRequest(key, ballot)
+        answers = await self.broadcast(configuration, prepare, deadline, is_prepared)
+        is_promised = voter_sets.is_quorum(granted_by(answers))
+        if is_promised:
+            value = update(highest_promised_value(answers))
+            write = WriteRequest(key, ballot, value)
+            answers = await self.broadcast(configuration, write, deadline, is_written)
+            if rule(voter_sets, granted_by(answers)):
+                return AttemptResult(True, value, True, True)
+        self.learn(refused_ballots(answers))
+        return AttemptResult(False, None, is_promised, voter_sets.is_quorum(answers))
+
+    async def broadcast(
+        self,
+        configuration: MembershipConfiguration,
+        request: Request,
+        deadline: int,
+        is_enough: Callable[[dict[str, Any]], bool],
+    ) -> dict[str, Any]:
+        """Send a request to all voters, and wait until is_enough(answers), all of them have
+        answered or failed, or the deadline.
+
+        :returns: the answers so far, by member. Slower members still receive the request.
+        """
+        voters = sorted(configuration.voter_sets.voters)
+        arguments = request.to_wire()
+        version = () if configuration.version is None else (configuration.version,)
+        answers: dict[str, Any] = {}
+        pending = set(voters)
+        done = trio.Event()
+
+        async def ask_member(member: str) -> None:
+            try:
+                sent = await self.ask(member, request.method, arguments, deadline, *version)
+                answers[member] = request.answer_from_wire(sent)
+            except Exception:  # whatever broke, this member gave no answer
+                pass
+            pending.discard(member)
+            if not pending or is_enough(answers):
+                done.set()
 
-    >>> highest({"a": ((2, "x"), 7), "b": ((2, "x"), 7), "c": ((1, "y"), 6)})
-    ((2, 'x'), ('a', 'b'))
-    """
-    ballots = {m: tuple(a[0]) for m, a in told.items()}
-    top = max(ballots.values(), default=ZERO)
-    return top, tuple(sorted(m for m, ballot in ballots.items() if ballot == top))
+        for member in voters:
+            self.nursery.start_soon(ask_member, member)
+        with deadline_scope(deadline):
+            if voters:
+                await done.wait()
+        return dict(answers)
--- a/packages/model_checker/meadowdock/model_checker/actor.py
+++ b/packages/model_checker/meadowdock/model_checker/actor.py
@@ -66,7 +66,7 @@
 
     async def run(self, process: ModelMembers, deadline: int) -> tuple:
         """The value read."""
-        process.proposer.patience = IMPATIENT
+        process.proposer.read_repair_delay.current = IMPATIENT
         return tuple(await process.proposer.read(KEY, deadline) or ())
 
 
--- a/packages/model_checker/meadowdock/model_checker/replica.py
+++ b/packages/model_checker/meadowdock/model_checker/replica.py
@@ -8,7 +8,7 @@
 
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
-from meadowdock.consensus.acceptor import AcceptorState
+from meadowdock.consensus import AcceptorState, Ballot
 from meadowdock.model_checker.process import Implementation, make_node, make_store, packed
 from meadowdock.rpc import Rejected
 
@@ -66,7 +66,7 @@
         record, acceptor = ormsgpack.unpackb(state.memory)
         store.membership = None if record is None else MembershipConfiguration.from_record(record)
         store.acceptor.states = {
-            folder: AcceptorState(tuple(promised), tuple(accepted), value, file)
+            folder: AcceptorState(Ballot(*promised), Ballot(*accepted), value, file)
             for folder, (_, promised, accepted, value, file) in acceptor.items()
         }
         store.acceptor.keys = {folder: kept[0] for folder, kept in acceptor.items()}
@@ -106,8 +106,7 @@
     acceptor = {}
     for folder, state in sorted(store.acceptor.states.items()):
         file = 1 if len(folders.get(folder, ())) == 1 else state.file_version
-        key, kept = store.acceptor.keys[folder], (state.promised, state.accepted, state.value)
-        acceptor[folder] = [key, *kept, file]
+        acceptor[folder] = [*state.to_record(store.acceptor.keys[folder]), file]
     record = None if store.membership is None else store.membership.to_record()
     return store.disk, files, packed([record, acceptor])
 
--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -14,7 +14,7 @@
 from order_faults import trouble
 from three_acceptors import Trio
 
-from meadowdock.consensus import NoQuorum, OutcomeUnknown, Proposer, holds_majorities
+from meadowdock.consensus import NoQuorum, OutcomeUnknown, Proposer, ReadRequest
 from meadowdock.model_checker import (
     NEVER,
     RecordedCall,
@@ -88,14 +88,13 @@
         configuration = self.configuration()
         told = await self.broadcast(
             configuration,
-            "read",
-            [key],
+            ReadRequest(key),
             deadline,
-            lambda answers: holds_majorities(configuration[0], answers),
+            configuration.voter_sets.is_quorum,
         )
-        if not holds_majorities(configuration[0], told):
+        if not configuration.voter_sets.is_quorum(told):
             raise NoQuorum(key)
-        return max(told.values(), key=lambda answer: answer[0])[1]
+        return max(told.values(), key=lambda pair: pair.ballot).value
 
 
 async def member_troubles(three, rng):
--- a/tests/model_checker/test_model_register.py
+++ b/tests/model_checker/test_model_register.py
@@ -10,6 +10,7 @@
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import Acceptor
 from meadowdock.consensus.acceptor import AcceptorState
+from meadowdock.consensus.messages import Promise, Refusal
 from meadowdock.model_checker import (
     Append,
     Explorer,
@@ -54,14 +55,14 @@
 class VolatilePromise(Acceptor):
     """Planted: a promise is answered and not on the disk."""
 
-    async def prepare(self, key, ballot):
+    async def promise(self, key, ballot):
         state = self.state_of(key)
         if ballot <= state.promised:
-            return "no", state.promised, None
+            return Refusal(state.promised)
         folder = fingerprint(key.encode())
         self.keys[folder] = key
         self.states[folder] = AcceptorState(ballot, state.accepted, state.value, state.file_version)
-        return "yes", state.accepted, state.value
+        return Promise(state.accepted, state.value)
 
 
 class VolatilePromiseStore(Store):
