--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -63,7 +63,7 @@
             {
                 *self.founders,
                 *self.store.everybody.values(),
-                *self.node.view.core("mdconf"),
+                *self.node.view.core_members("mdconf"),
                 *self.met,
             }
             - {self.node.settings.link}
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -230,7 +230,7 @@
         """Take a newer head as the newest known here."""
         if head["version"] > self.head["version"]:
             self.head = head
-            self.node.view.bump(version=head["version"])
+            self.node.view.advance_heartbeat(version=head["version"])
 
     async def head_loop(self):
         """Keeps the head known, this member's range files whole, and old ones off the disk."""
@@ -478,7 +478,7 @@
     async def refresh_rosters(self):
         """Ask every registry for its roster once."""
         self.rosters = await self.node.rpc.successful_responses(
-            {a: (a, "reg.roster", None) for a in self.node.view.core("mdreg")},
+            {a: (a, "reg.roster", None) for a in self.node.view.core_members("mdreg")},
             monotonic_us() + 500 * MILLISECOND,
         )
 
--- a/packages/process/meadowdock/process/node.py
+++ b/packages/process/meadowdock/process/node.py
@@ -13,7 +13,7 @@
 
 from meadowdock.admin_http import App
 from meadowdock.logs import Log
-from meadowdock.membership import Entry, View
+from meadowdock.membership import GossipMembership, MemberEntry
 from meadowdock.process.daemon import Daemon
 from meadowdock.process.health import with_health_checks
 from meadowdock.process.listeners import HttpListeners
@@ -49,8 +49,10 @@
         self.rpc = ConnectionPool(
             nursery, runtime.net, settings.fleet_key, runtime.rng, me, self.log
         )
-        entry = Entry(settings.link, settings.role, settings.zone, self.incarnation, 0, False, 0)
-        self.view = View(entry, settings.seeds, runtime.rng, self.rpc, self.log)
+        entry = MemberEntry(
+            settings.link, settings.role, settings.zone, self.incarnation, 0, False, 0
+        )
+        self.view = GossipMembership(entry, settings.seeds, runtime.rng, self.rpc, self.log)
         self.stopping = False
         self.shutdown = GracefulShutdown(self)
 
@@ -71,7 +73,7 @@
         self.daemon = make_daemon(self)
         self.listeners = HttpListeners(self.apps())
         await self.daemon.prepare()
-        await self.serve_rpc(self.daemon.rpc_handlers() | View.handlers.bind(self.view))
+        await self.serve_rpc(self.daemon.rpc_handlers() | GossipMembership.handlers.bind(self.view))
         tasks = {"view": self.view.run, **self.daemon.background_tasks()}
         for name, task in tasks.items():
             self.nursery.start_soon(supervise, name, task, self.log)
--- a/packages/process/meadowdock/process/shutdown.py
+++ b/packages/process/meadowdock/process/shutdown.py
@@ -81,7 +81,7 @@
         """Tell peers, and keep serving until readiness checks have seen that this node leaves."""
         linger_until = monotonic_us() + self.linger_us
         await self.node.daemon.announce_shutdown()
-        await self.node.view.farewell()
+        await self.node.view.announce_leaving()
         await sleep_us(linger_until - monotonic_us())
 
     async def wait_for_quiet(self, latest: int) -> None:
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -135,7 +135,7 @@
 
     async def ask_core(self):
         """The member that answered last; if it doesn't, three others at once."""
-        members = self.node.view.core("mdconf")
+        members = self.node.view.core_members("mdconf")
         if self.last_source in members:
             told = await self.ask([self.last_source], self.part_of_apply(ASK_LAST_PART))
             if told is not None:
@@ -239,7 +239,7 @@
         self.active, self.staged = staged, None
         self.stager.keep([staged.head])
         self.put_in_force(staged.routing_table)
-        self.node.view.bump(version=staged.routing_table.version)
+        self.node.view.advance_heartbeat(version=staged.routing_table.version)
         self.node.log(502, version=staged.routing_table.version)
 
     # ------------------------------------------------------------ answers
--- a/packages/proxy/meadowdock/proxy/part.py
+++ b/packages/proxy/meadowdock/proxy/part.py
@@ -66,7 +66,7 @@
         self.epoch_floor = None
         self.calls = 0
         self.beaten, self.registry_came = set(), trio.Event()
-        node.view.heard = self.heard
+        node.view.on_updated = self.heard
 
     def rpc_handlers(self):
         return Part.handlers.bind(self) | Delivery.handlers.bind(self.delivery)
@@ -153,7 +153,7 @@
             "address": me.address,
             "http": self.node.settings.http,
             "role": "mdproxy",
-            "hall": me.hall,
+            "hall": me.zone,
             "incarnation": me.incarnation,
             "version": self.delivery.version,
             "newest": self.delivery.newest,
@@ -177,7 +177,7 @@
             ],
             "counts": dict(self.forwarder.counts),
         }
-        regs = self.node.view.core("mdreg")
+        regs = self.node.view.core_members("mdreg")
         self.beaten = set(regs)
         answers, deadline = [], monotonic_us() + BEAT_CORE
 
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -101,7 +101,7 @@
         return all(name in self.chunks for name in wanted)
 
     def sources(self, source):
-        members = self.node.view.core("mdconf")
+        members = self.node.view.core_members("mdconf")
         if source in members:
             return self.fetcher.spread(members)
         return [source, *self.fetcher.spread(members)]  # a peer, while the core is out of reach
--- a/packages/registry/meadowdock/registry/heartbeats.py
+++ b/packages/registry/meadowdock/registry/heartbeats.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from meadowdock.membership import Entry
+from meadowdock.membership import MemberEntry
 from meadowdock.process import Node
 from meadowdock.registry.election import CollectorElection
 from meadowdock.registry.messages import HEARTBEAT_METHOD, REGISTRY_ROLE, RegistryHeartbeat
@@ -23,7 +23,7 @@
         self.receivers: set[str] = set()  # addresses that the last heartbeat went to
         self.registry_joined = trio.Event()
 
-    def on_member(self, entry: Entry) -> None:
+    def on_member(self, entry: MemberEntry) -> None:
         """Called with each update of the membership view."""
         if entry.role == REGISTRY_ROLE and entry.address not in self.receivers:
             self.registry_joined.set()
@@ -40,13 +40,13 @@
         me = self.node.view.me
         heartbeat = RegistryHeartbeat(
             address=me.address,
-            zone=me.hall,
+            zone=me.zone,
             incarnation=me.incarnation,
             shutting_down=self.node.stopping,
             highest_epoch=self.election.highest_epoch,
             collector_epoch=self.election.epoch,
         ).to_wire()
-        registries = self.node.view.core(REGISTRY_ROLE)
+        registries = self.node.view.core_members(REGISTRY_ROLE)
         self.receivers = set(registries)
         await self.node.rpc.call_all(
             {address: (address, HEARTBEAT_METHOD, heartbeat) for address in registries},
--- a/packages/registry/meadowdock/registry/lease_client.py
+++ b/packages/registry/meadowdock/registry/lease_client.py
@@ -172,7 +172,7 @@
 
     def stores(self) -> list[str]:
         """All known config stores in random order, but the preferred one first."""
-        addresses = self.node.view.core(STORE_ROLE)
+        addresses = self.node.view.core_members(STORE_ROLE)
         self.node.runtime.rng.shuffle(addresses)
         return sorted(addresses, key=lambda address: address != self.preferred_store)
 
--- a/packages/registry/meadowdock/registry/server.py
+++ b/packages/registry/meadowdock/registry/server.py
@@ -42,7 +42,7 @@
         self.election = CollectorElection(node, self.registries, self.send_heartbeats)
         self.collector = LoadCollector(node, self.proxies, self.election)
         self.heartbeats = HeartbeatSender(node, self.election)
-        node.view.heard = self.heartbeats.on_member
+        node.view.on_updated = self.heartbeats.on_member
 
     # ------------------------------------------------------------ the daemon's hooks
 
@@ -61,7 +61,7 @@
 
     def unready_reasons(self) -> list[str]:
         """Why this process is not ready; empty if it is."""
-        return [] if self.node.view.core("mdconf") else ["no mdconf known"]
+        return [] if self.node.view.core_members("mdconf") else ["no mdconf known"]
 
     async def announce_shutdown(self) -> None:
         """Shut down gracefully: release the lease and notify the other registries."""
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -6,18 +6,18 @@
 
 from mesh import configured, hosts
 
-from meadowdock.membership import SHELF_MAX, VIEW_MAX, Entry, View
+from meadowdock.membership import CORE_VIEW_MAX, VIEW_MAX, GossipMembership, MemberEntry
 from meadowdock.runtime import SECOND, sleep_us
 from meadowdock.simulator import run
 
 
 def entry(address, incarnation=1, beat=0, role="mdproxy", leaving=False):
-    return Entry(address, role, "a", incarnation, beat, leaving, 0)
+    return MemberEntry(address, role, "a", incarnation, beat, leaving, 0)
 
 
 def view():
     quiet = lambda *_, **__: None  # noqa: E731
-    return View(entry("me"), (), random.Random(1), None, quiet)
+    return GossipMembership(entry("me"), (), random.Random(1), None, quiet)
 
 
 def test_only_newer_news_counts_and_the_dead_stay_dead():
@@ -50,7 +50,7 @@
     seen.merge([entry(f"p{n}") for n in range(50)], 0)
     seen.merge([entry(f"c{n}", role="mdreg") for n in range(40)], 0)
     roles = [s.entry.role for s in seen.entries.values()]
-    assert (roles.count("mdproxy"), roles.count("mdreg")) == (VIEW_MAX, SHELF_MAX)
+    assert (roles.count("mdproxy"), roles.count("mdreg")) == (VIEW_MAX, CORE_VIEW_MAX)
 
 
 def test_a_process_whose_clock_went_back_overtakes_its_former_self():
@@ -74,7 +74,7 @@
         await world.eventually(lambda: proxies <= set(left.proxies.records))
         for host in hosts(world):
             view = world.node("mdproxy", host).view
-            await world.eventually(lambda v=view: len(v.core("mdconf")) == 3)
+            await world.eventually(lambda v=view: len(v.core_members("mdconf")) == 3)
 
     run(scenario, application=("desk",) * 12)
 
--- a/tests/project/test_incidents.py
+++ b/tests/project/test_incidents.py
@@ -8,7 +8,7 @@
 import trio
 from gates import SEEDS, asked, gated, listed
 
-from meadowdock.membership import VIEW_MAX, Entry, View
+from meadowdock.membership import VIEW_MAX, GossipMembership, MemberEntry
 from meadowdock.rpc import serve_connection
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
@@ -89,12 +89,12 @@
 
 
 def entry(n, beat, incarnation=1, leaving=False):
-    return Entry(f"10.9.0.{n}:7402", "mdproxy", "a", incarnation, beat, leaving, 0)
+    return MemberEntry(f"10.9.0.{n}:7402", "mdproxy", "a", incarnation, beat, leaving, 0)
 
 
 def test_a_process_is_told_as_seen_once_a_life_however_often_its_entry_comes_and_goes():
     logged = []
-    view = View(
+    view = GossipMembership(
         entry(0, 0), (), random.Random(1), None, lambda n, peer, **_: logged.append((n, peer))
     )
     others = range(1, 3 * VIEW_MAX)
