--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -187,7 +187,7 @@
             if kept == version:
                 return plan
         record = await self.daemon.trail.record(version, deadline)
-        return audit.read(record)["plan"] if record else None
+        return audit.read_payload(record)["plan"] if record else None
 
     async def version_ranges(self, head, version):
         """The chunks of a former version, or None if they are not known any more."""
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -383,9 +383,9 @@
                 "version": version,
                 "plan": plan,
                 "base": facts["base"],
-                "ranges": audit.name(" ".join(facts["ranges"])),
+                "ranges": audit.record_hash(" ".join(facts["ranges"])),
                 "at": str(self.node.runtime.wall_us()),
-                "former": audit.name(old["record"]) if old.get("record") else "",
+                "former": audit.record_hash(old["record"]) if old.get("record") else "",
             },
         )
 
--- a/packages/config_store/meadowdock/config_store/trail.py
+++ b/packages/config_store/meadowdock/config_store/trail.py
@@ -233,7 +233,7 @@
         """A chain that began on a disk from before the trail: its first record names none before."""
         if not self.segments and self.tail and self.first == 1:
             first = min(self.tail)
-            facts = audit.read(self.tail[first])
+            facts = audit.read_payload(self.tail[first])
             if first > 1 and facts and facts.get("former") == "":
                 await self.write_checkpoint(first, "")
 
@@ -276,7 +276,7 @@
         if not records:
             return  # to be pulled before
         first = min(records)
-        await self.write_checkpoint(first, audit.read(records[first])["former"])
+        await self.write_checkpoint(first, audit.read_payload(records[first])["former"])
         for index in old:
             await self.files.remove(segment_file(index, self.segments.pop(index)))
         self.surplus += [v for v in self.tail if v < first]
@@ -301,7 +301,7 @@
 
 def digest_of(records):
     """A segment's digest: the hash of its last record, shortened."""
-    return audit.name(records[max(records)])[:DIGEST]
+    return audit.record_hash(records[max(records)])[:DIGEST]
 
 
 def unchained(records):
@@ -310,5 +310,6 @@
         version
         for version, record in records.items()
         if version + 1 in records
-        and (audit.read(records[version + 1]) or {}).get("former") != audit.name(record)
+        and (audit.read_payload(records[version + 1]) or {}).get("former")
+        != audit.record_hash(record)
     ]
--- a/packages/config_store/meadowdock/config_store/trail_transfer.py
+++ b/packages/config_store/meadowdock/config_store/trail_transfer.py
@@ -212,5 +212,5 @@
 
 def is_record(version, record):
     """Whether a text is the record of that version."""
-    facts = audit.read(record)
+    facts = audit.read_payload(record)
     return facts is not None and facts["version"] == version
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -23,7 +23,7 @@
 def chain(length=4, key=b"k" * 32):
     records = []
     for version in range(1, length + 1):
-        former = audit.name(records[-1]) if records else ""
+        former = audit.record_hash(records[-1]) if records else ""
         facts = {"version": version, "plan": f"p{version}", "former": former}
         records.append(audit.sign(audit.signing_key(key), facts))
     return records
@@ -88,7 +88,7 @@
                 for number in range(3):
                     nursery.start_soon(change, 10 * turn + number)
         told = await trail(world, 1)
-        plans = {f["version"]: f["plan"] for f in map(audit.read, told["records"])}
+        plans = {f["version"]: f["plan"] for f in map(audit.read_payload, told["records"])}
         assert told["version"] == max(accepted)
         assert {v: plans[v] for v in accepted} == accepted
 
@@ -153,6 +153,6 @@
         )
         assert await world.configure(changed(1), 1) == 2
         told = await trail(world, 2)
-        assert [audit.read(r)["version"] for r in told["records"]] == [2]
+        assert [audit.read_payload(r)["version"] for r in told["records"]] == [2]
 
     run(scenario)
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -124,7 +124,7 @@
         records[version] = audit.sign(
             key, {**facts, "ranges": "r", "at": str(1_700_000_000_000_000), "former": former}
         )
-        former = audit.name(records[version])
+        former = audit.record_hash(records[version])
     return records
 
 
--- a/tests/support/trail_facts.py
+++ b/tests/support/trail_facts.py
@@ -32,7 +32,7 @@
         "version": version,
         "plan": plan_of(version),
         "base": version - 1,
-        "ranges": audit.name(str(version)),
+        "ranges": audit.record_hash(str(version)),
         "at": str(1_700_000_000_000_000 + version),
         "former": former,
     }
@@ -44,7 +44,7 @@
     records = {}
     for version in range(first, first + length):
         records[version] = record(version, former)
-        former = audit.name(records[version])
+        former = audit.record_hash(records[version])
     return records
 
 
