--- a/packages/model_checker/meadowdock/model_checker/invariants.py
+++ b/packages/model_checker/meadowdock/model_checker/invariants.py
@@ -3,14 +3,15 @@
 from __future__ import annotations
 
 from itertools import combinations
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
-from meadowdock.model_checker.actor import KEY, MoveMembers, Operation
+from meadowdock.consensus import Ballot
 from meadowdock.model_checker.messages import Ending, Outcome
+from meadowdock.model_checker.operations import KEY, MoveMembers, Operation
 from meadowdock.model_checker.replica import ReplicaState
 
 
-class Ended(NamedTuple):
+class EndedOperation(NamedTuple):
     """An actor's end. known_at_start: how many had ended when it began."""
 
     actor: int
@@ -18,75 +19,85 @@
     known_at_start: int
 
 
-def broken_invariant(
-    replicas: tuple[ReplicaState, ...], ended: tuple[Ended, ...], operations: tuple[Operation, ...]
-) -> tuple[str, str] | None:
-    """(invariant, detail) of the first one that is broken, or None."""
+class Violation(NamedTuple):
+    """A broken invariant."""
+
+    invariant: str
+    detail: str
+
+
+Value = tuple[Any, ...]
+Replicas = tuple[ReplicaState, ...]
+Ended = tuple[EndedOperation, ...]
+Operations = tuple[Operation, ...]
+
+
+def broken_invariant(replicas: Replicas, ended: Ended, operations: Operations) -> Violation | None:
+    """The first invariant that is broken, or None."""
     return (
         one_value_per_ballot(replicas)
-        or one_line_of_values(ended, operations)
-        or never_back(ended, operations)
-        or refused_is_nowhere(replicas, ended, operations)
+        or single_history(ended, operations)
+        or no_stale_value(ended, operations)
+        or not_applied_is_absent(replicas, ended, operations)
     )
 
 
-def one_value_per_ballot(replicas: tuple[ReplicaState, ...]) -> tuple[str, str] | None:
+def one_value_per_ballot(replicas: Replicas) -> Violation | None:
     """No two replicas accepted different values under one ballot of a key."""
-    accepted = {}
+    accepted: dict[tuple[str, Ballot], Any] = {}
     for replica in replicas:
-        for key, (_, ballot, value) in replica.keys.items():
-            if accepted.setdefault((key, ballot), value) != value:
-                return "one value per ballot", f"{key} at {ballot}: {value}"
+        for key, state in replica.keys.items():
+            if accepted.setdefault((key, state.accepted), state.value) != state.value:
+                detail = f"{key} at {tuple(state.accepted)}: {state.value}"
+                return Violation("one value per ballot", detail)
     return None
 
 
-def told_values(ended: tuple[Ended, ...], operations: tuple[Operation, ...]) -> list[Ended]:
-    """The ends of those that were told the register's value."""
-    return [
-        e
-        for e in ended
-        if e.outcome.ending is Ending.ACKNOWLEDGED
-        and not isinstance(operations[e.actor], MoveMembers)
-    ]
-
-
-def extends(later: tuple, earlier: tuple) -> bool:
-    """Is the earlier value an ancestor of the later?"""
-    return later[: len(earlier)] == earlier
-
-
-def one_line_of_values(
-    ended: tuple[Ended, ...], operations: tuple[Operation, ...]
-) -> tuple[str, str] | None:
-    """Of two values that operations were told, one is an ancestor of the other."""
-    values = [e.outcome.value for e in told_values(ended, operations)]
+def single_history(ended: Ended, operations: Operations) -> Violation | None:
+    """Of two values that operations observed, one is an ancestor of the other."""
+    values = [end.outcome.value for end in observers(ended, operations)]
     for one, other in combinations(values, 2):
         if not extends(one, other) and not extends(other, one):
-            return "one line of values", f"{one} and {other}"
+            return Violation("single history", f"{one} and {other}")
     return None
 
 
-def never_back(
-    ended: tuple[Ended, ...], operations: tuple[Operation, ...]
-) -> tuple[str, str] | None:
-    """An operation is told no less than what had been told before it began."""
-    told = told_values(ended, operations)
-    for later in told:
-        for earlier in told:
-            if ended.index(earlier) < later.known_at_start and not extends(
-                later.outcome.value, earlier.outcome.value
-            ):
-                return "never back", f"{later.outcome.value} after {earlier.outcome.value}"
+def no_stale_value(ended: Ended, operations: Operations) -> Violation | None:
+    """An operation observes no less than what had been observed before it began."""
+    observed = observers(ended, operations)
+    for later in observed:
+        for earlier in observed:
+            precedes = ended.index(earlier) < later.known_at_start
+            if precedes and not extends(later.outcome.value, earlier.outcome.value):
+                detail = f"{later.outcome.value} after {earlier.outcome.value}"
+                return Violation("no stale value", detail)
     return None
 
 
-def refused_is_nowhere(
-    replicas: tuple[ReplicaState, ...], ended: tuple[Ended, ...], operations: tuple[Operation, ...]
-) -> tuple[str, str] | None:
-    """No replica ever holds what was told to be surely not done."""
-    refused = {operations[e.actor].name for e in ended if e.outcome.ending is Ending.NOT_APPLIED}
+def not_applied_is_absent(
+    replicas: Replicas, ended: Ended, operations: Operations
+) -> Violation | None:
+    """No replica ever stores a change whose operation ended as surely not applied."""
+    not_applied = {
+        operations[end.actor].name for end in ended if end.outcome.ending is Ending.NOT_APPLIED
+    }
     for replica in replicas:
-        _, _, value = replica.keys.get(KEY, (None, None, None))
-        if refused & set(value or ()):
-            return "refused is nowhere", f"{refused} in {value}"
+        state = replica.keys.get(KEY)
+        if state is not None and not_applied & set(state.value or ()):
+            return Violation("not applied is absent", f"{not_applied} in {state.value}")
     return None
+
+
+def observers(ended: Ended, operations: Operations) -> list[EndedOperation]:
+    """The ends of the operations that observed the register's value."""
+    return [
+        end
+        for end in ended
+        if end.outcome.ending is Ending.ACKNOWLEDGED
+        and not isinstance(operations[end.actor], MoveMembers)
+    ]
+
+
+def extends(later: Value, earlier: Value) -> bool:
+    """Whether the earlier value is an ancestor of the later."""
+    return later[: len(earlier)] == earlier
--- a/packages/model_checker/meadowdock/model_checker/kernel.py
+++ b/packages/model_checker/meadowdock/model_checker/kernel.py
@@ -1,13 +1,14 @@
-"""Runs coroutines under trio until nothing moves, with a clock that moves only when told."""
+"""Runs coroutines under trio until all of them wait, with a clock that is advanced explicitly."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
+from collections.abc import Awaitable, Callable, Iterator
 from contextlib import contextmanager
+from typing import Any
 
 import trio
 
-IDLE = 3600.0
+IDLE_SLEEP = 3600.0  # s: trio asks again after so long at the latest
 
 
 class ManualClock(trio.abc.Clock):
@@ -25,7 +26,7 @@
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
         """As of trio's clocks."""
-        return max(0.0, min(deadline - self.at, IDLE))
+        return max(0.0, min(deadline - self.at, IDLE_SLEEP))
 
 
 class StepCounter(trio.abc.Instrument):
@@ -40,26 +41,27 @@
 
 
 class Kernel:
-    """Invariant: used by one task only, inside `explore`."""
+    """Drives the tasks of an exploration. Invariant: used by one task only, inside `explore`."""
 
     def __init__(self) -> None:
-        self.clock, self.counter = ManualClock(), StepCounter()
+        self.clock = ManualClock()
+        self.counter = StepCounter()
 
     async def settle(self) -> None:
-        """Until every other task waits for something that only the explorer gives."""
+        """Run until every other task waits for something that only the explorer provides."""
         checkpoint, counter = trio.lowlevel.checkpoint, self.counter
-        alone = 0
-        while alone < 2:  # twice: then in one whole turn of the scheduler nothing else ran
+        idle_steps = 0
+        while idle_steps < 2:  # twice: then nothing else ran in a complete pass of the scheduler
             before = counter.steps
             await checkpoint()
-            alone = alone + 1 if counter.steps == before + 1 else 0
+            idle_steps = idle_steps + 1 if counter.steps == before + 1 else 0
 
     async def next_timer(self) -> bool:
         """Advance to the next deadline; False if there is none."""
-        left = trio.lowlevel.current_statistics().seconds_to_next_deadline
-        if left == float("inf"):
+        remaining = trio.lowlevel.current_statistics().seconds_to_next_deadline
+        if remaining == float("inf"):
             return False
-        self.clock.at += max(0.0, left)
+        self.clock.at += max(0.0, remaining)
         await self.settle()
         return True
 
@@ -68,16 +70,16 @@
         self.clock.at = max(self.clock.at, at)
         await self.settle()
 
-    def run(self, explore: Callable, *args: object) -> object:
+    def run(self, explore: Callable[..., Awaitable[None]], *args: object) -> None:
         """trio.run, with the same order of tasks each time."""
         with deterministic_scheduling():
-            return trio.run(explore, *args, clock=self.clock, instruments=[self.counter])
+            trio.run(explore, *args, clock=self.clock, instruments=[self.counter])
 
 
 @contextmanager
 def deterministic_scheduling() -> Iterator[None]:
     """Trio has no public option for the order of its tasks; restored afterwards."""
-    scheduler = trio._core._run
+    scheduler: Any = trio._core._run
     former = scheduler._ALLOW_DETERMINISTIC_SCHEDULING
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True
     scheduler._r.seed(0)
--- a/packages/model_checker/meadowdock/model_checker/linearizability.py
+++ b/packages/model_checker/meadowdock/model_checker/linearizability.py
@@ -1,4 +1,4 @@
-"""A linearizability checker for recorded histories, after Wing & Gong with Lowe's memory of states.
+"""A linearizability checker for recorded histories, after Wing & Gong with Lowe's cache of states.
 
 Each key is judged by itself: a history is linearizable exactly if that of each of its keys is
 (Herlihy & Wing). Calls that surely did nothing are left out by whoever records: if one had an
@@ -10,6 +10,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
+from typing import Any
 
 NEVER = float("inf")
 
@@ -17,7 +18,7 @@
 @dataclass(frozen=True)
 class RecordedCall:
     """One call, as its caller saw it. returned is NEVER if its outcome is unknown: it took effect
-    at some moment after invoked, or never. observed: what it was told."""
+    at some moment after invoked, or never. observed: what it returned."""
 
     key: Hashable
     invoked: int
@@ -34,15 +35,15 @@
 @dataclass(frozen=True)
 class SequentialModel:
     """What one key does without concurrency. apply(state, call) -> the state after the call, or
-    None if a call that came here would not have been told what this one observed."""
+    None if a call that came here would not have returned what this one observed."""
 
     initial: Hashable
-    apply: Callable
+    apply: Callable[[Any, RecordedCall], Any]
 
 
 def unexplained_keys(history: Iterable[RecordedCall], model: SequentialModel) -> list[Hashable]:
     """The keys whose calls no order explains, in the order of their first call."""
-    by_key = defaultdict(list)
+    by_key: dict[Hashable, list[RecordedCall]] = defaultdict(list)
     for call in sorted(history, key=lambda c: c.invoked):
         by_key[call.key].append(call)
     return [key for key, calls in by_key.items() if not linearizable(calls, model)]
@@ -60,28 +61,30 @@
     False
     """
     calls = sorted(calls, key=lambda c: (c.invoked, c.returned))
-    required = sum(1 << place for place, call in enumerate(calls) if not call.unknown)
-    seen, stack = set(), [(0, model.initial)]
+    required = sum(1 << index for index, call in enumerate(calls) if not call.unknown)
+    seen: set[tuple[int, Hashable]] = set()
+    stack: list[tuple[int, Hashable]] = [(0, model.initial)]
     while stack:
         done, state = stack.pop()
         if done & required == required:
             return True
-        for place in next_places(calls, done):
-            after = model.apply(state, calls[place])
-            following = done | 1 << place, after
+        for index in next_indices(calls, done):
+            after = model.apply(state, calls[index])
+            following = done | 1 << index, after
             if after is not None and following not in seen:
                 seen.add(following)
                 stack.append(following)
     return False
 
 
-def next_places(calls: list[RecordedCall], done: int) -> list[int]:
+def next_indices(calls: list[RecordedCall], done: int) -> list[int]:
     """Those that may come next: begun before every call that is not done had returned."""
-    earliest, found = NEVER, []
-    for place, call in enumerate(calls):
+    earliest = NEVER
+    found = []
+    for index, call in enumerate(calls):
         if call.invoked > earliest:
             break
-        if not done >> place & 1:
-            found.append(place)
+        if not done >> index & 1:
+            found.append(index)
             earliest = min(earliest, call.returned)
-    return [place for place in found if calls[place].invoked <= earliest]
+    return [index for index in found if calls[index].invoked <= earliest]
--- a/packages/model_checker/meadowdock/model_checker/messages.py
+++ b/packages/model_checker/meadowdock/model_checker/messages.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 from enum import Enum
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 
-class Flight(NamedTuple):
+class Message(NamedTuple):
     """A request on its way to a replica, or, once answer is set, its answer on the way back."""
 
     actor: int
@@ -17,7 +17,7 @@
     args: bytes
     answer: bytes | None = None
     orphan: bool = False  # the actor counts it as failed already
-    held: bool = False  # stays in flight until it is chosen explicitly
+    deferred: bool = False  # stays in flight until it is chosen explicitly
 
 
 class EventKind(Enum):
@@ -38,7 +38,7 @@
 
 
 class Ending(Enum):
-    """What an operation was told about its effect."""
+    """What an operation learned about its effect."""
 
     ACKNOWLEDGED = "acknowledged"
     NOT_APPLIED = "not applied"
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """How an actor's operation ended. value is the register's value that it was told."""
+    """How an actor's operation ended. value is the register's value that it observed."""
 
     ending: Ending
-    value: tuple = ()
+    value: tuple[Any, ...] = ()
 
 
 class Action(Enum):
@@ -60,7 +60,7 @@
     REQUEST = "deliver request, its answer comes after the round"
     ANSWER = "deliver late answer"
     FAIL = "fail"
-    HOLD = "hold"
+    DEFER = "defer"
     EXPIRE = "expire"
     CRASH = "crash and restart"
     LOSE_DISK = "lose disk"
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """One step of a schedule. index is of the flight or of the actor."""
+    """One step of a schedule. index: of the message, or of the actor."""
 
     action: Action
     index: int = -1
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -1,4 +1,4 @@
-"""The real code of a register's process, on a disk in memory and links that the explorer owns."""
+"""The real code of a register's process, on a disk in memory and a network that the explorer owns."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from types import SimpleNamespace
+from typing import Any
 
 import ormsgpack
 import trio
@@ -13,6 +14,7 @@
 from meadowdock.config_store.members import Members
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
+from meadowdock.consensus import Proposer
 from meadowdock.runtime import MemoryDisk, sealed
 
 
@@ -24,10 +26,14 @@
     """Members as it is, without what looks for processes and without chunks of configuration.
     target_disks: {disk id: address} that the explored change of members leads to."""
 
+    proposer: Proposer  # set once the process begins an operation
+
     def __init__(
-        self, node: SimpleNamespace, store: Store, target_disks: dict | None = None
+        self, node: SimpleNamespace, store: Store, target_disks: dict[str, str] | None = None
     ) -> None:
-        self.node, self.store, self.target_disks = node, store, target_disks or {}
+        self.node = node
+        self.store = store
+        self.target_disks = target_disks or {}
         self.handover = SimpleNamespace(retired=False)
         self.watch_members()
 
@@ -35,7 +41,9 @@
         """Without asking: those of the explored change."""
         return self.target_disks
 
-    async def transfer_files(self, deadline: int, enough: Callable | None = None) -> None:
+    async def transfer_files(
+        self, deadline: int, enough: Callable[..., bool] | None = None
+    ) -> None:
         """Chunks are no part of the model."""
 
     def hopeless(self, membership: MembershipConfiguration) -> bool:
@@ -72,14 +80,16 @@
     members: type = ModelMembers
 
 
-def make_node(name: str, links: object = None, nursery: trio.Nursery = None) -> SimpleNamespace:
+def make_node(
+    name: str, rpc: object = None, nursery: trio.Nursery | None = None
+) -> SimpleNamespace:
     """As much of a node as the register's code uses."""
     settings = SimpleNamespace(link=name, zone="", members=(), seeds=("seed",), losses=1)
     runtime = SimpleNamespace(rng=random.Random(name))
     return SimpleNamespace(
         settings=settings,
         runtime=runtime,
-        rpc=links,
+        rpc=rpc,
         nursery=nursery,
         incarnation=0,
         stopping=False,
@@ -87,19 +97,24 @@
 
 
 async def make_store(
-    implementation: Implementation, disk_id: str, record: dict | None, files: dict | None = None
+    implementation: Implementation,
+    disk_id: str,
+    record: dict[str, Any] | None,
+    files: dict[str, bytes] | None = None,
 ) -> Store:
     """A store as a start of the process on this disk gives it."""
     disk = InstantDisk()
     disk.files = files if files is not None else {"disk": sealed(disk_id.encode())}
-    store = implementation.store(disk, random.Random(disk_id), no_log)
+    store: Store = implementation.store(disk, random.Random(disk_id), no_log)
     await store.load()
     if record is not None:
         await store.adopt(MembershipConfiguration.from_record(record))
     return store
 
 
-def voters_record(version: int, voters: Iterable[str], joint: Iterable[str] | None = None) -> dict:
+def voters_record(
+    version: int, voters: Iterable[str], joint: Iterable[str] | None = None
+) -> dict[str, Any]:
     """A membership configuration in which each disk's address is its id."""
     named = {disk: disk for disk in voters}
     return {
--- a/packages/model_checker/meadowdock/model_checker/replica.py
+++ b/packages/model_checker/meadowdock/model_checker/replica.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 import ormsgpack
 
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
-from meadowdock.consensus import AcceptorState, Ballot
+from meadowdock.consensus import AcceptorState
+from meadowdock.consensus.acceptor import file_name
 from meadowdock.model_checker.process import Implementation, make_node, make_store, packed
 from meadowdock.rpc import Rejected
 
@@ -17,24 +19,27 @@
 
 @dataclass(frozen=True, eq=False)
 class ReplicaState:
-    """disk: its disk id. files: what a power loss leaves. memory: what the process goes by, of
-    which record and keys, {key: (promised, accepted, value)}, are a part. One object for each."""
+    """One state of a replica; one object for each. disk: its disk id. files: what a power loss
+    leaves, by name. memory: the packed state that the process goes by, which need not be what its
+    disk holds; record and keys are parts of it."""
 
     disk: str
-    files: tuple
+    files: tuple[tuple[str, bytes], ...]
     memory: bytes
-    record: dict | None
-    keys: dict
+    record: dict[str, Any] | None
+    keys: dict[str, AcceptorState]
 
 
 class Replicas:
-    """Invariant: a result is computed once for each (state, request)."""
+    """All replicas of a scenario. Invariant: a result is computed once for each (state, request)."""
 
     def __init__(self, implementation: Implementation) -> None:
         self.implementation = implementation
-        self.results, self.restarts, self.known = {}, {}, {}
+        self.results: dict[tuple[ReplicaState, str, bytes], tuple[ReplicaState, bytes]] = {}
+        self.restarts: dict[ReplicaState, ReplicaState] = {}
+        self.known: dict[Snapshot, ReplicaState] = {}
 
-    async def start(self, disk: str, record: dict | None) -> ReplicaState:
+    async def start(self, disk: str, record: dict[str, Any] | None) -> ReplicaState:
         """The first start on a blank disk with this id."""
         return self.captured(await make_store(self.implementation, disk, record))
 
@@ -54,8 +59,8 @@
         store = await self.restored(state)
         members = self.implementation.members(make_node(state.disk), store)
         try:
-            told = await getattr(members, HANDLERS[method])(None, ormsgpack.unpackb(args))
-            answer = packed(["ok", told])
+            result = await getattr(members, HANDLERS[method])(None, ormsgpack.unpackb(args))
+            answer = packed(["ok", result])
         except Rejected as rejected:
             answer = packed(["rejected", rejected.code, rejected.details])
         return self.captured(store), answer
@@ -63,23 +68,22 @@
     async def restored(self, state: ReplicaState) -> Store:
         """The running process in this state: its memory need not be what its disk holds."""
         store = await make_store(self.implementation, state.disk, None, dict(state.files))
-        record, acceptor = ormsgpack.unpackb(state.memory)
-        store.membership = None if record is None else MembershipConfiguration.from_record(record)
-        store.acceptor.states = {
-            folder: AcceptorState(Ballot(*promised), Ballot(*accepted), value, file)
-            for folder, (_, promised, accepted, value, file) in acceptor.items()
-        }
-        store.acceptor.keys = {folder: kept[0] for folder, kept in acceptor.items()}
+        memory = unpacked_memory(state.memory)
+        store.membership = (
+            None if memory.record is None else MembershipConfiguration.from_record(memory.record)
+        )
+        store.acceptor.states = dict(memory.states)
+        store.acceptor.keys = memory.keys
         return store
 
     def captured(self, store: Store) -> ReplicaState:
         """The one object for the state of this store."""
-        parts = snapshot(store)
-        if parts not in self.known:
-            memory = parts[2]
-            record = ormsgpack.unpackb(memory)[0]
-            self.known[parts] = ReplicaState(*parts, record, unpacked_keys(memory))
-        return self.known[parts]
+        captured = snapshot(store)
+        if captured not in self.known:
+            memory = unpacked_memory(captured.memory)
+            keys = {memory.keys[folder]: state for folder, state in memory.states.items()}
+            self.known[captured] = ReplicaState(*captured, memory.record, keys)
+        return self.known[captured]
 
     async def crash(self, state: ReplicaState) -> ReplicaState:
         """Power loss and a restart from the disk."""
@@ -93,28 +97,49 @@
         return await self.start(f"{state.disk}-blank", None)
 
 
-def snapshot(store: Store) -> tuple[str, tuple, bytes]:
-    """(disk id, files, packed memory) of a process that waits for nothing. Versions of a key's only
-    file are counted from one again: how often a state was written is no part of it."""
+class Snapshot(NamedTuple):
+    """What tells one state of a replica from another."""
+
+    disk: str
+    files: tuple[tuple[str, bytes], ...]
+    memory: bytes
+
+
+class Memory(NamedTuple):
+    """The content of a packed memory; states and keys are by folder, as in the acceptor."""
+
+    record: dict[str, Any] | None
+    states: dict[str, AcceptorState]
+    keys: dict[str, str]
+
+
+def snapshot(store: Store) -> Snapshot:
+    """The state of a process that waits for nothing. Versions of a key's only file are counted from
+    one again: how often a state was written is no part of it."""
     names = sorted(store.files.files)
-    folders = {}
+    key_files: dict[str, list[str]] = {}  # by folder
     for name in names:
         if name.startswith("key/"):
-            folders.setdefault(name.split("/")[1], []).append(name)
-    renamed = {kept[0]: f"key/{f}/{1:012d}" for f, kept in folders.items() if len(kept) == 1}
-    files = tuple((renamed.get(n, n), store.files.files[n]) for n in names)
+            key_files.setdefault(name.split("/")[1], []).append(name)
+    single = {folder for folder, versions in key_files.items() if len(versions) == 1}
+    renamed = {key_files[folder][0]: file_name(folder, 1) for folder in single}
+    files = tuple((renamed.get(name, name), store.files.files[name]) for name in names)
     acceptor = {}
     for folder, state in sorted(store.acceptor.states.items()):
-        file = 1 if len(folders.get(folder, ())) == 1 else state.file_version
-        acceptor[folder] = [*state.to_record(store.acceptor.keys[folder]), file]
+        assert state is not None  # no file is damaged in the model
+        file_version = 1 if folder in single else state.file_version
+        acceptor[folder] = [*state.to_record(store.acceptor.keys[folder]), file_version]
+    assert store.disk is not None  # it is set by Store.load
     record = None if store.membership is None else store.membership.to_record()
-    return store.disk, files, packed([record, acceptor])
-
-
-def unpacked_keys(memory: bytes) -> dict[str, tuple]:
-    """{key: (promised, accepted, value)} of a packed memory."""
-    _, acceptor = ormsgpack.unpackb(memory)
-    return {
-        key: (tuple(promised), tuple(accepted), value)
-        for key, promised, accepted, value, _ in acceptor.values()
-    }
+    return Snapshot(store.disk, files, packed([record, acceptor]))
+
+
+def unpacked_memory(memory: bytes) -> Memory:
+    """The content of a packed memory."""
+    record, acceptor = ormsgpack.unpackb(memory)
+    states = {}
+    keys = {}
+    for folder, (*state_record, file_version) in acceptor.items():
+        keys[folder] = state_record[0]
+        states[folder] = AcceptorState.from_record(state_record, file_version)
+    return Memory(record, states, keys)
--- a/tests/model_checker/test_model_register.py
+++ b/tests/model_checker/test_model_register.py
@@ -130,13 +130,13 @@
 
 PLANTED = {
     "a promise that is not durable": Planted(
-        CRASH, Implementation(store=VolatilePromiseStore), "one line of values"
+        CRASH, Implementation(store=VolatilePromiseStore), "single history"
     ),
     "transfer after the switch": Planted(
-        MOVE_AND_READ, Implementation(members=LateTransfer), "never back"
+        MOVE_AND_READ, Implementation(members=LateTransfer), "no stale value"
     ),
     "a ballot of former voters": Planted(
-        STALE_BALLOT, Implementation(members=AnyVersion), "one line of values"
+        STALE_BALLOT, Implementation(members=AnyVersion), "single history"
     ),
 }
 
@@ -155,7 +155,7 @@
     plant_new_voters_alone(monkeypatch)
     report = Explorer(MOVE_AND_READ).search(LIMIT)
     assert report.breach is not None
-    assert report.breach.invariant == "never back"
+    assert report.breach.invariant == "no stale value"
 
 
 def test_an_exploration_is_the_same_each_time():
