--- a/packages/consensus/meadowdock/consensus/__init__.py
+++ b/packages/consensus/meadowdock/consensus/__init__.py
@@ -14,7 +14,7 @@
     OutcomeUnknown,
 )
 from meadowdock.consensus.messages import PrepareRequest, ReadRequest, WriteRequest
-from meadowdock.consensus.proposer import MembershipConfiguration, Proposer
+from meadowdock.consensus.proposer import BallotConfiguration, Proposer
 from meadowdock.consensus.quorum import (
     NO_LOSSES,
     FailureDomain,
@@ -30,7 +30,7 @@
     "ConsensusError",
     "FailureDomain",
     "KeyStateLost",
-    "MembershipConfiguration",
+    "BallotConfiguration",
     "NO_LOSSES",
     "NoQuorum",
     "OutcomeUnknown",
--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MembershipConfiguration:
+class BallotConfiguration:
     """The membership that one ballot is bound to, from its prepare to its write.
 
     version: that of the membership record, sent along with each request, or None if acceptors
@@ -97,10 +97,10 @@
 
     # ------------------------------------------------------------ membership
 
-    def configuration(self) -> MembershipConfiguration:
+    def configuration(self) -> BallotConfiguration:
         """The present membership."""
         version = None if self.version is None else self.version()
-        return MembershipConfiguration(VoterSets.of(self.voter_sets()), version)
+        return BallotConfiguration(VoterSets.of(self.voter_sets()), version)
 
     def voters(self) -> list[str]:
         """The members of all voter sets, in order."""
@@ -233,7 +233,7 @@
 
     async def broadcast(
         self,
-        configuration: MembershipConfiguration,
+        configuration: BallotConfiguration,
         request: Request,
         deadline: int,
         is_enough: Callable[[dict[str, Any]], bool],
--- a/packages/consensus/meadowdock/consensus/read.py
+++ b/packages/consensus/meadowdock/consensus/read.py
@@ -11,7 +11,7 @@
 from meadowdock.runtime import MILLISECOND, monotonic_us, sleep_us
 
 if TYPE_CHECKING:
-    from meadowdock.consensus.proposer import MembershipConfiguration, Proposer
+    from meadowdock.consensus.proposer import BallotConfiguration, Proposer
 
 READ_TIMEOUT = 100 * MILLISECOND  # us, of one broadcast of a read
 POLL_INTERVAL_MIN = 4 * MILLISECOND  # us, between the broadcasts of one read
@@ -60,7 +60,7 @@
                 self.note_failed_repair()
             await self.pause()
 
-    async def poll(self, configuration: MembershipConfiguration) -> dict[str, AcceptedPair]:
+    async def poll(self, configuration: BallotConfiguration) -> dict[str, AcceptedPair]:
         """The accepted pairs of the members, as soon as a quorum agrees."""
 
         def is_agreed(answers: dict[str, AcceptedPair]) -> bool:
@@ -76,7 +76,7 @@
             self.proposer.read_repair_delay.note_agreement(monotonic_us() - self.started)
 
     def note_highest(
-        self, answers: dict[str, AcceptedPair], configuration: MembershipConfiguration
+        self, answers: dict[str, AcceptedPair], configuration: BallotConfiguration
     ) -> bool:
         """Remember since when a quorum has answered and nothing has changed among the members.
 
