--- a/packages/proxy/meadowdock/proxy/gateway.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -120,8 +120,8 @@
         """A new service's second tries."""
         terms = self.node.settings.retry_budget
         nodes = max(1, len({n.address for told in gate.told_nodes.values() for n in told}))
-        ratio, reserve = SAFE * terms["ratio"], int(SAFE * terms["reserve"])
-        return RetryBudget(nodes, self.born, ratio, reserve, terms["window_us"])
+        ratio, reserve = SAFE * terms.ratio, int(SAFE * terms.reserve)
+        return RetryBudget(nodes, self.born, ratio, reserve, terms.window_us)
 
     def settings_changed(self, settings):
         """New settings of a running process: the service beside, and the bounds of second tries."""
--- /dev/null
+++ b/packages/settings/meadowdock/settings/command.py
@@ -0,0 +1,65 @@
+"""The command line that the daemons share: run, check, --version, --help."""
+
+from __future__ import annotations
+
+import os
+import sys
+from collections.abc import Callable
+from typing import Any
+
+from meadowdock.settings.exceptions import InvalidSettings
+from meadowdock.settings.loading import load
+from meadowdock.settings.model import ProcessSettings
+from meadowdock.settings.version import VERSION
+
+EXIT_INVALID_SETTINGS = 2
+
+
+def command(
+    role: str, start: Callable[[ProcessSettings], None], **extra: Callable[..., Any]
+) -> Callable[..., None]:
+    """The `main` of a daemon's program.
+
+    start: runs the daemon and returns once it has ended. extra: further commands by name, of a
+    settings file and flags.
+    """
+    import fire  # here, since whoever makes ProcessSettings by itself needs no command line
+
+    @fire.decorators.SetParseFn(str)
+    def run(
+        boot: str | None = None,
+        host: str | None = None,
+        hall: str | None = None,
+        seeds: str | None = None,
+        data: str | None = None,
+        fleet_key: str | None = None,
+    ) -> None:
+        """Serve until told to stop. Flags override the boot file."""
+        start(load(role, boot, host=host, hall=hall, seeds=seeds, data=data, fleet_key=fleet_key))
+
+    @fire.decorators.SetParseFn(str)
+    def check(
+        boot: str | None = None,
+        host: str | None = None,
+        hall: str | None = None,
+        seeds: str | None = None,
+        data: str | None = None,
+        fleet_key: str | None = None,
+    ) -> str:
+        """Check a boot file and flags; list every error."""
+        load(role, boot, host=host, hall=hall, seeds=seeds, data=data, fleet_key=fleet_key)
+        return "boot is good"
+
+    def main(argv: list[str] | None = None) -> None:
+        words = sys.argv[1:] if argv is None else argv
+        if words == ["--version"]:
+            print(f"{role} {VERSION}")
+            return
+        os.environ.setdefault("PAGER", "cat")
+        try:
+            fire.Fire({"run": run, "check": check, **extra}, command=words, name=role)
+        except InvalidSettings as invalid:
+            print("\n".join(invalid.errors), file=sys.stderr)
+            sys.exit(EXIT_INVALID_SETTINGS)
+
+    return main
--- /dev/null
+++ b/packages/settings/meadowdock/settings/version.py
@@ -0,0 +1,3 @@
+"""The version of the product that --version prints."""
+
+VERSION = "0.1.0"
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -10,7 +10,13 @@
 
 import pytest
 
-from meadowdock.settings import InvalidSettings, checked, is_plain, schema_errors
+from meadowdock.settings import (
+    InvalidSettings,
+    RetryBudgetSettings,
+    checked,
+    passes_checks,
+    schema_errors,
+)
 
 FOLDER = Path(__file__).parents[2] / "platform"
 sys.path.insert(0, str(FOLDER))
@@ -88,7 +94,7 @@
     assert boot.gate_address == "127.0.9.1:9091"
     assert (boot.heartbeat_us, boot.catch_up_us, boot.drain_us) == (700_000, 2_500_000, 1_500_000)
     assert (boot.linger_us, boot.stop_us) == (2_300_000, 5_000_000)
-    assert boot.retry_budget == {"ratio": 0.25, "window_us": 8_000_000, "reserve": 30}
+    assert boot.retry_budget == RetryBudgetSettings(ratio=0.25, window_us=8_000_000, reserve=30)
     assert boot.may_bootstrap is True
     assert boot.losses == 2
     assert boot.data is None
@@ -181,9 +187,9 @@
 @pytest.mark.parametrize(
     ("name", "value"), [(n, v) for n, vs in WRONG.items() for v in vs] + [("other", 1)]
 )
-def test_the_plain_check_passes_nothing_that_the_schema_refuses(name, value):
+def test_the_checks_pass_nothing_that_the_schema_rejects(name, value):
     facts = {**GOOD, name: value}
-    assert not (is_plain(facts) and schema_errors(facts))
+    assert not (passes_checks(facts) and schema_errors(facts))
 
 
 def test_defaults_and_members_founded_by_the_seeds():
@@ -196,8 +202,8 @@
         None,
     )
     assert boot.linger_us < boot.stop_us
-    assert boot.retry_budget["reserve"] == 24
-    assert is_plain(GOOD)
+    assert boot.retry_budget.reserve == 24
+    assert passes_checks(GOOD)
     with pytest.raises(InvalidSettings, match="'members' is needed"):
         checked("mdconf", {**GOOD, "data": "x"})
 
@@ -230,6 +236,6 @@
     file.write_text(changed.replace('"mill"', '"forge"').replace("0.25", "0.5"))
     apply_settings(node, settings.reread())
     assert node.settings.seeds == node.view.seeds == ("127.0.9.1:9100", "127.0.9.3:9100")
-    assert (node.settings.service, node.settings.retry_budget["ratio"]) == ("forge", 0.5)
+    assert (node.settings.service, node.settings.retry_budget.ratio) == ("forge", 0.5)
     assert node.settings.gate_address == "127.0.9.1:9091"
     assert heard == [node.settings]
--- a/tests/settings/test_lean.py
+++ b/tests/settings/test_deferred_imports.py
@@ -1,4 +1,4 @@
-"""A spared start: what is put off isn't loaded, and is there once it is asked."""
+"""Deferred imports: a deferred module is not loaded at the start, and is once it is used."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 PACKAGES = Path(__file__).parents[2] / "packages"
 
 
-def told(program):
+def output_words(program):
     # -S: nothing but what is asked, since a site's own additions may import anything
     paths = [*map(str, PACKAGES.iterdir()), *filter(None, sys.path)]
     found = subprocess.run(
@@ -18,7 +18,7 @@
             sys.executable,
             "-S",
             "-c",
-            f"from meadowdock.settings import lean\nlean.spare()\n{program}",
+            f"from meadowdock.settings import deferred_imports\ndeferred_imports.defer_unused_imports()\n{program}",
         ],
         env={**os.environ, "PYTHONPATH": os.pathsep.join(paths)},
         capture_output=True,
@@ -28,26 +28,26 @@
     return found.stdout.split()
 
 
-def test_trio_runs_without_what_is_put_off():
+def test_trio_runs_without_the_deferred_modules():
     program = """
 import sys, trio
 from trio.to_thread import run_sync
 trio.run(trio.sleep, 0)
 print(trio.run(run_sync, len, "abc"))
 import ssl, subprocess
-print(*(type(sys.modules[name]).__name__ for name in lean.UNUSED))
+print(*(type(sys.modules[name]).__name__ for name in deferred_imports.UNUSED))
 print("_ssl" in sys.modules, "_hashlib" in sys.modules and sys.modules["_hashlib"] is None)
 """
-    assert told(program) == ["3", *["Later"] * 4, "False", "True"]
+    assert output_words(program) == ["3", *["DeferredModule"] * 4, "False", "True"]
 
 
-def test_put_off_is_there_once_asked():
+def test_a_deferred_module_is_loaded_at_first_use():
     program = """
 import ssl, ssl, ipaddress
 print(ssl.create_default_context().check_hostname, ipaddress.ip_address("10.0.0.1").version)
 print(type(ssl).__name__)
 """
-    assert told(program) == ["True", "4", "module"]
+    assert output_words(program) == ["True", "4", "module"]
 
 
 def test_hashes_are_the_same_without_openssl():
@@ -59,16 +59,16 @@
     # as `openssl dgst -sha256` tells them, the second with `-hmac k`
     plain = "ca978112ca1bbdcafac231b39a23dc4da786eff8147c4e72b9807785afee48bb"
     keyed = "78da91511e675587f5b9df78bedebaf5560da2abb88162ee875dcdf744951d9e"
-    found = told(program)
+    found = output_words(program)
     assert found[0] == plain
     assert found[1] == found[2] == keyed
 
 
-def test_what_is_loaded_is_left_alone():
+def test_a_loaded_module_is_left_alone():
     program = """
 import sys, json
 kept = sys.modules["json"]
-lean.put_off("json")
+deferred_imports.defer_import("json")
 print(sys.modules["json"] is kept)
 """
-    assert told(program) == ["True"]
+    assert output_words(program) == ["True"]
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -12,6 +12,7 @@
 from __future__ import annotations
 
 import argparse
+import dataclasses
 import json
 import random
 import shutil
@@ -780,7 +781,7 @@
             "catch_up_us": boot.catch_up_us,
             "beat_us": boot.heartbeat_us,
             "drain_us": boot.drain_us,
-            "tries": boot.retry_budget,
+            "tries": dataclasses.asdict(boot.retry_budget),
         }
     )
 
