--- a/packages/forwarding/meadowdock/forwarding/peers.py
+++ b/packages/forwarding/meadowdock/forwarding/peers.py
@@ -18,7 +18,7 @@
     FrameAuthenticator,
     derive_key,
 )
-from meadowdock.rpc.link import QueueingDelayEstimator
+from meadowdock.rpc.queueing_delay import QueueingDelayEstimator
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us
 from meadowdock.runtime.slab import Slab
 
--- /dev/null
+++ b/packages/rpc/meadowdock/rpc/client.py
@@ -0,0 +1,174 @@
+"""The client's end of a connection: sends requests and matches responses to them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Any
+
+import trio
+
+from meadowdock.rpc.exceptions import CONNECTION_ERRORS, ConnectionFailed, Rejected, RpcError
+from meadowdock.rpc.frame_writer import FrameWriter, QueuedFrame
+from meadowdock.rpc.handshake import Session
+from meadowdock.rpc.messages import CallId, Cancel, Request, Response, decode_from_server
+from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us
+from meadowdock.runtime.slab import Slab
+
+MAX_QUEUED_REQUESTS = 4096
+# A connection on which nothing came during a call of at least this length is given up
+SILENCE_LIMIT = 200 * MILLISECOND
+
+
+@dataclass(slots=True)
+class PendingCall:
+    """A call that waits for its response.
+
+    Invariant: `sent` is set before the first byte of the request is handed to the socket.
+    """
+
+    done: trio.Event = field(default_factory=trio.Event)
+    sent: bool = False
+    result: Any = None
+    error: RpcError | None = None
+
+    def succeed(self, result: Any) -> None:
+        """The response came."""
+        self.result = result
+        self.done.set()
+
+    def fail(self, error: RpcError) -> None:
+        """The call was rejected, or the connection broke."""
+        self.error = error
+        self.done.set()
+
+
+class ClientConnection:
+    """An authenticated connection to a server.
+
+    Invariant: once `failure` is set no call is accepted and none is pending.
+
+    :ivar failure: why the connection ended, or None.
+    :ivar draining: it takes no new calls from the pool; pending ones may still end.
+    """
+
+    def __init__(self, stream: trio.abc.Stream, session: Session) -> None:
+        self.stream, self.session = stream, session
+        self.peer = session.peer
+        self.pending = Slab()
+        self.writer = FrameWriter(session.outgoing, MAX_QUEUED_REQUESTS)
+        self.failure: object = None
+        self.draining = False
+        self.last_received_us = monotonic_us()
+
+    def accepts_calls(self) -> bool:
+        """Whether new calls may be sent over it."""
+        return self.failure is None and not self.draining
+
+    async def run(self) -> None:
+        """Read and write until the connection ends, then fail the pending calls."""
+        self.writer.attach(self.stream)
+        try:
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(self.write)
+                nursery.start_soon(self.read)
+        except BaseExceptionGroup as group:
+            connection_errors, others = group.split(CONNECTION_ERRORS)
+            self.fail(connection_errors.exceptions[0] if connection_errors else group)
+            if others is not None:
+                raise
+        finally:
+            self.fail("closed")
+            await trio.aclose_forcefully(self.stream)
+
+    def fail(self, cause: object) -> None:
+        """Fail the pending calls and all later ones; only the first cause is kept."""
+        if self.failure is None:
+            self.failure = cause
+            for pending in self.pending:
+                pending.fail(ConnectionFailed(pending.sent, cause))
+
+    async def write(self) -> None:
+        """The writer task. Raises EOFError once the connection was drained."""
+        await self.writer.send_queued(self.stream, self.still_wanted)
+        raise EOFError("connection drained")
+
+    def still_wanted(self, batch: list[QueuedFrame]) -> list[QueuedFrame]:
+        """Leave out requests that were given up while queued: they never reach the peer. The
+        others are marked as sent."""
+        wanted = [f for f in batch if f.call_id is None or self.pending.live(f.call_id)]
+        for frame in wanted:
+            if frame.call_id is not None:
+                self.pending.get(frame.call_id).sent = True
+        return wanted
+
+    async def read(self) -> None:
+        """The reader task: give each response to its call."""
+        while True:
+            message = decode_from_server(await self.session.receive())
+            self.last_received_us = monotonic_us()
+            pending = self.pending.get(message.call_id)
+            if pending is None:
+                continue  # given up; the slot may belong to a later call already
+            if isinstance(message, Response):
+                pending.succeed(message.result)
+            else:
+                pending.fail(Rejected(message.code, **message.details))
+
+    async def call(self, method: str, args: Any, deadline_us: int) -> Any:
+        """Call a method of the server and give its result.
+
+        :param deadline_us: by the monotonic clock.
+        :raises Rejected: the server refused.
+        :raises ConnectionFailed: there was no response by the deadline.
+        """
+        if self.failure is not None:
+            raise ConnectionFailed(False, self.failure)
+        started_us = monotonic_us()
+        pending = PendingCall()
+        call_id = self.pending.put(pending)
+        time_left_us = max(0, deadline_us - started_us)
+        self.send(Request(call_id, method, args, time_left_us, started_us), pending)
+        try:
+            with deadline_scope(deadline_us):
+                await pending.done.wait()
+        finally:
+            self.pending.take(call_id)
+            if not pending.done.is_set() and pending.sent:
+                self.cancel(call_id)
+                self.drain_if_silent(started_us, deadline_us)
+            if self.draining and not len(self.pending):
+                self.writer.close()
+        if not pending.done.is_set():
+            raise ConnectionFailed(pending.sent, "no response by the deadline")
+        if pending.error is not None:
+            raise pending.error
+        return pending.result
+
+    def send(self, request: Request, pending: PendingCall) -> None:
+        """Send a request, or queue it.
+
+        :raises ConnectionFailed: the queue is full.
+        """
+        body = request.encode()
+        pending.sent = self.writer.can_write_at_once()
+        try:
+            self.writer.put(body, request.call_id)
+        except trio.WouldBlock:
+            self.pending.take(request.call_id)
+            raise ConnectionFailed(False, "too many requests are queued") from None
+
+    def drain_if_silent(self, started_us: int, deadline_us: int) -> None:
+        """After a call without response: a peer that sent nothing during all of it is probably
+        unreachable over this connection, so new calls go over another one."""
+        self.draining |= (
+            self.last_received_us < started_us
+            and deadline_us <= monotonic_us()
+            and deadline_us - started_us >= SILENCE_LIMIT
+        )
+
+    def cancel(self, call_id: CallId) -> None:
+        """Tell the server that nobody waits for the call any longer, if there is space for it."""
+        try:
+            self.writer.put(Cancel(call_id).encode())
+        except (trio.WouldBlock, trio.ClosedResourceError):
+            pass
--- /dev/null
+++ b/packages/rpc/meadowdock/rpc/connection_pool.py
@@ -0,0 +1,135 @@
+"""Connections to all peers of a process, opened when first needed."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Hashable, Mapping
+from typing import Any, TypeVar
+
+import ormsgpack
+import trio
+
+from meadowdock.rpc.client import ClientConnection
+from meadowdock.rpc.exceptions import CONNECTION_ERRORS, ConnectionFailed, Rejected, RpcError
+from meadowdock.rpc.handshake import Peer, client_handshake
+from meadowdock.runtime import MILLISECOND, Net, deadline_scope, monotonic_us
+
+CONNECT_TIMEOUT = 500 * MILLISECOND
+CONNECTION_ENDED = 202  # number of the log event
+
+Key = TypeVar("Key", bound=Hashable)
+Call = tuple[str, str, Any]  # address, method, arguments
+
+
+class ConnectionPool:
+    """The rpc client of a process: one connection for each address.
+
+    Invariant: at most one connection to an address is being opened.
+
+    :ivar connections: the newest connection for each address; it may have failed.
+    :ivar opening: for each address that is being connected to, what is set at the end of it.
+    """
+
+    def __init__(
+        self,
+        nursery: trio.Nursery,
+        net: Net,
+        fleet_key: bytes,
+        rng: random.Random,
+        me: Peer,
+        log: Callable[..., object],
+        connect_timeout: int = CONNECT_TIMEOUT,
+    ) -> None:
+        self.nursery, self.net, self.fleet_key, self.rng = nursery, net, fleet_key, rng
+        self.me, self.log, self.connect_timeout = me, log, connect_timeout
+        self.connections: dict[str, ClientConnection] = {}
+        self.opening: dict[str, trio.Event] = {}
+
+    async def call(self, address: str, method: str, args: Any, deadline_us: int) -> Any:
+        """Call a method of the process at an address and give its result.
+
+        :param deadline_us: by the monotonic clock.
+        :raises Rejected: the peer refused.
+        :raises ConnectionFailed: there was no response by the deadline.
+        """
+        connection = self.usable(address) or await self.open(address, deadline_us)
+        return await connection.call(method, args, deadline_us)
+
+    def usable(self, address: str) -> ClientConnection | None:
+        """The connection to an address, if it accepts calls."""
+        connection = self.connections.get(address)
+        if connection is None or not connection.accepts_calls():
+            return None
+        return connection
+
+    async def open(self, address: str, deadline_us: int) -> ClientConnection:
+        """A new connection, or one that another task opened meanwhile.
+
+        :raises ConnectionFailed: there is none by the deadline.
+        """
+        while address in self.opening:
+            with deadline_scope(deadline_us):
+                await self.opening[address].wait()
+            connection = self.usable(address)
+            if connection is not None:
+                return connection
+            if monotonic_us() >= deadline_us:
+                raise ConnectionFailed(False, "no connection by the deadline")
+        self.opening[address] = trio.Event()
+        try:
+            with deadline_scope(min(deadline_us, monotonic_us() + self.connect_timeout)):
+                connection = self.connections[address] = await self.connect(address)
+                self.nursery.start_soon(self.run, connection)
+                return connection
+            raise ConnectionFailed(False, "no connection by the deadline")
+        except (*CONNECTION_ERRORS, TypeError, ormsgpack.MsgpackDecodeError) as cause:
+            raise ConnectionFailed(False, cause) from cause
+        finally:
+            self.opening.pop(address).set()
+
+    async def connect(self, address: str) -> ClientConnection:
+        """Open a stream and shake hands; the stream is closed if that fails."""
+        stream = await self.net.open_stream(address)
+        try:
+            session = await client_handshake(stream, self.fleet_key, self.rng, self.me)
+        except BaseException:
+            await trio.aclose_forcefully(stream)
+            raise
+        return ClientConnection(stream, session)
+
+    async def run(self, connection: ClientConnection) -> None:
+        """The task that owns a connection."""
+        await connection.run()
+        self.log(CONNECTION_ENDED, peer=connection.peer.name, cause=str(connection.failure))
+
+    async def call_all(
+        self, calls: Mapping[Key, Call], deadline_us: int
+    ) -> dict[Key, Any | RpcError]:
+        """Make several calls at the same time.
+
+        :param calls: (address, method, arguments) by any key.
+        :returns: the result or the error of each, by the same keys, in the order in which they
+            ended.
+        """
+        outcomes: dict[Key, Any | RpcError] = {}
+
+        async def call_one(key: Key, address: str, method: str, args: Any) -> None:
+            try:
+                outcomes[key] = await self.call(address, method, args, deadline_us)
+            except (ConnectionFailed, Rejected) as error:
+                outcomes[key] = error
+
+        items = list(calls.items())
+        async with trio.open_nursery() as nursery:
+            for key, call in items[:-1]:
+                nursery.start_soon(call_one, key, *call)
+            for key, call in items[-1:]:  # in this task, which would only wait for the others
+                await call_one(key, *call)
+        return outcomes
+
+    async def successful_responses(
+        self, calls: Mapping[Key, Call], deadline_us: int
+    ) -> dict[Key, Any]:
+        """As `call_all`, without the calls that gave an error."""
+        outcomes = await self.call_all(calls, deadline_us)
+        return {key: result for key, result in outcomes.items() if not isinstance(result, RpcError)}
--- a/packages/rpc/meadowdock/rpc/frame.py
+++ b/packages/rpc/meadowdock/rpc/frame.py
@@ -1,9 +1,10 @@
-"""Frames and their proof: length (4 bytes), seal (16 bytes), body.
+"""Authenticated frames on a byte stream: length (4 bytes), authentication tag (16 bytes), body.
 
->>> here, there = FrameAuthenticator(b"k" * 32, b"a"), FrameAuthenticator(b"k" * 32, b"a")
->>> there.open(here.seal(b"body")[4:])
+>>> sender = FrameAuthenticator(b"k" * 32, b"a")
+>>> receiver = FrameAuthenticator(b"k" * 32, b"a")
+>>> receiver.open(sender.seal(b"body")[LENGTH_SIZE:])
 b'body'
->>> there.open(here.seal(b"body")[4:-1] + b"!") is None
+>>> receiver.open(sender.seal(b"body")[LENGTH_SIZE:-1] + b"!") is None
 True
 """
 
@@ -12,69 +13,106 @@
 import hashlib
 import hmac
 
-LENGTH_SIZE, TAG_SIZE = 4, 16
-MAX_FRAME_SIZE = 32 << 20
+import trio
 
+from meadowdock.rpc.exceptions import AuthenticationFailed, ProtocolError
 
-def derive_key(key, *parts):
-    return hmac.digest(key, b"\x00".join(parts), hashlib.sha256)
+LENGTH_SIZE = 4  # bytes
+TAG_SIZE = 16  # bytes
+MAX_FRAME_SIZE = 32 << 20  # bytes of a body
+RECEIVE_SIZE = 65_536  # bytes asked of the stream at once
+COUNTER_SIZE = 8  # bytes of the frame counter under the tag
+
+
+def derive_key(key: bytes, *context: bytes) -> bytes:
+    """A key (32 bytes) derived from another by HMAC-SHA256 over the context."""
+    return hmac.digest(key, b"\x00".join(context), hashlib.sha256)
 
 
 class FrameAuthenticator:
-    """Seals frames of one direction. Invariant: the count goes up by one for each frame, so a
-    frame can't be left out, repeated or moved to another link."""
+    """Seals, or opens, the frames of one direction of a connection with keyed BLAKE2b (RFC 7693).
 
-    def __init__(self, key, direction):
+    Invariant: the counter goes up by one for each frame and is covered by the tag, so that a frame
+    can't be left out, repeated, reordered or moved to another connection.
+    """
+
+    def __init__(self, key: bytes, direction: bytes) -> None:
         self.key = derive_key(key, direction)
         self.count = 0
 
-    def tag(self, body):
-        made = hashlib.blake2b(self.count.to_bytes(8, "big"), key=self.key, digest_size=TAG_SIZE)
-        made.update(body)
+    def tag(self, body: bytes) -> bytes:
+        """The authentication tag of the next frame."""
+        digest = hashlib.blake2b(
+            self.count.to_bytes(COUNTER_SIZE, "big"), key=self.key, digest_size=TAG_SIZE
+        )
+        digest.update(body)
         self.count += 1
-        return made.digest()
+        return digest.digest()
 
-    def seal(self, body):
+    def seal(self, body: bytes) -> bytes:
+        """The next frame, with its length and tag."""
         return len(body).to_bytes(LENGTH_SIZE, "big") + self.tag(body) + body
 
-    def open(self, sealed):
-        seal, body = sealed[:TAG_SIZE], sealed[TAG_SIZE:]
-        return body if hmac.compare_digest(seal, self.tag(body)) else None
+    def open(self, sealed: bytes) -> bytes | None:
+        """The body of the next frame (tag and body), or None if its tag is wrong."""
+        tag, body = sealed[:TAG_SIZE], sealed[TAG_SIZE:]
+        return body if hmac.compare_digest(tag, self.tag(body)) else None
 
 
 class FrameReader:
-    """Whole frames from a stream. Invariant: held never contains more than one partial frame
-    after `frame` returned, plus whole frames not yet asked for."""
+    """Complete frames from a stream.
+
+    Invariant: after `next_frame` returned, the buffer contains frames not yet asked for and at most
+    one partial frame.
+    """
 
-    def __init__(self, stream):
+    def __init__(self, stream: trio.abc.ReceiveStream) -> None:
         self.stream = stream
-        self.held = bytearray()
+        self.buffer = bytearray()
 
-    async def more(self, size):
-        while len(self.held) < size:
-            chunk = await self.stream.receive_some(65536)
+    async def fill(self, size: int) -> None:
+        """Receive until the buffer has at least `size` bytes.
+
+        :raises EOFError: the peer closed the stream before.
+        """
+        while len(self.buffer) < size:
+            chunk = await self.stream.receive_some(RECEIVE_SIZE)
             if not chunk:
-                raise EOFError("link closed by peer")
-            self.held += chunk
+                raise EOFError("connection closed by peer")
+            self.buffer += chunk
+
+    async def next_frame(self) -> bytes:
+        """Tag and body of the next frame, not yet authenticated.
 
-    async def frame(self):
-        """Seal and body of the next frame, unproved."""
-        await self.more(LENGTH_SIZE)
-        size = int.from_bytes(self.held[:LENGTH_SIZE], "big")
+        :raises ProtocolError: the frame is longer than MAX_FRAME_SIZE.
+        :raises EOFError: the peer closed the stream.
+        """
+        await self.fill(LENGTH_SIZE)
+        size = int.from_bytes(self.buffer[:LENGTH_SIZE], "big")
         if size > MAX_FRAME_SIZE:
-            raise ValueError("frame too long")
-        await self.more(LENGTH_SIZE + TAG_SIZE + size)
-        sealed = bytes(self.held[LENGTH_SIZE : LENGTH_SIZE + TAG_SIZE + size])
-        del self.held[: LENGTH_SIZE + TAG_SIZE + size]
+            raise ProtocolError(f"frame of {size} bytes is longer than {MAX_FRAME_SIZE}")
+        end = LENGTH_SIZE + TAG_SIZE + size
+        await self.fill(end)
+        sealed = bytes(self.buffer[LENGTH_SIZE:end])
+        del self.buffer[:end]
         return sealed
 
 
-async def read_frame(reader, proof):
-    body = proof.open(await reader.frame())
+async def read_frame(reader: FrameReader, authenticator: FrameAuthenticator) -> bytes:
+    """The body of the next frame.
+
+    :raises AuthenticationFailed: its tag is wrong.
+    :raises ProtocolError: it is too long.
+    :raises EOFError: the peer closed the stream.
+    """
+    body = authenticator.open(await reader.next_frame())
     if body is None:
-        raise ValueError("frame fails its proof")
+        raise AuthenticationFailed("frame with a wrong authentication tag")
     return body
 
 
-async def write_frame(stream, proof, body):
-    await stream.send_all(proof.seal(body))
+async def write_frame(
+    stream: trio.abc.SendStream, authenticator: FrameAuthenticator, body: bytes
+) -> None:
+    """Seal a body and send it."""
+    await stream.send_all(authenticator.seal(body))
--- a/packages/rpc/meadowdock/rpc/schedule.py
+++ b/packages/rpc/meadowdock/rpc/schedule.py
@@ -1,5 +1,8 @@
-"""The loops of one process wake together: their frames leave in the same turn, and one waking of
-the process serves them all. Processes have rhythms of their own, so that a fleet has no common one.
+"""A common schedule of the periodic tasks of one process.
+
+The tasks wake together: their frames leave in the same turn of the event loop, and one wake-up of
+the process serves them all (timer coalescing). Each process has a phase of its own, so that the
+processes of a fleet don't all wake at the same moment.
 
 >>> schedule = PeriodicSchedule("10.0.0.1:7411")
 >>> first = schedule.next_wakeup(500_000, 0)
@@ -11,19 +14,29 @@
 
 from meadowdock.runtime import MILLISECOND, fingerprint, monotonic_us, sleep_us
 
-GRID = 100 * MILLISECOND
+GRID = 100 * MILLISECOND  # the distance between possible wake-ups
+PHASE_DIGITS = 8  # hexadecimal digits of the address' hash from which the phase is made
 
 
 class PeriodicSchedule:
-    # Invariant: phase is fixed by the address alone, in 0..GRID
-    def __init__(self, address):
-        self.phase = int(fingerprint(address.encode())[:8], 16) % GRID
-
-    def next_wakeup(self, span, at=None):
-        """The last moment of the rhythm that is at most `span` us from now, and after now: span is
-        at least GRID."""
-        wanted = (monotonic_us() if at is None else at) + span - self.phase
-        return wanted // GRID * GRID + self.phase
-
-    async def sleep(self, span):
-        await sleep_us(self.next_wakeup(span) - monotonic_us())
+    """The wake-ups of one process: a grid of moments, shifted by the process' phase.
+
+    Invariant: the phase, in 0..GRID, depends on the address alone.
+    """
+
+    def __init__(self, address: str) -> None:
+        self.phase = int(fingerprint(address.encode())[:PHASE_DIGITS], 16) % GRID
+
+    def next_wakeup(self, interval_us: int, from_us: int | None = None) -> int:
+        """The last wake-up that is at most an interval after a moment, by the monotonic clock.
+
+        :param interval_us: at least GRID, so that the wake-up is after the moment.
+        :param from_us: the moment; now, if left out.
+        """
+        start_us = monotonic_us() if from_us is None else from_us
+        latest = start_us + interval_us - self.phase
+        return latest // GRID * GRID + self.phase
+
+    async def sleep(self, interval_us: int) -> None:
+        """Sleep until the next wake-up for this interval."""
+        await sleep_us(self.next_wakeup(interval_us) - monotonic_us())
--- /dev/null
+++ b/packages/rpc/meadowdock/rpc/server.py
@@ -0,0 +1,151 @@
+"""The server's end of a connection: runs a handler for each request."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+import ormsgpack
+import trio
+
+from meadowdock.rpc.exceptions import CONNECTION_ERRORS, Rejected
+from meadowdock.rpc.frame_writer import FrameWriter
+from meadowdock.rpc.handlers import Handlers
+from meadowdock.rpc.handshake import Session, server_handshake
+from meadowdock.rpc.messages import (
+    CallId,
+    Cancel,
+    Rejection,
+    Request,
+    Response,
+    decode_from_client,
+)
+from meadowdock.rpc.queueing_delay import QueueingDelayEstimator
+from meadowdock.runtime import SECOND, deadline_scope, monotonic_us
+
+HANDSHAKE_TIMEOUT = SECOND
+MAX_QUEUED_RESPONSES = 1024
+
+# Numbers of log events
+TASK_FAILED = 105
+HANDSHAKE_FAILED = 201
+CONNECTION_ENDED = 202
+
+
+async def serve_connection(
+    stream: trio.abc.Stream,
+    key: bytes,
+    rng: random.Random,
+    name: str,
+    handlers: Handlers,
+    log: Callable[..., object],
+) -> None:
+    """Serve an accepted connection until it ends; its handlers end with it.
+
+    :param key: the fleet key.
+    :param name: this process' name, which the peer is told.
+    """
+    async with stream:
+        try:
+            with trio.fail_after(HANDSHAKE_TIMEOUT / SECOND):
+                session = await server_handshake(stream, key, rng, name)
+        except (
+            *CONNECTION_ERRORS,
+            trio.TooSlowError,
+            TypeError,
+            ormsgpack.MsgpackDecodeError,
+        ) as cause:
+            # a client that gives up during the handshake, since another server answered it
+            # sooner, failed no authentication
+            if not isinstance(cause, (EOFError, trio.BrokenResourceError)):
+                log(HANDSHAKE_FAILED, cause=repr(cause))
+            return
+        await ServerConnection(stream, session, handlers, log).run()
+
+
+class ServerConnection:
+    """An authenticated connection whose peer sends requests.
+
+    Invariant: `running` maps the ids of the calls that are served to their cancel scopes.
+    """
+
+    def __init__(
+        self,
+        stream: trio.abc.Stream,
+        session: Session,
+        handlers: Handlers,
+        log: Callable[..., object],
+    ) -> None:
+        self.session, self.handlers, self.log = session, handlers, log
+        self.stream = stream
+        self.writer = FrameWriter(session.outgoing, MAX_QUEUED_RESPONSES)
+        self.writer.attach(stream)
+        self.running: dict[CallId, trio.CancelScope] = {}
+        self.queueing_delay = QueueingDelayEstimator()
+
+    async def run(self) -> None:
+        """Serve requests until the connection ends."""
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(self.write, nursery.cancel_scope)
+            try:
+                await self.read(nursery)
+            except CONNECTION_ERRORS as cause:
+                if not isinstance(cause, EOFError):
+                    self.log(CONNECTION_ENDED, peer=self.session.peer.name, cause=repr(cause))
+            finally:
+                nursery.cancel_scope.cancel()
+
+    async def write(self, connection_scope: trio.CancelScope) -> None:
+        """The writer task."""
+        try:
+            await self.writer.send_queued(self.stream)
+        except CONNECTION_ERRORS:  # the peer is gone
+            connection_scope.cancel()
+            await trio.lowlevel.checkpoint()  # end by the cancellation, as the other tasks do
+
+    async def read(self, nursery: trio.Nursery) -> None:
+        """Start a handler for each request, and cancel those that the client gave up.
+
+        :raises CONNECTION_ERRORS: the connection ended.
+        """
+        while True:
+            message = decode_from_client(await self.session.receive())
+            if isinstance(message, Request):
+                # the scope must exist before the task: a Cancel may follow right behind
+                scope = self.running[message.call_id] = self.scope_of(message)
+                nursery.start_soon(self.serve_call, message, scope)
+            elif isinstance(message, Cancel) and message.call_id in self.running:
+                self.running[message.call_id].cancel()
+
+    def scope_of(self, request: Request) -> trio.CancelScope:
+        """A scope that ends when the client stops waiting; ended already if it waited in vain."""
+        received_at_us = monotonic_us()
+        delay_us = self.queueing_delay.measure(request.sent_at_us, received_at_us)
+        time_left_us = request.time_left_us - delay_us
+        scope = deadline_scope(received_at_us + time_left_us)
+        if time_left_us <= 0:
+            scope.cancel()
+        return scope
+
+    async def serve_call(self, request: Request, scope: trio.CancelScope) -> None:
+        """Run the handler and send its response, unless the scope ends before."""
+        with scope:
+            await trio.lowlevel.checkpoint_if_cancelled()
+            response = await self.handle(request)
+            self.running.pop(request.call_id, None)
+            await self.writer.put_when_possible(response)
+        self.running.pop(request.call_id, None)
+
+    async def handle(self, request: Request) -> bytes:
+        """The encoded response of the method's handler."""
+        try:
+            handler = self.handlers.table.get(request.method)
+            if handler is None:
+                raise Rejected("no_such_method", method=request.method)
+            result = await handler(self.session.peer, request.args)
+            return Response(request.call_id, result).encode()
+        except Rejected as rejected:
+            return Rejection(request.call_id, rejected.code, rejected.details).encode()
+        except Exception as cause:  # a defect of a handler must not end the connection
+            self.log(TASK_FAILED, task=f"link:{request.method}", cause=repr(cause))
+            return Rejection(request.call_id, "broke", {"cause": repr(cause)}).encode()
--- a/packages/simulator/meadowdock/simulator/scale/lists.py
+++ b/packages/simulator/meadowdock/simulator/scale/lists.py
@@ -7,7 +7,7 @@
 
 from meadowdock.rpc import Peer
 from meadowdock.rpc.frame import LENGTH_SIZE, FrameAuthenticator
-from meadowdock.rpc.link import REQUEST, pack, unpack
+from meadowdock.rpc.messages import REQUEST, pack, unpack
 from meadowdock.simulator.scale.fleet import Hollow, listed
 from meadowdock.simulator.scale.places import places
 from meadowdock.simulator.world import run
--- a/packages/simulator/meadowdock/simulator/scale/meter.py
+++ b/packages/simulator/meadowdock/simulator/scale/meter.py
@@ -7,7 +7,7 @@
 import trio
 
 from meadowdock.rpc.frame import LENGTH_SIZE, TAG_SIZE
-from meadowdock.rpc.link import REQUEST, unpack
+from meadowdock.rpc.messages import REQUEST, unpack
 from meadowdock.runtime import SECOND, monotonic_us
 
 GREETING = "greeting"
--- a/tests/rpc/test_sender.py
+++ b/tests/rpc/test_sender.py
@@ -17,7 +17,7 @@
     serve_connection,
 )
 from meadowdock.rpc.frame import FrameReader
-from meadowdock.rpc.link import FrameWriter
+from meadowdock.rpc.frame_writer import FrameWriter
 
 KEY = b"k" * 32
 
@@ -35,32 +35,30 @@
 
     async def main():
         here, there = await streams()
-        sender, came, waited = FrameWriter(1000), [], 0
-        sender.attach(here, FrameAuthenticator(KEY, b"out"))
+        writer, received, batches = FrameWriter(FrameAuthenticator(KEY, b"out"), 1000), [], 0
+        writer.attach(here)
 
-        async def write():
-            nonlocal waited
-            async for first in sender.holding:
-                waited += 1
-                await here.send_all(sender.sealed(b for _, b in sender.more(first)))
-                sender.sent()
+        def count(batch):
+            nonlocal batches
+            batches += 1
+            return batch
 
         async def read():
             reader, into = FrameReader(there), FrameAuthenticator(KEY, b"out")
-            while len(came) < len(bodies):
-                came.append(await read_frame(reader, into))
+            while len(received) < len(bodies):
+                received.append(await read_frame(reader, into))
             nursery.cancel_scope.cancel()
 
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(write)
+                nursery.start_soon(writer.send_queued, here, count)
                 nursery.start_soon(read)
                 for body in bodies:
-                    sender.put(body)
+                    writer.put(body)
                     if rng.random() < 0.5:
                         await trio.lowlevel.checkpoint()
-        assert came == bodies
-        assert 0 < waited < len(bodies)  # both ways were taken
+        assert received == bodies
+        assert 0 < batches < len(bodies)  # some frames were queued, others written at once
 
     trio.run(main)
 
--- a/tests/rpc/test_wire.py
+++ b/tests/rpc/test_wire.py
@@ -82,7 +82,7 @@
         assert len(ran) == 1
         link = links.connections["10.0.0.9:1"]
         assert len(link.pending) == 0
-        assert link.broken is None
+        assert link.failure is None
 
     run(scenario)
 
@@ -105,7 +105,7 @@
         half = next(iter(process.net.halves))
         half.arrive(b"\x00\x00\x00\x05" + b"s" * 16 + b"hello")
         await sleep_us(SECOND)
-        assert links.connections["10.0.0.9:1"].broken is not None
+        assert links.connections["10.0.0.9:1"].failure is not None
         assert await links.call("10.0.0.9:1", "echo", [0, "b"], monotonic_us() + SECOND) == [
             "here",
             "b",
@@ -134,7 +134,7 @@
 
 
 def test_a_call_that_came_after_its_due_is_not_handled_even_if_its_cancel_was_lost(monkeypatch):
-    monkeypatch.setattr("meadowdock.rpc.link.ClientConnection.cancel", lambda *_: None)
+    monkeypatch.setattr("meadowdock.rpc.client.ClientConnection.cancel", lambda *_: None)
 
     async def scenario(world):
         links, ran, _ = await pair(world)
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -49,7 +49,9 @@
     Rejected,
     serve_connection,
 )
-from meadowdock.rpc.link import Handlers, client_handshake, pack, unpack
+from meadowdock.rpc.handlers import Handlers
+from meadowdock.rpc.handshake import client_handshake
+from meadowdock.rpc.messages import pack, unpack
 from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, monotonic_us, sleep_us
 from meadowdock.settings import InvalidSettings, load
 from meadowdock.simulator import SimDisk, run
@@ -666,9 +668,9 @@
             silent,
         )
         me = Peer("mdreg@10.0.0.2", "10.0.0.2:7411")
-        reader, out, into, peer = await client_handshake(here, FLEET_KEY, random.Random(1), me)
-        link = ClientConnection(peer, monotonic_us())
-        nursery.start_soon(link.run, here, reader, out, into)
+        session = await client_handshake(here, FLEET_KEY, random.Random(1), me)
+        link = ClientConnection(here, session)
+        nursery.start_soon(link.run)
         for method in ("echo", "refuse", "unknown", "wait"):
             try:
                 args = {"a": [1, b"2", None, 0.5], 3: "four"}
