--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -1,50 +1,67 @@
-"""Chunks at a member: from memory, its own disk, or the other members; and given to who asks."""
+"""Content-addressed chunks at a member: read from memory, its own disk or the other members, and
+given to the processes that ask for them.
+
+State: recent chunks in memory, and packed ones for the proxies that ask for the same.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable, Mapping, Sequence
+from typing import TYPE_CHECKING, Any
+
 from meadowdock.configuration import WHOLE
 from meadowdock.configuration.fetch import Fetch, Fetcher, PackedCache, answer_request
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us
 
-HEAD_START = 30 * MILLISECOND  # of the own disk that gives nothing, before other members are asked
-FRESH_MAX = 1 << 20  # bytes
-HEDGE_PART = 20  # of apply_us: the wait for a silent member before the next is asked
-FETCH_PART = 2  # of apply_us: one fetch
+if TYPE_CHECKING:
+    from meadowdock.config_store.store import Store
+    from meadowdock.process import Node
+
+DISK_IDLE_US = 30 * MILLISECOND  # a disk that gives nothing for so long: other members are asked
+CACHE_MAX_BYTES = 1 << 20
+HEDGE_SHARE = 20  # one part in so many of apply_us: then the next member is asked too
+FETCH_SHARE = 2  # one part in so many of apply_us: the limit of one fetch
 
 
-class Chunks:
-    """Invariant: fresh holds chunks by their name, the latest last, up to FRESH_MAX bytes."""
+class ChunkService:
+    """Reads and serves chunks.
+
+    Invariant: `recent` holds chunks by their name, the latest last, up to CACHE_MAX_BYTES.
+    """
 
     handlers = Handlers()
 
-    def __init__(self, node, store, others):
-        self.node, self.store, self.others = node, store, others
-        self.fresh, self.fresh_bytes = {}, 0
+    def __init__(self, node: Node, store: Store, peers: Callable[[], Mapping[str, str]]) -> None:
+        self.node, self.store, self.peers = node, store, peers
+        self.recent: dict[str, bytes] = {}
+        self.recent_bytes = 0
         self.packed = PackedCache(self.read)
-        hedge_us = node.settings.apply_us // HEDGE_PART
+        hedge_us = node.settings.apply_us // HEDGE_SHARE
         self.fetcher = Fetcher(node.rpc, node.settings.link, hedge_us, WHOLE)
 
-    async def read(self, name):
-        """The body of a chunk from memory or disk, or None."""
-        return self.fresh.get(name) or await self.store.blob(name)
+    async def read(self, name: str) -> bytes | None:
+        """The body of a chunk from memory or disk; None if it is missing or damaged."""
+        return self.recent.get(name) or await self.store.blob(name)
 
-    def remember(self, bodies):
-        """Keep these bodies in memory, the latest last, within the bound."""
+    def cache(self, bodies: Mapping[str, bytes]) -> None:
+        """Keep these chunks in memory as the latest, within the bound."""
         for name, body in bodies.items():
-            if name not in self.fresh and len(body) <= FRESH_MAX:
-                self.fresh[name] = body
-                self.fresh_bytes += len(body)
-        while self.fresh_bytes > FRESH_MAX:
-            self.fresh_bytes -= len(self.fresh.pop(next(iter(self.fresh))))
-
-    async def fetch(self, names, deadline=None):
-        """{name: body} of those that are to be had. A disk or a member that stalls holds up nobody."""
-        limit = monotonic_us() + self.node.settings.apply_us // FETCH_PART
+            if name not in self.recent and len(body) <= CACHE_MAX_BYTES:
+                self.recent[name] = body
+                self.recent_bytes += len(body)
+        while self.recent_bytes > CACHE_MAX_BYTES:
+            oldest = next(iter(self.recent))
+            self.recent_bytes -= len(self.recent.pop(oldest))
+
+    async def fetch(self, names: Sequence[str], deadline: int | None = None) -> dict[str, bytes]:
+        """{name: body} of the chunks that are found by the deadline, or within half of apply_us.
+        Neither a disk nor a member that stalls delays it."""
+        limit = monotonic_us() + self.node.settings.apply_us // FETCH_SHARE
         deadline = limit if deadline is None else min(deadline, limit)
-        members = self.fetcher.spread(self.others().values())
-        found = {name: self.fresh[name] for name in names if name in self.fresh}
-        fetch = Fetch(names, members, found)
+        sources = self.fetcher.spread(self.peers().values())
+        found = {name: self.recent[name] for name in names if name in self.recent}
+        fetch = Fetch(names, sources, found)
         if not fetch.complete.is_set():
             self.node.nursery.start_soon(self.read_disk, fetch)
             await self.wait_for_disk(fetch, deadline)
@@ -55,16 +72,16 @@
                 await fetch.disk_read.wait()
         return {name: fetch.found[name] for name in names if name in fetch.found}
 
-    async def wait_for_disk(self, fetch, deadline):
-        """As long as it gives something."""
+    async def wait_for_disk(self, fetch: Fetch, deadline: int) -> None:
+        """Wait for this disk, as long as it goes on giving chunks."""
         while not fetch.disk_read.is_set() and monotonic_us() < deadline:
             found = len(fetch.found)
-            with deadline_scope(monotonic_us() + HEAD_START):
+            with deadline_scope(monotonic_us() + DISK_IDLE_US):
                 await fetch.disk_read.wait()
             if len(fetch.found) == found:
                 return
 
-    async def read_disk(self, fetch):
+    async def read_disk(self, fetch: Fetch) -> None:
         """Give a fetch the chunks that this disk has."""
         try:
             for name in sorted(fetch.wanted):
@@ -78,12 +95,12 @@
     # ------------------------------------------------------------ for proxies and members
 
     @handlers.on("chunk.get")
-    async def on_chunk(self, peer, request):
-        """Pieces of packed chunks, as many bytes as the asker takes."""
+    async def on_get_packed(self, peer: object, request: Any) -> Any:
+        """Parts of packed chunks, as many bytes as the asker takes."""
         return await answer_request(request, self.packed.get)
 
     @handlers.on("blob.get")
-    async def on_get(self, peer, names):
-        """For processes of the former version."""
+    async def on_get(self, peer: object, names: Sequence[str]) -> dict[str, bytes]:
+        """Whole chunks, for processes of former releases."""
         bodies = {name: await self.read(name) for name in names}
         return {name: body for name, body in bodies.items() if body is not None}
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -1,73 +1,90 @@
-"""A voter that stops hands over first: its vote to a spare, if there is one, and in any case what
-only its disk may hold to the other voters."""
+"""Graceful shutdown of a voter: its vote goes to a spare, if there is one, and in any case what only
+its disk may hold goes to the other voters.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable, Collection
+from typing import TYPE_CHECKING
+
 import trio
 
+from meadowdock.config_store.revision import Revision
 from meadowdock.config_store.store import HEAD
-from meadowdock.consensus import KeyStateLost, NoQuorum, OutcomeUnknown
+from meadowdock.consensus import KeyStateLost, NoQuorum, OutcomeUnknown, VoterSets
 from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
-LOOK_EVERY = 20 * MILLISECOND
-SECURE_US = SECOND  # at most, for what only this disk may hold
-AT_ONCE = 16  # keys
+if TYPE_CHECKING:
+    from meadowdock.config_store.server import ConfigStore
+
+CHECK_INTERVAL_US = 20 * MILLISECOND
+SECURE_TIMEOUT_US = SECOND  # at most, for what only this disk may hold
+KEYS_AT_ONCE = 16
+
+IsDurable = Callable[[VoterSets, Collection[str]], bool]
 
 
 class Handover:
-    """Of Part. Invariant: once retired, this member accepts no write, so what secure_state found
-    on the others' disks is all that this one has acknowledged."""
+    """What a voter does before it stops.
+
+    Invariant: once retired, this member accepts no write, so what secure_state found on the others'
+    disks is all that this one has acknowledged.
+    """
 
-    def __init__(self, daemon):
-        self.daemon = daemon
+    def __init__(self, server: ConfigStore) -> None:
+        self.server = server
         self.retired = False
 
-    def replaceable(self):
-        """Is a change of members under way, or would the policy put a spare in this one's place?"""
-        daemon = self.daemon
-        if daemon.store.membership.is_joint:
+    def replaceable(self) -> bool:
+        """Whether the membership is changing, or the policy would replace this voter."""
+        server = self.server
+        if server.store.membership.is_joint:
             return True
-        target = daemon.target()
-        return target is not None and daemon.node.settings.link not in target
+        target = server.target()
+        return target is not None and server.node.settings.link not in target
 
-    async def leave_membership(self, deadline):
-        """Wait for a spare to take this voter's place, as long as one can. The others know by
-        member.hello that this process is leaving, and change the members."""
-        store = self.daemon.store
+    async def leave_membership(self, deadline: int) -> None:
+        """Wait until another voter replaced this one, as long as one can. The others know by
+        member.hello that this process is leaving, and change the membership."""
+        store = self.server.store
         while store.voter and self.replaceable() and monotonic_us() < deadline:
-            await sleep_us(LOOK_EVERY)
+            await sleep_us(CHECK_INTERVAL_US)
 
-    async def secure_state(self, deadline):
-        """Make sure that what this disk accepted is on a durable quorum without it. Gives up at
-        the deadline, or at once if too few others answer."""
-        store = self.daemon.store
+    async def secure_state(self, deadline: int) -> None:
+        """Make sure that what this disk accepted is on a durable quorum without it. Gives up at the
+        deadline, or at once if too few others answer."""
+        store = self.server.store
         if not store.voter:
             return
         others = store.voter_sets.without(store.disk)
-        answering = {heard.disk for heard in self.daemon.reachable().values()}
+        answering = {answer.disk for answer in self.server.reachable().values()}
         if not others.is_durable(answering):
-            return  # without this member there are no writes anyway
+            return  # without this member nothing can be written anyway
         self.retired = True
 
-        def enough(voter_sets, members):
+        def is_durable(voter_sets: VoterSets, members: Collection[str]) -> bool:
             return voter_sets.without(store.disk).is_durable(members)
 
-        with deadline_scope(min(deadline, monotonic_us() + SECURE_US)):
+        with deadline_scope(min(deadline, monotonic_us() + SECURE_TIMEOUT_US)):
             try:
-                await self.secure_keys(enough, min(deadline, monotonic_us() + SECURE_US))
-                await self.secure_files(enough, min(deadline, monotonic_us() + SECURE_US))
+                await self.secure_keys(
+                    is_durable, min(deadline, monotonic_us() + SECURE_TIMEOUT_US)
+                )
+                await self.secure_chunks(
+                    is_durable, min(deadline, monotonic_us() + SECURE_TIMEOUT_US)
+                )
             except (NoQuorum, OutcomeUnknown):
-                pass  # it goes all the same: the platform would end it soon
+                pass  # it stops all the same: the platform would end it soon
 
-    async def secure_keys(self, enough, deadline):
-        """Each key's newest accepted pair on a durable quorum without this member."""
-        acceptor, limit = self.daemon.store.acceptor, trio.CapacityLimiter(AT_ONCE)
+    async def secure_keys(self, is_durable: IsDurable, deadline: int) -> None:
+        """Put each key's latest accepted pair on a durable quorum without this member."""
+        acceptor, limit = self.server.store.acceptor, trio.CapacityLimiter(KEYS_AT_ONCE)
 
-        async def secure(key):
+        async def secure(key: str) -> None:
             async with limit:
                 try:
                     ballot, _ = acceptor.read(key)
-                    await self.daemon.proposer.ensure_accepted(key, ballot, enough, deadline)
+                    await self.server.proposer.ensure_accepted(key, ballot, is_durable, deadline)
                 except (KeyStateLost, NoQuorum, OutcomeUnknown):
                     pass  # the other keys can still be secured
 
@@ -75,14 +92,14 @@
             for key in sorted(acceptor.keys.values()):
                 nursery.start_soon(secure, key)
 
-    async def secure_files(self, enough, deadline):
-        """The chunks of the head on a durable quorum without this member."""
-        head = self.daemon.store.acceptor.read(HEAD)[1]
-        if head is None:
+    async def secure_chunks(self, is_durable: IsDurable, deadline: int) -> None:
+        """Put the chunks of the current revision on a durable quorum without this member."""
+        record = self.server.store.acceptor.read(HEAD)[1]
+        if record is None:
             return
-        bodies = await self.daemon.fetch(sorted(set(head["ranges"])))
+        bodies = await self.server.chunks.fetch(sorted(set(Revision.from_record(record).chunks)))
 
-        def held(members):
-            return enough(self.daemon.store.voter_sets, members)
+        def is_enough(members: Collection[str]) -> bool:
+            return is_durable(self.server.store.voter_sets, members)
 
-        await self.daemon.spread(bodies, deadline, held)
+        await self.server.broadcast.replicate_chunks(bodies, deadline, is_enough)
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -1,286 +1,275 @@
-"""Configuration by items, under the same head and register as operators' manifests.
+"""Changes of the configuration by items, made on the same revisions as operators' plans.
 
-A change is a plan and its confirm in one: judged against the head of a majority, its new range files
-on a majority, then the head changed if it is still that one; else all of it once more.
+A change is a plan and its commit in one: it is merged into the items of the current revision, its
+new chunks are put on a durable quorum, then the revision is changed if it is still that one; else
+the change is attempted again. Changes that come while one is under way are made together by the
+next.
 """
 
 from __future__ import annotations
 
-import json
+from collections.abc import Awaitable, Callable, Collection, Mapping
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any
 
-import ormsgpack
 import trio
 
-from meadowdock.admin_http import Response
 from meadowdock.config_store.exceptions import RevisionConflict
+from meadowdock.config_store.item_snapshot import Item, ItemsByKey
+from meadowdock.config_store.revision import Plan, Revision, plan_id_of
 from meadowdock.config_store.store import HEAD, disk_failures_rejected
-from meadowdock.configuration import SIZE_MAX, cut_items
+from meadowdock.configuration import cut_items
 from meadowdock.configuration import items as config_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import MILLISECOND, deadline_scope, fingerprint, monotonic_us, sleep_us
 
-PER_ITEM = 3 * MILLISECOND  # an operator waits longer for a large call's answer
-CHUNK = 16  # range files in one frame
+if TYPE_CHECKING:
+    from meadowdock.config_store.server import ConfigStore
 
+TIMEOUT_PER_ITEM_US = 3 * MILLISECOND  # an operator waits longer for a large change
+RETRY_PAUSE_MAX_MS = 10
+CHUNKS_PER_MESSAGE = 16
 
-@dataclass
-class Call:
-    """One operator's change that waits for its round."""
+Outcome = int | Exception  # the version of the revision that holds the change, or why none does
 
-    # Invariant: outcome is set before done is: the head's version, or the error that says why not
-    items: list
-    done: trio.Event = field(default_factory=trio.Event)
-    outcome: object = None
 
+@dataclass
+class PendingChange:
+    """One operator's change that waits for its batch.
 
-def own_ranges(head):
-    """The ranges of the operators' manifest."""
-    return head["ranges"][: len(head["ranges"]) - head.get("items", 0)]
+    Invariant: outcome is set before done is.
+    """
 
+    items: list[Item]
+    done: trio.Event = field(default_factory=trio.Event)
+    outcome: Outcome | None = None
 
-def item_ranges(head):
-    """The chunks of items."""
-    return head["ranges"][len(head["ranges"]) - head.get("items", 0) :]
 
+class ItemChanges:
+    """Makes changes of items, in batches.
 
-class Items:
-    """Invariants: held is what the ranges `names` decode to, and they are those of the newest head
-    that was asked for; waiting are calls of the next round, and one round runs at a time; sent says that
-    a member may have accepted a new head of this round, which may yet come into force."""
+    Invariants: `pending` are the changes of the next batch, and one batch runs at a time.
+    `may_be_accepted` says that some member may have accepted a new revision of this batch, which
+    may yet be committed.
+    """
 
     handlers = Handlers()
 
-    def __init__(self, daemon):
-        self.daemon = daemon
-        self.version, self.names, self.groups, self.held = 0, [], {}, {}
-        self.waiting, self.busy = [], False
-        self.sent = False
-
-    # ------------------------------------------------------------ what holds
-
-    async def at(self, head, deadline):
-        """{(kind, name): item} at a head, drops included. Fetches only ranges that are not held."""
-        names = item_ranges(head)
-        if names == self.names:
-            return self.held
-        groups = {name: self.groups[name] for name in names if name in self.groups}
-        bodies = await self.bring([name for name in names if name not in groups], deadline)
-        groups |= {name: ormsgpack.unpackb(body)[1] for name, body in bodies.items()}
-        held = {config_items.key_of(item): item for name in names for item in groups[name]}
-        if head["version"] >= self.version:
-            self.version, self.names, self.groups, self.held = head["version"], names, groups, held
-        return held
-
-    async def bring(self, names, deadline):
-        """{name: body} of chunks, all of them. Raises NoQuorum."""
-        bodies = await self.daemon.chunks.fetch(names, deadline)
-        if len(bodies) < len(names):
-            raise NoQuorum("chunks")
-        return bodies
-
-    async def read(self, deadline):
-        """(version, standing items), from a quorum read. Raises NoQuorum."""
-        contact = self.daemon.contact
-        await contact.check(writing=False)
-        return await contact.keep(
+    def __init__(self, server: ConfigStore) -> None:
+        self.server = server
+        self.pending: list[PendingChange] = []
+        self.running = False
+        self.may_be_accepted = False
+
+    # ------------------------------------------------------------ reads
+
+    async def read(self, deadline: int) -> tuple[int, list[Item]]:
+        """(version, items in force), from a quorum read. Raises NoQuorum."""
+        monitor = self.server.quorum_monitor
+        await monitor.require_quorum(writing=False)
+        return await monitor.run_while_quorum(
             lambda: self.read_now(deadline), lambda: NoQuorum("items"), writing=False
         )
 
-    async def read_now(self, deadline):
-        """As read, without the check of contact."""
-        head = await self.daemon.read_head(deadline)
-        return head["version"], config_items.standing(await self.at(head, deadline))
+    async def read_now(self, deadline: int) -> tuple[int, list[Item]]:
+        """As read, without the check that a quorum is in touch."""
+        revision = await self.server.revisions.read(deadline)
+        items = await self.server.item_snapshot.at(revision, deadline)
+        return revision.version, config_items.standing(items)
 
     # ------------------------------------------------------------ changes
 
-    async def change(self, items):
-        """The head's version, once a quorum holds the change.
+    async def change(self, items: list[Item]) -> int:
+        """Make a change; the version of the revision that holds it, once that is committed.
 
-        Raises config_items.Invalid, config_items.VersionConflict or NoQuorum: none of it holds, or
-        OutcomeUnknown: it may hold."""
+        :raises config_items.Invalid: nothing was changed
+        :raises config_items.VersionConflict: nothing was changed
+        :raises NoQuorum: nothing was changed
+        :raises OutcomeUnknown: the change may be committed
+        """
         errors = config_items.check(items)
         if errors:
             raise config_items.Invalid(errors)
-        await self.daemon.contact.check()
-        call = Call([config_items.clean(item) for item in items])
-        self.waiting.append(call)
-        if not self.busy:
-            self.busy = True
-            self.daemon.node.nursery.start_soon(self.run)
-        with deadline_scope(monotonic_us() + self.daemon.answer_wait + PER_ITEM * len(items)):
-            await call.done.wait()
-        if call.outcome is None:
-            if call in self.waiting:
-                self.waiting.remove(call)
+        await self.server.quorum_monitor.require_quorum()
+        change = PendingChange([config_items.clean(item) for item in items])
+        self.pending.append(change)
+        if not self.running:
+            self.running = True
+            self.server.node.nursery.start_soon(self.run_batches)
+        timeout = self.server.operator_timing.answer_us + TIMEOUT_PER_ITEM_US * len(items)
+        with deadline_scope(monotonic_us() + timeout):
+            await change.done.wait()
+        return self.outcome_of(change)
+
+    def outcome_of(self, change: PendingChange) -> int:
+        """The version of a change, or raises why there is none; one that still waits for its batch
+        is withdrawn."""
+        if change.outcome is None:
+            if change in self.pending:
+                self.pending.remove(change)
                 raise NoQuorum("items")
             raise OutcomeUnknown("items")
-        if isinstance(call.outcome, Exception):
-            raise call.outcome
-        return call.outcome
+        if isinstance(change.outcome, Exception):
+            raise change.outcome
+        return change.outcome
 
-    async def run(self):
-        """Rounds, one after the other, while calls wait."""
+    async def run_batches(self) -> None:
+        """Make batches, one after the other, while changes are pending."""
         try:
-            while self.waiting:
-                calls, self.waiting = self.waiting, []
+            while self.pending:
+                batch, self.pending = self.pending, []
+                outcomes: list[Outcome]
                 try:
-                    outcomes = await self.round_in_contact(calls)
-                except Exception as cause:  # whatever it is, it is these calls' alone
-                    outcomes = [cause] * len(calls)
-                for call, outcome in zip(calls, outcomes, strict=True):
-                    call.outcome = outcome
-                    call.done.set()
+                    outcomes = await self.make_batch_in_touch(batch)
+                except Exception as cause:  # whatever it is, it concerns these changes alone
+                    outcomes = [cause] * len(batch)
+                for change, outcome in zip(batch, outcomes, strict=True):
+                    change.outcome = outcome
+                    change.done.set()
         finally:
-            self.busy = False
+            self.running = False
 
-    async def round_in_contact(self, calls):
-        """As `round`; cut short once no quorum is in touch any more."""
-        contact, self.sent = self.daemon.contact, False
-        await contact.check()
-        return await contact.keep(lambda: self.round(calls), self.lost)
+    async def make_batch_in_touch(self, batch: list[PendingChange]) -> list[Outcome]:
+        """As make_batch; ended early once no quorum is in touch any more."""
+        monitor, self.may_be_accepted = self.server.quorum_monitor, False
+        await monitor.require_quorum()
+        return await monitor.run_while_quorum(lambda: self.make_batch(batch), self.failure)
 
-    def lost(self):
-        """The error of a round that ends without an answer of a quorum."""
-        return OutcomeUnknown("items") if self.sent else NoQuorum("items")
+    def failure(self) -> NoQuorum | OutcomeUnknown:
+        """The error of a batch that ends without a quorum's answer."""
+        return OutcomeUnknown("items") if self.may_be_accepted else NoQuorum("items")
 
-    async def round(self, calls):
-        """The outcome of each call, in order. Each is judged by itself, after those before it.
+    async def make_batch(self, batch: list[PendingChange]) -> list[Outcome]:
+        """The outcome of each change, in order. Each is judged by itself, after those before it.
 
-        Raises NoQuorum only if no new head was sent to any member, else OutcomeUnknown."""
-        deadline = monotonic_us() + self.daemon.operate_wait
+        :raises NoQuorum: no new revision was sent to any member
+        :raises OutcomeUnknown: one was, and may be committed
+        """
+        deadline = monotonic_us() + self.server.operator_timing.change_us
         while True:
             try:
-                return await self.round_once(calls, deadline)
+                return await self.attempt_batch(batch, deadline)
             except RevisionConflict:
                 if monotonic_us() >= deadline:
-                    raise self.lost() from None
+                    raise self.failure() from None
             except NoQuorum:
-                raise self.lost() from None
-            await sleep_us(self.daemon.node.runtime.rng.randrange(1, 10) * MILLISECOND)
-
-    async def round_once(self, calls, deadline):
-        """One pass of a round. Raises RevisionConflict if another changed the head meanwhile."""
-        head = await self.daemon.read_head(deadline)
-        held = await self.at(head, deadline)
-        merged, refused = held, {}
-        for place, call in enumerate(calls):
-            try:
-                merged, _ = config_items.merge(merged, call.items)
-            except (config_items.Invalid, config_items.VersionConflict) as cause:
-                refused[place] = cause
-        if merged is not held:
-            head = await self.put(head, merged, deadline)
-        elif len(refused) < len(calls):
-            # what a read found may be on fewer disks than an acknowledgement needs
-            await self.daemon.proposer.change(HEAD, lambda old: old, deadline)
-        return [refused.get(place, head["version"]) for place in range(len(calls))]
-
-    async def put(self, head, merged, deadline):
-        """The head with these items, known to a majority. Raises RevisionConflict if it is another now."""
-        daemon = self.daemon
-        ranges = await daemon.node.runtime.offload(cut_items, merged)
-        names = [name for name, _ in ranges]
-        facts = {
-            "base": head["version"],
-            "ranges": [*own_ranges(head), *names],
-            "items": len(names),
-            "made": daemon.node.runtime.wall_us(),
-            "by": daemon.proposer.name,
-        }
-        body = ormsgpack.packb(facts)
-        plan = fingerprint(body)
-        # the others are on a majority since the head that names them
-        new = {name: body for name, body in ranges if name not in self.groups}
-        daemon.chunks.remember(new)
-        # what the new head no longer holds, as for a confirm
-        records = {head["version"]: head["record"]} if head.get("record") else {}
-        await self.spread({**new, plan: body}, records, deadline)
-        await daemon.node.runtime.offload(
-            lambda: daemon.audit_key
-        )  # its libraries load at first use
-        made = await self.send_head(daemon.plans.next_head(plan, facts), deadline)
-        daemon.know(made)
-        daemon.node.log(605, plan=plan, version=made["version"])
-        daemon.node.nursery.start_soon(daemon.deliver, made)
-        return made
-
-    async def send_head(self, make, deadline):
-        """Change the head, and note whether a member may have accepted it."""
-        before, self.sent = self.sent, True
+                raise self.failure() from None
+            pause = self.server.node.runtime.rng.randrange(1, RETRY_PAUSE_MAX_MS)
+            await sleep_us(pause * MILLISECOND)
+
+    async def attempt_batch(self, batch: list[PendingChange], deadline: int) -> list[Outcome]:
+        """One attempt of a batch. Raises RevisionConflict if another changed the revision."""
+        current = await self.server.revisions.read(deadline)
+        items = await self.server.item_snapshot.at(current, deadline)
+        merged, rejected = merge_batch(items, batch)
+        version = current.version
+        if merged is not items:
+            version = (await self.commit(current, merged, deadline)).version
+        elif len(rejected) < len(batch):
+            # nothing changes, but what a read found may be on fewer disks than an
+            # acknowledgement needs
+            await self.server.plans.rewrite_current(deadline)
+        return [rejected.get(index, version) for index in range(len(batch))]
+
+    async def commit(self, current: Revision, items: ItemsByKey, deadline: int) -> Revision:
+        """The successor of a revision with these items, committed. Raises RevisionConflict if the
+        current revision is another."""
+        server = self.server
+        chunks = await server.node.runtime.offload(cut_items, items)
+        names = [name for name, _ in chunks]
+        plan = Plan(
+            base=current.version,
+            chunks=(*current.configuration_chunks, *names),
+            item_chunk_count=len(names),
+            created_us=server.node.runtime.wall_us(),
+            author=server.proposer.name,
+        )
+        body = plan.encode()
+        plan_id = plan_id_of(body)
+        # the others are on a quorum since the revision that names them
+        known = server.item_snapshot.items_by_chunk
+        new_chunks = {name: chunk for name, chunk in chunks if name not in known}
+        server.chunks.cache(new_chunks)
+        # as with a plan's commit: the new revision holds its own audit record alone
+        records = {current.version: current.audit_record} if current.audit_record else {}
+        await self.replicate({**new_chunks, plan_id: body}, records, deadline)
+        # loads libraries at first use, which takes too long for the event loop
+        await server.node.runtime.offload(lambda: server.audit_signer.key)
+        committed = await self.propose(server.plans.transition(plan_id, plan), deadline)
+        server.revisions.learn(committed)
+        server.node.log(605, plan=plan_id, version=committed.version)
+        server.node.nursery.start_soon(server.delivery.deliver, committed)
+        return committed
+
+    async def propose(self, transition: Callable[..., Any], deadline: int) -> Revision:
+        """Change the revision, and note whether a member may have accepted the new one."""
+        before, self.may_be_accepted = self.may_be_accepted, True
         try:
-            return await self.daemon.proposer.change(HEAD, make, deadline)
+            record = await self.server.proposer.change(HEAD, transition, deadline)
         except NoQuorum:
-            self.sent = before  # surely nothing was written by this one
+            self.may_be_accepted = before  # this attempt surely wrote nothing
             raise
+        return Revision.from_record(record)
 
     # ------------------------------------------------------------ files
 
-    async def spread(self, bodies, records, deadline):
-        """Range files and audit records to a majority, in one round; raises NoQuorum."""
-
-        async def there(address):
-            held = list(bodies.values())
-            for start in range(0, len(held), CHUNK):
-                last = start + CHUNK >= len(held)
-                put = [held[start : start + CHUNK], records if last else {}]
-                await self.daemon.node.rpc.call(address, "items.put", put, deadline)
-
-        await self.daemon.on_majority(lambda: self.keep(bodies.values(), records), there, deadline)
+    async def replicate(
+        self, bodies: Mapping[str, bytes], records: Mapping[int, str], deadline: int
+    ) -> None:
+        """Put chunks and audit records on a durable quorum at once. Raises NoQuorum."""
+
+        async def write_at(address: str) -> None:
+            chunks = list(bodies.values())
+            for start in range(0, len(chunks), CHUNKS_PER_MESSAGE):
+                is_last = start + CHUNKS_PER_MESSAGE >= len(chunks)
+                batch = chunks[start : start + CHUNKS_PER_MESSAGE]
+                message = [batch, records if is_last else {}]
+                await self.server.node.rpc.call(address, "items.put", message, deadline)
+
+        await self.server.broadcast.write_to_quorum(
+            lambda: self.write_files(bodies.values(), records), write_at, deadline
+        )
 
-    async def keep(self, bodies, records):
-        """On the disk here, side by side. Raises the OSError of one that could not be written."""
-        causes = []
+    async def write_files(self, bodies: Collection[bytes], records: Mapping[int, str]) -> None:
+        """Write to this disk, side by side. Raises the OSError of a write that failed."""
+        failures: list[OSError] = []
 
-        async def one(work, *args):
+        async def run_write(write: Callable[..., Awaitable[object]], argument: object) -> None:
             try:
-                await work(*args)
+                await write(argument)
             except OSError as cause:
-                causes.append(cause)
+                failures.append(cause)
 
         async with trio.open_nursery() as nursery:
             for body in bodies:
-                nursery.start_soon(one, self.daemon.store.put_blob, body)
-            nursery.start_soon(one, self.daemon.store.trail.put, records)
-        if causes:
-            raise causes[0]
+                nursery.start_soon(run_write, self.server.store.put_blob, body)
+            nursery.start_soon(run_write, self.server.store.trail.put, records)
+        if failures:
+            raise failures[0]
 
     @handlers.on("items.put")
-    async def on_put(self, peer, args):
-        """Keep chunks and audit records that another member sends."""
-        bodies, records = [bytes(body) for body in args[0]], args[1]
-        self.daemon.chunks.remember({fingerprint(body): body for body in bodies})
+    async def on_put(self, peer: object, message: list[Any]) -> None:
+        """Store the chunks and audit records that another member sends.
+
+        :raises Rejected: "disk" if they can't be written
+        """
+        bodies, records = [bytes(body) for body in message[0]], message[1]
+        self.server.chunks.cache({fingerprint(body): body for body in bodies})
         with disk_failures_rejected():
-            await self.keep(bodies, records)
+            await self.write_files(bodies, records)
 
-    # ------------------------------------------------------------ the door
 
-    async def make_change(self, request):
-        """POST /items {"items": [...]}"""
-        try:
-            facts = json.loads(await request.body(SIZE_MAX))
-            items = facts["items"]
-        except (ValueError, KeyError, TypeError, RecursionError):
-            return Response(400, {"code": "malformed", "detail": 'wanted: {"items": [...]}'})
+def merge_batch(
+    items: ItemsByKey, batch: list[PendingChange]
+) -> tuple[ItemsByKey, dict[int, Exception]]:
+    """(the items with all changes that fit, {index of a rejected change: why}). Gives the very items
+    back if nothing changes."""
+    merged: ItemsByKey = items
+    rejected: dict[int, Exception] = {}
+    for index, change in enumerate(batch):
         try:
-            version = await self.change(items)
-        except config_items.Invalid as invalid:
-            return Response(422, {"code": "invalid", "errors": invalid.errors})
-        except config_items.VersionConflict as conflict:
-            return Response(409, version_conflict(conflict))
-        return Response(200, {"state": "accepted", "version": version})
-
-    async def make_read(self, request):
-        """GET /items"""
-        version, items = await self.read(monotonic_us() + self.daemon.read_wait)
-        return Response(200, {"version": version, "items": items})
-
-
-def version_conflict(conflict):
-    """The body of the answer to a call that gives known versions another content."""
-    return {
-        "code": "version_conflict",
-        "detail": "another content stands under these numbers; nothing of the call holds",
-        "items": [item._asdict() for item in conflict.conflicts],
-    }
+            merged, _ = config_items.merge(merged, change.items)
+        except (config_items.Invalid, config_items.VersionConflict) as cause:
+            rejected[index] = cause
+    return merged, rejected
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -122,7 +122,7 @@
             "leaving": self.node.stopping,
             "zone": self.place.zone,
             "region": self.place.region,
-            "quorum": self.contact.fresh(),
+            "quorum": self.quorum_monitor.in_touch(),
             "doors": self.operator_doors(),
         }
 
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -1,276 +1,315 @@
-"""Operators' plans: a configuration is planned on the current head, then committed if the head is
-still that one; and the questions what became of a plan, and what is in force."""
+"""Plans of operators: a configuration is planned on the current revision, and committed if that is
+still the current one.
 
-from __future__ import annotations
+A commit is idempotent: a plan of base B was committed if and only if the audit record of version
+B + 1 names it, so a repeated commit is answered with the version that the plan became.
+"""
 
-import json
+from __future__ import annotations
 
-import ormsgpack
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import TYPE_CHECKING, Any
 
 from meadowdock import audit
-from meadowdock.admin_http import Response
 from meadowdock.config_store import repair
-from meadowdock.config_store.exceptions import PlanExpired, RevisionConflict
-from meadowdock.config_store.item_changes import item_ranges, own_ranges
+from meadowdock.config_store.exceptions import (
+    InvalidConfiguration,
+    PlanExpired,
+    PlanOutdated,
+    PlanUnknown,
+    RevisionConflict,
+)
+from meadowdock.config_store.revision import Plan, Revision, is_plan_id, plan_id_of
 from meadowdock.config_store.store import HEAD
-from meadowdock.configuration import SIZE_MAX, checked, cut, difference
+from meadowdock.configuration import assemble, checked, cut, difference
 from meadowdock.configuration.items import standing
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
-from meadowdock.runtime import SECOND, fingerprint, monotonic_us
+from meadowdock.runtime import monotonic_us
 
-HISTORY = repair.RANGES_KEPT  # versions whose plans the head names
-NO_HEAD = {"version": 0, "ranges": [], "plan": "", "history": []}
-EMPTY = {"services": [], "budgets": [], "ways": [], "load": {}}
+if TYPE_CHECKING:
+    from meadowdock.config_store.server import ConfigStore
 
+EMPTY_CONFIGURATION: dict[str, Any] = {"services": [], "budgets": [], "ways": [], "load": {}}
 
-class Plans:
-    """The handlers of /plan, /confirm and /manifest. daemon: the member that serves them."""
 
-    def __init__(self, daemon):
-        self.daemon = daemon
+class PlanState(StrEnum):
+    """What became of a plan; the values are those of the operators' API."""
 
-    async def make_plan(self, request):
-        """POST /plan"""
-        from returns.pipeline import is_successful  # here: a daemon without plans is spared it
+    OPEN = "open"
+    COMMITTED = "confirmed"
+    OUTDATED = "outdated"
+    EXPIRED = "expired"
 
-        data = await request.body(SIZE_MAX)
-        found = await self.daemon.node.runtime.offload(checked, data)
-        if not is_successful(found):
-            return Response(422, {"code": "invalid", "errors": found.failure()})
-        facts = found.unwrap()
-        head = await self.daemon.read_head(monotonic_us() + self.daemon.operate_wait)
-        old = await self.daemon.manifest_of(own_ranges(head)) if own_ranges(head) else EMPTY
-        ranges = await self.daemon.node.runtime.offload(cut, facts)
-        changes = difference(old, facts)
-        items = item_ranges(head)
-        names = [*(name for name, _ in ranges), *items]
-        if names == head["ranges"]:
-            return Response(200, {"plan": None, "base": head["version"], "changes": changes})
-        made = self.daemon.node.runtime.wall_us()
-        planned = {"base": head["version"], "ranges": names, "items": len(items), "made": made}
-        body = ormsgpack.packb(planned)
-        plan = fingerprint(body)
-        await self.daemon.spread(
-            {**dict(ranges), plan: body}, monotonic_us() + 2 * self.daemon.operate_wait
-        )
-        self.daemon.node.log(604, plan=plan, base=head["version"])
-        return Response(
-            200,
-            {
-                "plan": plan,
-                "base": head["version"],
-                "changes": changes,
-                "takes_effect": "once confirmed: staged on every reachable proxy, then switched, "
-                "within about 2 s; a proxy that is cut off follows when it is back",
-            },
+
+@dataclass(frozen=True)
+class PlannedChange:
+    """A plan that was made. plan_id: None if the configuration is in force already."""
+
+    plan_id: str | None
+    base: int
+    changes: dict[str, Any]
+
+
+@dataclass(frozen=True)
+class PlanStatus:
+    """version: the one that the plan became, or 0. current: the version in force."""
+
+    plan_id: str
+    state: PlanState
+    version: int
+    base: int
+    current: int
+
+
+@dataclass(frozen=True)
+class CommittedConfiguration:
+    """The configuration in force, and the items beside it; None if there never were any."""
+
+    revision: Revision
+    configuration: dict[str, Any]
+    items: list[dict[str, Any]] | None
+
+
+class Plans:
+    """Makes and commits the plans of operators, at one member."""
+
+    def __init__(self, server: ConfigStore) -> None:
+        self.server = server
+
+    def deadline(self) -> int:
+        """The deadline of one step of an operator's request that begins now."""
+        return monotonic_us() + self.server.operator_timing.change_us
+
+    # ------------------------------------------------------------ plan
+
+    async def create(self, body: bytes) -> PlannedChange:
+        """Plan a configuration, given as JSON, on the current revision.
+
+        :raises InvalidConfiguration: with all faults that were found
+        :raises NoQuorum: the plan is on too few members
+        """
+        runtime = self.server.node.runtime
+        configuration = await self.checked_configuration(body)
+        current = await self.server.revisions.read(self.deadline())
+        former = await self.configuration_of(current.configuration_chunks)
+        chunks = await runtime.offload(cut, configuration)
+        changes = difference(former, configuration)
+        names = (*(name for name, _ in chunks), *current.item_chunks)
+        if names == current.chunks:
+            return PlannedChange(None, current.version, changes)
+        plan = Plan(current.version, names, len(current.item_chunks), runtime.wall_us())
+        plan_body = plan.encode()
+        plan_id = plan_id_of(plan_body)
+        await self.server.broadcast.replicate_chunks(
+            {**dict(chunks), plan_id: plan_body},
+            monotonic_us() + 2 * self.server.operator_timing.change_us,
         )
+        self.server.node.log(604, plan=plan_id, base=current.version)
+        return PlannedChange(plan_id, current.version, changes)
 
-    async def plan_facts(self, plan):
-        """What a plan says, or None if it is not known."""
-        bodies = await self.daemon.fetch([plan])
-        return ormsgpack.unpackb(bodies[plan]) if plan in bodies else None
+    async def checked_configuration(self, body: bytes) -> dict[str, Any]:
+        """The configuration in a request's body. Raises InvalidConfiguration."""
+        from returns.pipeline import is_successful  # here: a daemon without plans is spared it
 
-    async def make_confirm(self, request):
-        """POST /confirm"""
-        try:
-            plan = json.loads(await request.body(65536))["plan"]
-        except (ValueError, KeyError, TypeError):
-            return Response(400, {"code": "malformed"})
-        if not is_fingerprint(plan):
-            return PLAN_UNKNOWN
-        head = await self.daemon.read_head(monotonic_us() + self.daemon.operate_wait)
-        version = kept_version(head, plan)
+        result = await self.server.node.runtime.offload(checked, body)
+        if not is_successful(result):
+            raise InvalidConfiguration(result.failure())
+        configuration: dict[str, Any] = result.unwrap()
+        return configuration
+
+    async def find(self, plan_id: str) -> Plan | None:
+        """The plan of an id, or None if no member that answers has it."""
+        bodies = await self.server.chunks.fetch([plan_id])
+        return Plan.decode(bodies[plan_id]) if plan_id in bodies else None
+
+    # ------------------------------------------------------------ commit
+
+    async def commit(self, plan_id: object) -> int:
+        """Make a plan the current revision; the version that it became.
+
+        :raises PlanUnknown: there is no such plan
+        :raises PlanExpired: it is too old, and was not committed or this can't be told any more
+        :raises PlanOutdated: another change was committed on its base
+        :raises NoQuorum: it was not committed by this call
+        :raises OutcomeUnknown: it may be committed
+        """
+        if not is_plan_id(plan_id):
+            raise PlanUnknown(plan_id)
+        current = await self.server.revisions.read(self.deadline())
+        version = current.version_of(plan_id)
         if version:
-            # what a read found may be on fewer disks than an acknowledgement needs
-            deadline = monotonic_us() + self.daemon.operate_wait
-            await self.daemon.proposer.change(HEAD, lambda old: old, deadline)
-            return confirmed(plan, version)
-        facts = await self.plan_facts(plan)
-        if facts is None:
-            return PLAN_UNKNOWN
-        deadline = monotonic_us() + self.daemon.operate_wait
-        version = await self.applied(head, plan, facts, deadline)
+            await self.rewrite_current(self.deadline())
+            return version
+        plan = await self.find(plan_id)
+        if plan is None:
+            raise PlanUnknown(plan_id)
+        deadline = self.deadline()
+        version = await self.committed_version(current, plan_id, plan, deadline)
         if version:
-            return confirmed(plan, version)
-        bodies = await self.daemon.fetch([*sorted(set(facts["ranges"])), plan])
-        if len(bodies) < len({*facts["ranges"], plan}):
-            raise NoQuorum("range files")
-        await self.daemon.spread(bodies, deadline)
-        if head.get("record"):
-            # what the new head no longer holds; if the head is another by then, the plan is too
-            await self.daemon.spread_audit({head["version"]: head["record"]}, deadline)
+            return version
+        await self.replicate_files(current, plan_id, plan, deadline)
+        return await self.propose(plan_id, plan, deadline)
+
+    async def rewrite_current(self, deadline: int) -> Revision:
+        """Write the current revision once more, under a new ballot. A read may have found it on
+        fewer disks than an acknowledgement needs; and whatever change was under way is in it, or
+        never will be."""
+        record = await self.server.proposer.change(HEAD, lambda old: old, deadline)
+        return Revision.from_record(record)
+
+    async def replicate_files(
+        self, current: Revision, plan_id: str, plan: Plan, deadline: int
+    ) -> None:
+        """Put all that the new revision needs on a durable quorum. Raises NoQuorum."""
+        bodies = await self.server.chunks.fetch([*sorted(set(plan.chunks)), plan_id])
+        if len(bodies) < len({*plan.chunks, plan_id}):
+            raise NoQuorum("chunks")
+        await self.server.broadcast.replicate_chunks(bodies, deadline)
+        if current.audit_record:
+            # the new revision holds its own record alone; should the current revision be another
+            # by the commit, the plan is outdated
+            records = {current.version: current.audit_record}
+            await self.server.broadcast.replicate_audit_records(records, deadline)
+
+    async def propose(self, plan_id: str, plan: Plan, deadline: int) -> int:
+        """Change the current revision to that of the plan; its version. Raises as commit does."""
         try:
-            head = await self.daemon.proposer.change(HEAD, self.next_head(plan, facts), deadline)
-        except RevisionConflict as outdated:
-            # an earlier try of this very change may have been made, and others after it
-            version = await self.applied_after_all(outdated.current, plan, facts)
-            if version:
-                return confirmed(plan, version)
-            if facts["base"] + 1 < self.daemon.store.trail.first:
-                return plan_expired(plan)  # whether it was made can't be told any more
-            return await self.outdated(plan, facts, outdated.current)
-        except PlanExpired:
-            return plan_expired(plan)
-        self.daemon.know(head)
-        version = kept_version(head, plan)
-        self.daemon.node.log(605, plan=plan, version=version)
-        self.daemon.node.nursery.start_soon(self.daemon.deliver, head)
-        return confirmed(plan, version)
-
-    def next_head(self, plan, facts):
-        """For the register: the head that a plan makes of its base. Raises RevisionConflict or PlanExpired."""
-
-        def make(old):
-            head = old or NO_HEAD
-            if kept_version(head, plan):
-                return head
-            if head["version"] != facts["base"]:
-                raise RevisionConflict(head)
-            if self.expired(facts):
-                raise PlanExpired
-            version = head["version"] + 1
-            return {
-                "version": version,
-                "ranges": facts["ranges"],
-                "items": facts.get("items", 0),  # so many of the ranges, the last, hold items
-                "plan": plan,
-                "history": [*head["history"], [version, plan]][-HISTORY:],
-                "record": self.daemon.audit_record(head, facts, plan, version),
-            }
-
-        return make
-
-    def expired(self, facts):
+            record = await self.server.proposer.change(
+                HEAD, self.transition(plan_id, plan), deadline
+            )
+        except RevisionConflict as conflict:
+            return await self.version_after_conflict(plan_id, plan, conflict.current)
+        committed = Revision.from_record(record)
+        self.server.revisions.learn(committed)
+        version = committed.version_of(plan_id)
+        self.server.node.log(605, plan=plan_id, version=version)
+        self.server.node.nursery.start_soon(self.server.delivery.deliver, committed)
+        return version
+
+    def transition(self, plan_id: str, plan: Plan) -> Callable[[dict[str, Any] | None], Any]:
+        """For the proposer: the revision that a plan makes of its base. Idempotent.
+
+        The result raises RevisionConflict or PlanExpired, which leave the revision as it is."""
+
+        def successor(record: dict[str, Any] | None) -> dict[str, Any] | None:
+            current = Revision.from_record(record)
+            if current.version_of(plan_id):
+                return record
+            if current.version != plan.base:
+                raise RevisionConflict(current)
+            if self.is_expired(plan):
+                raise PlanExpired(plan_id)
+            audit_record = self.server.audit_signer.sign(current, plan_id, plan)
+            return current.successor(plan_id, plan, audit_record).to_record()
+
+        return successor
+
+    def is_expired(self, plan: Plan) -> bool:
         """Whether a plan is older than a plan may be."""
-        return self.daemon.node.runtime.wall_us() - facts.get("made", 0) > repair.PLAN_LIFE
+        return self.server.node.runtime.wall_us() - plan.created_us > repair.PLAN_LIFE
+
+    async def version_after_conflict(self, plan_id: str, plan: Plan, current: Revision) -> int:
+        """The version that the plan became: an earlier attempt at this very change may have been
+        committed, and others after it.
 
-    async def outdated(self, plan, facts, head):
-        """The answer to a plan whose base is no longer the head."""
-        base = await self.version_ranges(head, facts["base"])
-        newer = own_ranges(head)
-        changed = None
+        :raises PlanOutdated: it was not committed
+        :raises PlanExpired: the audit trail begins too late to tell
+        :raises OutcomeUnknown: this can't be told now
+        """
         try:
-            if base is not None:
-                old = await self.daemon.manifest_of(base) if base else EMPTY
-                changed = difference(old, await self.daemon.manifest_of(newer) if newer else EMPTY)
+            version = await self.committed_version(current, plan_id, plan, self.deadline())
         except NoQuorum:
-            pass  # too old: its range files are gone
-        return Response(
-            409,
-            {
-                "code": "outdated",
-                "plan": plan,
-                "base": facts["base"],
-                "head": head["version"],
-                "changed_since": changed,
-            },
-        )
-
-    async def applied(self, head, plan, facts, deadline):
-        """The version that the plan became, or 0: a plan of base B was applied if and only if the
-        audit record of version B + 1 names it. Raises NoQuorum if that can't be told now."""
-        version = facts["base"] + 1
-        if version > head["version"]:
+            raise OutcomeUnknown(plan_id) from None
+        if version:
+            return version
+        if plan.base + 1 < self.server.store.trail.first:
+            raise PlanExpired(plan_id) from None
+        changed_since = await self.changes_since(plan.base, current)
+        raise PlanOutdated(plan_id, plan.base, current.version, changed_since) from None
+
+    # ------------------------------------------------------------ what became of a plan
+
+    async def committed_version(
+        self, current: Revision, plan_id: str, plan: Plan, deadline: int
+    ) -> int:
+        """The version that a plan became, or 0. Raises NoQuorum if this can't be told now."""
+        version = plan.base + 1
+        if version > current.version:
             return 0
-        return version if await self.plan_of(head, version, deadline) == plan else 0
-
-    async def applied_after_all(self, head, plan, facts):
-        """As `applied`, of a plan whose head may have been sent to members already."""
+        return version if await self.plan_id_at(current, version, deadline) == plan_id else 0
+
+    async def plan_id_at(self, current: Revision, version: int, deadline: int) -> str | None:
+        """The plan that became a version up to the current one; None if it is older than the audit
+        trail. Raises NoQuorum."""
+        for known, plan_id in current.history:
+            if known == version:
+                return plan_id
+        record = await self.server.trail.record(version, deadline)
+        return str(audit.read_payload(record)["plan"]) if record else None
+
+    async def status(self, plan_id: str) -> PlanStatus:
+        """What became of a plan.
+
+        :raises PlanUnknown: there is no such plan
+        :raises NoQuorum: this can't be told now
+        :raises OutcomeUnknown: this can't be told now
+        """
+        plan = await self.find(plan_id) if is_plan_id(plan_id) else None
+        if plan is None:
+            raise PlanUnknown(plan_id)
+        current = await self.rewrite_current(self.deadline())
+        version = await self.committed_version(current, plan_id, plan, self.deadline())
+        if version:
+            state = PlanState.COMMITTED
+        elif current.version != plan.base:
+            state = PlanState.OUTDATED
+        else:
+            state = PlanState.EXPIRED if self.is_expired(plan) else PlanState.OPEN
+        return PlanStatus(plan_id, state, version, plan.base, current.version)
+
+    # ------------------------------------------------------------ configurations
+
+    async def current_configuration(self) -> CommittedConfiguration:
+        """The configuration in force, by a quorum read. Raises NoQuorum."""
+        revision = await self.server.revisions.read(self.deadline())
+        items = await self.server.item_snapshot.at(revision, self.deadline())
+        configuration = await self.configuration_of(revision.configuration_chunks)
+        return CommittedConfiguration(revision, configuration, standing(items) if items else None)
+
+    async def changes_since(self, base: int, current: Revision) -> dict[str, Any] | None:
+        """What changed from a former version to the current one, by section; None if the former
+        one's chunks are not known any more."""
+        former_chunks = await self.chunks_at(current, base)
+        if former_chunks is None:
+            return None
         try:
-            return await self.applied(head, plan, facts, monotonic_us() + self.daemon.operate_wait)
+            former = await self.configuration_of(former_chunks)
+            return difference(former, await self.configuration_of(current.configuration_chunks))
         except NoQuorum:
-            raise OutcomeUnknown(plan) from None
-
-    async def plan_of(self, head, version, deadline):
-        """The plan that became a version up to the head's; None if it is older than the trail."""
-        for kept, plan in head["history"]:
-            if kept == version:
-                return plan
-        record = await self.daemon.trail.record(version, deadline)
-        return audit.read_payload(record)["plan"] if record else None
+            return None
 
-    async def version_ranges(self, head, version):
+    async def chunks_at(self, current: Revision, version: int) -> Sequence[str] | None:
         """The chunks of a former version, or None if they are not known any more."""
         if version == 0:
-            return []
+            return ()
         try:
-            plan = await self.plan_of(head, version, monotonic_us() + self.daemon.operate_wait)
+            plan_id = await self.plan_id_at(current, version, self.deadline())
         except NoQuorum:
             return None
-        facts = await self.plan_facts(plan) if plan else None
-        return own_ranges(facts) if facts else None
-
-    async def make_settle(self, request):
-        """GET /plan/ID"""
-        plan = request.path.rpartition("/")[2]
-        facts = await self.plan_facts(plan) if is_fingerprint(plan) else None
-        if facts is None:
-            return PLAN_UNKNOWN
-        # a whole round under a new ballot: whatever was under way is in it, or never will be
-        head = (
-            await self.daemon.proposer.change(
-                HEAD, lambda old: old, monotonic_us() + self.daemon.operate_wait
-            )
-            or NO_HEAD
-        )
-        version = await self.applied(head, plan, facts, monotonic_us() + self.daemon.operate_wait)
-        if version:
-            state = "confirmed"
-        elif head["version"] != facts["base"]:
-            state = "outdated"
-        else:
-            state = "expired" if self.expired(facts) else "open"
-        return Response(
-            200,
-            {
-                "plan": plan,
-                "state": state,
-                "version": version,
-                "base": facts["base"],
-                "head": head["version"],
-            },
+        plan = await self.find(plan_id) if plan_id else None
+        return plan.configuration_chunks if plan else None
+
+    async def configuration_of(self, chunks: Sequence[str]) -> dict[str, Any]:
+        """The configuration that these chunks make; the empty one of none. Raises NoQuorum if one
+        is missing."""
+        if not chunks:
+            return EMPTY_CONFIGURATION
+        bodies = await self.server.chunks.fetch(sorted(set(chunks)))
+        if len(bodies) < len(set(chunks)):
+            raise NoQuorum("chunks")
+        configuration: dict[str, Any] = await self.server.node.runtime.offload(
+            lambda: assemble(bodies[name] for name in chunks)
         )
-
-    async def make_read_back(self, request):
-        """GET /manifest"""
-        head = await self.daemon.read_head(monotonic_us() + self.daemon.operate_wait)
-        own, items = (
-            own_ranges(head),
-            await self.daemon.items.at(head, monotonic_us() + self.daemon.operate_wait),
-        )
-        facts = {
-            "version": head["version"],
-            "plan": head["plan"],
-            "manifest": await self.daemon.manifest_of(own) if own else EMPTY,
-        }
-        return Response(200, {**facts, "items": standing(items)} if items else facts)
-
-
-PLAN_UNKNOWN = Response(
-    404,
-    {
-        "code": "plan_unknown",
-        "detail": "never made, or older than two plan lives: plan again",
-    },
-)
-
-
-def confirmed(plan, version):
-    """The answer to a plan that was committed."""
-    return Response(200, {"state": "confirmed", "plan": plan, "version": version})
-
-
-def plan_expired(plan):
-    """The answer to a plan that is too old."""
-    detail = f"a plan can be confirmed for {repair.PLAN_LIFE // SECOND} s; plan again"
-    return Response(410, {"code": "plan_expired", "plan": plan, "detail": detail})
-
-
-def kept_version(head, plan):
-    """The version that the plan became, if it is one of the last that the head names; else 0."""
-    return next((v for v, p in head["history"] if p == plan), 0)
-
-
-def is_fingerprint(text):
-    """Whether a value has the form of a fingerprint."""
-    return isinstance(text, str) and len(text) == 32 and set(text) <= set("0123456789abcdef")
+        return configuration
--- a/packages/config_store/meadowdock/config_store/quorum_monitor.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -1,13 +1,16 @@
-"""Whether this member is in touch with a quorum, and who else is.
+"""Whether this member is in touch with a quorum, and which other member is.
 
-Every member asks every other a few times a second (`Liveness.ask_all`); only answers to its own questions
-count, so a cut of either direction ends the contact. The check spares an operator a wait that can't
-succeed. It is no proof: what is served or changed still needs a quorum's answers of its own.
+Every member asks every other a few times a second (`Liveness.ask_all`); only answers to its own
+questions count, so a partition of either direction ends the contact. The check spares an operator a
+wait that can't succeed. It is no proof: what is read or changed still needs a quorum's answers of
+its own.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from collections.abc import Awaitable, Callable, Mapping
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import trio
 
@@ -16,106 +19,131 @@
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLISECOND, monotonic_us, sleep_us
 
+if TYPE_CHECKING:
+    from meadowdock.config_store.server import ConfigStore
+
 FRESH_ROUNDS = 2  # of asking: an answer counts for so long; after it members are asked once more
-LOOK_EVERY = 50 * MILLISECOND  # while an operator's request is under way
-PROBE_SHARE = (
-    12  # of boot.contact_us: how long members are waited for before an operator is refused
-)
+CHECK_INTERVAL_US = 50 * MILLISECOND  # while an operator's request is under way
+ASK_SHARE = 12  # one part in so many of contact_us: how long a check waits for members
+
+Result = TypeVar("Result")
 
 
 @dataclass(frozen=True)
 class HelloAnswer:
-    """What counts here of a member's answer to member.hello. Members of releases before these fields
-    claim no quorum."""
+    """What counts here of a member's answer to member.hello. Members of releases before these
+    fields report no quorum.
+
+    listeners: {listener name: address} where operators reach that member.
+    """
 
-    quorum: bool
-    well: bool
+    has_quorum: bool
+    disk_writable: bool
     leaving: bool
-    doors: dict
+    listeners: Mapping[str, str] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, facts):
+    def from_message(cls, message: Mapping[str, Any]) -> HelloAnswer:
         """Decode the answer of a member."""
         return cls(
-            facts.get("quorum", False), facts["well"], facts["leaving"], facts.get("doors", {})
+            has_quorum=message.get("quorum", False),
+            disk_writable=message["well"],
+            leaving=message["leaving"],
+            listeners=message.get("doors", {}),
         )
 
     @property
-    def may_take_over(self):
-        """An operator may be sent there."""
-        return self.quorum and self.well and not self.leaving and bool(self.doors)
+    def serves_operators(self) -> bool:
+        """Whether an operator may be redirected there."""
+        able = self.has_quorum and self.disk_writable and not self.leaving
+        return able and bool(self.listeners)
 
 
 class QuorumMonitor:
-    """Of Part. Invariant: a member is named to an operator only on the word of an answer that it
-    gave after this member had lost its quorum; so two members never send an operator back and
-    forth unless one of them found its quorum again."""
+    """Checks the contact with a quorum before and during an operator's request.
 
-    def __init__(self, daemon):
-        self.daemon = daemon
+    Invariant: a member is named to an operator only by an answer that it gave after this member had
+    lost its quorum; so two members never redirect an operator back and forth unless one of them
+    found its quorum again.
+    """
 
-    def fresh(self, writing=True):
-        """A quorum answered lately. writing: and their disks can be written."""
-        there = self.daemon.reachable().values()
-        fresh_us = FRESH_ROUNDS * self.daemon.timing.hear_us
+    def __init__(self, server: ConfigStore) -> None:
+        self.server = server
+
+    def in_touch(self, writing: bool = True) -> bool:
+        """Whether a quorum answered lately. writing: and their disks can be written."""
+        fresh_us = FRESH_ROUNDS * self.server.timing.hear_us
         disks = [
-            h.disk for h in there if monotonic_us() - h.at < fresh_us and (h.well or not writing)
+            answer.disk
+            for answer in self.server.reachable().values()
+            if monotonic_us() - answer.at < fresh_us and (answer.well or not writing)
         ]
-        return self.daemon.proposer is not None and self.daemon.proposer.is_quorum(disks)
+        proposer = self.server.proposer
+        return proposer is not None and proposer.is_quorum(disks)
+
+    async def require_quorum(self, writing: bool = True) -> None:
+        """Return if a quorum is in touch; if none answered lately, the members are asked first.
 
-    async def check(self, writing=True):
-        """Returns if a quorum is in touch, after asking the members at once if none answered
-        lately. Raises QuorumUnreachable, within a few hundred milliseconds."""
-        if self.fresh(writing):
+        :raises QuorumUnreachable: within contact_us / 12
+        """
+        if self.in_touch(writing):
             return
-        answers = await self.probe(writing)
-        if self.fresh(writing):
+        answers = await self.ask_members(writing)
+        if self.in_touch(writing):
             return
-        if self.daemon.store.membership:
-            self.daemon.note_no_quorum()
-        able = [answer.doors for answer in answers if answer.may_take_over]
-        raise QuorumUnreachable(self.daemon.node.runtime.rng.choice(able) if able else {})
-
-    async def probe(self, writing):
-        """Answers of all other members, as far as they come before a quorum is in touch."""
-        answers, node = [], self.daemon.node
-        wait = min(node.settings.contact_us // PROBE_SHARE, self.daemon.timing.ask_us)
-        deadline = monotonic_us() + wait
-        asker = {"link": node.settings.link}
-
-        async def one(address):
+        if self.server.store.membership:
+            self.server.revisions.note_no_quorum()
+        able = [answer.listeners for answer in answers if answer.serves_operators]
+        raise QuorumUnreachable(self.server.node.runtime.rng.choice(able) if able else {})
+
+    async def ask_members(self, writing: bool) -> list[HelloAnswer]:
+        """Answers of the other members, as far as they come before a quorum is in touch."""
+        answers: list[HelloAnswer] = []
+        node = self.server.node
+        timeout = min(node.settings.contact_us // ASK_SHARE, self.server.timing.ask_us)
+        deadline = monotonic_us() + timeout
+        sender = {"link": node.settings.link}
+
+        async def ask(address: str) -> None:
             try:
-                facts = await node.rpc.call(address, "member.hello", asker, deadline)
+                message = await node.rpc.call(address, "member.hello", sender, deadline)
             except (ConnectionFailed, Rejected):
                 return
-            self.daemon.note_hello(address, facts)
-            answers.append(HelloAnswer.of(facts))
-            if self.fresh(writing):
+            self.server.note_hello(address, message)
+            answers.append(HelloAnswer.from_message(message))
+            if self.in_touch(writing):
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            for address in sorted(self.daemon.others().values()):
-                nursery.start_soon(one, address)
+            for address in sorted(self.server.broadcast.peers().values()):
+                nursery.start_soon(ask, address)
         return answers
 
-    async def keep(self, work, lost, writing=True):
-        """What `work()` gives. Once no quorum is in touch any more it is cancelled, and the
-        error that `lost()` gives is raised."""
+    async def run_while_quorum(
+        self,
+        work: Callable[[], Awaitable[Result]],
+        failure: Callable[[], Exception],
+        writing: bool = True,
+    ) -> Result:
+        """The result of `work()`. Once no quorum is in touch any more it is cancelled, and the
+        error that `failure()` gives is raised."""
         scope, done = trio.CancelScope(), trio.Event()
-        self.daemon.node.nursery.start_soon(self.cancel_when_lost, scope, done, writing)
+        self.server.node.nursery.start_soon(self.cancel_without_quorum, scope, done, writing)
         try:
             with scope:
                 return await work()
         finally:
             done.set()
-        raise lost()
+        raise failure()
 
-    async def cancel_when_lost(self, scope, done, writing):
-        """Cancel the scope once no quorum is in touch, until done is set."""
+    async def cancel_without_quorum(
+        self, scope: trio.CancelScope, done: trio.Event, writing: bool
+    ) -> None:
+        """Cancel the scope once no quorum is in touch, unless done is set before."""
         while not done.is_set():
-            await sleep_us(LOOK_EVERY)
+            await sleep_us(CHECK_INTERVAL_US)
             try:
-                await self.check(writing)
+                await self.require_quorum(writing)
             except NoQuorum:
                 scope.cancel()
                 return
--- a/packages/config_store/meadowdock/config_store/repair.py
+++ b/packages/config_store/meadowdock/config_store/repair.py
@@ -128,16 +128,16 @@
 
     # ------------------------------------------------------------ what nobody needs
 
-    async def sweep(self, head, plan_facts):
-        """Removes old files. head was read from a majority just now."""
-        plans = {plan for _, plan in head["history"]}
-        kept = plans | set(head["ranges"])
-        for _, plan in head["history"][-RANGES_KEPT:]:
+    async def sweep(self, revision, find_plan):
+        """Removes old files. revision was read from a quorum just now."""
+        plans = {plan for _, plan in revision.history}
+        kept = plans | set(revision.chunks)
+        for _, plan in revision.history[-RANGES_KEPT:]:
             if plan not in self.ranges_of:
-                facts = await plan_facts(plan)
-                if facts is None:
+                found = await find_plan(plan)
+                if found is None:
                     return  # what it names can't be told now
-                self.ranges_of[plan] = facts["ranges"]
+                self.ranges_of[plan] = found.chunks
             kept.update(self.ranges_of[plan])
         self.ranges_of = {p: r for p, r in self.ranges_of.items() if p in plans}
         for name in await self.store.names():
--- /dev/null
+++ b/packages/config_store/meadowdock/config_store/rpc_handlers.py
@@ -0,0 +1,69 @@
+"""What this member answers to other processes about revisions, chunks and audit records."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from meadowdock.config_store.store import disk_failures_rejected
+from meadowdock.consensus import NoQuorum
+from meadowdock.rpc import Handlers, Rejected
+from meadowdock.runtime import SECOND, monotonic_us
+
+if TYPE_CHECKING:
+    from meadowdock.config_store.server import ConfigStore
+
+READ_TIMEOUT_US = SECOND
+
+
+class RevisionHandlers:
+    """Handlers of requests that touch the current revision and the files that it needs."""
+
+    handlers = Handlers()
+
+    def __init__(self, server: ConfigStore) -> None:
+        self.server = server
+
+    @handlers.on("manifest.head")
+    async def on_current_revision(self, peer: object, known_version: int) -> dict[str, Any]:
+        """A proxy's question for a revision newer than the one it knows: a quorum read.
+
+        :raises Rejected: "no_majority" if no quorum answers
+        """
+        try:
+            revision = await self.server.revisions.read(monotonic_us() + READ_TIMEOUT_US)
+        except NoQuorum:
+            raise Rejected("no_majority") from None
+        if revision.version <= known_version:
+            return {"version": revision.version}
+        return revision.to_update()
+
+    @handlers.on("duty.claim")
+    async def on_claim(self, peer: object, claim: object) -> None:
+        """A registry of a former release asks for a claim that never ends; none is given any more.
+
+        :raises Rejected: always
+        """
+        raise Rejected("lease_required")
+
+    @handlers.on("blob.missing")
+    async def on_missing_chunks(self, peer: object, names: list[str]) -> list[str]:
+        """Which of these chunks this member lacks."""
+        return await self.server.store.missing(names)
+
+    @handlers.on("blob.put")
+    async def on_put_chunks(self, peer: object, bodies: list[bytes]) -> list[str]:
+        """Store chunks; answers their names.
+
+        :raises Rejected: "disk" if they can't be written
+        """
+        with disk_failures_rejected():
+            return [await self.server.store.put_blob(bytes(body)) for body in bodies]
+
+    @handlers.on("audit.put")
+    async def on_put_audit_records(self, peer: object, records: dict[int, str]) -> None:
+        """Store audit records.
+
+        :raises Rejected: "disk" if they can't be written
+        """
+        with disk_failures_rejected():
+            await self.server.store.trail.put(records)
--- a/packages/config_store/meadowdock/config_store/status.py
+++ b/packages/config_store/meadowdock/config_store/status.py
@@ -1,66 +1,78 @@
-"""What a member tells an operator of the control side, as far as it can see it."""
+"""The state of the deployment that a member tells an operator, as far as it can see it."""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any
+
+from meadowdock.config_store.revision import Revision
 from meadowdock.consensus import NoQuorum
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us
 
-READ_WITHIN = SECOND
-HELLO_WITHIN = 500 * MILLISECOND
+if TYPE_CHECKING:
+    from meadowdock.config_store.server import ConfigStore
+
+READ_TIMEOUT_US = SECOND
+HELLO_TIMEOUT_US = 500 * MILLISECOND
 REGISTRY_FIELDS = ("collector", "seen_epoch", "regs", "last")
 PROXY_FIELDS = ("hall", "incarnation", "version", "cut_off", "endpoints", "counts")
 
+NodeTables = Mapping[str, Mapping[str, Any]]  # of each registry, by its address
+
 
-async def status_of(daemon):
-    """The body of GET /status. `majority` says whether `head` is a quorum's word or only the newest
-    version that this member knows."""
-    head, majority = await known_head(daemon)
-    members = await members_of(daemon)
-    await daemon.refresh_rosters()
+async def status_of(server: ConfigStore) -> dict[str, Any]:
+    """The body of GET /status. `majority` says whether `head` comes from a quorum or is only the
+    latest version that this member knows."""
+    revision, from_quorum = await latest_revision(server)
+    members = await members_of(server)
+    await server.delivery.refresh()
+    node_tables = server.delivery.node_tables
+    membership = server.store.membership
     return {
-        "head": head["version"],
-        "majority": majority,
+        "head": revision.version,
+        "majority": from_quorum,
         "members": members,
-        "members_change": daemon.store.membership.next_voters if daemon.store.membership else None,
-        "disk_here": daemon.store.files.wrong() or "good",
-        "mended_here": dict(daemon.repairer.counts),
-        "catching_up": {"audit_records": len(daemon.store.trail.missing(head["version"]))},
+        "members_change": membership.next_voters if membership else None,
+        "disk_here": server.store.files.wrong() or "good",
+        "mended_here": dict(server.repairer.counts),
+        "catching_up": {"audit_records": len(server.store.trail.missing(revision.version))},
         "regs": {
-            address: {field: roster[field] for field in REGISTRY_FIELDS}
-            for address, roster in daemon.rosters.items()
+            address: {field: table[field] for field in REGISTRY_FIELDS}
+            for address, table in node_tables.items()
         },
         "proxies": {
-            address: {field: beat[field] for field in PROXY_FIELDS}
-            for address, beat in sorted(newest_beats(daemon.rosters).items())
+            address: {field: heartbeat[field] for field in PROXY_FIELDS}
+            for address, heartbeat in sorted(latest_heartbeats(node_tables).items())
         },
     }
 
 
-async def known_head(daemon):
-    """(head, whether a quorum gave it)"""
+async def latest_revision(server: ConfigStore) -> tuple[Revision, bool]:
+    """(the latest revision, whether a quorum gave it)"""
     try:
-        await daemon.contact.check(writing=False)
-        return await daemon.read_head(monotonic_us() + READ_WITHIN), True
+        await server.quorum_monitor.require_quorum(writing=False)
+        return await server.revisions.read(monotonic_us() + READ_TIMEOUT_US), True
     except NoQuorum:
-        return daemon.head, False
+        return server.revisions.latest, False
 
 
-async def members_of(daemon):
+async def members_of(server: ConfigStore) -> dict[str, dict[str, Any]]:
     """{address: its disk, and whether it answers under that disk now}"""
-    hello = await daemon.ask_others("member.hello", None, monotonic_us() + HELLO_WITHIN)
+    deadline = monotonic_us() + HELLO_TIMEOUT_US
+    hello = await server.broadcast.ask_peers("member.hello", None, deadline)
     answering = {disk for disk, answer in hello.items() if answer["disk"] == disk}
     return {
-        address: {"disk": disk, "answers": disk == daemon.store.disk or disk in answering}
-        for disk, address in daemon.store.everybody.items()
+        address: {"disk": disk, "answers": disk == server.store.disk or disk in answering}
+        for disk, address in server.store.everybody.items()
     }
 
 
-def newest_beats(rosters):
-    """{proxy's address: its last heartbeat}, of all registries' rosters."""
-    newest = {}
-    for roster in rosters.values():
-        for address, beat in roster["proxies"].items():
-            known = newest.get(address)
-            if known is None or beat["heard_us_ago"] < known["heard_us_ago"]:
-                newest[address] = beat
-    return newest
+def latest_heartbeats(node_tables: NodeTables) -> dict[str, Mapping[str, Any]]:
+    """{proxy's address: its last heartbeat}, from all registries' node tables."""
+    latest: dict[str, Mapping[str, Any]] = {}
+    for table in node_tables.values():
+        for address, heartbeat in table["proxies"].items():
+            known = latest.get(address)
+            if known is None or heartbeat["heard_us_ago"] < known["heard_us_ago"]:
+                latest[address] = heartbeat
+    return latest
--- a/packages/config_store/meadowdock/config_store/timing.py
+++ b/packages/config_store/meadowdock/config_store/timing.py
@@ -1,4 +1,7 @@
-"""Durations of the membership, as ratios of what a deployment asks for."""
+"""Durations of the membership and of operators' requests, as ratios of what a deployment asks for.
+
+All are in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -97,3 +100,35 @@
     def start_us(self):
         """So long a new fleet waits for as many members as its losses need."""
         return self.catch_up_us * 5 // 4
+
+
+@dataclass(frozen=True)
+class OperatorTiming:
+    """Time-outs of operators' requests. ack_us: of a change, as the deployment asks for.
+
+    >>> timing = OperatorTiming(2 * SECOND)
+    >>> timing.change_us, timing.answer_us, timing.read_us, timing.quorum_read_us
+    (2000000, 500000, 1000000, 500000)
+    """
+
+    ack_us: int
+
+    @property
+    def change_us(self) -> int:
+        """How long work on a change goes on while a quorum is in touch."""
+        return self.ack_us
+
+    @property
+    def answer_us(self) -> int:
+        """How long an operator waits for a small change before the outcome counts as unknown."""
+        return self.ack_us // 4
+
+    @property
+    def read_us(self) -> int:
+        """How long an operator waits for a read: for one under way, and the next."""
+        return self.ack_us // 2
+
+    @property
+    def quorum_read_us(self) -> int:
+        """For one quorum read, with time to settle a change that left members apart."""
+        return self.ack_us // 4
--- a/packages/simulator/meadowdock/simulator/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -59,7 +59,9 @@
     return {
         "mdproxy": statistics.mean(map(state_of_proxy, fleet.proxies())),
         "mdreg": statistics.mean(map(state_of_registry, fleet.core("mdreg"))),
-        "mdconf": statistics.mean(packed(node.daemon.rosters) for node in fleet.core("mdconf")),
+        "mdconf": statistics.mean(
+            packed(node.daemon.delivery.node_tables) for node in fleet.core("mdconf")
+        ),
         "manifest": sum(map(len, chunks.values())),
     }
 
--- a/tests/config_store/test_contact.py
+++ b/tests/config_store/test_contact.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import pytest
 import trio
 from facts import manifest, way
@@ -138,15 +140,15 @@
 
     async def scenario(world):
         await founded(world)
-        items = world.daemon("mdconf", world.core[0]).items
+        changes = world.daemon("mdconf", world.core[0]).item_changes
 
-        async def outrun(head, merged, deadline):
-            items.sent = True
+        async def outrun(current, items, deadline):
+            changes.may_be_accepted = True
             for other in world.core[1:]:
                 world.web.cut(world.core[0], other)
-            raise RevisionConflict(head)
+            raise RevisionConflict(current)
 
-        items.put = outrun
+        changes.commit = outrun
         status, told = await change(world, [service("desk")])
         assert (status, told["code"]) == (504, "unclear")
 
@@ -163,13 +165,14 @@
 
         async def outrun(key, make, deadline):
             daemon.proposer.change = real
-            raise RevisionConflict({**daemon.head, "version": daemon.head["version"] + 1})
+            latest = daemon.revisions.latest
+            raise RevisionConflict(replace(latest, version=latest.version + 1))
 
         async def lost(*_):
             raise NoQuorum("trail")
 
         real, daemon.proposer.change = daemon.proposer.change, outrun
-        daemon.plans.plan_of = lost
+        daemon.plans.plan_id_at = lost
         status, told = await world.operate("POST", "/confirm", {"plan": planned["plan"]})
         assert (status, told["code"]) == (504, "unclear")
 
@@ -183,7 +186,7 @@
         await founded(world)
         daemon = world.daemon("mdconf", world.core[0])
         daemon.heard = {}
-        assert not daemon.contact.fresh()
+        assert not daemon.quorum_monitor.in_touch()
         assert await accepted(world, [service("desk")]) == 1
 
     run(scenario, application=())
@@ -208,11 +211,11 @@
 
 
 def test_members_of_the_release_before_claim_no_quorum():
-    answer = HelloAnswer.of({"disk": "d", "record": None, "well": True, "leaving": False})
-    assert not answer.may_take_over
-    assert HelloAnswer(True, True, False, {"operators": "h:1"}).may_take_over
-    assert not HelloAnswer(True, False, False, {"operators": "h:1"}).may_take_over
-    assert not HelloAnswer(True, True, True, {"operators": "h:1"}).may_take_over
+    answer = HelloAnswer.from_message({"disk": "d", "record": None, "well": True, "leaving": False})
+    assert not answer.serves_operators
+    assert HelloAnswer(True, True, False, {"operators": "h:1"}).serves_operators
+    assert not HelloAnswer(True, False, False, {"operators": "h:1"}).serves_operators
+    assert not HelloAnswer(True, True, True, {"operators": "h:1"}).serves_operators
 
 
 def test_a_change_that_was_outrun_waits_in_measure_of_its_tries():
--- a/tests/config_store/test_repair.py
+++ b/tests/config_store/test_repair.py
@@ -9,7 +9,7 @@
 from facts import manifest, way
 from mesh import configured
 
-from meadowdock.config_store import plans, repair
+from meadowdock.config_store import repair, revision
 from meadowdock.config_store.store import Store
 from meadowdock.runtime import MILLISECOND, SECOND, sleep_us
 from meadowdock.simulator import run
@@ -117,7 +117,7 @@
 def test_thousands_of_changes_keep_the_folder_bounded(monkeypatch):
     """With the power lost now and then, also in the middle of removing."""
     monkeypatch.setattr(repair, "PLAN_LIFE", SECOND)
-    monkeypatch.setattr(plans, "HISTORY", 40)
+    monkeypatch.setattr(revision, "HISTORY_LENGTH", 40)
 
     async def scenario(world):
         await configured(world)
--- a/tests/config_store/test_trail.py
+++ b/tests/config_store/test_trail.py
@@ -371,8 +371,8 @@
                 await world.start("mdconf", host)
             for host in world.core:
                 await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
-        head = await world.daemon("mdconf", world.core[0]).read_head(10**12)
-        assert len(head["history"]) == repair.RANGES_KEPT
+        current = await world.daemon("mdconf", world.core[0]).revisions.read(10**12)
+        assert len(current.history) == repair.RANGES_KEPT
 
     run(scenario, application=())
 
@@ -452,7 +452,7 @@
         status, told = await world.operate("POST", "/confirm", {"plan": f"{7:032x}"}, 1)
         assert (status, told["version"]) == (200, 7)
         assert await world.configure(changed(1), 1) == 257
-        assert len((await daemon.read_head(10**12))["history"]) == repair.RANGES_KEPT
+        assert len((await daemon.revisions.read(10**12)).history) == repair.RANGES_KEPT
 
     run(scenario, application=())
 
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -10,7 +10,7 @@
 import trio
 from item_builders import dropped, route, service
 
-from meadowdock.config_store.chunks import Chunks
+from meadowdock.config_store.chunks import ChunkService
 from meadowdock.configuration import (
     ROUTING,
     WHOLE,
@@ -358,7 +358,7 @@
 
 
 def test_a_proxy_stages_from_members_of_the_former_version(monkeypatch):
-    monkeypatch.delitem(Chunks.handlers.table, "chunk.get")
+    monkeypatch.delitem(ChunkService.handlers.table, "chunk.get")
 
     async def scenario(world):
         await with_items(world, *many(300))
@@ -373,7 +373,7 @@
 def test_a_proxy_of_the_former_version_gets_whole_chunks():
     async def scenario(world):
         await with_items(world, *many(100))
-        names = world.daemon("mdconf", world.core[0]).head["ranges"]
+        names = world.daemon("mdconf", world.core[0]).revisions.latest.chunks
         links = world.node("mdproxy", "10.0.1.1").rpc
         told = await links.call(f"{world.core[0]}:7421", "blob.get", names, monotonic_us() + SECOND)
         assert {fingerprint(bytes(body)) for body in told.values()} == set(names)
@@ -386,18 +386,18 @@
     async def scenario(world):
         await with_items(world, *many(300))
         mine = world.daemon("mdconf", world.core[0])
-        names = mine.head["ranges"]
-        mine.chunks.fresh.clear()
+        names = mine.revisions.latest.chunks
+        mine.chunks.recent.clear()
         disk = world.disks["mdconf", world.core[0]]
         for name in [n for n in disk.files if n.startswith("blob/")]:
             del disk.files[name]
-        first = mine.chunks.fetcher.spread(mine.others().values())[0].partition(":")[0]
+        first = mine.chunks.fetcher.spread(mine.broadcast.peers().values())[0].partition(":")[0]
         if fault == "frozen":
             world.processes[f"mdconf@{first}"].freeze()
         else:
             make_dark(world, first)
         begun = monotonic_us()
-        assert len(await mine.fetch(names)) == len(names)
+        assert len(await mine.chunks.fetch(names)) == len(names)
         assert monotonic_us() - begun < APPLY // 4
 
     run(scenario, application=("desk",))
@@ -407,14 +407,14 @@
     async def scenario(world):
         await with_items(world, *many(300))
         mine = world.daemon("mdconf", world.core[0])
-        names = mine.head["ranges"]
-        mine.chunks.fresh.clear()
+        names = mine.revisions.latest.chunks
+        mine.chunks.recent.clear()
 
         async def read(name):
             raise OSError("input/output error")
 
         world.disks["mdconf", world.core[0]].read = read
-        assert len(await mine.fetch(names)) == len(names)
+        assert len(await mine.chunks.fetch(names)) == len(names)
 
     run(scenario, application=("desk",))
 
--- a/tests/support/trail_facts.py
+++ b/tests/support/trail_facts.py
@@ -103,7 +103,7 @@
 
 
 async def measure(length):
-    from meadowdock.config_store.plans import HISTORY
+    from meadowdock.config_store.revision import HISTORY_LENGTH
 
     records = chain(length)
     disk = CountingDisk()
@@ -139,7 +139,7 @@
         "bytes to a blank member": blank_bytes,
         "largest message": largest,
         "bytes after 10 missed": missed_bytes,
-        "head in a ballot": head_bytes(HISTORY, length, records[length]),
+        "head in a ballot": head_bytes(HISTORY_LENGTH, length, records[length]),
     }
     return before, after
 
