--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -439,7 +439,7 @@
         stopped, other, behind = fleet.hosts
         assert await configure(world, 1, stopped) == 1
         store = fleet.store(behind)
-        world.daemon("mdconf", behind).mend = forever
+        world.daemon("mdconf", behind).revisions.fetch_missing_chunks = forever
         for host in fleet.hosts:
             world.daemon("mdconf", host).repairer.compare = nothing
         undo = [break_off(store.acceptor, "write"), break_off(store, "put_blob")]
--- a/tests/configuration/test_manifest.py
+++ b/tests/configuration/test_manifest.py
@@ -431,7 +431,7 @@
             async def nobody_delivers(head):
                 await sleep_us(0)
 
-            daemon.deliver = nobody_delivers
+            daemon.delivery.deliver = nobody_delivers
         begun = monotonic_us()
         for number in range(8):
             await world.configure(manifest([way(f"w{number}", "/balances")]), number % 3)
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -363,9 +363,8 @@
     async def scenario(world):
         await with_items(world, *many(300))
         await in_force(world, await world.set_items(many(300, 2)))
-        assert (
-            len(await world.daemon("mdconf", world.core[2]).fetch([fingerprint(b"no chunk")])) == 0
-        )
+        chunks = world.daemon("mdconf", world.core[2]).chunks
+        assert len(await chunks.fetch([fingerprint(b"no chunk")])) == 0
 
     run(scenario, application=PROXIES)
 
