--- a/packages/config_store/meadowdock/config_store/delivery.py
+++ b/packages/config_store/meadowdock/config_store/delivery.py
@@ -34,7 +34,8 @@
     async def refresh(self) -> None:
         """Ask every registry for its node table once."""
         requests = {
-            address: (address, "reg.roster", None) for address in self.node.view.core_members("mdreg")
+            address: (address, "reg.roster", None)
+            for address in self.node.view.core_members("mdreg")
         }
         deadline = monotonic_us() + REFRESH_TIMEOUT_US
         self.node_tables = await self.node.rpc.successful_responses(requests, deadline)
