--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -125,8 +125,10 @@
     ) -> Any:
         """Replace the value of a key by update(value); its value is None if it has none.
 
-        update may run several times, and may raise to leave the key unchanged. rule: which members
-        have to accept the change; they must always include a quorum.
+        update may run several times, also on a value that has its own effect already: an attempt
+        that was outrun may be completed by another proposer. So it has to recognise its effect. It
+        may raise to leave the key unchanged. rule: which members have to accept the change; they
+        must always include a quorum.
 
         :returns: the new value.
         :raises NoQuorum: the change was not and will not be applied.
--- a/packages/membership/meadowdock/membership/entry.py
+++ b/packages/membership/meadowdock/membership/entry.py
@@ -19,14 +19,14 @@
     address: str  # of its rpc server
     role: str
     zone: str
-    incarnation: int  # greater in each life of the process
+    incarnation: int  # greater after each start of the process
     heartbeat: int  # a counter that the member raises at each of its gossip exchanges
     leaving: bool  # it is shutting down
     version: int  # of the configuration that it has in force, or knows to be the current one
 
     @property
     def freshness(self) -> Freshness:
-        """By which a newer entry of the same address is told from an older."""
+        """What orders the entries of one address: the newer is greater."""
         return Freshness(self.incarnation, self.heartbeat)
 
     def to_wire(self) -> list[Any]:
--- a/packages/model_checker/meadowdock/model_checker/transitions.py
+++ b/packages/model_checker/meadowdock/model_checker/transitions.py
@@ -138,11 +138,11 @@
     async def deliver(self, state: State, index: int) -> State:
         """A replica handles the request; its answer is in flight."""
         message = state.messages[index]
-        place = self.names.index(message.replica)
+        index_of_replica = self.names.index(message.replica)
         replica, answer = await self.replicas.handle(
-            state.replicas[place], message.method, message.args
+            state.replicas[index_of_replica], message.method, message.args
         )
-        state = state.with_replica(place, replica)
+        state = state.with_replica(index_of_replica, replica)
         if message.orphan:
             return state.without_message(index)
         return state.with_message(index, message._replace(answer=answer))
--- /dev/null
+++ b/tests/consensus/test_quorum.py
@@ -0,0 +1,39 @@
+"""Which members are a quorum, alone and under a joint configuration."""
+
+from __future__ import annotations
+
+import pytest
+
+from meadowdock.consensus import FailureDomain, Tolerance, VoterSets
+
+QUORUMS = [
+    ([], "a", False),
+    (["abc"], "a", False),
+    (["abc"], "ab", True),
+    (["abc"], "adef", False),  # only voters count
+    (["abcd"], "ab", False),
+    (["abc", "cde"], "abc", False),  # of a joint configuration, a majority of both
+    (["abc", "cde"], "bcd", True),
+    (["abc", "cde"], "abde", True),
+]
+
+
+@pytest.mark.parametrize(("sets", "members", "expected"), QUORUMS)
+def test_a_quorum_is_a_majority_of_each_voter_set(sets, members, expected):
+    assert VoterSets.of(sets).is_quorum(members) == expected
+
+
+def test_a_durable_quorum_without_a_member_does_not_count_it():
+    voters = VoterSets.of(["abc"], tolerance=Tolerance(disks=1))
+    assert voters.is_durable("ab")
+    assert not voters.without("a").is_durable("ab")
+    assert voters.without("a").is_durable("abc")
+
+
+def test_zones_count_once_the_zone_of_each_voter_is_known():
+    known = {"a": FailureDomain("x"), "b": FailureDomain("x"), "c": FailureDomain("y")}
+    tolerance = Tolerance(zones=1)
+    assert not VoterSets.of(["abc"], known, tolerance).is_durable("ab")
+    assert VoterSets.of(["abc"], known, tolerance).is_durable("bc")
+    del known["c"]
+    assert VoterSets.of(["abc"], known, tolerance).is_durable("ab")
--- a/tests/consensus/test_register_contention.py
+++ b/tests/consensus/test_register_contention.py
@@ -8,14 +8,15 @@
 import trio
 from facts import manifest, way
 from mesh import configured
+from three_acceptors import answer_of
 
 from meadowdock.consensus import Acceptor, NoQuorum, OutcomeUnknown, Proposer
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import SimDisk, run
 
-STEP = 5 * MILLISECOND  # a write takes four steps
-SLOW = 25
-ANSWERED = 3 * SECOND  # operators wait 4 s
+DISK_STEP = 5 * MILLISECOND  # a write takes four steps
+SLOWDOWN = 25
+ANSWER_LIMIT = 3 * SECOND  # operators wait 4 s
 
 
 class BusyDisk(SimDisk):
@@ -27,11 +28,11 @@
 
 
 class Voters:
-    """Keepers on slow disks, and links that take 1 to 3 ms each way."""
+    """Acceptors on slow disks, and connections that take 1 to 3 ms each way."""
 
     def __init__(self, nursery, rng, size, make_disk):
         self.nursery, self.rng = nursery, rng
-        self.disks = {f"v{n}": make_disk(random.Random(n), STEP) for n in range(size)}
+        self.disks = {f"v{n}": make_disk(random.Random(n), DISK_STEP) for n in range(size)}
         self.acceptors = {
             m: Acceptor(disk, lambda *_, **__: None) for m, disk in self.disks.items()
         }
@@ -40,17 +41,13 @@
     def proposer(self, name):
         return Proposer(name, lambda: [list(self.acceptors)], self.ask, self.rng, self.nursery)
 
-    async def ask(self, member, method, args, due):
+    async def ask(self, member, method, args, deadline):
         self.ballots += method == "prepare"
         await sleep_us(self.rng.randrange(1, 3) * MILLISECOND)
         if member in self.dead:
-            await sleep_us(due - monotonic_us())
+            await sleep_us(deadline - monotonic_us())
             raise TimeoutError
-        acceptor = self.acceptors[member]
-        if method == "read":
-            answer = acceptor.read(*args)
-        else:
-            answer = await getattr(acceptor, method)(args[0], tuple(args[1]), *args[2:])
+        answer = await answer_of(self.acceptors[member], method, args)
         if self.lossy and self.rng.random() < 0.1:
             raise TimeoutError
         await sleep_us(self.rng.randrange(1, 3) * MILLISECOND)
@@ -68,9 +65,9 @@
         while True:
             least, reads = known, reads + 1
             try:
-                told = await proposer.read("k", monotonic_us() + 1_200 * MILLISECOND) or 0
-                assert told >= least  # what was given before the read began is in it
-                known = max(known, told)
+                value = await proposer.read("k", monotonic_us() + 1_200 * MILLISECOND) or 0
+                assert value >= least  # what was given before the read began is in it
+                known = max(known, value)
             except (NoQuorum, OutcomeUnknown):
                 failed += 1
             await sleep_us(voters.rng.randrange(1, 20) * MILLISECOND)
@@ -84,8 +81,8 @@
             at = monotonic_us()
             proposer = proposers[number % len(proposers)]
             try:
-                due = monotonic_us() + 5 * SECOND
-                known = max(known, await proposer.change("k", lambda old: (old or 0) + 1, due))
+                deadline = monotonic_us() + 5 * SECOND
+                known = max(known, await proposer.change("k", lambda old: (old or 0) + 1, deadline))
                 done += 1
             except (NoQuorum, OutcomeUnknown):
                 pass
@@ -98,10 +95,10 @@
 
 CASES = {  # disks, how much slower one of them is, dead of 3, of 5
     "busy": (BusyDisk, 1, {}),
-    "busy, one slow": (BusyDisk, SLOW, {}),
+    "busy, one slow": (BusyDisk, SLOWDOWN, {}),
     "busy, some dead": (BusyDisk, 1, {3: ["v2"], 5: ["v3", "v4"]}),
     "answers lost": (BusyDisk, 1, {}),
-    "the slow one is needed": (SimDisk, SLOW, {3: ["v2"], 5: ["v3", "v4"]}),
+    "the slow one is needed": (SimDisk, SLOWDOWN, {3: ["v2"], 5: ["v3", "v4"]}),
 }
 
 
@@ -117,7 +114,7 @@
         voters.lossy = case == "answers lost"
         voters.dead = set(dead.get(size, ()))
         took, reads, failed = await contend(voters)
-        assert max(took) < ANSWERED
+        assert max(took) < ANSWER_LIMIT
         assert failed <= reads // 20
 
     run(scenario, seed)
@@ -138,7 +135,7 @@
         elif fault == "stalled":
             disk.stalled = trio.Event()
         elif fault == "slow":
-            disk.step_us *= SLOW
+            disk.step_us *= SLOWDOWN
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -150,7 +147,7 @@
         await configured(world)
         for (role, _), disk in world.disks.items():
             if role == "mdconf":
-                disk.step_us = STEP
+                disk.step_us = DISK_STEP
         struck = world.core[(core + 1) // 2 :]
         strike(world, fault, struck)
         took = []
--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -12,7 +12,7 @@
 from item_changes import founded
 from lease_checks import holders, isolate, one_holder
 from order_faults import trouble
-from three_acceptors import Trio
+from three_acceptors import ThreeAcceptors
 
 from meadowdock.consensus import NoQuorum, OutcomeUnknown, Proposer, ReadRequest
 from meadowdock.model_checker import (
@@ -136,8 +136,8 @@
 
     async def scenario(world):
         rng = random.Random(f"users{seed}")
-        three = Trio(world.nursery, random.Random(seed))
-        three.lose_answers = 0.15
+        three = ThreeAcceptors(world.nursery, random.Random(seed))
+        three.answer_loss = 0.15
         async with trio.open_nursery() as nursery:
             nursery.start_soon(member_troubles, three, rng)
             async with trio.open_nursery() as users:
