--- a/packages/simulator/meadowdock/simulator/faults.py
+++ b/packages/simulator/meadowdock/simulator/faults.py
@@ -13,7 +13,7 @@
 # kind -> (weight in the draw, what it does with (day, place, span))
 KINDS = {}
 # what may take service away from many at once; each is also tried alone
-MAJOR = ("black_out", "kill_all", "power_all_conf", "lose_hall", "lose_halls", "cut_core")
+MAJOR = ("black_out", "kill_all", "power_all_conf", "lose_zone", "lose_zones", "cut_core")
 
 
 def kind(weight):
@@ -95,13 +95,13 @@
 
 
 @kind(1)
-async def lose_hall(day, place, span):
+async def lose_zone(day, place, span):
     await day.down_and_up(day.on(day.hall(place)), span, day.power)
 
 
 @kind(1)
-async def lose_halls(day, place, span):
-    """Two halls, the second a little later."""
+async def lose_zones(day, place, span):
+    """Two zones, the second a little later."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(day.down_and_up, day.on(day.hall(place)), span, day.power)
         await sleep_us(span // 3)
@@ -158,14 +158,14 @@
         with deadline_scope(monotonic_us() + 6 * SECOND):
             while not changed:
                 core = next((i for i, h in enumerate(world.core) if h != old), 0)
-                changed = await day.told_members(facts, core)
+                changed = await day.members_accepted(facts, core)
                 await sleep_us(300 * MILLISECOND)
         if changed:
             world.core[world.core.index(old)] = new
-        gone = old if changed else new
+        removed = old if changed else new
         for role in ("mdreg", "mdconf"):
-            if f"{role}@{gone}" in world.processes:
-                world.kill(f"{role}@{gone}")
+            if f"{role}@{removed}" in world.processes:
+                world.kill(f"{role}@{removed}")
         day.touched -= {("mdconf", new), ("mdreg", new), reg}
 
 
@@ -260,7 +260,7 @@
 async def cut(day, pairs, span):
     day.world.web.cuts |= pairs
     await sleep_us(span)
-    day.world.web.mend(pairs)
+    day.world.web.heal_links(pairs)
 
 
 @kind(3)
@@ -293,8 +293,8 @@
 
 
 @kind(2)
-async def cut_halls(day, place, span):
-    """Between the application machines of one hall and the others; all reach the core."""
+async def cut_zones(day, place, span):
+    """Between the application machines of one zone and the others; all reach the core."""
     inside = set(day.hall(place)) & set(day.world.application)
     await cut(day, between(inside, set(day.world.application) - inside), span)
 
@@ -350,7 +350,7 @@
 
 
 @kind(1)
-async def freeze_hall(day, place, span):
+async def freeze_zone(day, place, span):
     async with trio.open_nursery() as nursery:
         for process in day.on(day.hall(place)):
             nursery.start_soon(day.freeze, [process], 0, span)
--- a/packages/simulator/meadowdock/simulator/net.py
+++ b/packages/simulator/meadowdock/simulator/net.py
@@ -19,7 +19,7 @@
 
 class Web:
     """Invariant: cuts holds ordered pairs of hosts; what is sent over a cut pair waits, as TCP
-    would keep sending it, and arrives after the cut is healed unless an end is gone."""
+    would keep sending it, and arrives after the cut is healed unless an end is closed."""
 
     def __init__(self, rng, delay_us=(200, 1500)):
         self.rng, self.delay_us = rng, delay_us
@@ -33,7 +33,7 @@
         self.received = Counter()  # host -> bytes over links between processes
         self.sendings = []  # (at, "spill" or "endpoint", call's id), as each leaves
         self.healed = trio.Event()
-        self.doors, self.ends = {}, {}  # of wires.py: listening addresses; open ends, in order
+        self.listeners, self.ends = {}, {}  # of wires.py: listening addresses; open ends, in order
         self.tear = 0  # most bytes that a reader of a wire gets at once; 0: all that has come
 
     def delay(self, *hosts):
@@ -55,15 +55,15 @@
     def cut(self, a, b, both=True):
         self.cuts |= {(a, b), *([(b, a)] if both else [])}
 
-    def mend(self, pairs):
+    def heal_links(self, pairs):
         self.cuts -= set(pairs)
         self.healed.set()
         self.healed = trio.Event()
         for wire in list(self.ends):
-            wire.news.set()
+            wire.arrived.set()
 
     def heal(self):
-        self.mend(set(self.cuts))
+        self.heal_links(set(self.cuts))
 
     async def carry(self, a, b):
         """The time on the way from a to b; longer than any cut between them."""
@@ -75,9 +75,9 @@
 class Half(trio.abc.Stream):
     """One end. Invariant: inbox is in order; each item carries its earliest arrival."""
 
-    def __init__(self, web, here, there):
-        self.web, self.here, self.there = web, here, there
-        self.inbox, self.news = deque(), trio.Event()
+    def __init__(self, web, local, remote):
+        self.web, self.local, self.remote = web, local, remote
+        self.inbox, self.arrived = deque(), trio.Event()
         self.other = None
         self.closed = self.broken = False
 
@@ -91,10 +91,10 @@
 
     def arrive(self, data):
         last = self.inbox[-1][0] if self.inbox else 0
-        takes = self.web.delay(self.here, self.there)
-        takes += self.web.transmit(self.there, self.here, len(data))
+        takes = self.web.delay(self.local, self.remote)
+        takes += self.web.transmit(self.remote, self.local, len(data))
         self.inbox.append((max(last, monotonic_us() + takes), data))
-        self.news.set()
+        self.arrived.set()
 
     async def receive_some(self, max_bytes=None):
         await trio.lowlevel.checkpoint_if_cancelled()
@@ -105,11 +105,11 @@
                 raise trio.BrokenResourceError
             if self.inbox:
                 at, data = self.inbox[0]
-                if (self.there, self.here) in self.web.cuts:
+                if (self.remote, self.local) in self.web.cuts:
                     await self.wait(self.web.healed)
                 elif monotonic_us() < at:
                     with deadline_scope(at):
-                        await self.news_or_forever()
+                        await self.arrival_or_forever()
                 else:
                     self.inbox.popleft()
                     # as a socket's buffer: all that has come is read at once, up to an end
@@ -122,14 +122,14 @@
                         data += self.inbox.popleft()[1]
                     return data
             else:
-                await self.wait(self.news)
+                await self.wait(self.arrived)
 
     async def wait(self, event):
         await event.wait()
-        if event is self.news:
-            self.news = trio.Event()
+        if event is self.arrived:
+            self.arrived = trio.Event()
 
-    async def news_or_forever(self):
+    async def arrival_or_forever(self):
         await trio.sleep_forever()
 
     async def wait_send_all_might_not_block(self):
@@ -138,14 +138,14 @@
     async def aclose(self):
         if not self.closed:
             self.closed = True
-            self.news.set()
+            self.arrived.set()
             if not self.other.closed:
                 self.other.arrive(b"")
         await trio.lowlevel.checkpoint()
 
     def reset(self):
         self.broken = True
-        self.news.set()
+        self.arrived.set()
 
 
 class SimNet:
@@ -157,12 +157,12 @@
         self.halves = set()
         self.alive = True
         self.belongs = lambda: None
-        self.made_wires = []
+        self.process_wires = []
 
     def wires(self, nursery, reactor):
         """Connections of raw bytes, as meadowdock.forwarding.wires has them."""
-        self.made_wires.append(SimWires(self, nursery, reactor))
-        return self.made_wires[-1]
+        self.process_wires.append(SimWires(self, nursery, reactor))
+        return self.process_wires[-1]
 
     async def serve_streams(self, address, handler, task_status=trio.TASK_STATUS_IGNORED):
         async with trio.open_nursery() as nursery:
@@ -171,14 +171,14 @@
             await trio.sleep_forever()
 
     async def open_stream(self, address):
-        there = Address(address).host
-        await self.web.carry(self.host, there)
-        await self.web.carry(there, self.host)
+        remote = Address(address).host
+        await self.web.carry(self.host, remote)
+        await self.web.carry(remote, self.host)
         found = self.web.links.get(address)
         if found is None or not found[2].alive:
             raise ConnectionRefusedError(address)
         nursery, handler, net = found
-        mine, theirs = Half(self.web, self.host, there), Half(self.web, there, self.host)
+        mine, theirs = Half(self.web, self.host, remote), Half(self.web, remote, self.host)
         mine.other, theirs.other = theirs, mine
         self.halves.add(mine)
         net.halves.add(theirs)
@@ -209,7 +209,7 @@
         for half in self.halves:
             half.reset()
             half.other.reset()
-        for wires in self.made_wires:
+        for wires in self.process_wires:
             wires.reset()
 
     def vanish(self):
@@ -218,7 +218,7 @@
         for half in self.halves:
             half.closed = True
             half.other.reset()
-        for wires in self.made_wires:
+        for wires in self.process_wires:
             wires.vanish()
         for table in (self.web.links, self.web.apps):
             for address in [a for a, found in table.items() if found[-1] is self]:
@@ -238,13 +238,13 @@
         return self.closed or (self.app is not None and not self.app[1].alive)
 
     async def request(self, method, target, headers, body, started=None):
-        web, here, there = self.net.web, self.net.host, self.address.host
+        web, local, remote = self.net.web, self.net.host, self.address.host
         sent = False
-        whole = False
+        complete = False
         try:
             if self.app is None:
-                await web.carry(here, there)
-                await web.carry(there, here)
+                await web.carry(local, remote)
+                await web.carry(remote, local)
                 self.app = web.apps.get(self.address)
                 if self.app is None or not self.app[1].alive:
                     raise HttpConnectionFailed(False, "refused")
@@ -258,17 +258,17 @@
             if started:
                 started()
             answer = await self.exchange(app, net, method, target, headers, body)
-            await web.carry(there, here)
+            await web.carry(remote, local)
             if answer is None or not self.net.alive:
                 raise HttpConnectionFailed(sent, "connection lost")
-            whole = True
+            complete = True
             return answer
         finally:
-            if not whole:
+            if not complete:
                 self.closed = True
 
     async def exchange(self, app, net, method, target, headers, body):
-        web, here, there = self.net.web, self.net.host, self.address.host
+        web, local, remote = self.net.web, self.net.host, self.address.host
         path, _, query = target.partition("?")
         scope = {
             "type": "http",
@@ -278,11 +278,11 @@
             "query_string": query.encode(),
             "headers": [(n.lower(), v) for n, v in headers]
             + [(b"content-length", str(len(body)).encode())],
-            "client": (here, 1),
+            "client": (local, 1),
         }
         hung, done = trio.Event(), trio.Event()
         events = deque([{"type": "http.request", "body": body, "more_body": False}])
-        told = []
+        sent_events = []
 
         async def receive():
             if events:
@@ -291,16 +291,16 @@
             return {"type": "http.disconnect"}
 
         async def send(event):
-            told.append(event)
+            sent_events.append(event)
 
         async def serve():
             net.belongs()  # this task is of the other process
             try:
-                await web.carry(here, there)
+                await web.carry(local, remote)
                 if net.alive:
                     await app(scope, receive, send)
             except Exception:
-                told.clear()
+                sent_events.clear()
             finally:
                 done.set()
 
@@ -311,10 +311,14 @@
             hung.set()
         if web.rng.random() < web.losing.get(self.address, 0):
             return None
-        if not net.alive or not told or told[-1].get("more_body"):
+        if not net.alive or not sent_events or sent_events[-1].get("more_body"):
             return None
-        start = told[0]
-        return start["status"], start["headers"], b"".join(e.get("body", b"") for e in told[1:])
+        start = sent_events[0]
+        return (
+            start["status"],
+            start["headers"],
+            b"".join(e.get("body", b"") for e in sent_events[1:]),
+        )
 
     async def close(self):
         self.closed = True
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -270,7 +270,7 @@
         except HttpConnectionFailed:
             pass
 
-    async def told_members(self, facts, core):
+    async def members_accepted(self, facts, core):
         """One try of a member change; is it done?"""
         try:
             status, _ = await self.world.operate("POST", "/members", facts, core)
--- a/packages/simulator/meadowdock/simulator/wires.py
+++ b/packages/simulator/meadowdock/simulator/wires.py
@@ -33,7 +33,7 @@
         self.waiting = None
         self.stuck_since = 0
         self.inbox, self.unread = deque(), 0
-        self.news, self.room = trio.Event(), trio.Event()
+        self.arrived, self.room = trio.Event(), trio.Event()
 
     # ------------------------------------------------------------ out
 
@@ -121,7 +121,7 @@
         self.held, self.held_size = [], 0
         self.resume()
         self.tell_end(how)
-        self.news.set()
+        self.arrived.set()
         self.room.set()
         self.other.room.set()
         self.wires.open.pop(self, None)
@@ -130,7 +130,7 @@
     def break_now(self):
         """The connection is reset under both ends; what was on the way is lost."""
         self.broken = True
-        self.news.set()
+        self.arrived.set()
         self.room.set()
 
     # ------------------------------------------------------------ in
@@ -142,7 +142,7 @@
         at = max(last, monotonic_us() + more_us + self.web.delay(self.peer, self.here))
         self.inbox.append((at, data))
         self.unread += len(data or b"")
-        self.news.set()
+        self.arrived.set()
 
     async def next_data(self):
         """Bytes, END or RESET, as soon as some may be read."""
@@ -157,8 +157,8 @@
                     continue
                 return self.take()
             with deadline_scope(at if at > monotonic_us() else 1 << 61):
-                await self.news.wait()
-            self.news = trio.Event()
+                await self.arrived.wait()
+            self.arrived = trio.Event()
         return END
 
     def take(self):
@@ -195,12 +195,12 @@
         self.wires.reactor.end_turn()
 
 
-class Door:
+class Listener:
     """A listening address. Invariant: backlog holds ends that its process has not accepted yet."""
 
     def __init__(self, wires):
         self.wires = wires
-        self.backlog, self.news = deque(), trio.Event()
+        self.backlog, self.arrived = deque(), trio.Event()
 
 
 class SimWires:
@@ -218,32 +218,32 @@
         return wire
 
     async def listen(self, address, accept, closing=None, task_status=trio.TASK_STATUS_IGNORED):
-        door = Door(self)
-        self.web.doors[address] = door
+        listener = Listener(self)
+        self.web.listeners[address] = listener
         try:
             task_status.started()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.take, door, accept)
+                nursery.start_soon(self.take, listener, accept)
                 if closing is None:
                     await trio.sleep_forever()
                 await closing.wait()
                 nursery.cancel_scope.cancel()
-            self.take_all(door, accept)
+            self.take_all(listener, accept)
         finally:
-            if self.web.doors.get(address) is door:
-                del self.web.doors[address]
-            for wire in door.backlog:
+            if self.web.listeners.get(address) is listener:
+                del self.web.listeners[address]
+            for wire in listener.backlog:
                 wire.abort()
 
-    async def take(self, door, accept):
+    async def take(self, listener, accept):
         while True:
-            self.take_all(door, accept)
-            await door.news.wait()
-            door.news = trio.Event()
+            self.take_all(listener, accept)
+            await listener.arrived.wait()
+            listener.arrived = trio.Event()
 
-    def take_all(self, door, accept):
-        while door.backlog:
-            wire = door.backlog.popleft()
+    def take_all(self, listener, accept):
+        while listener.backlog:
+            wire = listener.backlog.popleft()
             accept(wire)
             self.nursery.start_soon(wire.read)
 
@@ -251,19 +251,19 @@
         self.nursery.start_soon(self.connect, Address(address), due, owner)
 
     async def connect(self, address, due, owner):
-        wire, cause, there = None, "no connection in time", address.host
+        wire, cause, remote = None, "no connection in time", address.host
         with deadline_scope(due):
-            await self.web.carry(self.host, there)
-            door = self.web.doors.get(str(address))
-            await self.web.carry(there, self.host)
-            if door is None or not door.wires.net.alive:
+            await self.web.carry(self.host, remote)
+            listener = self.web.listeners.get(str(address))
+            await self.web.carry(remote, self.host)
+            if listener is None or not listener.wires.net.alive:
                 cause = ConnectionRefusedError(errno.ECONNREFUSED, "ECONNREFUSED")
             else:
-                wire = self.adopt(there)
-                wire.other = door.wires.adopt(self.host)
+                wire = self.adopt(remote)
+                wire.other = listener.wires.adopt(self.host)
                 wire.other.other = wire
-                door.backlog.append(wire.other)
-                door.news.set()
+                listener.backlog.append(wire.other)
+                listener.arrived.set()
         if wire is None:
             owner.on_fail(cause)
             self.reactor.end_turn()
@@ -274,15 +274,15 @@
         if not wire.closed:
             await wire.read()
 
-    def vanish(self, told=True):
+    def vanish(self, reset_peers=True):
         """As a killed process: the others hear a reset; nothing, if the machine is gone."""
         for wire in list(self.open):
-            if not told:
+            if not reset_peers:
                 wire.ended = True
                 wire.tell_end = lambda how: None
             wire.gone(RESET)
-        for address in [a for a, door in self.web.doors.items() if door.wires is self]:
-            del self.web.doors[address]
+        for address in [a for a, listener in self.web.listeners.items() if listener.wires is self]:
+            del self.web.listeners[address]
 
     def reset(self):
         for wire in list(self.open):
--- a/tests/config_store/test_order_times.py
+++ b/tests/config_store/test_order_times.py
@@ -48,7 +48,7 @@
         done.append(await order(world, fresh(n), n % 3))
         n += 1
         await sleep_us(world.rng.randrange(300 * MILLISECOND))
-    world.web.mend(pairs)
+    world.web.heal_links(pairs)
     for n in range(len(done), len(done) + 10):
         done.append(await order(world, fresh(n), n % 3))
     return done
--- a/tests/configuration/test_manifest.py
+++ b/tests/configuration/test_manifest.py
@@ -256,7 +256,7 @@
         # the two proxies alone, as if nobody but they had changed views
         world.web.cut(mine, other)
         await world.start("mdproxy", mine)
-        world.web.mend({(mine, other), (other, mine)})
+        world.web.heal_links({(mine, other), (other, mine)})
         daemon = world.daemon("mdproxy", mine)
         view = world.node("mdproxy", other).view
         daemon.node.view.merge([view.me], monotonic_us())
