--- a/packages/membership/meadowdock/membership/entry.py
+++ b/packages/membership/meadowdock/membership/entry.py
@@ -5,12 +5,8 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-
-class Freshness(NamedTuple):
-    """Orders the entries of one address: only the member itself raises either number."""
-
-    incarnation: int
-    heartbeat: int
+# (incarnation, heartbeat): orders the entries of one address. Only the member itself raises either.
+Freshness = tuple[int, int]
 
 
 class MemberEntry(NamedTuple):
@@ -27,7 +23,7 @@
     @property
     def freshness(self) -> Freshness:
         """What orders the entries of one address: the newer is greater."""
-        return Freshness(self.incarnation, self.heartbeat)
+        return self.incarnation, self.heartbeat
 
     def to_wire(self) -> list[Any]:
         """The entry as it is sent."""
--- a/packages/membership/meadowdock/membership/view.py
+++ b/packages/membership/meadowdock/membership/view.py
@@ -13,7 +13,7 @@
 
 import immutables
 
-from meadowdock.membership.entry import Freshness, KnownMember, MemberEntry, RemovedMember
+from meadowdock.membership.entry import KnownMember, MemberEntry, RemovedMember
 from meadowdock.runtime import SECOND, PauseDetector
 
 VIEW_MAX = 10  # members that are not core
@@ -25,7 +25,7 @@
 PAUSE_THRESHOLD = 2 * SECOND  # a longer gap between two expiries is a pause of this process
 ANNOUNCED_MAX = 2_000
 
-NEVER_REMOVED = RemovedMember(Freshness(-1, -1), 0)
+NEVER_REMOVED = RemovedMember((-1, -1), 0)
 
 
 class MembershipView:
@@ -98,11 +98,12 @@
 
     def is_newer(self, entry: MemberEntry) -> bool:
         """Whether an entry is newer than all that was known of its address."""
+        freshness = entry.freshness
         known = self.entries.get(entry.address)
-        if known is not None and entry.freshness <= known.entry.freshness:
+        if known is not None and freshness <= known.entry.freshness:
             return False
         removed = self.removed.get(entry.address, NEVER_REMOVED)
-        return entry.freshness > removed.freshness
+        return freshness > removed.freshness
 
     def announce(self, entry: MemberEntry) -> None:
         """Log a member's incarnation that is seen for the first time."""
