--- a/packages/rpc/meadowdock/rpc/client.py
+++ b/packages/rpc/meadowdock/rpc/client.py
@@ -54,7 +54,7 @@
     def __init__(self, stream: trio.abc.Stream, session: Session) -> None:
         self.stream, self.session = stream, session
         self.peer = session.peer
-        self.pending = Slab()
+        self.pending: Slab[PendingCall] = Slab()
         self.writer = FrameWriter(session.outgoing, MAX_QUEUED_REQUESTS)
         self.failure: object = None
         self.draining = False
@@ -95,10 +95,14 @@
     def still_wanted(self, batch: list[QueuedFrame]) -> list[QueuedFrame]:
         """Leave out requests that were given up while queued: they never reach the peer. The
         others are marked as sent."""
-        wanted = [f for f in batch if f.call_id is None or self.pending.live(f.call_id)]
-        for frame in wanted:
+        wanted = []
+        for frame in batch:
             if frame.call_id is not None:
-                self.pending.get(frame.call_id).sent = True
+                pending = self.pending.get(frame.call_id)
+                if pending is None:
+                    continue
+                pending.sent = True
+            wanted.append(frame)
         return wanted
 
     async def read(self) -> None:
--- a/packages/runtime/meadowdock/runtime/disk.py
+++ b/packages/runtime/meadowdock/runtime/disk.py
@@ -1,4 +1,4 @@
-"""Files below one data folder. A write lasts once `write` has returned, and is whole or absent.
+"""Files below one data folder. Writes are atomic, and durable once `write` has returned.
 
 >>> import trio
 >>> disk = MemoryDisk()
@@ -10,109 +10,119 @@
 
 from __future__ import annotations
 
-import hashlib
 import os
+from typing import Protocol
 
 import trio
 
-THREADS = 8
+MAX_THREADS = 8
+TEMPORARY = ".aside"  # suffix of files whose write did not finish
 
 
-def sealed(body: bytes) -> bytes:
-    """A body with its hash before it."""
-    return hashlib.blake2b(body, digest_size=32).digest() + body
+class DataFolder(Protocol):
+    """Files by name; names may contain folders ("key/x")."""
 
+    async def write(self, name: str, data: bytes) -> None:
+        """Write a file atomically; durable once this returns. Raises OSError."""
 
-def unsealed(data: bytes | None) -> bytes | None:
-    """The body, or None if the file is torn or altered.
+    async def read(self, name: str) -> bytes | None:
+        """The bytes of a file, or None if there is none. Raises OSError."""
 
-    >>> unsealed(sealed(b"x")), unsealed(sealed(b"x")[:-1]), unsealed(b"")
-    (b'x', None, None)
-    """
-    if data is None or len(data) < 32:
-        return None
-    body = data[32:]
-    return body if hashlib.blake2b(body, digest_size=32).digest() == data[:32] else None
+    async def names(self, folder: str) -> list[str]:
+        """The names in a folder, in order."""
+
+    async def remove(self, name: str) -> None:
+        """Remove a file, if it exists. Raises OSError."""
+
+    async def move(self, folder: str, to: str) -> None:
+        """Rename a folder; durable once this returns. Raises OSError."""
 
 
 class Disk:
-    """The real one: written aside, synced, renamed, and the folder synced."""
+    """Files on the machine's disk, read and written in threads.
+
+    A file is written to a temporary name, synced and renamed, and its folder is synced. The threads
+    are the disk's own, so that other work in threads goes on while the disk stalls.
+
+    Invariant: a name that ends in TEMPORARY is never read; it is a write that did not finish.
+    """
 
-    # Invariant: a name that ends in ".aside" is never read; it is a write that did not finish.
-    # Its threads are its own: while it stalls, work apart from the loop goes on.
     def __init__(self, root: str) -> None:
-        self.threads = trio.CapacityLimiter(THREADS)
-        self.writing = {}  # name -> lock, while somebody writes it or waits to
+        self.threads = trio.CapacityLimiter(MAX_THREADS)
+        self.write_locks: dict[str, trio.Lock] = {}  # of names being written
         self.root = os.path.abspath(root)
         os.makedirs(self.root, exist_ok=True)
 
     def path(self, name: str) -> str:
-        """Where a file lies."""
+        """The path of a file."""
         return os.path.join(self.root, name)
 
     async def write(self, name: str, data: bytes) -> None:
-        """Keep a file, whole or not at all; lasting once this returns."""
-        lock = self.writing.setdefault(name, trio.Lock())
+        """Write a file atomically; durable once this returns. Raises OSError."""
+        lock = self.write_locks.setdefault(name, trio.Lock())
         try:
-            async with lock:  # two that write one name at once would share the file aside
-                await trio.to_thread.run_sync(self.put, name, data, limiter=self.threads)
+            async with lock:  # two writers of one name would share the temporary file
+                await trio.to_thread.run_sync(
+                    self.write_in_thread, name, data, limiter=self.threads
+                )
         finally:
             if not lock.locked():
-                self.writing.pop(name, None)
+                self.write_locks.pop(name, None)
 
     async def read(self, name: str) -> bytes | None:
         """The bytes of a file, or None if there is none."""
-        return await trio.to_thread.run_sync(self.fetch, name, limiter=self.threads)
+        return await trio.to_thread.run_sync(self.read_in_thread, name, limiter=self.threads)
 
     async def names(self, folder: str) -> list[str]:
         """The names in a folder, in order."""
-        return await trio.to_thread.run_sync(self.listed, folder, limiter=self.threads)
+        return await trio.to_thread.run_sync(self.names_in_thread, folder, limiter=self.threads)
 
     async def remove(self, name: str) -> None:
-        """Remove a file, if it is there."""
-        await trio.to_thread.run_sync(self.drop, name, limiter=self.threads)
+        """Remove a file, if it exists."""
+        await trio.to_thread.run_sync(self.remove_in_thread, name, limiter=self.threads)
 
     async def move(self, folder: str, to: str) -> None:
-        """A whole folder under another name; lasting like a write."""
-        await trio.to_thread.run_sync(self.rename, folder, to, limiter=self.threads)
+        """Rename a folder; durable once this returns."""
+        await trio.to_thread.run_sync(self.move_in_thread, folder, to, limiter=self.threads)
 
-    def put(self, name: str, data: bytes) -> None:
-        """The write itself, in a thread."""
+    def write_in_thread(self, name: str, data: bytes) -> None:
+        """The blocking part of the write."""
         path = self.path(name)
+        temporary = path + TEMPORARY
         folder = os.path.dirname(path)
         if not os.path.isdir(folder):
             os.makedirs(folder, exist_ok=True)
             sync_folder(os.path.dirname(folder))
-        with open(path + ".aside", "wb") as aside:
-            aside.write(data)
-            aside.flush()
-            os.fsync(aside.fileno())
-        os.rename(path + ".aside", path)
+        with open(temporary, "wb") as file:
+            file.write(data)
+            file.flush()
+            os.fsync(file.fileno())
+        os.rename(temporary, path)
         sync_folder(folder)
 
-    def fetch(self, name: str) -> bytes | None:
-        """The read itself, in a thread."""
+    def read_in_thread(self, name: str) -> bytes | None:
+        """The blocking part of the read."""
         try:
-            with open(self.path(name), "rb") as kept:
-                return kept.read()
+            with open(self.path(name), "rb") as file:
+                return file.read()
         except FileNotFoundError:
             return None
 
-    def listed(self, folder: str) -> list[str]:
-        """The listing itself, in a thread."""
+    def names_in_thread(self, folder: str) -> list[str]:
+        """The blocking part of the listing."""
         try:
-            return sorted(n for n in os.listdir(self.path(folder)) if not n.endswith(".aside"))
+            return sorted(n for n in os.listdir(self.path(folder)) if not n.endswith(TEMPORARY))
         except FileNotFoundError:
             return []
 
-    def rename(self, folder: str, to: str) -> None:
-        """The move itself, in a thread."""
+    def move_in_thread(self, folder: str, to: str) -> None:
+        """The blocking part of the move."""
         if os.path.isdir(self.path(folder)):
             os.rename(self.path(folder), self.path(to))
         sync_folder(self.root)
 
-    def drop(self, name: str) -> None:
-        """The removal itself, in a thread."""
+    def remove_in_thread(self, name: str) -> None:
+        """The blocking part of the removal."""
         try:
             os.remove(self.path(name))
         except FileNotFoundError:
@@ -120,22 +130,22 @@
 
 
 def sync_folder(folder: str) -> None:
-    """Let the names in a folder last."""
-    handle = os.open(folder, os.O_RDONLY)
+    """Make the names in a folder durable."""
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
 class MemoryDisk:
-    """Keeps everything at once; for tests that are not about the disk."""
+    """Files in memory, for tests that aren't about the disk."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
 
     async def write(self, name: str, data: bytes) -> None:
-        """Keep a file, whole or not at all; lasting once this returns."""
+        """Write a file atomically; durable once this returns. Raises OSError."""
         await trio.lowlevel.checkpoint()
         self.files[name] = data
 
@@ -149,22 +159,22 @@
         await trio.lowlevel.checkpoint()
         start = folder.rstrip("/") + "/"
         inside = (n[len(start) :].split("/")[0] for n in self.files if n.startswith(start))
-        return sorted({n for n in inside if not n.endswith(".aside")})
+        return sorted({n for n in inside if not n.endswith(TEMPORARY)})
 
     async def remove(self, name: str) -> None:
-        """Remove a file, if it is there."""
+        """Remove a file, if it exists."""
         await trio.lowlevel.checkpoint()
         self.files.pop(name, None)
 
     async def move(self, folder: str, to: str) -> None:
-        """A whole folder under another name; lasting like a write."""
+        """Rename a folder; durable once this returns."""
         await trio.lowlevel.checkpoint()
         for name in [n for n in self.files if n.startswith(f"{folder}/")]:
             self.files[to + name[len(folder) :]] = self.files.pop(name)
 
 
 class NoDisk(MemoryDisk):
-    """For machines without a data folder: nothing is kept."""
+    """For processes without a data folder: nothing can be written."""
 
     async def write(self, name: str, data: bytes) -> None:
         """Always fails."""
--- a/packages/runtime/meadowdock/runtime/http_messages.py
+++ b/packages/runtime/meadowdock/runtime/http_messages.py
@@ -1,85 +1,112 @@
-"""What HTTP/1.1 requests and responses have in common. httptools reads; framing that two readers
-could take in two ways is refused."""
+"""What HTTP/1.1 requests and responses have in common.
+
+httptools parses them. Messages whose framing two parsers could understand in two ways are refused
+(RFC 9112, sections 6 and 11: request smuggling).
+"""
 
 from __future__ import annotations
 
 import re
 from http import HTTPStatus
+from typing import NamedTuple
 
 import httptools
 import trio
 
-HEAD_MAX = 64 << 10  # bytes of a head, trailers too
-READ = 16 << 10  # bytes taken from a socket at once: what a server holds beyond its request
+from meadowdock.runtime.exceptions import InvalidHttpMessage
+
+MAX_HEAD_SIZE = 64 << 10  # bytes of a head, with trailers
+RECEIVE_SIZE = 16 << 10  # bytes taken from a socket at once: what a server buffers at most
 
-TARGET = re.compile(rb"[!-~]+").fullmatch
-NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+").fullmatch
-VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*").fullmatch
+VALID_TARGET = re.compile(rb"[!-~]+").fullmatch
+VALID_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+").fullmatch
+VALID_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*").fullmatch
+FIELD_OVERHEAD = 4  # bytes of a header beside its name and value: colon, space, CR, LF
 CONNECTION_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
-Headers = list[tuple[bytes, bytes]]
 PHRASES = {int(status): status.phrase.encode() for status in HTTPStatus}
 
+Headers = list[tuple[bytes, bytes]]
 
-class Refused(Exception):
-    """What came is no request to be served: (status,)."""
 
+class HttpResponse(NamedTuple):
+    """A complete response; the headers' names are in lower case."""
 
-def tokens(headers: Headers, name: bytes) -> list[bytes]:
-    """The comma-separated words of all headers of a name, lower case."""
-    words = b",".join(value for found, value in headers if found == name).lower().split(b",")
-    return [word for raw in words if (word := raw.strip())]
+    status: int
+    headers: Headers
+    body: bytes
 
 
-def named(headers: Headers, name: bytes) -> list[bytes]:
-    """The values of all headers of a name."""
+def header_values(headers: Headers, name: bytes) -> list[bytes]:
+    """The values of all headers of a name (lower case)."""
     return [value for found, value in headers if found == name]
 
 
-class Head:
-    """Collects a message's head from httptools' calls. Invariant: size counts the bytes of names,
-    values and target, trailers too; raw the bytes of whole reads that ended no head."""
+def header_tokens(headers: Headers, name: bytes) -> list[bytes]:
+    """The comma-separated tokens of all headers of a name, in lower case."""
+    words = b",".join(header_values(headers, name)).lower().split(b",")
+    return [word for raw in words if (word := raw.strip())]
+
+
+class HeadParser:
+    """Collects a message's head from the callbacks of httptools.
+
+    Invariants: `size` counts the bytes of names, values and target, with trailers; `unfinished_size`
+    counts the bytes of complete reads that ended no head.
+
+    :ivar in_head: a head has begun and didn't end yet.
+    """
 
     def __init__(self) -> None:
         self.headers: Headers = []
-        self.size, self.raw, self.open = 0, 0, False
+        self.size, self.unfinished_size, self.in_head = 0, 0, False
 
     def on_message_begin(self) -> None:
         """A head begins."""
-        self.headers, self.size, self.raw, self.open = [], 0, 0, True
+        self.headers, self.size, self.unfinished_size, self.in_head = [], 0, 0, True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, was read."""
-        self.count(len(name) + len(value) + 4)
-        if self.open:  # else a trailer: nobody asked for one
+        """A header, or a trailer, was read; trailers are dropped."""
+        self.count(len(name) + len(value) + FIELD_OVERHEAD)
+        if self.in_head:
             self.headers.append((name.lower(), value))
 
     def count(self, size: int) -> None:
-        """Bytes of the head; raises Refused for too many."""
+        """Count bytes of the head.
+
+        :raises InvalidHttpMessage: it is longer than MAX_HEAD_SIZE.
+        """
         self.size += size
-        if self.size > HEAD_MAX:
-            raise Refused(431)
+        if self.size > MAX_HEAD_SIZE:
+            raise InvalidHttpMessage(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+
+    def count_read(self, size: int, was_in_head: bool) -> None:
+        """Count bytes that were fed to a head that had begun before and has not ended yet.
+
+        :raises InvalidHttpMessage: they are more than MAX_HEAD_SIZE.
+        """
+        self.unfinished_size += size if was_in_head and self.in_head else 0
+        if self.unfinished_size > MAX_HEAD_SIZE:
+            raise InvalidHttpMessage(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
-    def read(self, size: int, within: bool) -> None:
-        """Bytes that were fed to a head that had begun before them and has not ended yet."""
-        self.raw += size if within and self.open else 0
-        if self.raw > HEAD_MAX:
-            raise Refused(431)
 
+def path_and_query(target: bytes) -> bytes:
+    """Path and query of a target, also of one in absolute form (as sent to a proxy).
 
-def path_of(target: bytes) -> bytes:
-    """A target's path and query; a proxy's form names the host before them."""
+    :raises InvalidHttpMessage: it is no target.
+    """
     if target.startswith((b"/", b"*")):
         return target
     try:
         url = httptools.parse_url(target)
     except httptools.HttpParserInvalidURLError:
-        raise Refused(400) from None
+        raise InvalidHttpMessage(HTTPStatus.BAD_REQUEST) from None
     if not url.schema:
-        raise Refused(400)
-    return (url.path or b"/") + (b"?" + url.query if url.query else b"")
+        raise InvalidHttpMessage(HTTPStatus.BAD_REQUEST)
+    path: bytes = url.path or b"/"
+    return path + (b"?" + url.query if url.query else b"")
 
 
-def head_of(status: int, headers: Headers) -> bytes:
+def response_head(status: int, headers: Headers) -> bytes:
     """The bytes of a response's head."""
-    lines = [b"%b: %b\r\n" % line for line in headers]
-    return b"HTTP/1.1 %d %b\r\n%b\r\n" % (status, PHRASES.get(status, b""), b"".join(lines))
+    lines = b"".join(b"%b: %b\r\n" % header for header in headers)
+    return b"HTTP/1.1 %d %b\r\n%b\r\n" % (status, PHRASES.get(status, b""), lines)
--- a/packages/runtime/meadowdock/runtime/net.py
+++ b/packages/runtime/meadowdock/runtime/net.py
@@ -1,39 +1,24 @@
-"""The real network: streams for links, HTTP/1.1 towards callers and endpoints."""
+"""The real network: streams between processes, HTTP/1.1 to clients and endpoints."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 import trio
 
-from meadowdock.runtime.http_client import HttpConnection, HttpConnectionFailed
+from meadowdock.runtime.address import Address
+from meadowdock.runtime.http_client import HttpConnection
 from meadowdock.runtime.http_server import App, serve_http
 
-ANSWER_MAX = 4 << 20  # bytes of a response's body
+MAX_RESPONSE_SIZE = 4 << 20  # bytes of a response's body
 
 
-class Address(str):
-    """host:port, by IP number.
+class Net:
+    """What a process does on the network.
 
-    >>> Address("10.0.0.1:80").host, Address("10.0.0.1:80").port
-    ('10.0.0.1', 80)
+    :ivar host: its own IP address, from which it connects, or None for any.
     """
 
-    @property
-    def host(self) -> str:
-        """The IP number."""
-        return self.rpartition(":")[0]
-
-    @property
-    def port(self) -> int:
-        """The port."""
-        return int(self.rpartition(":")[2])
-
-
-class Net:
-    """What a process does on the network; host is its own address, from which it connects."""
-
     def __init__(self, host: str | None = None) -> None:
         self.host = host
 
@@ -41,17 +26,17 @@
         self,
         address: str,
         handler: Callable[[trio.abc.Stream], Awaitable[None]],
-        task_status: Any = trio.TASK_STATUS_IGNORED,
+        task_status: trio.TaskStatus[list[trio.SocketListener]] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept streams at an address until cancelled."""
-        address = Address(address)
-        await trio.serve_tcp(handler, address.port, host=address.host, task_status=task_status)
+        """Accept streams at an address until cancelled. Raises OSError if it isn't free."""
+        listening = Address(address)
+        await trio.serve_tcp(handler, listening.port, host=listening.host, task_status=task_status)
 
     async def open_stream(self, address: str) -> trio.abc.Stream:
-        """A stream to an address."""
-        address = Address(address)
+        """A stream to an address. Raises OSError."""
+        peer = Address(address)
         return await trio.open_tcp_stream(
-            address.host, address.port, local_address=self.host, happy_eyeballs_delay=1.0
+            peer.host, peer.port, local_address=self.host, happy_eyeballs_delay=1.0
         )
 
     async def serve_http(
@@ -60,14 +45,15 @@
         address: str,
         stopping: trio.Event,
         grace_us: int,
-        task_status: Any = trio.TASK_STATUS_IGNORED,
+        task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve an ASGI app at an address until `stopping`, and for grace_us beyond."""
+        """Serve an ASGI app at an address until `stopping`, and open connections for grace_us
+        beyond."""
         await serve_http(app, Address(address), stopping, grace_us, task_status=task_status)
 
-    def http(self, address: str, limit: int = ANSWER_MAX) -> HttpConnection:
-        """A connection for requests to an address; no response may be longer than the limit."""
-        return HttpConnection(Address(address), self.host, limit)
-
+    def http(self, address: str, limit: int = MAX_RESPONSE_SIZE) -> HttpConnection:
+        """A connection for requests to an address.
 
-__all__ = ["Address", "HttpConnectionFailed", "HttpConnection", "Net"]
+        :param limit: bytes of a response's body at most.
+        """
+        return HttpConnection(Address(address), self.host, limit)
--- a/packages/runtime/meadowdock/runtime/slab.py
+++ b/packages/runtime/meadowdock/runtime/slab.py
@@ -1,6 +1,6 @@
-"""A slab: values kept in numbered slots, each reached by a handle of slot and generation.
+"""A slab: values in numbered slots, each reached by a handle of slot and generation.
 
-A handle that was freed never reaches the slot's next tenant.
+A slot is used again once its value was taken; a handle to the earlier value then reaches nothing.
 
 >>> slab = Slab()
 >>> first = slab.put("a")
@@ -16,12 +16,13 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Any
+from typing import Any, Generic, TypeVar
 
 Handle = tuple[int, int]  # slot, generation
+T = TypeVar("T")
 
 
-class Slab:
+class Slab(Generic[T]):
     """Values by handle; all operations but iteration take constant time."""
 
     # Invariants: generations[slot] grows by one at each take; values[slot] is VACANT iff
@@ -37,8 +38,8 @@
     def __len__(self) -> int:
         return len(self.values) - len(self.vacant)
 
-    def put(self, value: Any) -> Handle:
-        """Keep a value; gives its handle."""
+    def put(self, value: T) -> Handle:
+        """Store a value and return its handle."""
         if self.vacant:
             slot = self.vacant.pop()
             self.values[slot] = value
@@ -49,7 +50,7 @@
         return slot, self.generations[slot]
 
     def live(self, handle: Handle) -> bool:
-        """Whether the handle's value is still kept."""
+        """Whether the handle's value was not taken yet."""
         slot, generation = handle
         return (
             0 <= slot < len(self.values)
@@ -57,19 +58,23 @@
             and self.values[slot] is not Slab.VACANT
         )
 
-    def get(self, handle: Handle) -> Any:
+    def get(self, handle: Handle) -> T | None:
         """The handle's value, or None once it was taken."""
-        return self.values[handle[0]] if self.live(handle) else None
+        if not self.live(handle):
+            return None
+        value: T = self.values[handle[0]]
+        return value
 
-    def take(self, handle: Handle) -> Any:
-        """The handle's value, which is kept no longer, or None if it was taken before."""
+    def take(self, handle: Handle) -> T | None:
+        """Remove and return the handle's value, or None if it was taken before."""
         if not self.live(handle):
             return None
         slot = handle[0]
-        value, self.values[slot] = self.values[slot], Slab.VACANT
+        value: T = self.values[slot]
+        self.values[slot] = Slab.VACANT
         self.generations[slot] += 1
         self.vacant.append(slot)
         return value
 
-    def __iter__(self) -> Iterator[Any]:
+    def __iter__(self) -> Iterator[T]:
         return (value for value in list(self.values) if value is not Slab.VACANT)
