--- a/packages/forwarding/meadowdock/forwarding/__init__.py
+++ b/packages/forwarding/meadowdock/forwarding/__init__.py
@@ -1,8 +1,8 @@
 """The traffic path: calls by host and prefix, as continuations in turns."""
 
 from meadowdock.forwarding.dialect import Dialect
-from meadowdock.forwarding.gate import Gate
+from meadowdock.forwarding.gateway import Gateway
 from meadowdock.forwarding.reactor import Reactor
-from meadowdock.forwarding.wires import Wires
+from meadowdock.forwarding.sockets import SocketNetwork
 
-__all__ = ["Dialect", "Gate", "Reactor", "Wires"]
+__all__ = ["Dialect", "Gateway", "Reactor", "SocketNetwork"]
--- a/packages/forwarding/meadowdock/forwarding/admission.py
+++ b/packages/forwarding/meadowdock/forwarding/admission.py
@@ -1,16 +1,16 @@
-"""Which calls may wait for a slot here, and until when.
+"""Which calls may wait for a slot here, and until when. No I/O.
 
-A call joins the queue if it will likely end within its aim from there, and keeps its place while it
-can. One that can't any more goes behind all of its rank that can, and is refused once it won't have
-its turn in time: work that ends late must not take the place of work that would not.
+A call joins the queue if it will likely end within its latency target from there, and keeps its
+position while it can. One that can't any more goes behind all of its priority that can, and is
+rejected once it won't be started in time: work that ends late must not displace work that would not.
 """
 
 from __future__ import annotations
 
 from meadowdock.forwarding.call import Call
-from meadowdock.forwarding.patience import Patience
+from meadowdock.forwarding.caller_timeouts import CallerTimeouts
+from meadowdock.forwarding.wait_estimates import WaitEstimates, urgency_of
 from meadowdock.forwarding.wait_queue import WaitQueue
-from meadowdock.forwarding.waits import ServiceWaits, urgency_of
 
 INTERVALS = 2  # of the load list, over which the slots held by other calls are averaged
 FIRST_SPAN_US = 500_000  # until a configuration is in force
@@ -23,8 +23,8 @@
     def __init__(self) -> None:
         self.span_us = FIRST_SPAN_US
         self.queues: dict[str, WaitQueue] = {}
-        self.services: dict[str, ServiceWaits] = {}
-        self.routes: dict[str, Patience] = {}
+        self.services: dict[str, WaitEstimates] = {}
+        self.routes: dict[str, CallerTimeouts] = {}
 
     def averaged_over(self, interval_us: int) -> None:
         """The load list's interval is another one."""
@@ -36,16 +36,16 @@
         """Forget what is in force no more, but for services that calls still wait for or hold."""
         self.routes = {name: known for name, known in self.routes.items() if name in routes}
         for waits in self.services.values():
-            waits.holds = {kind: hold for kind, hold in waits.holds.items() if kind in routes}
+            waits.holds = {route: hold for route, hold in waits.holds.items() if route in routes}
         for service in [s for s in self.services if s not in services]:
-            if not self.services[service].in_use() and not len(self.queue(service)):
+            if not self.services[service].any_in_use() and not len(self.queue(service)):
                 del self.services[service], self.queues[service]
 
-    def waits(self, service: str) -> ServiceWaits:
+    def waits(self, service: str) -> WaitEstimates:
         """The estimates for a service."""
         found = self.services.get(service)
         if found is None:
-            found = self.services[service] = ServiceWaits(self.span_us)
+            found = self.services[service] = WaitEstimates(self.span_us)
         return found
 
     def queue(self, service: str) -> WaitQueue:
@@ -56,12 +56,12 @@
         return found
 
     def spent(self, route: str, left_us: int) -> int:
-        """How much of its time a caller of this route has probably spent on earlier tries."""
-        patience = self.routes.pop(route, None) or Patience()
-        self.routes[route] = patience
+        """How much of its time a caller of this route has probably spent on earlier attempts."""
+        timeouts = self.routes.pop(route, None) or CallerTimeouts()
+        self.routes[route] = timeouts
         if len(self.routes) > ROUTES_REMEMBERED:
             del self.routes[next(iter(self.routes))]
-        return patience.spent(left_us)
+        return timeouts.spent(left_us)
 
     # ------------------------------------------------------------ slots
 
@@ -75,13 +75,13 @@
 
     def learn(self, call: Call, took_us: int) -> None:
         """The call held its slot for so long, until its answer or, without one, its deadline."""
-        self.waits(call.service).hold(call.kind).learn(took_us)
+        self.waits(call.service).hold(call.route).learn(took_us)
 
     # ------------------------------------------------------------ waiting
 
     def rate(self, call: Call, at: int) -> None:
-        """Settle how long the call will hold a slot here, and its urgency, as of now."""
-        call.hold_us, call.likely_us = self.waits(call.service).expected(call.kind)
+        """Set how long the call will hold a slot here, and its urgency, as of now."""
+        call.hold_us, call.likely_hold_us = self.waits(call.service).expected(call.route)
         call.urgency = urgency_of(call, at)
 
     def wait_us(self, call: Call, capacity: int, at: int) -> int:
@@ -91,27 +91,29 @@
         return waits.wait_us(work_us, call.urgency, call.hold_us, capacity, at)
 
     def may_join(self, call: Call, wait_us: int, at: int) -> bool:
-        """Whether it is worth its while to wait so long."""
+        """Whether the call will likely be served in time if it waits so long."""
         start = at + wait_us
-        if start > call.join_due:
+        if start > call.join_deadline:
             return False
-        if call.urgency % 2:  # it will be late anyhow
+        if call.urgency % 2:  # it will miss its target anyhow
             return True
-        return start + call.likely_us <= call.aim_due or self.tight(call, start)
+        return start + call.likely_hold_us <= call.target_deadline or self.meets_tight_target(
+            call, start
+        )
 
-    def tight(self, call: Call, start: int) -> bool:
-        """Where even a call that starts at once may miss its aim, the mean decides."""
-        alone = call.arrived_at + call.likely_us
-        return alone > call.aim_due and start + call.hold_us <= call.aim_due
+    def meets_tight_target(self, call: Call, start: int) -> bool:
+        """Where even a call that starts at once may miss its target, the mean decides."""
+        alone = call.arrived_at + call.likely_hold_us
+        return alone > call.target_deadline and start + call.hold_us <= call.target_deadline
 
-    def place_until(self, call: Call) -> int:
-        """Until when the call keeps its place in the queue."""
-        last = min(call.wait_due, call.due - call.hold_us)
-        return last if call.urgency % 2 else min(last, call.aim_due - call.hold_us)
+    def position_until(self, call: Call) -> int:
+        """Until when the call keeps its position in the queue."""
+        last = min(call.wait_deadline, call.deadline - call.hold_us)
+        return last if call.urgency % 2 else min(last, call.target_deadline - call.hold_us)
 
     def may_wait_on(self, call: Call, capacity: int, at: int) -> bool:
-        """Whether a call whose place has ended may wait among those of its rank that will be late."""
-        if call.urgency % 2 or at >= call.wait_due:
+        """Whether a call whose position is lost may wait among those of its priority that will be late."""
+        if call.urgency % 2 or at >= call.wait_deadline:
             return False
         call.urgency += 1
-        return at + self.wait_us(call, capacity, at) <= call.wait_due
+        return at + self.wait_us(call, capacity, at) <= call.wait_deadline
--- a/packages/forwarding/meadowdock/forwarding/call.py
+++ b/packages/forwarding/meadowdock/forwarding/call.py
@@ -1,72 +1,98 @@
-"""One call on its walk, and what can be said of it in the end."""
+"""One request on its way through a node, and the outcomes that it may have."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
+
+if TYPE_CHECKING:
+    from meadowdock.forwarding.interfaces import Endpoint
+    from meadowdock.forwarding.peer_link import OutgoingLink
+    from meadowdock.forwarding.reactor import Timer
+    from meadowdock.forwarding.wait_queue import WaitQueue
+    from meadowdock.runtime.slab import Handle
 
 
 class Served(NamedTuple):
-    """An endpoint's whole and checked answer: status line and lines, without the blank line."""
+    """An endpoint's complete and checked answer."""
 
-    head: bytes
+    head: bytes  # status line and header lines, without the blank line
     body: bytes
     status: int
 
 
-class Refused(NamedTuple):
-    """Not run, and it never will be: a promise."""
+class Rejected(NamedTuple):
+    """The request did not run and never will: a promise."""
 
     code: str
-    retry_us: int
+    retry_after_us: int  # when to come back; 0 if nobody can tell
 
 
-class Unknown(NamedTuple):
-    """May have run; nobody can tell."""
+class OutcomeUnknown(NamedTuple):
+    """The request may have run; nobody can tell."""
 
     code: str
 
 
+Outcome = Served | Rejected | OutcomeUnknown
+
+
 @dataclass(slots=True, eq=False)
 class Call:
-    """Invariants: due never moves; `end` is called once, with the outcome, and is None afterwards;
-    sends counts endpoints that a byte of the call may have reached; once maybe_run is True no
-    outcome of the whole call is Refused; a call holds a slot of `endpoint` iff that is not None.
+    """One request. All times are in microseconds, those that end in `_deadline` or `_at` of the
+    monotonic clock.
+
+    Invariants: deadline never moves; `on_outcome` is called once and is None afterwards; attempts
+    counts the endpoints that a byte of the request may have reached; once may_have_run is True its
+    outcome is not Rejected; it holds a slot of `endpoint` iff that is not None; it is in one place
+    at a time: in `queue`, at `endpoint` or on `peer_link`.
     """
 
     id: bytes  # the caller's own
-    head: bytes  # request line and lines to pass on, with the caller's name
+    head: bytes  # request line and header lines to pass on, with the caller's name
     body: bytes
     service: str
-    repeatable: bool
-    due: int
-    early_due: int  # with nobody to serve it, it is refused by then
-    join_due: int  # it joins a queue only if it will likely be served by then
-    wait_due: int  # until then it may stand in one
+    idempotent: bool
+    deadline: int
+    early_deadline: int  # with nobody to serve it, it is rejected by then
+    join_deadline: int  # it joins a queue only if it will likely be served by then
+    wait_deadline: int  # it waits in a queue no longer
     arrived_at: int = 0  # when it came to this node
-    aim_due: int = 0  # an answer by then earns its full worth
-    tries: int = 1  # endpoints it may be sent to
-    kind: str = ""  # its route, or only its rank if a peer of a former version sent it
-    hold_us: int = 0  # how long calls of its kind hold a slot here, in the mean when it came
-    likely_us: int = 0  # and how long at most, likely
-    rank: int = 0  # 0 goes first
-    urgency: int = 0  # among those that wait: by rank, then who can still end in its aim
-    place: int = 0  # in the queue where it waits
-    place_until: int = 0  # then it loses that place
-    let_in: bool = False  # it joined a queue here as one that would end in its aim
-    bare: bool = False  # a HEAD
-    home: bool = True  # it arrived here; else a neighbour sent it
-    instance: str = ""  # for a neighbour's call: the endpoint that it believes to be here
-    end: object = None
-    sends: int = 0
-    maybe_run: bool = False
+    target_deadline: int = 0  # its latency target: an answer by then earns its full value
+    max_attempts: int = 1  # endpoints it may be sent to
+    route: str = ""  # its route's name, or only its priority if a peer of a former version sent it
+    hold_us: int = 0  # mean time for which calls of its route hold a slot here, when it came
+    likely_hold_us: int = 0  # most of them hold it no longer
+    priority: int = 0  # 0 goes first
+    urgency: int = 0  # among those that wait: by priority, then who can still meet its target
+    queue_position: int = 0
+    position_until: int = 0  # then it loses its position in the queue
+    admitted: bool = False  # it joined a queue here as one that would meet its target
+    is_head: bool = False  # an HTTP HEAD request
+    from_peer: bool = False  # relocated to this node; else it arrived here
+    incarnation: str = ""  # of a relocated call: the endpoint that its peer believes to be here
+    on_outcome: Callable[[Outcome], None] | None = None
+    attempts: int = 0
+    may_have_run: bool = False
     abandoned: bool = False  # its caller has left
-    tried: set = field(default_factory=set)  # neighbours that refused or broke
-    asked: set = field(default_factory=set)  # neighbours asked to let it wait
-    retry_us: int = 0  # when there may be room, as far as anybody said
-    endpoint: object = None
-    timer: object = None
-    waiting: object = None  # the queue that it stands in
-    target: object = None  # the neighbour that has it
-    begun: int = 0  # when it was sent to where it is now
-    number: int = 0
+    tried_peers: set[str] = field(default_factory=set)  # that rejected it or could not be reached
+    asked_peers: set[str] = field(default_factory=set)  # that were asked to queue it
+    retry_after_us: int = 0  # when there may be capacity, as far as anybody said
+    endpoint: Endpoint | None = None
+    timer: Timer | None = None
+    queue: WaitQueue | None = None
+    peer_link: OutgoingLink | None = None
+    dispatched_at: int = 0  # when it was sent to where it is now
+    peer_handle: Handle | None = None  # its number on peer_link
+
+    def stop_timer(self) -> None:
+        """Cancel the timer of the place where it was."""
+        if self.timer is not None:
+            self.timer.cancel()
+            self.timer = None
+
+    @property
+    def size(self) -> int:
+        """Bytes to pass on."""
+        return len(self.head) + len(self.body)
--- a/packages/forwarding/meadowdock/forwarding/patience.py
+++ b/packages/forwarding/meadowdock/forwarding/caller_timeouts.py
@@ -1,7 +1,8 @@
 """How long ago a request's caller first asked, as far as its deadline tells.
 
-A caller that tries again comes with a new id, and its aim still counts from its first try. Callers
-of one route mostly allow the same time, so one with less of it left has probably spent the rest.
+A caller that retries comes with a new id, and its latency target still counts from its first attempt.
+Callers of one route mostly allow the same time, so one with less of it left has probably spent the
+rest.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 USUAL = 0.9  # the share of them that has no more time left than is usual: the rest are odd ones
 
 
-class Patience:
+class CallerTimeouts:
     """The time that callers of one route usually allow, in microseconds. It is near the longest
-    among the latest requests, since a first try has more time left than a further one; a few
+    among the latest requests, since a first attempt has more time left than a retry; a few
     callers with much longer deadlines don't count.
 
-    >>> patience = Patience()
-    >>> patience.spent(1500), patience.spent(1100), patience.spent(1500)
+    >>> timeouts = CallerTimeouts()
+    >>> timeouts.spent(1500), timeouts.spent(1100), timeouts.spent(1500)
     (0, 400, 0)
-    >>> for _ in range(30): _ = patience.spent(1500)
-    >>> patience.spent(60_000), patience.spent(1500), patience.spent(1400)
+    >>> for _ in range(30): _ = timeouts.spent(1500)
+    >>> timeouts.spent(60_000), timeouts.spent(1500), timeouts.spent(1400)
     (0, 0, 100)
     """
 
--- a/packages/forwarding/meadowdock/forwarding/figures.py
+++ b/packages/forwarding/meadowdock/forwarding/figures.py
@@ -1,4 +1,4 @@
-"""What a gate did for each service and rank since its last report: the figures behind an overload."""
+"""What was done for each service and priority since the last report: the figures behind an overload."""
 
 from __future__ import annotations
 
@@ -13,113 +13,119 @@
 
 
 @dataclass(slots=True)
-class RankFigures:
-    """Counts of calls of one service and rank, and sums of times in microseconds."""
+class PriorityFigures:
+    """Counts of calls of one service and priority, and sums of times in microseconds."""
 
     arrived: int = 0  # from callers on this machine
-    taken: int = 0  # from peers
+    relocated_here: int = 0  # from peers
     left_us: int = 0  # of those arrived: how long their callers still wait
     started: int = 0  # given a slot here
     start_wait_us: int = 0  # of those started: from their arrival here
-    hopeless_starts: int = 0  # started though their aim had passed
-    in_aim: int = 0  # ended here within their aim
+    late_starts: int = 0  # started though their latency target had passed
+    in_time: int = 0  # ended here within their latency target
     late: int = 0  # ended here after it
     hold_us: int = 0  # of those ended: from their start
-    let_in_kept: int = 0  # let into the queue to end in their aim, and did
-    let_in_broken: int = 0  # let into the queue to end in their aim, and were late or refused
-    refused: Counter = field(default_factory=Counter)  # reason -> calls, of callers and of peers
+    admitted_in_time: int = 0  # queued here to meet their target, and did
+    admitted_late: int = 0  # queued here to meet their target, and were late or rejected
+    rejected: Counter[str] = field(
+        default_factory=Counter
+    )  # reason -> calls, of callers and of peers
 
 
 class FiguresLog:
-    """The figures of all services here, reported once an interval for those that ran short of room.
+    """The figures of all services here, reported once an interval for those that ran short of capacity.
 
     Invariants: an interval is REPORT_EVERY long or longer; a call is counted in the interval in
-    which the thing counted happened.
+    which the counted event happened.
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
         self.log = log
         self.since = monotonic_us()
-        self.services: dict[str, dict[int, RankFigures]] = {}
+        self.services: dict[str, dict[int, PriorityFigures]] = {}
 
-    def of(self, call: Call) -> RankFigures:
-        """The figures of a call's service and rank since the last report."""
-        ranks = self.services.setdefault(call.service, {})
-        found = ranks.get(call.rank)
+    def of(self, call: Call) -> PriorityFigures:
+        """The figures of a call's service and priority since the last report."""
+        priorities = self.services.setdefault(call.service, {})
+        found = priorities.get(call.priority)
         if found is None:
-            found = ranks[call.rank] = RankFigures()
+            found = priorities[call.priority] = PriorityFigures()
         return found
 
     def arrived(self, call: Call) -> None:
         """A call came here, from a caller or a peer."""
         figures = self.of(call)
-        if call.home:
+        if not call.from_peer:
             figures.arrived += 1
-            figures.left_us += call.due - call.arrived_at
+            figures.left_us += call.deadline - call.arrived_at
         else:
-            figures.taken += 1
+            figures.relocated_here += 1
 
     def started(self, call: Call, at: int) -> None:
         """A call was given a slot."""
         figures = self.of(call)
         figures.started += 1
         figures.start_wait_us += at - call.arrived_at
-        figures.hopeless_starts += at > call.aim_due
+        figures.late_starts += at > call.target_deadline
 
     def ended(self, call: Call, at: int) -> None:
         """A call left its slot with an answer."""
         figures = self.of(call)
-        if at <= call.aim_due:
-            figures.in_aim += 1
-            figures.let_in_kept += call.let_in
+        if at <= call.target_deadline:
+            figures.in_time += 1
+            figures.admitted_in_time += call.admitted
         else:
             figures.late += 1
-            figures.let_in_broken += call.let_in
-        figures.hold_us += at - call.begun
+            figures.admitted_late += call.admitted
+        figures.hold_us += at - call.dispatched_at
 
-    def turned_out(self, call: Call) -> None:
-        """A call that was let into the queue is refused without having had its turn."""
-        self.of(call).let_in_broken += call.let_in
+    def not_served(self, call: Call) -> None:
+        """A queued call is rejected without having been started."""
+        self.of(call).admitted_late += call.admitted
 
-    def refused(self, call: Call, code: str) -> None:
-        """A call was refused, not run."""
-        self.of(call).refused[code] += 1
+    def rejected(self, call: Call, code: str) -> None:
+        """A call was rejected, not run."""
+        self.of(call).rejected[code] += 1
 
     def report(
         self,
         at: int,
-        facts: Callable[[str], dict[str, object]],
-        judge: Callable[[str, int, RankFigures, int], None],
+        log_fields: Callable[[str], dict[str, object]],
+        judge: Callable[[str, int, PriorityFigures, int], None],
     ) -> None:
-        """Log the services that ran short of room, with what else the caller knows of each, and
-        have the figures of each service and rank judged."""
+        """Log the services that ran short of capacity, with what else the caller knows of each, and
+        have the figures of each service and priority judged."""
         length = at - self.since
         if length < REPORT_EVERY:
             return
         services, self.services, self.since = self.services, {}, at
-        for service, ranks in services.items():
-            for rank, figures in ranks.items():
-                judge(service, rank, figures, at)
-            if any(figures.refused for figures in ranks.values()):
-                by_rank = {rank: summary(ranks[rank]) for rank in sorted(ranks)}
+        for service, priorities in services.items():
+            for priority, figures in priorities.items():
+                judge(service, priority, figures, at)
+            if any(figures.rejected for figures in priorities.values()):
+                by_priority = {each: summary(priorities[each]) for each in sorted(priorities)}
                 self.log(
-                    407, service=service, ms=length // MILLISECOND, ranks=by_rank, **facts(service)
+                    407,
+                    service=service,
+                    ms=length // MILLISECOND,
+                    ranks=by_priority,
+                    **log_fields(service),
                 )
 
 
-def summary(figures: RankFigures) -> dict[str, object]:
-    """The figures as facts of a log event: counts, and mean times in milliseconds."""
-    ended = figures.in_aim + figures.late
+def summary(figures: PriorityFigures) -> dict[str, object]:
+    """The figures as fields of a log event: counts, and mean times in milliseconds."""
+    ended = figures.in_time + figures.late
     return {
         "arrived": figures.arrived,
         "left_ms": figures.left_us // MILLISECOND // max(1, figures.arrived),
-        "taken": figures.taken,
+        "taken": figures.relocated_here,
         "started": figures.started,
-        "hopeless_starts": figures.hopeless_starts,
+        "hopeless_starts": figures.late_starts,
         "wait_ms": figures.start_wait_us // MILLISECOND // max(1, figures.started),
-        "in_aim": figures.in_aim,
+        "in_aim": figures.in_time,
         "late": figures.late,
         "hold_ms": figures.hold_us // MILLISECOND // max(1, ended),
-        "let_in": [figures.let_in_kept, figures.let_in_broken],
-        "refused": dict(figures.refused),
+        "let_in": [figures.admitted_in_time, figures.admitted_late],
+        "refused": dict(figures.rejected),
     }
--- a/packages/forwarding/meadowdock/forwarding/http.py
+++ b/packages/forwarding/meadowdock/forwarding/http.py
@@ -1,14 +1,25 @@
-"""HTTP/1.1 as events, parsed by httptools: requests of a caller, answers of an endpoint."""
+"""HTTP/1.1, parsed by httptools: requests of callers, responses of endpoints. No I/O.
+
+Bytes are fed to a parser; complete messages gather in it. What two readers could take for different
+messages (RFC 9112, section 6.3 and 11.2, request smuggling) is rejected.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 from http import HTTPStatus
+from typing import TYPE_CHECKING
 
 import httptools
 
+if TYPE_CHECKING:
+    from meadowdock.configuration.items import Limits
+
+HeaderLine = tuple[bytes, bytes]
+
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-HOP = {
+HOP_BY_HOP = {
     b"connection",
     b"keep-alive",
     b"proxy-authenticate",
@@ -21,31 +32,34 @@
     b"content-length",
     b"expect",
 }
-READ = 262_144  # bytes that are fed at once, at most
-BROKEN = (httptools.HttpParserError, httptools.HttpParserUpgrade)
+FEED_MAX = 262_144  # bytes that are fed at once, at most
+HEADER_OVERHEAD = 4  # ": " and the line's end
+PARSER_ERRORS = (httptools.HttpParserError, httptools.HttpParserUpgrade)
+WITHOUT_BODY = (204, 304)  # statuses
 
 
-class Bad(Exception):
-    """Raised inside the parser's calls to end the parsing."""
+class RequestRejected(Exception):
+    """Raised inside the parser's callbacks to end the parsing; `RequestParser.error_status` says
+    why."""
 
 
 @dataclass(slots=True)
 class Request:
-    """One whole request. lines are those to pass on: end-to-end ones without a length."""
+    """One complete request."""
 
     method: bytes
     target: bytes
     host: bytes
-    lines: list
-    facts: dict  # lower-case name -> value, of the dialect's names that the request carries
+    lines: list[HeaderLine]  # to pass on: end-to-end ones without a length
+    facts: dict[bytes, bytes]  # the dialect's headers that it carries, by lower-case name
     body: bytes
-    keep: bool
+    keep_alive: bool
 
 
-def passed_on(lines):
-    """End-to-end lines only.
+def end_to_end(lines: Collection[HeaderLine]) -> list[HeaderLine]:
+    """Header lines without the hop-by-hop ones (RFC 9110, section 7.6.1).
 
-    >>> passed_on([(b"Connection", b"x-a"), (b"X-A", b"1"), (b"X-b", b"2"), (b"TE", b"x")])
+    >>> end_to_end([(b"Connection", b"x-a"), (b"X-A", b"1"), (b"X-b", b"2"), (b"TE", b"x")])
     [(b'X-b', b'2')]
     """
     named = {
@@ -57,67 +71,80 @@
     return [
         (name, value)
         for name, value in lines
-        if (low := name.lower()) not in HOP and low not in named
+        if (low := name.lower()) not in HOP_BY_HOP and low not in named
     ]
 
 
-class Requests:
-    """Feeds one caller's bytes to the parser; whole requests gather in `whole`.
+class RequestParser:
+    """Feeds one caller's bytes to the parser.
 
-    Invariants: whole holds requests that came whole, in order; bad is 0, or the status that ends
-    the connection, and then nothing more is fed; fed bounds the bytes of a head under way from
-    above, by what came with its beginning. names are the dialect's own headers, lower-case:
-    kept apart in a request's facts."""
+    Invariants: complete holds complete requests, in order; error_status is 0, or the status that ends
+    the connection, and then nothing more is fed; head_fed is not below the bytes of a head that is
+    being read, as it counts all that came with its beginning.
+
+    :param names: the dialect's own headers in lower case, kept apart in a request's facts
+    """
 
-    def __init__(self, limits, names):
+    def __init__(self, limits: Limits, names: Collection[bytes]) -> None:
         self.limits, self.names = limits, names
         self.parser = httptools.HttpRequestParser(self)
-        self.whole = []
-        self.bad = 0
-        self.partial = False  # a request has begun and is not whole
+        self.complete: list[Request] = []
+        self.error_status = 0
+        self.in_progress = False  # a request has begun and is not complete
         self.in_head = False
-        self.head_size = self.fed = 0
+        self.head_size = self.head_fed = 0
         self.wants_continue = False
 
-    def feed(self, data):
+    def feed(self, data: bytes) -> None:
+        """Bytes came; look at `complete` and `error_status` afterwards."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            if self.partial or not self.whole:
-                self.bad = self.bad or 400
+            if self.in_progress or not self.complete:
+                self.error_status = self.error_status or 400
             else:
-                self.whole[-1].keep = False  # answered as any other, and nothing is read behind it
-        except BROKEN:
-            self.bad = self.bad or 400
-        # a line that never ends is not told by the parser
-        self.fed = self.fed + len(data) if self.in_head else 0
-        if self.fed > self.limits.header_bytes + READ:
-            self.bad = self.bad or 431
-
-    # ------------------------------------------------------------ what the parser calls
-
-    def on_message_begin(self):
-        self.partial = self.in_head = True
-        self.url, self.lines, self.chunks = b"", [], []
-        self.size = self.head_size = self.fed = 0
+                # answered as any other, and nothing is read behind it
+                self.complete[-1].keep_alive = False
+        except PARSER_ERRORS:
+            self.error_status = self.error_status or 400
+        # the parser doesn't report a line that never ends
+        self.head_fed = self.head_fed + len(data) if self.in_head else 0
+        if self.head_fed > self.limits.header_bytes + FEED_MAX:
+            self.error_status = self.error_status or 431
+
+    # ------------------------------------------------------------ callbacks of httptools
+
+    def on_message_begin(self) -> None:
+        """A request begins."""
+        self.in_progress = self.in_head = True
+        self.url = b""
+        self.lines: list[HeaderLine] = []
+        self.chunks: list[bytes] = []
+        self.size = self.head_size = self.head_fed = 0
         self.wants_continue = False
 
-    def on_url(self, url):
+    def on_url(self, url: bytes) -> None:
+        """A part of the request's target."""
         self.url += url
         if len(self.url) > self.limits.header_bytes:
-            raise self.refuse(431)
+            raise self.reject(431)
 
-    def on_header(self, name, value):
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """One header line."""
         if not self.in_head:
             return  # a trailer
-        self.head_size += len(name) + len(value) + 4
+        self.head_size += len(name) + len(value) + HEADER_OVERHEAD
         if self.head_size > self.limits.header_bytes:
-            raise self.refuse(431)
+            raise self.reject(431)
         self.lines.append((name, value))
 
-    def on_headers_complete(self):
+    def on_headers_complete(self) -> None:
+        """The head is complete: look at what frames and addresses the request."""
         self.in_head = False
-        hosts, encodings, self.facts, names = [], [], {}, self.names
+        hosts: list[bytes] = []
+        encodings: list[bytes] = []
+        self.facts: dict[bytes, bytes] = {}
+        names = self.names
         for name, value in self.lines:
             low = name.lower()
             if low == b"host":
@@ -126,152 +153,173 @@
                 encodings.append(value.lower())
             elif low == b"content-length" and value.isdigit():
                 if int(value) > self.limits.body_bytes:
-                    raise self.refuse(413)
+                    raise self.reject(413)
             elif low == b"expect":
                 self.wants_continue = True
             elif low in names:
                 if low in self.facts:
-                    raise self.refuse(400)  # which of two is meant?
+                    raise self.reject(400)  # which of two is meant?
                 self.facts[low] = value
-        # a request whose end two readers could see at different places is nobody's
+        # two readers could see its end at different places
         if len(hosts) != 1 or (encodings and encodings != [b"chunked"]):
-            raise self.refuse(400)
+            raise self.reject(400)
         self.host = hosts[0]
 
-    def on_body(self, body):
+    def on_body(self, body: bytes) -> None:
+        """A part of the body."""
         self.size += len(body)
         if self.size > self.limits.body_bytes:
-            raise self.refuse(413)
+            raise self.reject(413)
         self.chunks.append(body)
 
-    def on_message_complete(self):
-        self.partial = False
+    def on_message_complete(self) -> None:
+        """The request is complete."""
+        self.in_progress = False
         parser = self.parser
         method = parser.get_method()
         if method == b"CONNECT":
-            raise self.refuse(400)
-        self.whole.append(
+            raise self.reject(400)
+        names = self.names
+        self.complete.append(
             Request(
                 method,
                 self.url,
                 self.host,
-                [(n, v) for n, v in passed_on(self.lines) if n.lower() not in self.names],
+                [line for line in end_to_end(self.lines) if line[0].lower() not in names],
                 self.facts,
                 b"".join(self.chunks),
                 parser.should_keep_alive(),
             )
         )
 
-    def refuse(self, status):
-        self.bad = status
-        return Bad()
+    def reject(self, status: int) -> RequestRejected:
+        """Remember the status that ends the connection; gives what is to be raised."""
+        self.error_status = status
+        return RequestRejected()
 
 
 @dataclass(slots=True)
-class Answer:
-    """One whole answer. lines are the end-to-end ones without a length; facts as in Request."""
+class Response:
+    """One complete response."""
 
     status: int
-    lines: list
-    facts: dict
+    lines: list[HeaderLine]  # end-to-end ones without a length
+    facts: dict[bytes, bytes]  # the dialect's headers that it carries, by lower-case name
     body: bytes
-    keep: bool
-    alive_s: int | None  # how long the other side keeps an idle connection, if it says so
+    keep_alive: bool
+    keep_alive_s: int | None  # for how long the endpoint keeps an idle connection, if it says so
 
 
-class Answers:
-    """Feeds an endpoint's bytes to the parser; whole answers gather in `whole`.
+class ResponseParser:
+    """Feeds an endpoint's bytes to the parser.
 
-    Invariants: whole holds answers that came whole, in order; broken is set once for good when
-    bytes are no answer; partial tells that an answer has begun and is not whole."""
+    Invariants: complete holds complete responses, in order; malformed is set once for good when
+    bytes are no response; in_progress says that a response has begun and is not complete.
+    """
 
-    def __init__(self, names, body_bytes):
-        self.names, self.limit = names, body_bytes
+    def __init__(self, names: Collection[bytes], body_bytes_max: int) -> None:
+        self.names, self.body_bytes_max = names, body_bytes_max
         self.parser = httptools.HttpResponseParser(self)
-        self.whole = []
-        self.partial = self.broken = self.in_head = False
-        self.bare = False  # the answer to a HEAD has no body whatever it says
+        self.complete: list[Response] = []
+        self.in_progress = self.malformed = self.in_head = False
+        self.to_head = False  # the response to a HEAD has no body whatever it says
 
-    def feed(self, data):
+    def feed(self, data: bytes) -> None:
+        """Bytes came; look at `complete` and `malformed` afterwards."""
         try:
             self.parser.feed_data(data)
-        except BROKEN:
-            self.broken = True
+        except PARSER_ERRORS:
+            self.malformed = True
+
+    # ------------------------------------------------------------ callbacks of httptools
 
-    def on_message_begin(self):
-        self.partial = self.in_head = True
-        self.lines, self.chunks, self.size = [], [], 0
+    def on_message_begin(self) -> None:
+        """A response begins."""
+        self.in_progress = self.in_head = True
+        self.lines: list[HeaderLine] = []
+        self.chunks: list[bytes] = []
+        self.size = 0
 
-    def on_header(self, name, value):
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """One header line."""
         if self.in_head:  # else a trailer
             self.lines.append((name, value))
 
-    def on_headers_complete(self):
+    def on_headers_complete(self) -> None:
+        """The head is complete."""
         self.in_head = False
-        if self.bare:
-            self.complete(False)
+        if self.to_head:
+            self.response_complete(False)
 
-    def on_body(self, body):
+    def on_body(self, body: bytes) -> None:
+        """A part of the body."""
         self.size += len(body)
-        if self.size > self.limit:
-            raise ValueError("answer over the limit")
+        if self.size > self.body_bytes_max:
+            raise ValueError("response over the limit")
         self.chunks.append(body)
 
-    def on_message_complete(self):
-        if self.partial and not self.bare:
-            self.complete(self.parser.should_keep_alive())
+    def on_message_complete(self) -> None:
+        """The response is complete."""
+        if self.in_progress and not self.to_head:
+            self.response_complete(self.parser.should_keep_alive())
 
-    def complete(self, keep):
-        self.partial = False
+    def response_complete(self, keep_alive: bool) -> None:
+        """Take the response up, unless it is an interim one or its end is uncertain."""
+        self.in_progress = False
         status = self.parser.get_status_code()
         if status < 200:
             return
-        facts, alive_s, framed = {}, None, status in (204, 304) or self.bare
+        facts: dict[bytes, bytes] = {}
+        keep_alive_s = None
+        framed = status in WITHOUT_BODY or self.to_head
         for name, value in self.lines:
             low = name.lower()
             if low in self.names:
                 if facts.setdefault(low, value) != value:
-                    self.broken = True  # which of two is meant?
+                    self.malformed = True  # which of two is meant?
                     return
             elif low in (b"content-length", b"transfer-encoding"):
                 framed = True
             elif low == b"keep-alive":
-                alive_s = timeout_of(value)
+                keep_alive_s = keep_alive_timeout(value)
         if not framed:
-            self.broken = True  # nobody knows if it is whole
+            self.malformed = True  # nobody knows if it is complete
             return
-        self.whole.append(
-            Answer(status, passed_on(self.lines), facts, b"".join(self.chunks), keep, alive_s)
-        )
+        body = b"".join(self.chunks)
+        lines = end_to_end(self.lines)
+        self.complete.append(Response(status, lines, facts, body, keep_alive, keep_alive_s))
 
 
-def timeout_of(value):
-    """
-    >>> timeout_of(b"timeout=10, max=5"), timeout_of(b"max=5")
+def keep_alive_timeout(value: bytes) -> int | None:
+    """The seconds that a Keep-Alive header names, if any.
+
+    >>> keep_alive_timeout(b"timeout=10, max=5"), keep_alive_timeout(b"max=5")
     (10, None)
     """
-    for part in value.split(b","):
-        name, _, number = part.strip().partition(b"=")
+    for parameter in value.split(b","):
+        name, _, number = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and number.isdigit():
             return int(number)
     return None
 
 
-def head_of(method, target, lines):
+def head_of(method: bytes, target: bytes, lines: Iterable[HeaderLine]) -> bytes:
+    """Request line and header lines, without the blank line."""
     return b"%s %s HTTP/1.1\r\n%s" % (method, target, joined(lines))
 
 
-def joined(lines):
+def joined(lines: Iterable[HeaderLine]) -> bytes:
+    """Header lines as they are sent."""
     return b"".join([b"%s: %s\r\n" % line for line in lines])
 
 
-def status_line(status):
+def status_line(status: int) -> bytes:
+    """The first line of a response."""
     return b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Unknown"))
 
 
-def answer_head(answer, bare=False):
-    """Status line and lines of an answer, with the length of its body; without the blank line."""
-    length = (
-        b"" if bare or answer.status in (204, 304) else b"Content-Length: %d\r\n" % len(answer.body)
-    )
-    return status_line(answer.status) + joined(answer.lines) + length
+def response_head(response: Response, to_head: bool = False) -> bytes:
+    """Status line and header lines with the length of the body, without the blank line."""
+    has_length = not to_head and response.status not in WITHOUT_BODY
+    length = b"Content-Length: %d\r\n" % len(response.body) if has_length else b""
+    return status_line(response.status) + joined(response.lines) + length
--- /dev/null
+++ b/packages/forwarding/meadowdock/forwarding/service_load.py
@@ -0,0 +1,67 @@
+"""How busy and how slow the endpoints here are, as peers and operators are told."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from typing import TYPE_CHECKING
+
+from meadowdock.forwarding.admission import Admission
+from meadowdock.forwarding.placement import PeerLoads
+from meadowdock.load_sharing import NodeLoad
+from meadowdock.runtime import MILLISECOND, monotonic_us
+
+if TYPE_CHECKING:
+    from meadowdock.forwarding.interfaces import EndpointRegistry
+
+SLOWNESS_MAX = 4.0
+SLOWNESS_WARMING_UP = 1.5  # at least, while an endpoint is warming up
+
+
+class ServiceLoad:
+    """Compares the endpoints here with those of the peers. Times in microseconds."""
+
+    def __init__(self, registry: EndpointRegistry, admission: Admission, loads: PeerLoads) -> None:
+        self.registry, self.admission, self.loads = registry, admission, loads
+        self.fleet_hold_us: dict[str, float] = {}  # by service, the mean over the latest list
+
+    def update_fleet(self, nodes: Mapping[str, Sequence[NodeLoad]]) -> None:
+        """A new load list came."""
+        self.fleet_hold_us = {
+            service: sum(known) / len(known)
+            for service, listed in nodes.items()
+            if (known := [node.slot_us for node in listed if node.slot_us])
+        }
+
+    def hold_us(self, service: str) -> int:
+        """The mean time for which a call holds a slot here, as reported on the load list; 0 if it is
+        unknown."""
+        return self.admission.waits(service).mean_us()
+
+    def slowness(self, service: str, at: int) -> float:
+        """How much longer calls take here than over all nodes of the service, from 1 to
+        SLOWNESS_MAX: the factor by which the reported load grows."""
+        own_us, fleet_us = self.hold_us(service), self.fleet_hold_us.get(service, 0)
+        warming_up = any(
+            endpoint.slow_start_until > at
+            for endpoint in self.registry.available_endpoints(service)
+        )
+        ratio = own_us / fleet_us if fleet_us else 1.0
+        least = SLOWNESS_WARMING_UP if warming_up else 1.0
+        return min(SLOWNESS_MAX, max(least, ratio * ratio))
+
+    def log_fields(self, service: str) -> dict[str, object]:
+        """What this node knows of a service now, as fields of a log event."""
+        endpoint = self.registry.local_endpoint(service)
+        occupation = self.registry.service_loads.get(service)
+        peers = self.loads.nodes.get(service, ())
+        return {
+            "busy": sum(each.in_flight for each in self.registry.available_endpoints(service)),
+            "capacity": endpoint.capacity if endpoint is not None else 0,
+            "waiting": len(self.admission.queue(service)),
+            "rho": round(occupation.rho, 2) if occupation is not None else None,
+            "told": endpoint.reported_load if endpoint is not None else None,
+            "slot_ms": self.hold_us(service) // MILLISECOND,
+            "fleet_slot_ms": int(self.fleet_hold_us.get(service, 0)) // MILLISECOND,
+            "peers": {node.address: round(node.rho, 2) for node in peers},
+            "list_ms": (monotonic_us() - self.loads.latest.received_at) // MILLISECOND,
+        }
--- /dev/null
+++ b/packages/forwarding/meadowdock/forwarding/traffic_split.py
@@ -0,0 +1,48 @@
+"""The parts of a route's requests that go to each of its services, by weight. No I/O."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from meadowdock.configuration.items import Route
+
+
+class TrafficSplit:
+    """Smooth weighted round-robin, as nginx has it: in any run of requests each service gets its
+    share to within one request.
+
+    Invariant: credits has at most one entry a route, that of the version that was used last; the
+    credits of an entry sum up to 0 between two requests.
+    """
+
+    def __init__(self) -> None:
+        self.credits: dict[tuple[str, int], dict[str, float]] = {}
+
+    def service_for(self, route: Route) -> str | None:
+        """The service of the route's next request; None if no service has a weight above 0."""
+        split = route.split
+        if len(split) == 1:
+            only: tuple[str, float] = split[0]
+            return only[0] if only[1] > 0 else None
+        credit = self.credits_of(route)
+        total = sum(weight for _, weight in split)
+        if total <= 0:
+            return None
+        for service, weight in split:
+            credit[service] += weight
+        chosen: str = max(
+            (service for service, weight in split if weight > 0), key=credit.__getitem__
+        )
+        credit[chosen] -= total
+        return chosen
+
+    def credits_of(self, route: Route) -> dict[str, float]:
+        """The credit of each service of a route; those of another version are forgotten."""
+        credit = self.credits.get((route.name, route.version))
+        if credit is None:
+            for key in [key for key in self.credits if key[0] == route.name]:
+                del self.credits[key]
+            credit = {service: 0.0 for service, _ in route.split}
+            self.credits[route.name, route.version] = credit
+        return credit
--- a/packages/forwarding/meadowdock/forwarding/waits.py
+++ b/packages/forwarding/meadowdock/forwarding/wait_estimates.py
@@ -1,9 +1,9 @@
 """How long a call will likely wait for a slot of a service here, and how long it will hold one.
 
-Times are kept by kind of call, which is its route: a mean over unlike calls is right for none.
+Times are kept by route: a mean over unlike calls is right for none.
 
-A wait queue is ordered by urgency: the route's rank, and within a rank calls that can still end in
-their aim before those that can't. Who comes later with a greater urgency goes first, so only the
+A wait queue is ordered by urgency: the route's priority, and within a priority calls that can still
+meet their latency target before those that can't. Who comes later with a greater urgency goes first, so only the
 slots that greater urgencies leave free count for a call: the mean wait in a queue with priorities,
 after Cobham, "Priority assignment in waiting line problems" (1954).
 """
@@ -17,24 +17,24 @@
 
 FIRST_HOLD_US = 50_000  # taken for how long a call holds a slot, until one was seen
 MEAN_GAIN, DEVIATION_GAIN = 16, 8  # smoothing, as of a round trip's time in RFC 6298, but slower
-DEVIATIONS = 2  # a call likely ends within so many mean deviations above the mean
-LEAST_ROOM = 0.05  # of the slots; taken as free for an urgency whatever greater ones use
+LIKELY_DEVIATIONS = 2  # a call likely ends within so many mean deviations above the mean
+FREE_SLOTS_MIN = 0.05  # of the slots; taken as free for an urgency whatever greater ones use
 
 
 def urgency_of(call: Call, at: int) -> int:
-    """A call's place among others: even while it can end in its aim, odd afterwards; 0 goes first.
+    """A call's order among others: even while it can meet its target, odd afterwards; 0 goes first.
 
     >>> from types import SimpleNamespace as Facts
-    >>> urgency_of(Facts(rank=1, aim_due=100, hold_us=80), at=20)
+    >>> urgency_of(Facts(priority=1, target_deadline=100, hold_us=80), at=20)
     2
-    >>> urgency_of(Facts(rank=1, aim_due=100, hold_us=80), at=21)
+    >>> urgency_of(Facts(priority=1, target_deadline=100, hold_us=80), at=21)
     3
     """
-    return 2 * call.rank + (at + call.hold_us > call.aim_due)
+    return 2 * call.priority + (at + call.hold_us > call.target_deadline)
 
 
 class HoldTime:
-    """How long calls of one kind hold a slot: mean and mean deviation, in microseconds.
+    """How long calls of one route hold a slot: mean and mean deviation, in microseconds.
 
     >>> hold = HoldTime()
     >>> hold.learn(150_000); hold.mean_us, hold.likely_us
@@ -59,18 +59,18 @@
     @property
     def likely_us(self) -> int:
         """Most calls hold a slot no longer than that."""
-        return self.mean_us + DEVIATIONS * self.deviation_us
+        return self.mean_us + LIKELY_DEVIATIONS * self.deviation_us
 
 
-class HeldSlots:
-    """How many slots calls of one urgency hold: now, and in the mean of the last while."""
+class SlotsInUse:
+    """How many slots calls of one urgency hold: now, and in an exponentially weighted mean."""
 
     __slots__ = ("level", "mean", "at")
 
     def __init__(self, at: int) -> None:
         self.level, self.mean, self.at = 0, 0.0, at
 
-    def look(self, at: int, span_us: int) -> float:
+    def mean_at(self, at: int, span_us: int) -> float:
         """The mean, older levels counting less and less over the span."""
         if at > self.at:
             kept = math.exp((self.at - at) / span_us)
@@ -80,72 +80,76 @@
 
     def change(self, at: int, span_us: int, by: int) -> None:
         """So many more are held from now on."""
-        self.look(at, span_us)
+        self.mean_at(at, span_us)
         self.level += by
 
 
-class ServiceWaits:
-    """The estimates for one service at this node. Invariant: held has each urgency that ever held
+class WaitEstimates:
+    """The estimates for one service at this node. Invariant: in_use has each urgency that ever held
     a slot here, with a level of 0 or more."""
 
     def __init__(self, span_us: int) -> None:
         self.span_us = span_us
         self.holds: dict[str, HoldTime] = {}
-        self.held: dict[int, HeldSlots] = {}
+        self.in_use: dict[int, SlotsInUse] = {}
 
-    def hold(self, kind: str) -> HoldTime:
-        """How long calls of a kind hold a slot."""
-        found = self.holds.get(kind)
+    def hold(self, route: str) -> HoldTime:
+        """How long calls of a route hold a slot."""
+        found = self.holds.get(route)
         if found is None:
-            found = self.holds[kind] = HoldTime()
+            found = self.holds[route] = HoldTime()
         return found
 
-    def expected(self, kind: str) -> tuple[int, int]:
-        """How long a call of a kind will hold a slot: in the mean, and likely at most. One that
+    def expected(self, route: str) -> tuple[int, int]:
+        """How long a call of a route will hold a slot: in the mean, and likely at most. One that
         was never seen is taken for the mean of the others."""
-        found = self.holds.get(kind)
+        found = self.holds.get(route)
         if found is not None and found.known:
             return found.mean_us, found.likely_us
         mean_us = self.mean_us() or FIRST_HOLD_US
         return mean_us, mean_us
 
     def mean_us(self) -> int:
-        """The mean over the kinds known, each counting alike, so that endpoints can be compared
+        """The mean over the routes known, each counting alike, so that endpoints can be compared
         whatever mix of calls each of them had; 0 if none is known."""
         known = [hold.mean_us for hold in self.holds.values() if hold.known]
         return sum(known) // len(known) if known else 0
 
     def entered(self, urgency: int, at: int) -> None:
         """A call took a slot."""
-        found = self.held.get(urgency)
+        found = self.in_use.get(urgency)
         if found is None:
-            found = self.held[urgency] = HeldSlots(at)
+            found = self.in_use[urgency] = SlotsInUse(at)
         found.change(at, self.span_us, 1)
 
     def left(self, urgency: int, at: int) -> None:
         """A call gave its slot back."""
-        self.held[urgency].change(at, self.span_us, -1)
+        self.in_use[urgency].change(at, self.span_us, -1)
 
-    def in_use(self) -> bool:
+    def any_in_use(self) -> bool:
         """Whether any slot is held."""
-        return any(slots.level for slots in self.held.values())
+        return any(slots.level for slots in self.in_use.values())
 
     def wait_us(
         self, work_us: Mapping[int, int], urgency: int, hold_us: int, capacity: int, at: int
     ) -> int:
-        """How long a call of this urgency that joins the queue now will likely stand in it.
+        """How long a call of this urgency that joins the queue now will likely wait in it.
 
         work_us: how long the calls in the queue will hold a slot, all together, by urgency.
         hold_us: how long this one will. capacity: slots of the endpoint.
 
-        >>> waits = ServiceWaits(500_000)
+        >>> waits = WaitEstimates(500_000)
         >>> waits.wait_us({0: 900_000}, 0, 100_000, 10, 0)
         100000
         >>> for _ in range(5): waits.entered(0, 0)
         >>> waits.wait_us({2: 90_000}, 2, 10_000, 10, 99_000_000)  # half of the slots go to urgency 0
         20000
         """
-        used = sum(h.look(at, self.span_us) for u, h in self.held.items() if u < urgency)
-        room = max(LEAST_ROOM * capacity, capacity - used)
-        ahead_us = sum(us for u, us in work_us.items() if u <= urgency)
-        return int((ahead_us + hold_us) / max(LEAST_ROOM, room))
+        used = sum(
+            slots.mean_at(at, self.span_us)
+            for other, slots in self.in_use.items()
+            if other < urgency
+        )
+        free = max(FREE_SLOTS_MIN * capacity, capacity - used)
+        ahead_us = sum(us for other, us in work_us.items() if other <= urgency)
+        return int((ahead_us + hold_us) / max(FREE_SLOTS_MIN, free))
--- a/packages/proxy/meadowdock/proxy/gateway.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -7,7 +7,7 @@
 import trio
 
 from meadowdock.configuration.check import LOAD
-from meadowdock.forwarding import Gate, Reactor, Wires
+from meadowdock.forwarding import Gateway, Reactor, SocketNetwork
 from meadowdock.proxy.endpoints import Endpoint, RegistrationDenied
 from meadowdock.proxy.part import Part
 from meadowdock.proxy.retry_budget import RetryBudget
@@ -48,9 +48,9 @@
         self.wires = (
             make(node.nursery, self.reactor)
             if make
-            else Wires(settings.host, node.nursery, self.reactor)
+            else SocketNetwork(settings.host, node.nursery, self.reactor)
         )
-        self.gate = Gate(
+        self.gate = Gateway(
             self.wires,
             self.reactor,
             self.endpoints,
@@ -99,11 +99,11 @@
         if routing_table.load is LOAD:  # no operator has said anything of it
             routing_table.load = {**LOAD, **GATE_LOAD}
         super().put_in_force(routing_table)
-        self.gate.put_in_force(routing_table.items, routing_table.load)
+        self.gate.apply_configuration(routing_table.items, routing_table.load)
 
     def listed(self, lists, told_nodes):
         type(self.forwarder).use_load_list(self.forwarder, lists, told_nodes)
-        self.gate.listed(lists, told_nodes)
+        self.gate.update_loads(lists, told_nodes)
         self.reactor.end_turn()
 
     def measure(self):
@@ -111,24 +111,23 @@
         told, at = super().measure(), monotonic_us()
         for service, line in told.items():
             occupation = self.endpoints.service_loads[service]
-            occupation.rho = min(1.0, occupation.rho * self.gate.slowness(service, at))
+            occupation.rho = min(1.0, occupation.rho * self.gate.service_load.slowness(service, at))
             line[0] = occupation.rho
-            line += [self.node.settings.zone, self.gate.slot_us(service)]
+            line += [self.node.settings.zone, self.gate.service_load.hold_us(service)]
         return told
 
     def new_retry_budget(self, gate):
         """A new service's second tries."""
         terms = self.node.settings.retry_budget
-        nodes = max(1, len({n.address for told in gate.told_nodes.values() for n in told}))
         ratio, reserve = SAFE * terms.ratio, int(SAFE * terms.reserve)
-        return RetryBudget(nodes, self.born, ratio, reserve, terms.window_us)
+        return RetryBudget(gate.peer_count(), self.born, ratio, reserve, terms.window_us)
 
     def settings_changed(self, settings):
         """New settings of a running process: the service beside, and the bounds of second tries."""
         self.gate.caller_name = (settings.service or "guest").encode()
-        self.gate.tries = {
+        self.gate.retries.budgets = {
             service: self.new_retry_budget(self.gate).carry_over(old)
-            for service, old in self.gate.tries.items()
+            for service, old in self.gate.retries.budgets.items()
         }
 
     def unready_reasons(self):
@@ -161,7 +160,7 @@
                 pass
 
     def found_beside(self, status, facts, words):
-        instance = facts.get(words.told_instance.lower(), b"").decode("latin-1")
+        instance = facts.get(words.health_instance.lower(), b"").decode("latin-1")
         slots = facts.get(words.load.lower(), b"").split(b",")[-1]
         settings = self.node.settings
         well = status == 200 and instance and slots.isdigit() and int(slots)
@@ -228,13 +227,13 @@
         gate, last = self.gate, self.node.shutdown.deadline - SECOND
         self.leaves = True
         await self.tell_core()
-        while monotonic_us() - gate.came_at < QUIET and monotonic_us() < last:
+        while monotonic_us() - gate.last_arrival_at < QUIET and monotonic_us() < last:
             await sleep_us(QUIET // 4)
         self.closing.set()
         await sleep_us(QUIET // 4)
-        gate.shut()
-        while gate.calls or any(c.line or c.wire.held_size for c in gate.callers):
-            gate.shut()
+        gate.close_idle_connections()
+        while gate.in_use():
+            gate.close_idle_connections()
             await sleep_us(10 * MILLISECOND)
         await sleep_us(FLUSH)
         await super().drain()
--- a/packages/simulator/meadowdock/simulator/net.py
+++ b/packages/simulator/meadowdock/simulator/net.py
@@ -160,7 +160,7 @@
         self.process_wires = []
 
     def wires(self, nursery, reactor):
-        """Connections of raw bytes, as meadowdock.forwarding.wires has them."""
+        """Connections of raw bytes, as meadowdock.forwarding.sockets has them."""
         self.process_wires.append(SimWires(self, nursery, reactor))
         return self.process_wires[-1]
 
--- a/packages/simulator/meadowdock/simulator/standin/endpoint.py
+++ b/packages/simulator/meadowdock/simulator/standin/endpoint.py
@@ -74,7 +74,7 @@
         self.came_at.append((monotonic_us(), id))
         if id is None:
             return self.turn_away(job, 400)
-        wanted = facts.get(words.instance.lower(), self.instance)
+        wanted = facts.get(words.target_instance.lower(), self.instance)
         if wanted != self.instance:
             return self.turn_away(job, 421)
         fault = self.fault_of(id)
--- a/packages/simulator/meadowdock/simulator/wires.py
+++ b/packages/simulator/meadowdock/simulator/wires.py
@@ -1,4 +1,4 @@
-"""meadowdock.forwarding.wires in memory: connections of raw bytes over the simulated web."""
+"""meadowdock.forwarding.sockets in memory: connections of raw bytes over the simulated web."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import trio
 
-from meadowdock.forwarding.wires import LINGER, READ
+from meadowdock.forwarding.sockets import LINGER_US, READ_SIZE
 from meadowdock.runtime import Address, deadline_scope, monotonic_us
 
 WINDOW = 262_144  # bytes on the way or unread at the other end; more is held by the sender
@@ -19,7 +19,7 @@
 
 
 class SimWire:
-    """One end, with meadowdock.forwarding.wires.Wire's interface. Invariants: inbox is in order, each entry with
+    """One end, with meadowdock.forwarding.sockets.SocketConnection's interface. Invariants: inbox is in order, each entry with
     its earliest arrival (bytes, END or RESET); unread is the size of its bytes; on_end is called
     once, and not after close()."""
 
@@ -27,11 +27,11 @@
         self.wires, self.peer = wires, peer
         self.web, self.here = wires.web, wires.host
         self.owner = self.other = None
-        self.held, self.held_size = [], 0
+        self.unsent, self.unsent_size = [], 0
         self.writing = self.closed = self.finishing = self.broken = False
         self.ended = False  # END or RESET was sent
-        self.waiting = None
-        self.stuck_since = 0
+        self.read_paused = None
+        self.blocked_since = 0
         self.inbox, self.unread = deque(), 0
         self.arrived, self.room = trio.Event(), trio.Event()
 
@@ -40,15 +40,15 @@
     def send(self, data):
         if self.closed or self.finishing or not data:
             return
-        if not self.held:
+        if not self.unsent:
             data = data[self.put(data) :]
             if not data:
                 return
-        self.held.append(data)
-        self.held_size += len(data)
+        self.unsent.append(data)
+        self.unsent_size += len(data)
         if not self.writing:
             self.writing = True
-            self.stuck_since = monotonic_us()
+            self.blocked_since = monotonic_us()
             self.wires.nursery.start_soon(self.drain)
 
     def put(self, data):
@@ -65,41 +65,41 @@
         return max(size, 0)
 
     async def drain(self):
-        while self.held and not self.closed:
-            data = b"".join(self.held)
+        while self.unsent and not self.closed:
+            data = b"".join(self.unsent)
             sent = self.put(data)
             if sent:
-                self.stuck_since = monotonic_us()
-                self.held = [data[sent:]] if sent < len(data) else []
-                self.held_size = len(data) - sent
+                self.blocked_since = monotonic_us()
+                self.unsent = [data[sent:]] if sent < len(data) else []
+                self.unsent_size = len(data) - sent
             else:
                 self.room = trio.Event()
                 await self.room.wait()
         self.writing = False
         if not self.closed:
-            self.stuck_since = 0
+            self.blocked_since = 0
             if self.finishing:
                 self.half_close()
 
     def pause(self):
-        if self.waiting is None:
-            self.waiting = trio.Event()
+        if self.read_paused is None:
+            self.read_paused = trio.Event()
 
     def resume(self):
-        if self.waiting is not None:
-            self.waiting.set()
-            self.waiting = None
+        if self.read_paused is not None:
+            self.read_paused.set()
+            self.read_paused = None
 
     def finish(self):
         if not self.finishing and not self.closed:
             self.finishing = True
             self.resume()
-            if not self.held:
+            if not self.unsent:
                 self.half_close()
 
     def half_close(self):
         self.tell_end(END)
-        self.wires.reactor.at(monotonic_us() + LINGER, self.close)
+        self.wires.reactor.at(monotonic_us() + LINGER_US, self.close)
 
     def tell_end(self, how):
         if not self.other.closed and (not self.ended or how is RESET):
@@ -109,7 +109,7 @@
     def close(self):
         """As a socket's close: a reset, if bytes lie unread."""
         if not self.closed:
-            self.gone(RESET if self.unread or self.held else END)
+            self.gone(RESET if self.unread or self.unsent else END)
 
     def abort(self):
         """A reset in order behind what was sent."""
@@ -118,7 +118,7 @@
 
     def gone(self, how):
         self.closed = True
-        self.held, self.held_size = [], 0
+        self.unsent, self.unsent_size = [], 0
         self.resume()
         self.tell_end(how)
         self.arrived.set()
@@ -152,8 +152,8 @@
                 return RESET
             at = self.inbox[0][0] if self.inbox else 1 << 61
             if at <= monotonic_us() and (self.peer, self.here) not in web.cuts:
-                if self.waiting is not None:
-                    await self.waiting.wait()
+                if self.read_paused is not None:
+                    await self.read_paused.wait()
                     continue
                 return self.take()
             with deadline_scope(at if at > monotonic_us() else 1 << 61):
@@ -167,7 +167,7 @@
         _, data = inbox.popleft()
         if not data:
             return data
-        while inbox and inbox[0][0] <= monotonic_us() and inbox[0][1] and len(data) < READ:
+        while inbox and inbox[0][0] <= monotonic_us() and inbox[0][1] and len(data) < READ_SIZE:
             data += inbox.popleft()[1]
         if web.tear and len(data) > 1:
             size = web.rng.randrange(1, min(len(data), web.tear) + 1)
@@ -204,7 +204,7 @@
 
 
 class SimWires:
-    """The traffic of one process, with meadowdock.forwarding.wires.Wires' interface."""
+    """The traffic of one process, with meadowdock.forwarding.sockets.SocketNetwork' interface."""
 
     def __init__(self, net, nursery, reactor):
         self.net, self.web, self.host = net, net.web, net.host
--- a/packages/soak/meadowdock/soak/cuts.py
+++ b/packages/soak/meadowdock/soak/cuts.py
@@ -13,8 +13,8 @@
 
 import trio
 
-from meadowdock.forwarding import Wires
-from meadowdock.forwarding.wires import Wire
+from meadowdock.forwarding import SocketNetwork
+from meadowdock.forwarding.sockets import SocketConnection
 from meadowdock.runtime import MILLISECOND, Address, Net, sleep_us
 
 LOOK_EVERY = 20 * MILLISECOND
@@ -128,43 +128,43 @@
         return made
 
 
-class CutWire(Wire):
+class CutWire(SocketConnection):
     """A connection whose bytes wait while its ends are cut off from each other."""
 
     __slots__ = ("paused_by_cut",)
 
-    def __init__(self, sock: Any, wires: CutWires, peer: str = "") -> None:
-        super().__init__(sock, wires, peer)
+    def __init__(self, sock: Any, network: CutWires, peer: str = "") -> None:
+        super().__init__(sock, network, peer)
         self.paused_by_cut = False
 
     def send(self, data: bytes) -> None:
         """Send, or hold until joined."""
-        if self.peer not in self.wires.cuts.hosts:
+        if self.peer not in self.network.cuts.hosts:
             super().send(data)
         elif not self.closed and not self.finishing:
-            self.held.append(data)
-            self.held_size += len(data)
+            self.unsent.append(data)
+            self.unsent_size += len(data)
             if not self.writing:
                 self.writing = True
-                self.wires.nursery.start_soon(self.drain)
+                self.network.nursery.start_soon(self.drain)
 
     async def drain(self) -> None:
         """Send what is held once joined."""
-        await self.wires.cuts.joined(self.peer)
+        await self.network.cuts.joined(self.peer)
         await super().drain()
 
 
-class CutWires(Wires):
+class CutWires(SocketNetwork):
     """The traffic path's network of a process that may be cut off."""
 
     cuts: Cuts
 
-    async def connect(self, address: Address, due: int, owner: Any) -> None:
+    async def connect(self, address: Address, deadline: int) -> SocketConnection | OSError | str:
         """Connect once joined."""
         if address.host in self.cuts.hosts:
-            with trio.move_on_at(due / 1_000_000):
+            with trio.move_on_at(deadline / 1_000_000):
                 await self.cuts.joined(address.host)
-        await super().connect(address, due, owner)
+        return await super().connect(address, deadline)
 
     def cut_or_joined(self) -> None:
         """Other hosts are cut off now."""
--- a/packages/soak/meadowdock/soak/traffic.py
+++ b/packages/soak/meadowdock/soak/traffic.py
@@ -11,8 +11,8 @@
 
 import trio
 
-from meadowdock.forwarding import Reactor, Wires
-from meadowdock.forwarding.wires import Wire
+from meadowdock.forwarding import Reactor, SocketNetwork
+from meadowdock.forwarding.sockets import SocketConnection
 from meadowdock.runtime import (
     MILLISECOND,
     SECOND,
@@ -61,7 +61,7 @@
     ]
 
 
-class ResettableWire(Wire):
+class ResettableWire(SocketConnection):
     """A connection that can be reset, as an endpoint in trouble resets it."""
 
     __slots__ = ()
@@ -79,9 +79,9 @@
     def __init__(self, host: str) -> None:
         self.host = host
 
-    def wires(self, nursery: trio.Nursery, reactor: Reactor) -> Wires:
+    def wires(self, nursery: trio.Nursery, reactor: Reactor) -> SocketNetwork:
         """Connections of this host."""
-        return Wires(self.host, nursery, reactor, ResettableWire)
+        return SocketNetwork(self.host, nursery, reactor, ResettableWire)
 
 
 class Traffic:
@@ -138,7 +138,7 @@
     async def call(self, nursery: trio.Nursery, host: str, name: str, number: int) -> object | None:
         """One request on a connection of its own; None if none could be opened."""
         reactor = Reactor()
-        wires = Wires(host, nursery, reactor)
+        wires = SocketNetwork(host, nursery, reactor)
         with trio.CancelScope() as scope:
             nursery.start_soon(self.run_reactor, reactor, scope)
             made = StandInCaller(self.ledger, host, SERVICE)
--- a/tests/forwarding/test_abandoned.py
+++ b/tests/forwarding/test_abandoned.py
@@ -30,7 +30,7 @@
         caller.hang_up()
         await sleep_us(20 * MILLISECOND)
         (job,) = ends_of(world).running
-        assert job.conn.over and not gate_of(world, there).calls and not leaks(world)
+        assert job.conn.over and not gate_of(world, there).dispatcher.calls and not leaks(world)
 
     gated(scenario, seed, application=application, items=items(LONG), endpoint=ONE_SLOT)
 
@@ -45,7 +45,7 @@
         caller.hang_up()
         await sleep_us(100 * MILLISECOND)
         (job,) = ends_of(world).running
-        assert not job.conn.over and len(gate_of(world, there).calls) == 1
+        assert not job.conn.over and len(gate_of(world, there).dispatcher.calls) == 1
         await sleep_us(800 * MILLISECOND)
         assert len(ends_of(world).journal) == 1 and not leaks(world)
 
@@ -67,7 +67,7 @@
         caller.hang_up()
         await sleep_us(20 * MILLISECOND)
         assert len(gate_of(world, there).admission.queue("desk")) == 0
-        assert len(gate_of(world, host).calls) == 1
+        assert len(gate_of(world, host).dispatcher.calls) == 1
         await held.done.wait()
         await sleep_us(100 * MILLISECOND)
         assert [ran.target for ran in ends_of(world).journal] == [b"/long/x"]
@@ -81,7 +81,7 @@
         host, there = list(world.application)
         peers = gate_of(world, host).peers
         for link in list(peers.outgoing.values()):
-            link.wire.close()
+            link.connection.close()
             link.on_end("the test")
         peers.quiet_until.clear()
         caller = await world.caller(host)
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -9,32 +9,38 @@
 
 from meadowdock.forwarding.admission import ROUTES_REMEMBERED, Admission
 from meadowdock.forwarding.call import Call
-from meadowdock.forwarding.figures import RankFigures
+from meadowdock.forwarding.caller_timeouts import CallerTimeouts
+from meadowdock.forwarding.figures import PriorityFigures
 from meadowdock.forwarding.invariants import (
-    IDLE_SLOT,
-    LATE_FIRST,
-    QUEUE_STANDS,
+    LATE_BEFORE_IN_TIME,
+    QUEUE_OVERCOMMITTED,
     SLOTS_DIFFER,
+    WAITING_WITH_CAPACITY,
     Invariants,
 )
-from meadowdock.forwarding.patience import Patience
+from meadowdock.forwarding.wait_estimates import WaitEstimates
 from meadowdock.forwarding.wait_queue import WaitQueue
-from meadowdock.forwarding.waits import ServiceWaits
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
 
-def call(rank=0, urgency=None, aim_due=SECOND, **facts):
-    known = {"join_due": SECOND, "wait_due": SECOND, "due": 2 * SECOND, "early_due": 0, **facts}
+def call(priority=0, urgency=None, target_deadline=SECOND, **facts):
+    known = {
+        "join_deadline": SECOND,
+        "wait_deadline": SECOND,
+        "deadline": 2 * SECOND,
+        "early_deadline": 0,
+        **facts,
+    }
     return Call(
         id=b"x",
         head=b"",
         body=b"",
         service="desk",
-        repeatable=True,
-        rank=rank,
-        urgency=2 * rank if urgency is None else urgency,
-        aim_due=aim_due,
-        kind="k",
+        idempotent=True,
+        priority=priority,
+        urgency=2 * priority if urgency is None else urgency,
+        target_deadline=target_deadline,
+        route="k",
         **known,
     )
 
@@ -76,14 +82,14 @@
     queue = WaitQueue()
     for urgency in (0, 1, 2, 4):
         queue.join(call(urgency=urgency))
-    assert [queue.in_aim(rank) for rank in (0, 1, 2)] == [1, 2, 3]
+    assert [queue.in_time(priority) for priority in (0, 1, 2)] == [1, 2, 3]
 
 
 # ---------------------------------------------------------------- the estimate
 
 
 def test_slots_that_greater_urgencies_hold_are_not_counted_on():
-    waits, work = ServiceWaits(500 * MILLISECOND), {4: 10 * 150 * MILLISECOND}
+    waits, work = WaitEstimates(500 * MILLISECOND), {4: 10 * 150 * MILLISECOND}
     for _ in range(12):
         waits.entered(2, 0)
     alone = waits.wait_us(work, 4, 150 * MILLISECOND, 16, 10 * SECOND)
@@ -96,19 +102,19 @@
 
 
 def test_a_greater_urgency_does_not_wait_for_lesser_ones():
-    waits = ServiceWaits(500 * MILLISECOND)
+    waits = WaitEstimates(500 * MILLISECOND)
     assert waits.wait_us({0: 0, 2: 5 * SECOND}, 0, 100 * MILLISECOND, 10, 0) == 10 * MILLISECOND
 
 
 def test_with_all_slots_taken_by_greater_urgencies_the_wait_is_long_but_has_an_end():
-    waits = ServiceWaits(500 * MILLISECOND)
+    waits = WaitEstimates(500 * MILLISECOND)
     for _ in range(10):
         waits.entered(0, 0)
     assert waits.wait_us({}, 2, 50 * MILLISECOND, 10, 60 * SECOND) == 50 * MILLISECOND / (0.05 * 10)
 
 
 def test_endpoints_are_compared_whatever_mix_of_calls_they_had():
-    busy_with_short, busy_with_long = ServiceWaits(1), ServiceWaits(1)
+    busy_with_short, busy_with_long = WaitEstimates(1), WaitEstimates(1)
     assert busy_with_long.mean_us() == 0
     for waits, short, long in ((busy_with_short, 50, 1), (busy_with_long, 1, 50)):
         for kind, took, times in (("short", 15, short), ("long", 150, long)):
@@ -153,7 +159,7 @@
 def test_a_call_that_will_be_late_anyhow_joins_by_its_own_bound_alone():
     made, late = (
         admission(800 * MILLISECOND),
-        call(urgency=1, aim_due=0, join_due=300 * MILLISECOND),
+        call(urgency=1, target_deadline=0, join_deadline=300 * MILLISECOND),
     )
     assert made.may_join(late, 290 * MILLISECOND, 0)
     assert not made.may_join(late, 310 * MILLISECOND, 0)
@@ -164,10 +170,12 @@
     for facts, until_ms in (
         ({}, 600),
         ({"urgency": 1}, 1000),
-        ({"wait_due": 100 * MILLISECOND}, 100),
-        ({"urgency": 1, "due": 700 * MILLISECOND}, 300),
+        ({"wait_deadline": 100 * MILLISECOND}, 100),
+        ({"urgency": 1, "deadline": 700 * MILLISECOND}, 300),
     ):
-        assert made.place_until(call(hold_us=400 * MILLISECOND, **facts)) == until_ms * MILLISECOND
+        assert (
+            made.position_until(call(hold_us=400 * MILLISECOND, **facts)) == until_ms * MILLISECOND
+        )
 
 
 def test_time_spent_on_earlier_tries_is_read_off_the_deadline_and_forgotten_with_the_route():
@@ -210,23 +218,23 @@
 
 
 def test_a_few_callers_with_long_deadlines_make_no_second_tries_of_the_others():
-    patience = Patience()
-    spent = [patience.spent(60_000 if n % 20 == 5 else 1500) for n in range(200)]
+    timeouts = CallerTimeouts()
+    spent = [timeouts.spent(60_000 if n % 20 == 5 else 1500) for n in range(200)]
     assert spent[100:] == [0] * 100
 
 
 def test_while_one_in_five_is_a_first_try_it_is_told_from_the_others():
-    patience = Patience()
+    timeouts = CallerTimeouts()
     for n in range(200):
-        spent = patience.spent(1500 if n % 5 == 0 else 900)
+        spent = timeouts.spent(1500 if n % 5 == 0 else 900)
         assert n < 20 or spent == (0 if n % 5 == 0 else 600)
 
 
 def test_the_usual_time_follows_a_change():
-    patience = Patience()
+    timeouts = CallerTimeouts()
     for left in (1500, 700):
         for _ in range(100):
-            spent = patience.spent(left)
+            spent = timeouts.spent(left)
         assert spent == 0
 
 
@@ -300,12 +308,12 @@
         host = list(world.application)[0]
         gate, end = gate_of(world, host), world.ends[host]
         await asked(world, host)
-        assert gate.slot_us("desk") < 50 * MILLISECOND
+        assert gate.service_load.hold_us("desk") < 50 * MILLISECOND
         end.faults["*"] = ["silence"] * 30
         for _ in range(30):
             made = await asked(world, host, due_ms=300)
             assert made.status == 504
-        assert gate.slot_us("desk") > 200 * MILLISECOND
+        assert gate.service_load.hold_us("desk") > 200 * MILLISECOND
         # so nobody is let in to wait for such a slot who would be late
         end.faults["*"] = ["silence"]
         held = (await world.caller(host)).ask(due_ms=300)
@@ -324,20 +332,20 @@
     logged = []
     found = Invariants(lambda number, **facts: logged.append((number, facts["invariant"])))
     made = Admission()
-    made.queue("desk").join(call(rank=1))
-    found.starting(call(rank=1, aim_due=5), made, 4)
-    found.starting(call(rank=0, aim_due=5), made, 6)  # of a higher rank than who waits
+    made.queue("desk").join(call(priority=1))
+    found.starting(call(priority=1, target_deadline=5), made, 4)
+    found.starting(call(priority=0, target_deadline=5), made, 6)  # of a higher rank than who waits
     assert not found.violations
-    found.starting(call(rank=1, aim_due=5), made, 6)
-    found.starting(call(rank=1, aim_due=5), made, 7)
+    found.starting(call(priority=1, target_deadline=5), made, 6)
+    found.starting(call(priority=1, target_deadline=5), made, 7)
     found.woken("desk", 0, True, 8)
     found.woken("desk", 1, False, 8)
     found.woken("desk", 1, True, 8)
     made.started(call(), 9)
     found.slots(made, [call()], 10)
-    assert found.violations == {LATE_FIRST: 2, IDLE_SLOT: 1, SLOTS_DIFFER: 1}
-    assert logged == [(802, LATE_FIRST), (802, IDLE_SLOT), (802, SLOTS_DIFFER)]
-    found.starting(call(rank=1, aim_due=5), made, 6 + SECOND)
+    assert found.violations == {LATE_BEFORE_IN_TIME: 2, WAITING_WITH_CAPACITY: 1, SLOTS_DIFFER: 1}
+    assert logged == [(802, LATE_BEFORE_IN_TIME), (802, WAITING_WITH_CAPACITY), (802, SLOTS_DIFFER)]
+    found.starting(call(priority=1, target_deadline=5), made, 6 + SECOND)
     assert len(logged) == 4
 
 
@@ -347,7 +355,7 @@
         gate = gate_of(world, host)
         gate.admission.started(call(), monotonic_us())  # a slot that nobody holds
         await sleep_us(300 * MILLISECOND)
-        assert gate.invariants.violations[SLOTS_DIFFER] >= 1
+        assert gate.dispatcher.invariants.violations[SLOTS_DIFFER] >= 1
         assert len(world.trace.events(802)) == 1
         gate.admission.freed(call(), monotonic_us())
         world.trace.lines.clear()
@@ -355,15 +363,15 @@
     gated(scenario, application=("desk",), items=items(HIGH))
 
 
-def rank_figures(kept, broken):
-    found = RankFigures()
-    found.let_in_kept, found.let_in_broken = kept, broken
+def figures(in_time, late):
+    found = PriorityFigures()
+    found.admitted_in_time, found.admitted_late = in_time, late
     return found
 
 
 def test_a_queue_whose_calls_mostly_end_late_for_two_seconds_stands():
     found = Invariants(lambda number, **facts: None)
-    for kept, broken, violations in (
+    for in_time, late, violations in (
         (0, 9, 0),  # too few to say
         (0, 99, 0),  # estimates may be behind a sudden change
         (99, 99, 0),  # not most
@@ -371,8 +379,8 @@
         (5, 6, 1),
         (5, 6, 2),
     ):
-        found.queue("desk", 2, rank_figures(kept, broken), 0)
-        assert found.violations[QUEUE_STANDS] == violations
+        found.queue("desk", 2, figures(in_time, late), 0)
+        assert found.violations[QUEUE_OVERCOMMITTED] == violations
 
 
 def test_what_was_let_in_and_not_served_in_its_aim_is_counted():
@@ -382,13 +390,13 @@
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
         believe_hold(gate, 100 * MILLISECOND)  # in truth the slot is held for 300 ms
-        gate.figures.services.clear()
-        gate.figures.since = monotonic_us()
+        gate.dispatcher.figures.services.clear()
+        gate.dispatcher.figures.since = monotonic_us()
         calls = [(await world.caller(host)).ask(b"/low/x"), (await world.caller(host)).ask(b"/p/y")]
         await all_done([first, *calls])
-        ranks = gate.figures.services["desk"]
+        ranks = gate.dispatcher.figures.services["desk"]
         assert [calls[0].status, calls[1].status] == [200, 200]
-        assert (ranks[3].let_in_kept, ranks[3].let_in_broken) == (1, 0)
-        assert ranks[0].started == 1 and ranks[0].let_in_kept == 1
+        assert (ranks[3].admitted_in_time, ranks[3].admitted_late) == (1, 0)
+        assert ranks[0].started == 1 and ranks[0].admitted_in_time == 1
 
     gated(scenario, application=("desk",), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
--- a/tests/forwarding/test_answers.py
+++ b/tests/forwarding/test_answers.py
@@ -9,7 +9,7 @@
 from item_builders import route
 from retry_counts import TRIES, budgeted, hosts
 
-from meadowdock.forwarding.peers import CANCEL
+from meadowdock.forwarding.peer_frames import CANCEL
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator.standin import FAULTS
@@ -25,7 +25,7 @@
 
 def link_of(world, home, peer):
     gate = gate_of(world, home)
-    return gate.peers.link(f"{peer}:{gate.gate_port}")
+    return gate.peers.link(f"{peer}:{gate.peers.link_port}")
 
 
 async def ready_link(world, home, peer):
@@ -249,12 +249,12 @@
         caller = await world.caller(home)
         first = caller.ask(b"/once/1", b"POST", due_ms=300)
         await sleep_us(50 * MILLISECOND)
-        slot = next(iter(link.pending)).number[0]
+        slot = next(iter(link.pending)).peer_handle[0]
         world.web.cut(peer, home, both=False)
         await first.done.wait()
         second = caller.ask(b"/once/2", b"POST", due_ms=3000)
         await sleep_us(20 * MILLISECOND)
-        assert next(iter(link.pending)).number[0] == slot
+        assert next(iter(link.pending)).peer_handle[0] == slot
         world.web.heal()
         await all_done([second])
         assert (first.status, second.status) == (504, 200)
@@ -280,7 +280,7 @@
         world.ends[peer].work_us = 300 * MILLISECOND
         made = (await world.caller(home)).ask(b"/once/2", b"POST")
         await sleep_us(100 * MILLISECOND)
-        assert next(iter(fresh.pending)).number == (0, 0)  # as the first one had
+        assert next(iter(fresh.pending)).peer_handle == (0, 0)  # as the first one had
         gate = gate_of(world, home)
         world.processes[f"mdproxy@{home}"].enter(lambda: gate.reactor.turn(fresh.on_data, answer))
         await all_done([made])
@@ -326,9 +326,9 @@
         gate = gate_of(world, home)
         made = (await world.caller(home)).ask(b"/once/x", b"POST")
         await sleep_us(100 * MILLISECOND)
-        (call,) = gate.calls
+        (call,) = gate.dispatcher.calls
         world.processes[f"mdproxy@{home}"].enter(
-            lambda: gate.reactor.turn(call.target.say, [CANCEL, *call.number])
+            lambda: gate.reactor.turn(call.peer_link.send, [CANCEL, *call.peer_handle])
         )
         await all_done([made])
         assert made.status == 200 and world.ledger.arrivals(made.id) == 1
--- a/tests/forwarding/test_gate.py
+++ b/tests/forwarding/test_gate.py
@@ -166,8 +166,8 @@
     gate = gate_of(world, host)
     if rho is not None:
         busy(world, host, rho)
-    gate.listed(
-        type(gate.lists)(gate.lists.epoch, gate.lists.seq, monotonic_us()),
+    gate.update_loads(
+        type(gate.loads.latest)(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()),
         {"desk": nodes_of(world, rhos)},
     )
     caller = await world.caller(host)
@@ -189,7 +189,7 @@
             gate_at.endpoints.measure_load = lambda at, share: {}
             gate_at.listed = lambda lists, told: None
         world.daemon("mdproxy", home).forwarder.use_load_list = lambda lists, told: None
-        omega, phi = gate.load["omega"], gate.load["phi"]
+        omega, phi = gate.dispatcher.thresholds.omega, gate.dispatcher.thresholds.phi
         low, mid = phi / 2, (phi + omega) / 2
         assert await batch(world, home, low, {b: low, c: low}) == [home] * 6
         assert await batch(world, home, mid, {b: low, c: low}) == [home] * 6
@@ -345,7 +345,7 @@
         world.web.slow[home] = (20 * MILLISECOND, 21 * MILLISECOND)
         made = (await world.caller(home)).ask(b"/once/x")
         await sleep_us(70 * MILLISECOND)
-        assert gate_of(world, home).calls and not world.ends[home].came_at
+        assert gate_of(world, home).dispatcher.calls and not world.ends[home].came_at
         world.ends[home].draining = True
         world.beat(home, world.ends[home], 1000)
         await made.done.wait()
@@ -358,12 +358,12 @@
     async def scenario(world):
         home, other = hosts(world)
         gate = gate_of(world, home)
-        known = dict(gate.told_nodes)
-        gate.listed(gate.lists, {})
+        known = dict(gate.loads.nodes)
+        gate.update_loads(gate.loads.latest, {})
         first, second = [(await world.caller(home)).ask(b"/p/%d" % n) for n in range(2)]
         await sleep_us(10 * MILLISECOND)
         assert len(gate.admission.queues["desk"]) == 1
-        gate.listed(gate.lists, known)
+        gate.update_loads(gate.loads.latest, known)
         gate.reactor.end_turn()
         at = monotonic_us()
         await all_done([first, second])
--- a/tests/forwarding/test_gate_faults.py
+++ b/tests/forwarding/test_gate_faults.py
@@ -345,11 +345,14 @@
         home, good = hosts(world)
         gate = gate_of(world, home)
         nodes = [NodeLoad(f"10.9.{n // 100}.{n % 100}:7401", 0.1, "i", False) for n in range(600)]
-        real = gate.told_nodes["desk"]
-        gate.listed(
-            LoadList(gate.lists.epoch, gate.lists.seq, monotonic_us()), {"desk": (*nodes, *real)}
+        real = gate.loads.nodes["desk"]
+        gate.update_loads(
+            LoadList(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()),
+            {"desk": (*nodes, *real)},
         )
-        gate.peers.quiet_until = {gate.gate_of(n.address): monotonic_us() + SECOND for n in nodes}
+        gate.peers.quiet_until = {
+            gate.peers.link_address(n.address): monotonic_us() + SECOND for n in nodes
+        }
         made = await asked(world, home)
         assert made.status == 200
 
--- a/tests/forwarding/test_gate_http.py
+++ b/tests/forwarding/test_gate_http.py
@@ -7,7 +7,7 @@
 from raw_bytes import hosts, raw
 
 from meadowdock.configuration.items import DEFAULT_LIMITS
-from meadowdock.forwarding.http import Answers, Requests
+from meadowdock.forwarding.http import RequestParser, ResponseParser
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
 HEAD = b"Host: h.example\r\nmd-call: raw-1\r\n"
@@ -231,13 +231,13 @@
         for n in range(400):
             calls.append(caller.ask(b"/p/%d" % n, due_ms=60_000))
             await sleep_us(10 * MILLISECOND)
-            (mine,) = gate.callers or [None]
+            (mine,) = gate.connections or [None]
             if mine is not None:
-                most = max(most, mine.wire.held_size)
+                most = max(most, mine.connection.unsent_size)
         assert 1 << 20 < most < 3 << 20
         assert len(world.ledger.runs()) < 150
         await sleep_us(15 * SECOND)
-        assert not gate.callers  # nobody reads: it is let go
+        assert not gate.connections  # nobody reads: it is let go
         caller.wire.resume()
         await sleep_us(SECOND)
 
@@ -280,12 +280,12 @@
 
 
 def test_a_head_of_answers_is_not_changed_by_its_trailer():
-    answers = Answers(frozenset({b"md-call"}), 1000)
+    answers = ResponseParser(frozenset({b"md-call"}), 1000)
     answers.feed(
         b"HTTP/1.1 200 OK\r\nmd-call: a\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"1\r\nx\r\n0\r\nmd-call: b\r\nX: 1\r\n\r\n"
     )
-    (answer,) = answers.whole
+    (answer,) = answers.complete
     assert (
         answer.facts == {b"md-call": b"a"}
         and answer.lines == [(b"md-call", b"a")]
@@ -299,11 +299,11 @@
         b"3\r\nabc\r\n0\r\n\r\nGET /c HTTP/1.1\r\nHost: h\r\nmd-call: 2\r\n\r\n"
     )
     names = frozenset({b"md-call"})
-    whole = Requests(DEFAULT_LIMITS, names)
+    whole = RequestParser(DEFAULT_LIMITS, names)
     whole.feed(data)
     for size in range(1, len(data)):
-        torn = Requests(DEFAULT_LIMITS, names)
+        torn = RequestParser(DEFAULT_LIMITS, names)
         for at in range(0, len(data), size):
             torn.feed(data[at : at + size])
-        assert torn.whole == whole.whole and not torn.bad
-    assert [r.target for r in whole.whole] == [b"/a?b", b"/c"]
+        assert torn.complete == whole.complete and not torn.error_status
+    assert [r.target for r in whole.complete] == [b"/a?b", b"/c"]
--- a/tests/forwarding/test_gate_rules.py
+++ b/tests/forwarding/test_gate_rules.py
@@ -8,8 +8,8 @@
 from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items
 from item_builders import route, service
 
-from meadowdock.forwarding.callers import KEEP_S, KEPT
-from meadowdock.forwarding.gate import EARLY
+from meadowdock.forwarding.arrivals import EARLY
+from meadowdock.forwarding.downstream import KEEP_ALIVE_S, KEEP_ALIVE_US
 from meadowdock.load_sharing import LoadList, NodeLoad
 from meadowdock.runtime import MILLISECOND, SECOND, Address, monotonic_us, sleep_us
 
@@ -29,14 +29,16 @@
     """The gate's newest list of desk: {host: rho}."""
     gate = gate_of(world, host)
     told = tuple(line_of(world, other, rho) for other, rho in rhos.items())
-    gate.listed(LoadList(gate.lists.epoch, gate.lists.seq, monotonic_us()), {"desk": told})
+    gate.update_loads(
+        LoadList(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()), {"desk": told}
+    )
     gate.reactor.end_turn()
 
 
 def between(world, host):
     """An occupation that is neither accepting nor offloading."""
-    load = gate_of(world, host).load
-    return (load["phi"] + load["omega"]) / 2
+    thresholds = gate_of(world, host).dispatcher.thresholds
+    return (thresholds.phi + thresholds.omega) / 2
 
 
 def ran_at(world, made):
@@ -66,7 +68,7 @@
 def test_a_call_without_a_home_goes_round_the_accepting_nodes_of_its_zone(seed):
     async def scenario(world):
         guest, *ends = hosts(world)
-        told = gate_of(world, guest).told_nodes["desk"]
+        told = gate_of(world, guest).loads.nodes["desk"]
         assert {n.address: n.zone for n in told} == {address_of(h): world.halls[h] for h in ends}
         near = [h for h in ends if world.halls[h] == world.halls[guest]]
         assert len(near) == 2 < len(ends)
@@ -91,7 +93,7 @@
         home, *others = hosts(world)
         assert len({world.halls[h] for h in others}) == 3
         hold(world)
-        busy(world, home, gate_of(world, home).load["omega"])
+        busy(world, home, gate_of(world, home).dispatcher.thresholds.omega)
         tell(world, home, dict.fromkeys(others, 0.1))
         ran = await batch(world, home, 2 * len(others))
         assert set(ran[: len(others)]) == set(others)
@@ -110,7 +112,7 @@
         hold(world)
         held = await occupied(world, home, 30 * MILLISECOND)
         gate = gate_of(world, home)
-        for rho in (between(world, home), (1 + gate.load["omega"]) / 2):
+        for rho in (between(world, home), (1 + gate.dispatcher.thresholds.omega) / 2):
             tell(world, home, {other: rho})
             at = monotonic_us()
             made = await asked(world, home, target=b"/once/x")
@@ -169,15 +171,15 @@
         host = hosts(world)[0]
         hold(world)
         gate = gate_of(world, host)
-        assert gate.slowness("paper", monotonic_us()) == 1.0  # nobody knows anything
+        assert gate.service_load.slowness("paper", monotonic_us()) == 1.0  # nobody knows anything
         believe_hold(gate, own * MILLISECOND)
-        gate.fleet_us["desk"] = fleet * MILLISECOND
-        assert gate.slowness("desk", monotonic_us()) == pytest.approx(index)
+        gate.service_load.fleet_hold_us["desk"] = fleet * MILLISECOND
+        assert gate.service_load.slowness("desk", monotonic_us()) == pytest.approx(index)
         world.ends[host].left = True  # no beats but the test's own
         world.beat(host, world.ends[host], 1000, warm_us=300 * MILLISECOND)
-        assert gate.slowness("desk", monotonic_us()) == pytest.approx(max(1.5, index))
+        assert gate.service_load.slowness("desk", monotonic_us()) == pytest.approx(max(1.5, index))
         await sleep_us(350 * MILLISECOND)
-        assert gate.slowness("desk", monotonic_us()) == pytest.approx(index)
+        assert gate.service_load.slowness("desk", monotonic_us()) == pytest.approx(index)
 
     gated(scenario, application=("desk",))
 
@@ -218,7 +220,7 @@
         await rounds(30)
         told[0] = 0.5
         await sleep_us(SECOND)
-        rho_of = {n.address: n.rho for n in gate_of(world, others[0]).told_nodes["desk"]}
+        rho_of = {n.address: n.rho for n in gate_of(world, others[0]).loads.nodes["desk"]}
         assert rho_of[address_of(slow)] > 0.8
         assert all(rho_of[address_of(h)] == pytest.approx(0.5) for h in others)
         assert [await kept(host) for host in hosts(world)] == [0, 4, 4]
@@ -360,13 +362,13 @@
         gate, sent = gate_of(world, guest), []
         hold(world)  # a new list is a new turn
         tell(world, guest, dict.fromkeys(ends, 1.0))
-        spill = gate.spill
+        relocate = gate.dispatcher.peer_calls.relocate
 
-        def noted(call, node, waits=False):
-            sent.append((node.address, waits))
-            return spill(call, node, waits)
+        def noted(call, node, may_queue=False):
+            sent.append((node.address, may_queue))
+            return relocate(call, node, may_queue)
 
-        gate.spill = noted
+        gate.dispatcher.peer_calls.relocate = noted
         made = await asked(world, guest, target=b"/once/x")
         assert made.status == 503 and made.line(b"Retry-After")
         assert made.took < EARLY * 2 * SECOND + 20 * MILLISECOND
@@ -432,7 +434,7 @@
         gate, book = gate_of(world, home), world.daemon("mdproxy", home).endpoints
         line, endpoint = gate.admission.queues["desk"], book.local_endpoint("desk")
         assert len(line) == 2
-        place = gate.place
+        place = gate.dispatcher.place
 
         def making_room(call):
             place(call)
@@ -440,9 +442,9 @@
                 endpoint.capacity = 2
                 book.notify_waiters("desk")
 
-        gate.place = making_room
+        gate.dispatcher.place = making_room
         tell(world, home, {other: 0.1})
-        gate.place = place
+        gate.dispatcher.place = place
         assert len(line) == 0 and endpoint.in_flight == 2
         await all_done([*calls, *held])
         assert [made.status for made in calls] == [200, 200]
@@ -503,14 +505,16 @@
         assert (endpoint.incarnation, endpoint.capacity) == (end.instance.decode(), 4)
         made = await asked(world, host, target=b"/once/x")
         assert made.status == 200
-        pool = gate_of(world, host).pools[id(endpoint)]
+        pool = gate_of(world, host).dispatcher.local_calls.pools[id(endpoint)]
         await sleep_us(SECOND - (monotonic_us() - began))
         enrolled = len(world.trace.events(401))
         world.beat(host, end, 1000, capacity=3)
         assert daemon.endpoints.by_address[end.address] is endpoint and endpoint.capacity == 3
         assert len(world.trace.events(401)) == enrolled
         made = await asked(world, host, target=b"/once/y")
-        assert made.status == 200 and gate_of(world, host).pools == {id(endpoint): pool}
+        assert made.status == 200 and gate_of(world, host).dispatcher.local_calls.pools == {
+            id(endpoint): pool
+        }
 
     gated(scenario, seed, **BESIDE)
 
@@ -553,7 +557,7 @@
         forwarder, gate = world.daemon("mdproxy", guest).forwarder, gate_of(world, guest)
         wanted = {address_of(h) for h in ends}
         await world.eventually(
-            lambda: {n.address for n in gate.told_nodes.get("desk", ())} == wanted
+            lambda: {n.address for n in gate.loads.nodes.get("desk", ())} == wanted
         )
         assert monotonic_us() - began < 500 * MILLISECOND and forwarder.load_list.seq == 0
         assert forwarder.load_list.stale(monotonic_us(), 1 << 60)
@@ -567,12 +571,12 @@
         # a real list replaces it
         reg.collector.collect = collect
         await world.eventually(lambda: forwarder.load_list.seq)
-        real = gate.told_nodes
+        real = gate.loads.nodes
         assert {n.address for n in real["desk"]} == wanted
         # and none comes after one
         daemon = world.daemon("mdproxy", guest)
         daemon.learn_nodes([{"10.9.9.9:7401": {"desk": [0.0, "x", False, "b"]}}] * 3)
-        assert gate.told_nodes is real
+        assert gate.loads.nodes is real
 
     gated(scenario, application=("", "desk", "desk"))
 
@@ -595,7 +599,7 @@
         await sleep_us(2 * TRIES["window_us"])  # the reserve of second tries is there
         guest, bad, good = hosts(world)
         gate, calls, over = gate_of(world, guest), [], trio.Event()
-        link = gate.gate_of(address_of(bad))
+        link = gate.peers.link_address(address_of(bad))
         world.nursery.start_soon(steady, world, guest, calls, over)
         await sleep_us(300 * MILLISECOND)
         if how == "cut":
@@ -619,7 +623,7 @@
             await world.start("mdproxy", bad)
             await world.eventually(lambda: world.daemon("mdproxy", bad).endpoints.by_address)
             await world.eventually(
-                lambda: address_of(bad) in {n.address for n in gate.told_nodes["desk"]}
+                lambda: address_of(bad) in {n.address for n in gate.loads.nodes["desk"]}
             )
         back = monotonic_us()
         await sleep_us(1500 * MILLISECOND)
@@ -656,7 +660,7 @@
         async def watch():
             while not ended.is_set():
                 listed = address_of(home) in {
-                    n.address for n in gate_of(world, guest).told_nodes.get("desk", ())
+                    n.address for n in gate_of(world, guest).loads.nodes.get("desk", ())
                 }
                 on_roster = address_of(home) in reg.proxies
                 seen.append((daemon.node.stopping, daemon.closing.is_set(), on_roster, listed))
@@ -759,22 +763,22 @@
             made = used.ask(target)
             await made.done.wait()
             assert made.status == status
-            assert made.line(b"Keep-Alive") == b"timeout=%d" % KEEP_S
+            assert made.line(b"Keep-Alive") == b"timeout=%d" % KEEP_ALIVE_S
         # used again within what was told, it stays
         for _ in range(3):
-            await sleep_us(KEEP_S * SECOND - 10 * MILLISECOND)
+            await sleep_us(KEEP_ALIVE_S * SECOND - 10 * MILLISECOND)
             made = used.ask()
             await made.done.wait()
             assert made.status == 200
         last = monotonic_us()
-        await sleep_us(KEEP_S * SECOND)
+        await sleep_us(KEEP_ALIVE_S * SECOND)
         assert not used.closed_at
-        await sleep_us(KEPT - KEEP_S * SECOND + 300 * MILLISECOND)
-        assert KEPT <= used.closed_at - last < KEPT + 300 * MILLISECOND
+        await sleep_us(KEEP_ALIVE_US - KEEP_ALIVE_S * SECOND + 300 * MILLISECOND)
+        assert KEEP_ALIVE_US <= used.closed_at - last < KEEP_ALIVE_US + 300 * MILLISECOND
         assert not under_way.done.is_set() and not never.closed_at
         await under_way.done.wait()
         assert under_way.status == 200 and not long.closed_at
-        assert under_way.took > 2 * KEPT
+        assert under_way.took > 2 * KEEP_ALIVE_US
 
     gated(
         scenario,
--- /dev/null
+++ b/tests/forwarding/test_peer_frames.py
@@ -0,0 +1,122 @@
+"""Frames of links between gateways: what is written is read, also by the former version."""
+
+from __future__ import annotations
+
+import pytest
+
+from meadowdock.forwarding.call import Call, OutcomeUnknown, Rejected, Served
+from meadowdock.forwarding.peer_frames import (
+    CALL_SIZE_MAX,
+    DEADLINE_MARGIN_US,
+    FIELDS_WITHOUT_TARGET,
+    PING,
+    FrameReader,
+    call_frame,
+    call_of,
+    handle_of,
+    outcome_frame,
+    outcome_of,
+    sent_at_of,
+)
+from meadowdock.rpc.frame import FrameAuthenticator
+
+HANDLE = (3, 7)
+SENT_AT, RECEIVED_AT, LAG_US = 1_000, 900_000, 50
+CALL = Call(
+    id=b"c-1",
+    head=b"GET / HTTP/1.1\r\n",
+    body=b"body",
+    service="desk",
+    idempotent=True,
+    deadline=SENT_AT + 500_000,
+    early_deadline=0,
+    join_deadline=SENT_AT + 100_000,
+    wait_deadline=SENT_AT + 700_000,
+    target_deadline=SENT_AT + 300_000,
+    route="r",
+    priority=2,
+    is_head=True,
+    incarnation="i",
+)
+
+
+def relocated(frame):
+    return call_of(frame, LAG_US, RECEIVED_AT, print)
+
+
+def test_a_call_is_the_same_at_the_peer_with_what_is_left_of_its_times():
+    frame = call_frame(HANDLE, CALL, True, True, SENT_AT)
+    assert (handle_of(frame), sent_at_of(frame)) == (HANDLE, SENT_AT)
+    call = relocated(frame)
+    for name in [
+        "id",
+        "head",
+        "body",
+        "service",
+        "idempotent",
+        "route",
+        "priority",
+        "is_head",
+        "incarnation",
+    ]:
+        assert getattr(call, name) == getattr(CALL, name), name
+    left_us = 500_000 - DEADLINE_MARGIN_US - LAG_US
+    assert call.deadline == RECEIVED_AT + left_us
+    assert call.join_deadline == RECEIVED_AT + 100_000
+    assert call.wait_deadline == RECEIVED_AT + left_us  # not behind its deadline
+    assert call.target_deadline == RECEIVED_AT + 300_000 - LAG_US
+    assert call.from_peer and call.on_outcome is print
+
+
+def test_a_call_that_must_not_wait_joins_no_queue():
+    call = relocated(call_frame(HANDLE, CALL, False, True, SENT_AT))
+    assert call.join_deadline == RECEIVED_AT
+
+
+def test_a_call_of_the_former_version_has_its_deadline_as_target_and_its_priority_as_route():
+    frame = call_frame(HANDLE, CALL, True, False, SENT_AT)
+    assert len(frame) == FIELDS_WITHOUT_TARGET
+    call = relocated(frame)
+    assert (call.target_deadline, call.route) == (call.deadline, "rank 2")
+
+
+@pytest.mark.parametrize(
+    "outcome", [Served(b"head", b"body", 200), Rejected("busy", 7), OutcomeUnknown("lost")]
+)
+def test_an_outcome_is_the_same_at_the_peer(outcome):
+    frame = outcome_frame(HANDLE, outcome)
+    assert handle_of(frame) == HANDLE
+    assert outcome_of(frame) == outcome
+
+
+def test_an_answer_that_no_frame_takes_is_an_unknown_outcome():
+    frame = outcome_frame(HANDLE, Served(b"", bytes(CALL_SIZE_MAX + 1), 200))
+    assert outcome_of(frame) == OutcomeUnknown("too_large")
+
+
+def test_other_frames_are_no_outcome():
+    assert outcome_of([PING]) is None
+
+
+def sealed(*bodies):
+    proof = FrameAuthenticator(b"k" * 32, b"out")
+    return b"".join(proof.seal(body) for body in bodies)
+
+
+@pytest.mark.parametrize("size", (1, 7, 1000))
+def test_frames_are_read_in_whatever_pieces_they_come(size):
+    data = sealed(b"\x91\x01", b"\x92\x02\x03")
+    reader, frames = FrameReader(FrameAuthenticator(b"k" * 32, b"out")), []
+    for start in range(0, len(data), size):
+        frames += reader.feed(data[start : start + size])
+    assert frames == [[1], [2, 3]] and reader.partial == b""
+
+
+def test_a_frame_that_was_changed_or_left_out_is_seen():
+    first, second = (
+        sealed(b"\x91\x01"),
+        sealed(b"\x91\x01", b"\x91\x02")[-len(sealed(b"\x91\x02")) :],
+    )
+    for data in (first[:-1] + b"\x09", second, b"\xff\xff\xff\xff" + first):
+        with pytest.raises(ValueError, match="frame"):
+            list(FrameReader(FrameAuthenticator(b"k" * 32, b"out")).feed(data))
--- a/tests/forwarding/test_reactor.py
+++ b/tests/forwarding/test_reactor.py
@@ -22,9 +22,9 @@
     cancelled = reactor.at(20, lambda: seen.append(20))
     reactor.at(10, lambda: seen.append(11))
     cancelled.cancel()
-    reactor.fire(29)
+    reactor.run_timers(29)
     assert seen == [10, 11]
-    reactor.fire(30)
+    reactor.run_timers(30)
     assert seen == [10, 11, 30]
 
 
@@ -38,7 +38,7 @@
 
     reactor.at(1, broken)
     reactor.at(2, lambda: seen.append(2))
-    reactor.fire(2)
+    reactor.run_timers(2)
     assert (told, seen, outlet.flushed) == ([(801, "ValueError('defect')")], [2], 1)
     assert not reactor.turn(broken) and reactor.turn(seen.append, 3)
 
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -70,7 +70,7 @@
 
     def known():
         return all(
-            {n.address.partition(":")[0] for s in services for n in gate.told_nodes.get(s, ())}
+            {n.address.partition(":")[0] for s in services for n in gate.loads.nodes.get(s, ())}
             >= {host for host, name in world.application.items() if name}
             for gate in [gate_of(world, h) for h in world.application]
         )
@@ -95,20 +95,24 @@
             continue
         daemon = process.node.daemon
         gate, book = daemon.gate, daemon.endpoints
-        found += [f"{name}: call {call.id} of {call.service}" for call in gate.calls]
+        found += [f"{name}: call {call.id} of {call.service}" for call in gate.dispatcher.calls]
         found += [
             f"{name}: {e.address} {e.in_flight}" for e in book.by_address.values() if e.in_flight
         ]
         found += [f"{name}: {s} spilled" for s, o in book.service_loads.items() if o.forwarded_now]
         found += [f"{name}: queue {s}" for s, q in gate.admission.queues.items() if len(q)]
         found += [f"{name}: pending {a}" for a, k in gate.peers.outgoing.items() if len(k.pending)]
-        found += [f"{name}: opening" for pool in gate.pools.values() if pool.opening]
+        found += [
+            f"{name}: opening"
+            for pool in gate.dispatcher.local_calls.pools.values()
+            if pool.opening
+        ]
         held = [
             t
-            for t in daemon.reactor.heap
-            if t.act is not None and t.due > monotonic_us() + 3 * SECOND
+            for t in daemon.reactor.timers
+            if t.callback is not None and t.when > monotonic_us() + 3 * SECOND
         ]
-        found += [f"{name}: timer {t.act}" for t in held]
+        found += [f"{name}: timer {t.callback}" for t in held]
     return found
 
 
