--- a/packages/forwarding/meadowdock/forwarding/gateway.py
+++ b/packages/forwarding/meadowdock/forwarding/gateway.py
@@ -19,7 +19,7 @@
 from meadowdock.forwarding.peers import Peers
 from meadowdock.forwarding.placement import Thresholds, ZonePlacement
 from meadowdock.forwarding.retries import RETRY_AFTER_MIN_US, RetryPolicy
-from meadowdock.forwarding.service_load import ServiceLoad
+from meadowdock.forwarding.slowness import SlownessEstimator
 from meadowdock.forwarding.traffic_split import TrafficSplit
 from meadowdock.load_sharing import LoadList, NodeLoad
 from meadowdock.runtime import MILLISECOND, monotonic_us
@@ -79,7 +79,7 @@
         self.dispatcher.peer_calls.peers = self.peers
         self.counts = self.dispatcher.counts
         self.admission = self.dispatcher.admission
-        self.service_load = ServiceLoad(registry, self.admission, self.loads)
+        self.slowness = SlownessEstimator(registry, self.admission, self.loads)
         self.connections: set[DownstreamConnection] = set()
         self.closing = False  # no further request is taken on a connection that has none under way
         self.last_arrival_at = 0
@@ -110,7 +110,7 @@
         """
         self.loads.update(latest, nodes)
         self.retries.shared_by(self.peer_count())
-        self.service_load.update_fleet(nodes)
+        self.slowness.update_fleet(nodes)
         self.dispatcher.place_queued()
 
     def peer_count(self) -> int:
@@ -170,7 +170,7 @@
 
     def tidy(self, at: int) -> None:
         """Called every now and then: time-outs, reports, checks."""
-        self.dispatcher.report(at, self.service_load.log_fields)
+        self.dispatcher.report(at, self.slowness.log_fields)
         self.peers.look(at)
         for connection in list(self.connections):
             connection.look(at)
--- a/packages/forwarding/meadowdock/forwarding/service_load.py
+++ b/packages/forwarding/meadowdock/forwarding/slowness.py
@@ -1,4 +1,4 @@
-"""How busy and how slow the endpoints here are, as peers and operators are told."""
+"""How slow the endpoints here are compared with those of the peers, as the load list reports it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 SLOWNESS_WARMING_UP = 1.5  # at least, while an endpoint is warming up
 
 
-class ServiceLoad:
+class SlownessEstimator:
     """Compares the endpoints here with those of the peers. Times in microseconds."""
 
     def __init__(self, registry: EndpointRegistry, admission: Admission, loads: PeerLoads) -> None:
@@ -37,7 +37,7 @@
         unknown."""
         return self.admission.waits(service).mean_us()
 
-    def slowness(self, service: str, at: int) -> float:
+    def factor(self, service: str, at: int) -> float:
         """How much longer calls take here than over all nodes of the service, from 1 to
         SLOWNESS_MAX: the factor by which the reported load grows."""
         own_us, fleet_us = self.hold_us(service), self.fleet_hold_us.get(service, 0)
--- a/packages/proxy/meadowdock/proxy/gateway.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -111,9 +111,9 @@
         told, at = super().measure(), monotonic_us()
         for service, line in told.items():
             occupation = self.endpoints.service_loads[service]
-            occupation.rho = min(1.0, occupation.rho * self.gate.service_load.slowness(service, at))
+            occupation.rho = min(1.0, occupation.rho * self.gate.slowness.factor(service, at))
             line[0] = occupation.rho
-            line += [self.node.settings.zone, self.gate.service_load.hold_us(service)]
+            line += [self.node.settings.zone, self.gate.slowness.hold_us(service)]
         return told
 
     def new_retry_budget(self, gate):
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -308,12 +308,12 @@
         host = list(world.application)[0]
         gate, end = gate_of(world, host), world.ends[host]
         await asked(world, host)
-        assert gate.service_load.hold_us("desk") < 50 * MILLISECOND
+        assert gate.slowness.hold_us("desk") < 50 * MILLISECOND
         end.faults["*"] = ["silence"] * 30
         for _ in range(30):
             made = await asked(world, host, due_ms=300)
             assert made.status == 504
-        assert gate.service_load.hold_us("desk") > 200 * MILLISECOND
+        assert gate.slowness.hold_us("desk") > 200 * MILLISECOND
         # so nobody is let in to wait for such a slot who would be late
         end.faults["*"] = ["silence"]
         held = (await world.caller(host)).ask(due_ms=300)
--- a/tests/forwarding/test_gate_rules.py
+++ b/tests/forwarding/test_gate_rules.py
@@ -171,15 +171,15 @@
         host = hosts(world)[0]
         hold(world)
         gate = gate_of(world, host)
-        assert gate.service_load.slowness("paper", monotonic_us()) == 1.0  # nobody knows anything
+        assert gate.slowness.factor("paper", monotonic_us()) == 1.0  # nobody knows anything
         believe_hold(gate, own * MILLISECOND)
-        gate.service_load.fleet_hold_us["desk"] = fleet * MILLISECOND
-        assert gate.service_load.slowness("desk", monotonic_us()) == pytest.approx(index)
+        gate.slowness.fleet_hold_us["desk"] = fleet * MILLISECOND
+        assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(index)
         world.ends[host].left = True  # no beats but the test's own
         world.beat(host, world.ends[host], 1000, warm_us=300 * MILLISECOND)
-        assert gate.service_load.slowness("desk", monotonic_us()) == pytest.approx(max(1.5, index))
+        assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(max(1.5, index))
         await sleep_us(350 * MILLISECOND)
-        assert gate.service_load.slowness("desk", monotonic_us()) == pytest.approx(index)
+        assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(index)
 
     gated(scenario, application=("desk",))
 
