--- a/packages/consensus/meadowdock/consensus/messages.py
+++ b/packages/consensus/meadowdock/consensus/messages.py
@@ -8,13 +8,29 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Any, ClassVar, NamedTuple
+from typing import Any, ClassVar, NamedTuple, Protocol, TypeVar
 
 from meadowdock.consensus.ballot import Ballot
 
 GRANTED = "yes"
 REFUSED = "no"
 
+AnswerT = TypeVar("AnswerT", covariant=True)
+
+
+class Request(Protocol[AnswerT]):
+    """What each request has: its method on the wire, its arguments and the form of its answer."""
+
+    @property
+    def method(self) -> str:
+        """The name of the method on the wire."""
+
+    def to_wire(self) -> list[Any]:
+        """The arguments as they are sent."""
+
+    def answer_from_wire(self, sent: Sequence[Any]) -> AnswerT:
+        """An answer as it was sent."""
+
 
 @dataclass(frozen=True, slots=True)
 class Promise:
@@ -125,5 +141,4 @@
         return AcceptedPair(Ballot(*ballot), value)
 
 
-Request = PrepareRequest | WriteRequest | ReadRequest
 Answer = Promise | Acceptance | Refusal | AcceptedPair
--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -26,9 +26,13 @@
 from meadowdock.consensus.ballot import Ballot
 from meadowdock.consensus.exceptions import NoQuorum, OutcomeUnknown
 from meadowdock.consensus.messages import (
+    Acceptance,
     AcceptedPair,
+    AnswerT,
     PrepareRequest,
+    Promise,
     ReadRequest,
+    Refusal,
     Request,
     WriteRequest,
 )
@@ -215,31 +219,34 @@
         configuration = self.configuration()
         voter_sets = configuration.voter_sets
 
-        def is_prepared(answers: dict[str, Any]) -> bool:
+        def is_prepared(answers: dict[str, Promise | Refusal]) -> bool:
             return is_decided(answers, voter_sets, VoterSets.is_quorum)
 
-        def is_written(answers: dict[str, Any]) -> bool:
+        def is_written(answers: dict[str, Acceptance | Refusal]) -> bool:
             return is_decided(answers, voter_sets, rule)
 
         prepare = PrepareRequest(key, ballot)
-        answers = await self.broadcast(configuration, prepare, deadline, is_prepared)
-        is_promised = voter_sets.is_quorum(granted_by(answers))
-        if is_promised:
-            value = update(highest_promised_value(answers))
-            write = WriteRequest(key, ballot, value)
-            answers = await self.broadcast(configuration, write, deadline, is_written)
-            if rule(voter_sets, granted_by(answers)):
-                return AttemptResult(True, value, True, True)
-        self.learn(refused_ballots(answers))
-        return AttemptResult(False, None, is_promised, voter_sets.is_quorum(answers))
+        promises = await self.broadcast(configuration, prepare, deadline, is_prepared)
+        if not voter_sets.is_quorum(granted_by(promises)):
+            self.learn(refused_ballots(promises))
+            return AttemptResult(False, quorum_answered=voter_sets.is_quorum(promises))
+
+        value = update(highest_promised_value(promises))
+        write = WriteRequest(key, ballot, value)
+        acceptances = await self.broadcast(configuration, write, deadline, is_written)
+        if rule(voter_sets, granted_by(acceptances)):
+            return AttemptResult(True, value, may_be_accepted=True, quorum_answered=True)
+        self.learn(refused_ballots(acceptances))
+        quorum_answered = voter_sets.is_quorum(acceptances)
+        return AttemptResult(False, may_be_accepted=True, quorum_answered=quorum_answered)
 
     async def broadcast(
         self,
         configuration: BallotConfiguration,
-        request: Request,
+        request: Request[AnswerT],
         deadline: int,
-        is_enough: Callable[[dict[str, Any]], bool],
-    ) -> dict[str, Any]:
+        is_enough: Callable[[dict[str, AnswerT]], bool],
+    ) -> dict[str, AnswerT]:
         """Send a request to all voters, and wait until is_enough(answers), all of them have
         answered or failed, or the deadline.
 
@@ -248,7 +255,7 @@
         voters = sorted(configuration.voter_sets.voters)
         arguments = request.to_wire()
         version = () if configuration.version is None else (configuration.version,)
-        answers: dict[str, Any] = {}
+        answers: dict[str, AnswerT] = {}
         pending = set(voters)
         done = trio.Event()
 
--- a/packages/membership/meadowdock/membership/gossip.py
+++ b/packages/membership/meadowdock/membership/gossip.py
@@ -18,7 +18,7 @@
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us
 
 if TYPE_CHECKING:
-    from meadowdock.rpc import ConnectionPool
+    from meadowdock.rpc import ConnectionPool, Peer
 
 EXCHANGE_METHOD = "view.shuffle"  # name on the wire
 GOSSIP_INTERVAL = 500 * MILLISECOND
@@ -86,7 +86,7 @@
         return True
 
     @handlers.on(EXCHANGE_METHOD)
-    async def on_exchange(self, peer: Any, sent: list[list[Any]]) -> list[list[Any]]:
+    async def on_exchange(self, peer: Peer, sent: list[list[Any]]) -> list[list[Any]]:
         """Answer a peer's sample with one of this view, drawn before the peer's is merged."""
         answer = self.sample()
         self.merge(map(MemberEntry.from_wire, sent), monotonic_us())
