--- a/packages/config_store/meadowdock/config_store/__main__.py
+++ b/packages/config_store/meadowdock/config_store/__main__.py
@@ -1,4 +1,6 @@
-"""The mdconf daemon's command line."""
+"""The command line of the config store daemon (mdconf)."""
+
+from __future__ import annotations
 
 import sys
 
@@ -11,17 +13,19 @@
 from meadowdock.runtime import Disk
 from meadowdock.settings import command, load
 
+CONFIRMED = "yes"
+
 
 @fire.decorators.SetParseFn(str)
-def rescue(boot, lose_others="no"):
+def rescue(boot: str, lose_others: str = "no") -> None:
     """When a majority of the disks is lost for good: make this disk the only voter.
 
     Only with the daemon stopped. What was accepted while this disk was away is lost. Without
     --lose_others=yes it only tells what this disk holds."""
-    facts = load("mdconf", boot)
-    told = trio.run(rescue_disk, Disk(facts.data), facts.link, lose_others == "yes")
-    print(told)
-    if lose_others != "yes":
+    settings = load("mdconf", boot)
+    confirmed = lose_others == CONFIRMED
+    print(trio.run(rescue_disk, Disk(settings.data), settings.link, confirmed))
+    if not confirmed:
         print(
             "nothing was changed; --lose_others=yes makes this disk the only voter", file=sys.stderr
         )
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -32,7 +32,9 @@
         while True:
             await self.ask_all()
             await sleep_us(
-                self.timing.hear_us if self.store.membership else self.timing.bootstrap_us
+                self.timing.hello_interval_us
+                if self.store.membership
+                else self.timing.bootstrap_interval_us
             )
 
     async def ask_all(self):
@@ -43,7 +45,7 @@
             for a in self.known_addresses()
         }
         answers = await self.node.rpc.successful_responses(
-            asked, monotonic_us() + self.timing.ask_us
+            asked, monotonic_us() + self.timing.hello_timeout_us
         )
         for address, told in answers.items():
             self.note_hello(address, told)
@@ -58,7 +60,9 @@
 
     def known_addresses(self):
         """Addresses of all other mdconf that anybody told of, in order."""
-        self.met = {a: at for a, at in self.met.items() if monotonic_us() - at < self.timing.met_us}
+        self.met = {
+            a: at for a, at in self.met.items() if monotonic_us() - at < self.timing.contact_kept_us
+        }
         return sorted(
             {
                 *self.founders,
@@ -79,7 +83,9 @@
         """Remember what another mdconf answered."""
         old = self.heard.get(address)
         goes_on = (
-            old and old.disk == told["disk"] and monotonic_us() - old.at < self.timing.silent_us
+            old
+            and old.disk == told["disk"]
+            and monotonic_us() - old.at < self.timing.failed_after_us
         )
         self.heard[address] = Heard(
             told["disk"],
@@ -101,7 +107,9 @@
             self.place,
         )
         fresh = {
-            a: h for a, h in self.heard.items() if monotonic_us() - h.at < self.timing.silent_us
+            a: h
+            for a, h in self.heard.items()
+            if monotonic_us() - h.at < self.timing.failed_after_us
         }
         return {**fresh, self.node.settings.link: me}
 
@@ -155,7 +163,7 @@
         await self.store.adopt(membership)
         self.node.log(601, members=sorted(voters.values()))
         asks = {a: (a, "member.adopt", membership.to_record()) for a in answers}
-        await self.node.rpc.call_all(asks, monotonic_us() + self.timing.ask_us)
+        await self.node.rpc.call_all(asks, monotonic_us() + self.timing.hello_timeout_us)
 
 
 def place_told(hello):
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -9,7 +9,7 @@
 from meadowdock.config_store.exceptions import MembershipConflict
 from meadowdock.config_store.liveness import Liveness
 from meadowdock.config_store.membership_change import MembershipChange
-from meadowdock.config_store.policy import Observed, choose_voters, wanted_voters
+from meadowdock.config_store.policy import ObservedMembers, choose_voters, wanted_voters
 from meadowdock.config_store.timing import MembershipTiming
 from meadowdock.config_store.transfer import Transfer
 from meadowdock.config_store.votes import Votes
@@ -68,7 +68,7 @@
         if len(membership.voters) >= wanted_voters(len({*there, *voters}), self.tolerance):
             return True
         # fewer vote than could where that lets a zone or a region be lost
-        watched = monotonic_us() - self.begun >= 2 * self.timing.stable_us
+        watched = monotonic_us() - self.begun >= 2 * self.timing.stable_after_us
         return watched and me not in self.chosen(voters, there)
 
     def too_few(self):
@@ -81,7 +81,7 @@
             return True
         return (
             len(membership.voters) < 2 * self.losses + 1
-            and monotonic_us() - self.known_at < self.timing.start_us
+            and monotonic_us() - self.known_at < self.timing.bootstrap_wait_us
         )
 
     def target(self):
@@ -103,16 +103,16 @@
     def chosen(self, voters, there):
         """The addresses that the policy chooses. voters: the addresses of those there are."""
         voters, candidates = self.follow_moved_disks(set(voters), there)
-        silent = tuple(sorted(a for a in voters if a not in there))
-        observed = Observed(
+        failed = tuple(sorted(a for a in voters if a not in there))
+        observed = ObservedMembers(
             voters=frozenset(voters),
-            silent=silent,
+            failed=failed,
             leaving=tuple(sorted(a for a in voters if a in there and there[a].leaving)),
-            dead=tuple(a for a in silent if self.silence(a) > self.timing.drop_us),
-            quiet=frozenset(
+            removable=tuple(a for a in failed if self.silence(a) > self.timing.removable_after_us),
+            suspected=frozenset(
                 a
                 for a in voters - {self.node.settings.link}
-                if self.silence(a) > self.timing.quiet_us
+                if self.silence(a) > self.timing.suspect_after_us
             ),
             candidates=candidates,
             places=self.places_by_address(there),
@@ -129,7 +129,7 @@
             if (
                 not heard.well
                 or heard.leaving
-                or monotonic_us() - heard.since < self.timing.stable_us
+                or monotonic_us() - heard.since < self.timing.stable_after_us
             ):
                 continue
             former = self.store.membership.voters.get(heard.disk)
@@ -196,7 +196,9 @@
             if wish is None:
                 continue
             _, target = wish
-            wait = self.rank() * self.timing.rank_us + (self.timing.end_us if target is None else 0)
+            wait = self.rank() * self.timing.rank_delay_us + (
+                self.timing.stalled_after_us if target is None else 0
+            )
             if monotonic_us() - since < wait + jitter:
                 continue
             deadline = monotonic_us() + self.timing.change_us
@@ -228,7 +230,7 @@
         address must be there, or nothing would change and be told as done."""
         me = self.node.settings.link
         asks = {address: (address, "member.hello", {"link": me})}
-        deadline = monotonic_us() + self.timing.ask_us
+        deadline = monotonic_us() + self.timing.hello_timeout_us
         return address == me or bool(await self.node.rpc.successful_responses(asks, deadline))
 
     async def make_members(self, request):
@@ -250,7 +252,7 @@
             return Response(400, {"code": "malformed", "detail": "1, 3 or 5 members by ip:port"})
         try:
             membership = await self.change_members(
-                addresses, monotonic_us() + self.timing.operator_us
+                addresses, monotonic_us() + self.timing.operator_change_us
             )
         except MembershipConflict as conflict:
             return Response(409, {"code": conflict.code, **conflict.facts})
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -76,7 +76,7 @@
             return True
         there = self.reachable()
         return any(
-            self.silence(a) > self.timing.silent_us
+            self.silence(a) > self.timing.failed_after_us
             if a not in there
             else there[a].disk != disk or not there[a].well
             for disk, a in newcomers.items()
@@ -99,12 +99,12 @@
         """{disk id: address}; MembershipConflict if one that is no voter doesn't answer."""
         me, voters = self.node.settings.link, self.store.membership.voters
         silent = {
-            a for a in voters.values() if self.silence(a) > self.timing.silent_us
+            a for a in voters.values() if self.silence(a) > self.timing.failed_after_us
         }  # not waited for
         asked = [a for a in addresses if a != me and a not in silent]
         hello = await self.node.rpc.successful_responses(
             {a: (a, "member.hello", {"link": me}) for a in asked},
-            min(deadline, monotonic_us() + self.timing.ask_us),
+            min(deadline, monotonic_us() + self.timing.hello_timeout_us),
         )
         for address, told in hello.items():
             self.note_hello(address, told)
--- a/packages/config_store/meadowdock/config_store/quorum_monitor.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -72,7 +72,7 @@
 
     def in_touch(self, writing: bool = True) -> bool:
         """Whether a quorum answered lately. writing: and their disks can be written."""
-        fresh_us = FRESH_ROUNDS * self.server.timing.hear_us
+        fresh_us = FRESH_ROUNDS * self.server.timing.hello_interval_us
         disks = [
             answer.disk
             for answer in self.server.reachable().values()
@@ -100,7 +100,7 @@
         """Answers of the other members, as far as they come before a quorum is in touch."""
         answers: list[HelloAnswer] = []
         node = self.server.node
-        timeout = min(node.settings.contact_us // ASK_SHARE, self.server.timing.ask_us)
+        timeout = min(node.settings.contact_us // ASK_SHARE, self.server.timing.hello_timeout_us)
         deadline = monotonic_us() + timeout
         sender = {"link": node.settings.link}
 
--- a/packages/config_store/meadowdock/config_store/timing.py
+++ b/packages/config_store/meadowdock/config_store/timing.py
@@ -9,96 +9,106 @@
 
 from meadowdock.runtime import MILLISECOND, SECOND
 
-CONTACT, CATCH_UP = 3 * SECOND, 4 * SECOND  # as the settings' defaults
-SHORTEST_CONTACT = 300 * MILLISECOND
+DEFAULT_CONTACT_US, DEFAULT_CATCH_UP_US = 3 * SECOND, 4 * SECOND  # as the settings' defaults
+SHORTEST_CONTACT_US = 300 * MILLISECOND
 
 
 @dataclass(frozen=True)
 class MembershipTiming:
-    """contact_us: after the last trouble processes are in touch again within this. catch_up_us:
-    how long a machine that is back still counts as lost; a replacement ends within about that.
+    """Durations of failure detection and of changes of the membership.
+
+    contact_us: after the last fault processes are in touch again within this. catch_up_us: how long
+    a machine that is back still counts as lost; a replacement ends within about that.
 
     >>> timing = MembershipTiming()
-    >>> timing.silent_us, timing.stable_us, timing.quiet_us, timing.drop_us
-    (1800000, 1000000, 800000, 2200000)
-    >>> timing.ask_us, timing.hear_us, timing.bootstrap_us, timing.met_us
-    (400000, 250000, 100000, 10000000)
-    >>> timing.end_us, timing.rank_us, timing.change_us, timing.operator_us, timing.start_us
-    (1000000, 500000, 5000000, 20000000, 5000000)
+    >>> timing.failed_after_us, timing.stable_after_us, timing.suspect_after_us
+    (1800000, 1000000, 800000)
+    >>> timing.removable_after_us, timing.hello_timeout_us, timing.hello_interval_us
+    (2200000, 400000, 250000)
+    >>> timing.bootstrap_interval_us, timing.contact_kept_us, timing.stalled_after_us
+    (100000, 10000000, 1000000)
+    >>> timing.rank_delay_us, timing.change_us, timing.operator_change_us, timing.bootstrap_wait_us
+    (500000, 5000000, 20000000, 5000000)
     """
 
-    contact_us: int = CONTACT
-    catch_up_us: int = CATCH_UP
+    contact_us: int = DEFAULT_CONTACT_US
+    catch_up_us: int = DEFAULT_CATCH_UP_US
 
     @classmethod
-    def of(cls, settings):
-        """The durations that follow from a boot."""
-        contact = getattr(settings, "contact_us", CONTACT)
-        return cls(max(contact, SHORTEST_CONTACT), getattr(settings, "catch_up_us", CATCH_UP))
+    def of(cls, settings: object) -> MembershipTiming:
+        """The durations that follow from a process' settings."""
+        contact_us = getattr(settings, "contact_us", DEFAULT_CONTACT_US)
+        catch_up_us = getattr(settings, "catch_up_us", DEFAULT_CATCH_UP_US)
+        return cls(max(contact_us, SHORTEST_CONTACT_US), catch_up_us)
+
+    # ------------------------------------------------------------ failure detection
 
     @property
-    def ask_us(self):
-        """For the answer of a member that may be silent."""
+    def hello_timeout_us(self) -> int:
+        """For the answer of a member that may have failed."""
         return self.contact_us * 2 // 15
 
     @property
-    def hear_us(self):
+    def hello_interval_us(self) -> int:
         """Between two rounds of asking all members."""
         return self.contact_us // 12
 
     @property
-    def bootstrap_us(self):
-        """As hear_us, while no record is known."""
+    def bootstrap_interval_us(self) -> int:
+        """As hello_interval_us, while no membership configuration is known."""
         return self.contact_us // 30
 
     @property
-    def silent_us(self):
-        """A member that answers nothing for so long may be replaced."""
-        return self.contact_us * 3 // 5
+    def suspect_after_us(self) -> int:
+        """A member that answers nothing for so long may be about to be replaced."""
+        return self.contact_us * 4 // 15
 
     @property
-    def stable_us(self):
-        """Who answers for so long may come in."""
-        return self.contact_us // 3
+    def failed_after_us(self) -> int:
+        """A member that answers nothing for so long may be replaced."""
+        return self.contact_us * 3 // 5
 
     @property
-    def quiet_us(self):
-        """A member that answers nothing for so long may be about to be replaced."""
-        return self.contact_us * 4 // 15
+    def removable_after_us(self) -> int:
+        """A failed member may be removed without a replacement after so long, where that lets the
+        others bear more losses."""
+        return self.contact_us * 11 // 15
 
     @property
-    def drop_us(self):
-        """Members silent for so long are left out where that makes others spare."""
-        return self.contact_us * 11 // 15
+    def stable_after_us(self) -> int:
+        """A process that answers for so long may become a voter."""
+        return self.contact_us // 3
 
     @property
-    def met_us(self):
+    def contact_kept_us(self) -> int:
         """An address that asked is asked back for so long."""
         return self.contact_us * 10 // 3
 
+    # ------------------------------------------------------------ changes of the membership
+
     @property
-    def end_us(self):
-        """A change that made no progress for so long: whoever began it is gone."""
+    def stalled_after_us(self) -> int:
+        """A change without progress for so long was given up by the process that began it."""
         return self.contact_us // 3
 
     @property
-    def rank_us(self):
+    def rank_delay_us(self) -> int:
         """Each further member waits so much longer before it acts."""
         return self.contact_us // 6
 
     @property
-    def change_us(self):
-        """For one attempt of a change of members."""
+    def change_us(self) -> int:
+        """For one attempt of a change of the membership."""
         return self.catch_up_us * 5 // 4
 
     @property
-    def operator_us(self):
+    def operator_change_us(self) -> int:
         """As change_us, for a change that an operator asked for."""
         return self.catch_up_us * 5
 
     @property
-    def start_us(self):
-        """So long a new fleet waits for as many members as its losses need."""
+    def bootstrap_wait_us(self) -> int:
+        """So long a new deployment waits for as many members as its losses need."""
         return self.catch_up_us * 5 // 4
 
 
