--- a/packages/soak/meadowdock/soak/__main__.py
+++ b/packages/soak/meadowdock/soak/__main__.py
@@ -1,4 +1,4 @@
-"""mdsoak: real processes on loopback sockets under overlapping troubles."""
+"""mdsoak: real processes on loopback sockets under overlapping faults."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
             print(result, flush=True)
             if result.broken:
                 broken += 1
-                print("\n".join(f"  {trouble}" for trouble in result.troubles))
+                print("\n".join(f"  {fault}" for fault in result.faults))
                 print("\n".join(f"  BROKEN {what}" for what in result.broken[:20]))
                 print(f"  logs in {place}/logs", flush=True)
         print(f"{seeds} soaks, {broken} broken")
--- a/packages/soak/meadowdock/soak/cuts.py
+++ b/packages/soak/meadowdock/soak/cuts.py
@@ -122,10 +122,10 @@
 
     def wires(self, nursery: trio.Nursery, reactor: Any) -> CutWires:
         """The network of the traffic path."""
-        made = CutWires(self.host, nursery, reactor, CutWire)
-        made.cuts = self.cuts
-        nursery.start_soon(self.cuts.watch, made.cut_or_joined)
-        return made
+        wires = CutWires(self.host, nursery, reactor, CutWire)
+        wires.cuts = self.cuts
+        nursery.start_soon(self.cuts.watch, wires.cut_or_joined)
+        return wires
 
 
 class CutWire(SocketConnection):
--- a/packages/soak/meadowdock/soak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -1,34 +1,34 @@
 """One daemon of a soak: python -m meadowdock.soak.daemon ROLE BOOT_FILE CUTS_FILE.
 
-The product's own node and part; mdproxy with a gate, in the product's own names, and a door for the
-beats of its endpoint, which are JSON of GatewayProxy.endpoint_heartbeat's facts.
+The product's own node and daemon; the proxy with its forwarding path, in the product's own names, and a listener for the
+heartbeats of its endpoint, which are JSON of GatewayProxy.endpoint_heartbeat's facts.
 """
 
 from __future__ import annotations
 
 import sys
-from importlib import import_module
 
 import trio
 
 from meadowdock.admin_http import Response, RouteTable
+from meadowdock.config_store.server import ConfigStore
 from meadowdock.forwarding import Dialect
-from meadowdock.local_fleet.fleet import PROGRAM_PACKAGES
 from meadowdock.process import Node, watch_signals
 from meadowdock.proxy.endpoints import RegistrationDenied
 from meadowdock.proxy.gateway import GatewayProxy
+from meadowdock.registry.server import RegistryServer
 from meadowdock.runtime import Disk, NoDisk, Runtime
 from meadowdock.settings import ProcessSettings, load
 from meadowdock.soak.cuts import CutNet, Cuts
 
-BEATS_PORT = 7403
+HEARTBEATS_PORT = 7403
 DIALECT = Dialect(stamp=b"md-stamp")
-beats = RouteTable()
+endpoint_routes = RouteTable()
 
 
-@beats.on("POST", "/beat")
-async def beat(daemon: SoakProxy, request: object) -> Response:
-    """A beat of the endpoint beside."""
+@endpoint_routes.on("POST", "/beat")
+async def heartbeat(daemon: SoakProxy, request: object) -> Response:
+    """A heartbeat of the endpoint beside."""
     import json
 
     try:
@@ -39,18 +39,21 @@
 
 
 class SoakProxy(GatewayProxy):
-    """mdproxy with a gate and a door for beats."""
+    """mdproxy with a gate and a listener for heartbeats."""
 
     dialect = DIALECT
 
     def listeners(self) -> dict:
-        """The door for beats."""
-        return {**super().listeners(), f"{self.node.settings.host}:{BEATS_PORT}": beats}
+        """The listener for heartbeats."""
+        return {
+            **super().listeners(),
+            f"{self.node.settings.host}:{HEARTBEATS_PORT}": endpoint_routes,
+        }
 
 
-def part_of(role: str) -> type:
-    """The part that a role is."""
-    return SoakProxy if role == "mdproxy" else import_module(f"{PROGRAM_PACKAGES[role]}.part").Part
+def daemon_type(role: str) -> type:
+    """The daemon of a role."""
+    return {"mdproxy": SoakProxy, "mdreg": RegistryServer, "mdconf": ConfigStore}[role]
 
 
 async def serve(settings: ProcessSettings, cuts_file: str) -> None:
@@ -64,7 +67,7 @@
         )
         node = Node(settings, runtime, nursery)
         nursery.start_soon(watch_signals, node)
-        await node.run(part_of(settings.role))
+        await node.run(daemon_type(settings.role))
 
 
 if __name__ == "__main__":
--- a/packages/soak/meadowdock/soak/troubles.py
+++ b/packages/soak/meadowdock/soak/faults.py
@@ -1,4 +1,4 @@
-"""Which troubles a soak has, and when: drawn from a seed, at most three at a time."""
+"""Which faults a soak has, and when: drawn from a seed, at most three at a time."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """One trouble. Seconds from the start of the load; hosts: one, or the two ends of a cut."""
+class Fault:
+    """One fault. Seconds from the start of the load; hosts: one, or the two ends of a cut."""
 
     kind: str
     at_s: float
@@ -24,8 +24,8 @@
         return f"{self.at_s:5.2f} s {self.kind} {' '.join(self.hosts)} for {self.for_s:.2f} s"
 
 
-def fits(new: Trouble, others: list[Trouble]) -> bool:
-    """Whether it overlaps with few enough, with no trouble of a kind at the same place, and with
+def fits(new: Fault, others: list[Fault]) -> bool:
+    """Whether it overlaps with few enough, with no fault of a kind at the same place, and with
     none at another core machine: the loss of one is to be borne."""
     over = [
         t for t in others if t.at_s < new.at_s + new.for_s and new.at_s < t.at_s + t.for_s + 0.5
@@ -39,12 +39,10 @@
     return not any(set(t.hosts) & set(new.hosts) and t.kind != "lost answers" for t in over)
 
 
-def draw(
-    seed: int, seconds: float, core: list[str], proxies: list[str], count: int
-) -> list[Trouble]:
-    """The troubles of a soak, in order of time; about half of them overlap with another."""
+def draw(seed: int, seconds: float, core: list[str], proxies: list[str], count: int) -> list[Fault]:
+    """The faults of a soak, in order of time; about half of them overlap with another."""
     rng = random.Random(f"soak{seed}")
-    found: list[Trouble] = []
+    found: list[Fault] = []
     for _ in range(20 * count):
         if len(found) == count:
             break
@@ -54,7 +52,7 @@
             hosts = tuple(rng.sample(proxies, 2))
         else:
             hosts = (rng.choice(core if kind.endswith("core") else proxies),)
-        new = Trouble(kind, round(at_s, 2), round(rng.uniform(SHORTEST_S, LONGEST_S), 2), hosts)
+        new = Fault(kind, round(at_s, 2), round(rng.uniform(SHORTEST_S, LONGEST_S), 2), hosts)
         if fits(new, found):
             found.append(new)
     return sorted(found, key=lambda t: t.at_s)
--- a/packages/soak/meadowdock/soak/soak.py
+++ b/packages/soak/meadowdock/soak/soak.py
@@ -1,4 +1,4 @@
-"""One soak: start a fleet, load it, bring the troubles about, heal, and judge."""
+"""One soak: start a fleet, load it, bring the faults about, heal, and judge."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import trio
 
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
+from meadowdock.soak.faults import Fault, draw
 from meadowdock.soak.fleet import SoakFleet, topology
 from meadowdock.soak.traffic import DEADLINE_MS, Traffic, first_items
-from meadowdock.soak.troubles import Trouble, draw
 
 RECOVERY_S = 3.0
 CALM_S = 2.0
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What a soak is: seconds of troubles, how many, the load, and what must be served afterwards."""
+    """What a soak is: seconds of faults, how many, the load, and what must be served afterwards."""
 
     seconds: float = 10.0
-    troubles: int = 8
+    faults: int = 8
     calls_per_s: float = 120.0  # three quarters of what the endpoints can do
     served_when_calm: float = 0.95
 
@@ -34,7 +34,7 @@
     """What one soak found."""
 
     seed: int
-    troubles: list[Trouble]
+    faults: list[Fault]
     calls: int = 0
     served: int = 0
     refused: int = 0
@@ -46,7 +46,7 @@
 
     def __str__(self) -> str:
         return (
-            f"seed {self.seed}: {len(self.troubles)} troubles, {self.calls} calls, "
+            f"seed {self.seed}: {len(self.faults)} faults, {self.calls} calls, "
             f"{self.served} served, {self.refused} refused, {self.orders_acknowledged} of "
             f"{self.orders} orders acknowledged, calm {self.calm_served}/{self.calm_calls}, "
             f"{len(self.broken)} broken"
@@ -60,50 +60,50 @@
         self.fleet, self.plan = fleet, plan
         self.core, self.proxies = fleet.core, list(fleet.application)
         self.traffic = Traffic(self.core, self.proxies, seed)
-        troubles = draw(seed, plan.seconds, self.core, self.proxies, plan.troubles)
-        self.result = Result(seed, troubles)
+        faults = draw(seed, plan.seconds, self.core, self.proxies, plan.faults)
+        self.result = Result(seed, faults)
         self.cuts: list[tuple[str, ...]] = []
-        # a trouble that ends late must not meet the next one at its host
+        # a fault that ends late must not meet the next one at its host
         self.at_host = {host: trio.Lock() for host in [*self.core, *self.proxies]}
 
-    # ------------------------------------------------------------ troubles
+    # ------------------------------------------------------------ faults
 
-    async def bring_about(self, trouble: Trouble, begun: int) -> None:
-        """Wait for a trouble's moment, cause it, and end it."""
-        await sleep_us(begun + int(trouble.at_s * SECOND) - monotonic_us())
-        if trouble.kind == "cut":
-            self.cuts.append(trouble.hosts)
+    async def bring_about(self, fault: Fault, begun: int) -> None:
+        """Wait for a fault's moment, cause it, and end it."""
+        await sleep_us(begun + int(fault.at_s * SECOND) - monotonic_us())
+        if fault.kind == "cut":
+            self.cuts.append(fault.hosts)
             self.fleet.cut(self.cuts)
-            await sleep_us(int(trouble.for_s * SECOND))
-            self.cuts.remove(trouble.hosts)
+            await sleep_us(int(fault.for_s * SECOND))
+            self.cuts.remove(fault.hosts)
             self.fleet.cut(self.cuts)
-        elif trouble.kind == "lost answers":
-            self.traffic.losing.add(trouble.hosts[0])
-            await sleep_us(int(trouble.for_s * SECOND))
-            self.traffic.losing.discard(trouble.hosts[0])
+        elif fault.kind == "lost answers":
+            self.traffic.losing.add(fault.hosts[0])
+            await sleep_us(int(fault.for_s * SECOND))
+            self.traffic.losing.discard(fault.hosts[0])
         else:
-            async with self.at_host[trouble.hosts[0]]:
-                if trouble.kind in PAUSES:
-                    await self.pause(f"{PAUSES[trouble.kind]}-{trouble.hosts[0]}", trouble)
+            async with self.at_host[fault.hosts[0]]:
+                if fault.kind in PAUSES:
+                    await self.pause(f"{PAUSES[fault.kind]}-{fault.hosts[0]}", fault)
                 else:
-                    await self.kill(trouble)
+                    await self.kill(fault)
 
-    async def pause(self, name: str, trouble: Trouble) -> None:
+    async def pause(self, name: str, fault: Fault) -> None:
         """SIGSTOP, and SIGCONT when it is over."""
         handle = self.fleet.processes[name].handle
         handle.send_signal(signal.SIGSTOP)
         try:
-            await sleep_us(int(trouble.for_s * SECOND))
+            await sleep_us(int(fault.for_s * SECOND))
         finally:
             handle.send_signal(signal.SIGCONT)
 
-    async def kill(self, trouble: Trouble) -> None:
+    async def kill(self, fault: Fault) -> None:
         """SIGKILL of all daemons of a machine, and their start when it is over."""
-        (host,) = trouble.hosts
-        roles = CORE_ROLES if trouble.kind.endswith("core") else ("mdproxy",)
+        (host,) = fault.hosts
+        roles = CORE_ROLES if fault.kind.endswith("core") else ("mdproxy",)
         for role in roles:
             self.fleet.stop(f"{role}-{host}", signal.SIGKILL)
-        await sleep_us(int(trouble.for_s * SECOND))
+        await sleep_us(int(fault.for_s * SECOND))
         for role in roles:
             self.fleet.start_daemon(role, host)
 
@@ -119,9 +119,9 @@
             nursery.start_soon(self.traffic.ask_all, nursery, self.plan.calls_per_s)
             nursery.start_soon(self.traffic.order_again_and_again)
             begun = monotonic_us()
-            async with trio.open_nursery() as troubles:
-                for trouble in self.result.troubles:
-                    troubles.start_soon(self.bring_about, trouble, begun)
+            async with trio.open_nursery() as faults:
+                for fault in self.result.faults:
+                    faults.start_soon(self.bring_about, fault, begun)
             await sleep_us(begun + int((self.plan.seconds + RECOVERY_S) * SECOND) - monotonic_us())
             calm_from = monotonic_us()
             await sleep_us(int(CALM_S * SECOND))
--- a/packages/soak/meadowdock/soak/traffic.py
+++ b/packages/soak/meadowdock/soak/traffic.py
@@ -23,10 +23,10 @@
     sleep_us,
 )
 from meadowdock.simulator.standin import Ledger, StandIn, StandInCaller
-from meadowdock.soak.daemon import BEATS_PORT, DIALECT
+from meadowdock.soak.daemon import DIALECT, HEARTBEATS_PORT
 from meadowdock.soak.fleet import GATE_PORT, SERVICE, SLOTS
 
-BEAT_EVERY = 250 * MILLISECOND
+HEARTBEAT_INTERVAL = 250 * MILLISECOND
 ORDER_EVERY = 400 * MILLISECOND
 ORDER_WAIT = SECOND
 DEADLINE_MS = 800
@@ -62,7 +62,7 @@
 
 
 class ResettableWire(SocketConnection):
-    """A connection that can be reset, as an endpoint in trouble resets it."""
+    """A connection that can be reset, as a faulty endpoint resets it."""
 
     __slots__ = ()
 
@@ -102,35 +102,35 @@
 
     async def start_endpoint(self, nursery: trio.Nursery, host: str) -> None:
         """An endpoint beside the proxy of a host."""
-        made = StandIn(SERVICE, f"{host}:8000", f"i-{host}", DIALECT, SLOTS, 4 * SLOTS, WORK_US)
-        self.endpoints[host] = made
-        self.ledger.endpoints.append(made)
-        await nursery.start(made.serve, RealNet(host), nursery)
-        nursery.start_soon(self.beat, host, made)
-        nursery.start_soon(self.lose_answers, host, made)
-
-    async def beat(self, host: str, made: StandIn) -> None:
+        stand_in = StandIn(SERVICE, f"{host}:8000", f"i-{host}", DIALECT, SLOTS, 4 * SLOTS, WORK_US)
+        self.endpoints[host] = stand_in
+        self.ledger.endpoints.append(stand_in)
+        await nursery.start(stand_in.serve, RealNet(host), nursery)
+        nursery.start_soon(self.heartbeats, host, stand_in)
+        nursery.start_soon(self.lose_answers, host, stand_in)
+
+    async def heartbeats(self, host: str, stand_in: StandIn) -> None:
         """Its heartbeats."""
         sequence = 0
         while True:
             sequence += 1
             facts = {
                 "service": SERVICE,
-                "address": made.address,
-                "instance": made.instance.decode(),
+                "address": stand_in.address,
+                "instance": stand_in.instance.decode(),
                 "capacity": SLOTS,
                 "draining": False,
                 "warm_us": 0,
                 "sequence": sequence,
             }
-            await self.http(host, f"{host}:{BEATS_PORT}", "POST", "/beat", facts)
-            await sleep_us(BEAT_EVERY)
+            await self.http(host, f"{host}:{HEARTBEATS_PORT}", "POST", "/beat", facts)
+            await sleep_us(HEARTBEAT_INTERVAL)
 
-    async def lose_answers(self, host: str, made: StandIn) -> None:
+    async def lose_answers(self, host: str, stand_in: StandIn) -> None:
         """While it is told to, a third of its answers go wrong in one way or another."""
         while True:
             if host in self.losing:
-                made.faults["*"] = [self.rng.choice((*LOSING, None, None)) for _ in range(3)]
+                stand_in.faults["*"] = [self.rng.choice((*LOSING, None, None)) for _ in range(3)]
             await sleep_us(50 * MILLISECOND)
 
     # ------------------------------------------------------------ callers
@@ -141,20 +141,22 @@
         wires = SocketNetwork(host, nursery, reactor)
         with trio.CancelScope() as scope:
             nursery.start_soon(self.run_reactor, reactor, scope)
-            made = StandInCaller(self.ledger, host, SERVICE)
-            self.ledger.callers.append(made)
-            wires.dial(f"{host}:{GATE_PORT}", monotonic_us() + SECOND, made)
-            await made.opened.wait()
-            if made.failed is not None:
-                self.ledger.callers.remove(made)
+            caller = StandInCaller(self.ledger, host, SERVICE)
+            self.ledger.callers.append(caller)
+            wires.dial(f"{host}:{GATE_PORT}", monotonic_us() + SECOND, caller)
+            await caller.opened.wait()
+            if caller.failed is not None:
+                self.ledger.callers.remove(caller)
                 return None
-            asked = made.ask(b"/%s/%d" % (name.encode(), number), due_ms=DEADLINE_MS * MILLISECOND)
+            asked = caller.ask(
+                b"/%s/%d" % (name.encode(), number), due_ms=DEADLINE_MS * MILLISECOND
+            )
             with trio.move_on_after(2 * DEADLINE_MS / 1000):
                 await asked.done.wait()
             if not asked.done.is_set():
-                made.hang_up()
-            elif made.wire is not None:
-                made.wire.close()
+                caller.hang_up()
+            elif caller.wire is not None:
+                caller.wire.close()
         return asked
 
     async def run_reactor(self, reactor: Reactor, scope: trio.CancelScope) -> None:
