--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -86,46 +86,46 @@
 
     async def read(self, key, deadline):
         configuration = self.configuration()
-        told = await self.broadcast(
+        answers = await self.broadcast(
             configuration,
             ReadRequest(key),
             deadline,
             configuration.voter_sets.is_quorum,
         )
-        if not configuration.voter_sets.is_quorum(told):
+        if not configuration.voter_sets.is_quorum(answers):
             raise NoQuorum(key)
-        return max(told.values(), key=lambda pair: pair.ballot).value
+        return max(answers.values(), key=lambda pair: pair.ballot).value
 
 
-async def member_troubles(three, rng):
+async def member_faults(acceptors, rng):
     while True:
-        three.down = set(rng.sample("xyz", rng.randrange(3)))
+        acceptors.down = set(rng.sample("xyz", rng.randrange(3)))
         await sleep_us(rng.randrange(60) * MILLISECOND)
-        three.down = set()
+        acceptors.down = set()
         await sleep_us(rng.randrange(60) * MILLISECOND)
 
 
-async def use_register(three, proposer_class, name, rng, history):
+async def use_register(acceptors, proposer_class, name, rng, history):
     proposer = proposer_class(
-        name, lambda: [list(three.acceptors)], three.ask, three.rng, three.nursery
+        name, lambda: [list(acceptors.acceptors)], acceptors.ask, acceptors.rng, acceptors.nursery
     )
     for turn in range(30):
-        mark, invoked = f"{name}{turn}", monotonic_us()
+        element, invoked = f"{name}{turn}", monotonic_us()
         reads = rng.random() < 0.8
 
-        def make(old, mark=mark):
+        def update(old, element=element):
             old = old or []
-            return old if mark in old else [*old, mark]
+            return old if element in old else [*old, element]
 
         try:
             if reads:
                 value = await proposer.read("k", monotonic_us() + SECOND) or ()
                 history.append(seen(invoked, monotonic_us(), *value))
             else:
-                value = await proposer.change("k", make, monotonic_us() + SECOND)
-                history += change(invoked, monotonic_us(), mark, *value)
+                value = await proposer.change("k", update, monotonic_us() + SECOND)
+                history += change(invoked, monotonic_us(), element, *value)
         except OutcomeUnknown:
-            history += change(invoked, NEVER, mark)
+            history += change(invoked, NEVER, element)
         except NoQuorum:
             pass  # surely not done
         await sleep_us(rng.randrange(5) * MILLISECOND)
@@ -136,13 +136,13 @@
 
     async def scenario(world):
         rng = random.Random(f"users{seed}")
-        three = ThreeAcceptors(world.nursery, random.Random(seed))
-        three.answer_loss = 0.15
+        acceptors = ThreeAcceptors(world.nursery, random.Random(seed))
+        acceptors.answer_loss = 0.15
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(member_troubles, three, rng)
+            nursery.start_soon(member_faults, acceptors, rng)
             async with trio.open_nursery() as users:
                 for name in "abcd":
-                    users.start_soon(use_register, three, proposer_class, name, rng, history)
+                    users.start_soon(use_register, acceptors, proposer_class, name, rng, history)
             nursery.cancel_scope.cancel()
 
     run(scenario, seed)
@@ -178,7 +178,7 @@
     content: str | None
 
 
-def standing_of(state):
+def visible_item(state):
     """(version, content) that a read shows, or None."""
     top = max(state, key=lambda write: write.version, default=None)
     return None if top is None or top.content is None else (top.version, top.content)
@@ -189,13 +189,13 @@
     content under a version that was taken is a conflict."""
     write = call.action
     if write is None:
-        return state if call.observed == standing_of(state) else None
-    twin = any(w.version == write.version and w.content != write.content for w in state)
+        return state if call.observed == visible_item(state) else None
+    conflicting = any(w.version == write.version and w.content != write.content for w in state)
     if call.unknown:
-        return state if twin else state | {write}
+        return state if conflicting else state | {write}
     if call.observed == CONFLICT:
-        return state if twin else None
-    return None if twin else state | {write}
+        return state if conflicting else None
+    return None if conflicting else state | {write}
 
 
 ITEMS = SequentialModel(frozenset(), merged)
@@ -217,8 +217,8 @@
     return 0, {}
 
 
-def shown(told):
-    found = {i["name"]: (i["version"], i["spec"]["health"][1:]) for i in told["items"]}
+def shown(answer):
+    found = {i["name"]: (i["version"], i["spec"]["health"][1:]) for i in answer["items"]}
     return {name: found.get(name) for name in NAMES}
 
 
@@ -227,24 +227,24 @@
     for turn in range(8):
         invoked, core = monotonic_us(), rng.randrange(3)
         if rng.random() < 0.4:
-            status, told = await sent(world, "GET", core)
+            status, answer = await sent(world, "GET", core)
             if status == 200:
                 history += [
                     RecordedCall(name, invoked, monotonic_us(), None, pair)
-                    for name, pair in shown(told).items()
+                    for name, pair in shown(answer).items()
                 ]
         else:
             name = rng.choice(NAMES)
             content = None if rng.random() < 0.3 else f"{which}{turn}"
             write = Write(rng.randrange(1, 7), content)
-            status, told = await sent(world, "POST", core, [item_of(name, write)])
+            status, answer = await sent(world, "POST", core, [item_of(name, write)])
             if status in (200, 409):
                 observed = CONFLICT if status == 409 else None
                 history.append(RecordedCall(name, invoked, monotonic_us(), write, observed))
             elif status in (0, 504):
                 history.append(RecordedCall(name, invoked, NEVER, write))
             else:
-                assert status in (307, 503), (status, told)  # surely not done
+                assert status in (307, 503), (status, answer)  # surely not done
         await sleep_us(rng.randrange(300) * MILLISECOND)
 
 
@@ -301,7 +301,7 @@
 # ---------------------------------------------------------------- the collector's lease
 
 
-async def most_holders(world):
+async def max_holders(world):
     """Of the lease at one moment, while its first holder is cut off from all others."""
     await world.whole()
     host, _ = await one_holder(world)
@@ -315,7 +315,7 @@
 
 
 def test_one_holds_the_lease_and_with_a_planted_lease_without_end_two(monkeypatch):
-    assert run(most_holders, application=("desk",)) == 1
+    assert run(max_holders, application=("desk",)) == 1
     without_end = property(lambda lease: lease.granted.epoch if lease.granted else None)
     monkeypatch.setattr(LeaseClient, "epoch", without_end)
-    assert run(most_holders, application=("desk",)) == 2
+    assert run(max_holders, application=("desk",)) == 2
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -36,16 +36,16 @@
 # ---------------------------------------------------------------- the register and its members
 
 DISKS = ("v", "w", "x", "y", "z")
-FOUNDERS = ("x", "y", "z")
+BOOTSTRAP_VOTERS = ("x", "y", "z")
 VOTERS = st.sampled_from([("x", "y", "z"), ("w", "y", "z"), ("v", "w", "x"), DISKS])
 SOME_DISKS = st.sets(st.sampled_from(DISKS), max_size=2)
 OPERATORS = st.sampled_from(["a", "b"])
 HANDLERS = {"register": "on_register", "member.adopt": "on_adopt", "member.keys": "on_keys"}
-WITHIN = SECOND
-REFUSALS = (NoQuorum, OutcomeUnknown, MembershipConflict)
+OPERATION_TIMEOUT = SECOND
+OPERATION_ERRORS = (NoQuorum, OutcomeUnknown, MembershipConflict)
 
 
-class DirectLinks:
+class DirectRpc:
     """Calls handlers of the other processes. silent: disks that get nothing; mute: those whose
     answers are lost. Both may change between operations. Each way takes up to 3 ms."""
 
@@ -60,15 +60,15 @@
             raise ConnectionFailed(True, "silent")
         await sleep_us(self.rng.randrange(3 * MILLISECOND))
         handler = getattr(self.processes[address], HANDLERS[method])
-        told = await handler(None, ormsgpack.unpackb(ormsgpack.packb(args)))
+        answer = await handler(None, ormsgpack.unpackb(ormsgpack.packb(args)))
         await sleep_us(self.rng.randrange(3 * MILLISECOND))
         if address in self.mute:
             raise ConnectionFailed(True, "its answer was lost")
-        return ormsgpack.unpackb(ormsgpack.packb(told))
+        return ormsgpack.unpackb(ormsgpack.packb(answer))
 
 
 class RegisterMachine(RuleBasedStateMachine):
-    """Model: `value` is the longest list that anybody was told; `refused` surely never took place.
+    """Model: `value` is the longest list that anybody observed; `not_applied` surely never took place.
     Operators keep what they know of the members between their operations."""
 
     implementation = Implementation()
@@ -76,14 +76,14 @@
     def __init__(self):
         super().__init__()
         self.processes, self.disks = {}, {}
-        self.rpc = DirectLinks(self.processes)
-        self.value, self.refused, self.count = [], set(), 0
+        self.rpc = DirectRpc(self.processes)
+        self.value, self.not_applied, self.count = [], set(), 0
         self.versions = dict.fromkeys((*DISKS, "a", "b"), 0)
-        record = voters_record(1, FOUNDERS)
+        record = voters_record(1, BOOTSTRAP_VOTERS)
 
         async def start(world):
             for name in DISKS:
-                await self.start(name, record if name in FOUNDERS else None)
+                await self.start(name, record if name in BOOTSTRAP_VOTERS else None)
             for name in ("a", "b"):
                 await self.start(name, record)
 
@@ -105,7 +105,7 @@
             process.node.nursery = process.proposer.nursery = world.nursery
             try:
                 return await work(process), None
-            except REFUSALS as cause:
+            except OPERATION_ERRORS as cause:
                 return None, cause  # as a value: the world's nursery would wrap it
 
         value, cause = run(scenario, self.count)
@@ -133,30 +133,34 @@
     @rule(operator=OPERATORS)
     def append(self, operator):
         self.count += 1
-        mark = f"{operator}{self.count}"
+        element = f"{operator}{self.count}"
 
-        def make(old):
+        def update(old):
             old = old or []
-            return old if mark in old else [*old, mark]
+            return old if element in old else [*old, element]
 
         try:
             value = self.act(
-                operator, lambda p: p.proposer.change("k", make, monotonic_us() + WITHIN)
+                operator,
+                lambda p: p.proposer.change("k", update, monotonic_us() + OPERATION_TIMEOUT),
             )
         except NoQuorum:
-            self.refused.add(mark)
+            self.not_applied.add(element)
         except OutcomeUnknown:
             pass
         else:
-            assert mark in value
-            self.told(value)
+            assert element in value
+            self.observe(value)
 
     @rule(operator=OPERATORS)
     def read(self, operator):
         self.count += 1
         try:
-            self.told(
-                self.act(operator, lambda p: p.proposer.read("k", monotonic_us() + WITHIN)) or []
+            self.observe(
+                self.act(
+                    operator, lambda p: p.proposer.read("k", monotonic_us() + OPERATION_TIMEOUT)
+                )
+                or []
             )
         except NoQuorum:
             pass
@@ -168,32 +172,32 @@
         async def work(process):
             process.target_disks = {disk: disk for disk in voters}
             try:
-                await process.change_members(frozenset(voters), monotonic_us() + WITHIN)
+                await process.change_members(frozenset(voters), monotonic_us() + OPERATION_TIMEOUT)
             except MembershipConflict:
-                await process.end_change(monotonic_us() + WITHIN)
+                await process.end_change(monotonic_us() + OPERATION_TIMEOUT)
 
         try:
             self.act(operator, work)
-        except REFUSALS:
+        except OPERATION_ERRORS:
             pass
 
-    def told(self, value):
+    def observe(self, value):
         assert value[: len(self.value)] == self.value
-        assert not self.refused & set(value)
+        assert not self.not_applied & set(value)
         self.value = value
 
     @invariant()
-    def records_only_go_up(self):
+    def membership_versions_never_go_back(self):
         for name, process in self.processes.items():
             version = process.store.membership.version if process.store.membership else 0
             assert version >= self.versions[name]
             self.versions[name] = version
 
     @invariant()
-    def refused_is_nowhere(self):
+    def not_applied_is_absent(self):
         for process in self.processes.values():
             _, value = process.store.acceptor.read("k")
-            assert not self.refused & set(value or ())
+            assert not self.not_applied & set(value or ())
 
 
 class OneKeyLess(ModelMembers):
@@ -226,16 +230,16 @@
 
     def __init__(self):
         super().__init__()
-        self.held, self.taken = {}, {}
+        self.items, self.taken = {}, {}
 
     def chunks(self):
-        return cut_items(self.held)
+        return cut_items(self.items)
 
     @rule(name=ITEM_NAMES, version=ITEM_VERSIONS, content=CONTENTS)
     def order(self, name, version, content):
         expected = self.taken.get((name, version), content) == content
         try:
-            self.held, _ = config_items.merge(self.held, [item_of(name, version, content)])
+            self.items, _ = config_items.merge(self.items, [item_of(name, version, content)])
         except config_items.VersionConflict:
             assert not expected
         else:
@@ -245,15 +249,16 @@
     @rule()
     def transfer(self):
         bodies = [ormsgpack.unpackb(body)[1] for _, body in self.chunks()]
-        self.held = {config_items.key_of(item): item for items in bodies for item in items}
+        self.items = {config_items.key_of(item): item for items in bodies for item in items}
 
     @invariant()
-    def the_highest_version_stands(self):
+    def the_highest_version_is_visible(self):
         top = {}
         for (name, version), content in sorted(self.taken.items()):
             top[name] = version, content
         shown = {
-            i["name"]: (i["version"], i["spec"]["health"]) for i in config_items.standing(self.held)
+            i["name"]: (i["version"], i["spec"]["health"])
+            for i in config_items.standing(self.items)
         }
         assert shown == {n: (v, f"/{c}") for n, (v, c) in top.items() if c}
 
@@ -262,7 +267,7 @@
     """Planted: a snapshot that forgets what was dropped."""
 
     def chunks(self):
-        return cut_items({k: item for k, item in self.held.items() if item["spec"] is not None})
+        return cut_items({k: item for k, item in self.items.items() if item["spec"] is not None})
 
 
 class AnyContent(ItemsMachine):
@@ -272,7 +277,7 @@
     def order(self, name, version, content):
         expected = self.taken.get((name, version), content) == content
         try:
-            self.held, _ = config_items.merge(self.held, [item_of(name, version, content)])
+            self.items, _ = config_items.merge(self.items, [item_of(name, version, content)])
         except config_items.VersionConflict:
             pass
         assert expected
