--- a/packages/client/meadowdock/client/__init__.py
+++ b/packages/client/meadowdock/client/__init__.py
@@ -1,7 +1,8 @@
-"""In users' programs: calls into the mesh, and an endpoint's side of the contract."""
+"""For users' programs: requests into the mesh, and an endpoint's side of the contract."""
 
-from meadowdock.client.client import Answer, Client, Rejected
+from meadowdock.client.client import Client
 from meadowdock.client.endpoint import Endpoint
-from meadowdock.client.record import Got, Record
+from meadowdock.client.execution_record import ExecutionRecord
+from meadowdock.client.messages import Answer, EndpointRequest, Rejected
 
-__all__ = ["Answer", "Client", "Endpoint", "Got", "Record", "Rejected"]
+__all__ = ["Answer", "Client", "Endpoint", "EndpointRequest", "ExecutionRecord", "Rejected"]
--- a/packages/client/meadowdock/client/client.py
+++ b/packages/client/meadowdock/client/client.py
@@ -1,118 +1,149 @@
-"""Calls through the proxy on this machine. Never retries by itself: the proxy has the budgets."""
+"""Requests through the proxy on this machine. Never retries by itself: the proxy has the budgets."""
 
 from __future__ import annotations
 
 import json
 from collections import OrderedDict
-from dataclasses import dataclass
+from typing import Any
 
 from returns.result import Failure, Result, Success
 
+from meadowdock.client.messages import Answer, Rejected
 from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, RAN, Verdict
 from meadowdock.runtime import SECOND, HttpConnectionFailed, Net, deadline_scope, monotonic_us
 
-SLACK_US = SECOND  # the proxy answers within the due; this is for a proxy that doesn't
-LONGEST_US = 4 * SECOND
-KEYS = 10_000
+# The proxy answers by the request's deadline; this is for a proxy that doesn't.
+SLACK_US = SECOND
+DEFAULT_TIMEOUT_US = 4 * SECOND
+REMEMBERED_KEYS = 10_000
 
-
-@dataclass(frozen=True)
-class Answer:
-    # Invariant: the endpoint's own answer, whole and checked by the proxy.
-    status: int
-    body: object
-    call: str
-    verdict: Verdict = RAN
-
-
-@dataclass(frozen=True)
-class Rejected:
-    code: str
-    verdict: Verdict
-    detail: str = ""
-    retry_after_us: int = 0
+Headers = list[tuple[bytes, bytes]]
+Outcome = Result[Answer, Rejected]
 
 
 class Client:
-    """proxy: ip:port of this machine's mdproxy. token: from the endpoint's enrolment, if any.
-    net: the network seam, made with this machine's own IP number.
+    """A caller's side of the mesh.
 
-    Invariants: idle holds only connections whose last answer was read whole; sent holds the last
-    KEYS keys that left here and whose call is not surely not-run: sent again they are marked."""
+    net: the network of the runtime, made with this machine's own IP address. proxy: "ip:port" of
+    this machine's mdproxy. token: from the endpoint's enrolment, if the caller is one.
 
-    def __init__(self, net: Net, proxy, token=None):
-        self.net, self.proxy, self.token = net, proxy, token
-        self.idle = []
-        self.sent = OrderedDict()
+    Invariants: `idle` holds only connections whose last response was read completely. `sent` holds
+    the last REMEMBERED_KEYS idempotency keys that were sent and whose request may have run: sent
+    again, they are marked as repeats.
+    """
 
-    async def connection(self):
-        while self.idle:
-            connection = self.idle.pop()
-            if not connection.stale():
-                return connection
-            await connection.close()
-        return self.net.http(self.proxy)
+    def __init__(self, net: Net, proxy: str, token: str | None = None) -> None:
+        self.net, self.proxy, self.token = net, proxy, token
+        self.idle: list[Any] = []
+        self.sent: OrderedDict[str, bool] = OrderedDict()
 
     async def call(
-        self, method, path, body=None, due_us=None, key=None, repeat=False
-    ) -> Result[Answer, Rejected]:
-        """One call, sent once. Failure tells by its verdict whether it may have run. repeat: this
-        key may have been sent before, by whomever; this client's own repeats it knows itself."""
+        self,
+        method: str,
+        path: str,
+        body: Any = None,
+        due_us: int | None = None,
+        key: str | None = None,
+        repeat: bool = False,
+    ) -> Outcome:
+        """One request, sent once; a Failure tells by its verdict whether it may have run.
+
+        due_us: microseconds within which a response is of use. key: the idempotency key. repeat:
+        the key may have been sent before by another client; this one's own repeats it knows.
+        """
         repeat = repeat or key in self.sent
-        found = await self.send(method, path, body, due_us, key, repeat)
-        if key and (repeat or found.map(lambda _: True).lash(may_have_run).value_or(False)):
-            self.sent[key] = True
-            while len(self.sent) > KEYS:
-                self.sent.popitem(last=False)
-        return found
-
-    async def send(self, method, path, body, due_us, key, repeat):
-        lines = [
-            *([(b"content-type", b"application/json")] if body is not None else []),
-            *([(b"md-token", self.token.encode())] if self.token else []),
-            *([(b"md-due", str(due_us).encode())] if due_us is not None else []),
-            *([(b"md-key", key.encode())] if key else []),
-            *([(b"md-repeat", b"1")] if key and repeat else []),
-        ]
+        outcome = await self.send(method, path, body, due_us, key, repeat)
+        if key and (repeat or may_have_run(outcome)):
+            self.remember(key)
+        return outcome
+
+    async def send(
+        self,
+        method: str,
+        path: str,
+        body: Any,
+        due_us: int | None,
+        key: str | None,
+        repeat: bool,
+    ) -> Outcome:
+        """Send a request on an idle or new connection and read the response."""
+        headers = self.headers(body, due_us, key, repeat)
         data = json.dumps(body).encode() if body is not None else b""
         sent = False
 
-        def started():
+        def started() -> None:
             nonlocal sent
             sent = True
 
-        cause = "no answer from the proxy"
-        with deadline_scope(monotonic_us() + (due_us or LONGEST_US) + SLACK_US):
+        cause: object = "no answer from the proxy"
+        with deadline_scope(monotonic_us() + (due_us or DEFAULT_TIMEOUT_US) + SLACK_US):
             connection = await self.connection()
             try:
-                status, headers, answer = await connection.request(
-                    method, path, lines, data, started
-                )
+                response = await connection.request(method, path, headers, data, started)
                 self.idle.append(connection)
-                return read(status, headers, answer)
-            except HttpConnectionFailed as broken:
-                cause = broken
+                return parse_response(*response)
+            except HttpConnectionFailed as failure:
+                cause = failure
         return Failure(Rejected("proxy_lost", MAY_HAVE_RUN if sent else NOT_RUN, str(cause)))
 
-    async def close(self):
+    def headers(self, body: Any, due_us: int | None, key: str | None, repeat: bool) -> Headers:
+        """The headers of a request."""
+        headers: Headers = []
+        if body is not None:
+            headers.append((b"content-type", b"application/json"))
+        if self.token:
+            headers.append((b"md-token", self.token.encode()))
+        if due_us is not None:
+            headers.append((b"md-due", str(due_us).encode()))
+        if key:
+            headers.append((b"md-key", key.encode()))
+        if key and repeat:
+            headers.append((b"md-repeat", b"1"))
+        return headers
+
+    async def connection(self) -> Any:
+        """An idle connection that the proxy hasn't closed, or a new one."""
+        while self.idle:
+            connection = self.idle.pop()
+            if not connection.stale():
+                return connection
+            await connection.close()
+        return self.net.http(self.proxy)
+
+    def remember(self, key: str) -> None:
+        """Note that a key was sent, and forget the oldest if there are too many."""
+        self.sent[key] = True
+        while len(self.sent) > REMEMBERED_KEYS:
+            self.sent.popitem(last=False)
+
+    async def close(self) -> None:
+        """Close the idle connections."""
         idle, self.idle = self.idle, []
         for connection in idle:
             await connection.close()
 
 
-def may_have_run(refused):
-    return Success(refused.verdict is not NOT_RUN)
+def may_have_run(outcome: Outcome) -> bool:
+    """Whether an endpoint may have executed the request."""
+    if isinstance(outcome, Success):
+        return True
+    return outcome.failure().verdict is not NOT_RUN
 
 
-def read(status, headers, body):
-    lines = {name.lower(): value for name, value in headers}
+def parse_response(status: int, headers: Headers, body: bytes) -> Outcome:
+    """The outcome that a proxy's response describes; what can't be read may have run."""
+    values = {name.lower(): value for name, value in headers}
     try:
-        facts = json.loads(body) if body else None
-        verdict = Verdict(lines[b"md-verdict"].decode())
+        content: Any = json.loads(body) if body else None
+        verdict = Verdict(values[b"md-verdict"].decode())
     except (ValueError, KeyError) as cause:
         return Failure(Rejected("proxy_garbage", MAY_HAVE_RUN, repr(cause)))
     if verdict is RAN:
-        return Success(Answer(status, facts, lines.get(b"md-call", b"").decode()))
-    return Failure(
-        Rejected(facts["code"], verdict, facts.get("detail", ""), facts.get("retry_after_us", 0))
+        return Success(Answer(status, content, values.get(b"md-call", b"").decode()))
+    rejected = Rejected(
+        code=content["code"],
+        verdict=verdict,
+        detail=content.get("detail", ""),
+        retry_after_us=content.get("retry_after_us", 0),
     )
+    return Failure(rejected)
--- a/packages/client/meadowdock/client/endpoint.py
+++ b/packages/client/meadowdock/client/endpoint.py
@@ -1,163 +1,203 @@
-"""An endpoint: serves calls, proves who it is, enrols, beats, drains and leaves."""
+"""An endpoint: it serves requests, proves its identity, enrols, sends heartbeats and drains."""
 
 from __future__ import annotations
 
 import json
+from collections.abc import Callable
+from typing import Any
 
 import trio
 
-from meadowdock.admin_http import App, Response, RouteTable
-from meadowdock.client.record import Got
+from meadowdock.admin_http import App, Headers, Request, Response, RouteTable
+from meadowdock.client.execution_record import ExecutionRecord, Handler
+from meadowdock.client.messages import EndpointRequest
 from meadowdock.runtime import (
     MILLISECOND,
     SECOND,
     HttpConnectionFailed,
+    Net,
     deadline_scope,
     monotonic_us,
     sleep_us,
 )
 
+DEFAULT_HEARTBEAT_US = 500 * MILLISECOND  # until the proxy says another interval
+PROXY_TIMEOUT_US = SECOND
+SHUTDOWN_GRACE_US = 4 * SECOND
+DRAIN_POLL_US = 10 * MILLISECOND
+ENROLMENT_LOST = (401, 404, 409)  # statuses of a heartbeat after which an endpoint enrols again
+
 
 class Endpoint:
-    """Wanted: enrolled at the proxy of this machine, with fresh beats; the loop sees to it.
+    """One process that serves a service.
+
+    Its loop, `run`, keeps it enrolled at the proxy of this machine, with fresh heartbeats.
 
-    handler(Got) -> (status, body). load() -> 0..1 or None tells the endpoint's own view. record
-    keeps the keys of run-once calls: with one, a key runs at most once here.
-    Invariant: token is None iff this endpoint must enrol (again)."""
+    address, proxy: "ip:port". handler: of an EndpointRequest; gives a status and a body. load: the
+    endpoint's own view of its load, 0 to 1, or None if it has none. record: with one, a request
+    with an idempotency key runs at most once here.
+
+    Invariant: token is None exactly while this endpoint must enrol (again).
+    """
 
     table = RouteTable()
 
     def __init__(
         self,
-        net,
-        service,
-        address,
-        proxy,
-        incarnation,
-        handler,
-        capacity=16,
-        load=None,
-        record=None,
-    ):
+        net: Net,
+        service: str,
+        address: str,
+        proxy: str,
+        incarnation: str,
+        handler: Handler,
+        capacity: int = 16,
+        load: Callable[[], float | None] | None = None,
+        record: ExecutionRecord | None = None,
+    ) -> None:
         self.net, self.service, self.address, self.proxy = net, service, address, proxy
         self.incarnation, self.handler, self.capacity = incarnation, handler, capacity
         self.load, self.record = load or (lambda: None), record
-        self.token = None
+        self.token: str | None = None
         self.draining = False
-        self.beat_us = 500 * MILLISECOND
+        self.heartbeat_us = DEFAULT_HEARTBEAT_US
         self.app = App(self.table, self, None)
         self.enrolled = trio.Event()
-        self.working = 0
+        self.requests_in_flight = 0
 
-    async def serve(self, stopping, task_status=trio.TASK_STATUS_IGNORED):
+    async def serve(
+        self,
+        stopping: trio.Event,
+        task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
+    ) -> None:
+        """Serve requests at the endpoint's address until `stopping`."""
         await self.net.serve_http(
-            self.app, self.address, stopping, 4 * SECOND, task_status=task_status
+            self.app, self.address, stopping, SHUTDOWN_GRACE_US, task_status=task_status
         )
 
-    # ------------------------------------------------------------ calls
+    # ------------------------------------------------------------ requests
 
     @table.on("GET", "/md/identity")
-    async def identity(self, request):
+    async def identity(self, request: Request) -> Response:
+        """Who serves at this address: the proxy asks before it sends requests."""
         return Response(200, {"service": self.service, "incarnation": self.incarnation})
 
     @table.otherwise
-    async def called(self, request):
-        text = {n: request.header(b"md-" + n) for n in (b"call", b"caller", b"key", b"due")}
-        wanted = request.header(b"md-incarnation")
-        if wanted is not None and wanted != self.incarnation:
-            # meant for a former holder of this address: surely not run
+    async def handle_request(self, request: Request) -> Response:
+        """Run the handler on a request that is meant for this incarnation."""
+        incarnation = request.header(b"md-incarnation")
+        if incarnation is not None and incarnation != self.incarnation:
+            # meant for a former owner of this address: surely not run
             return Response(503, {"code": "other_incarnation"}, [(b"md-verdict", b"not-run")])
         data = await request.body()
         try:
             body = json.loads(data) if data else None
         except ValueError:
             return Response(400, {"code": "malformed"})
-        got = Got(
-            request.method,
-            request.path,
-            request.query,
-            text[b"caller"] or "",
-            text[b"key"],
-            text[b"call"] or "",
-            int(text[b"due"] or 0),
-            body,
-            request.header(b"md-repeat") == "1",
-        )
-        self.working += 1
+        received = endpoint_request(request, body)
+        self.requests_in_flight += 1
         try:
-            if got.key and self.record is not None:
-                reply = await self.record.answer(got, self.handler)
-            else:
-                reply = Response(*await self.handler(got))
+            response = await self.execute(received)
         finally:
-            self.working -= 1
-        load = self.load()
-        lines = [
-            (b"md-call", got.call.encode()),
+            self.requests_in_flight -= 1
+        response.headers += self.response_headers(received)
+        return response
+
+    async def execute(self, request: EndpointRequest) -> Response:
+        """The handler's response; through the record, if the request has a key."""
+        if request.key and self.record is not None:
+            return await self.record.run_once(request, self.handler)
+        return Response(*await self.handler(request))
+
+    def response_headers(self, request: EndpointRequest) -> Headers:
+        """The headers by which the proxy verifies a response."""
+        headers = [
+            (b"md-call", request.call_id.encode()),
             (b"md-incarnation", self.incarnation.encode()),
-            *([(b"md-load", f"{load:.3f}".encode())] if load is not None else []),
         ]
-        reply.headers += lines
-        return reply
+        load = self.load()
+        if load is not None:
+            headers.append((b"md-load", f"{load:.3f}".encode()))
+        return headers
 
     # ------------------------------------------------------------ the proxy on this machine
 
-    async def tell(self, path, facts):
-        connection = self.net.http(self.proxy)
-        try:
-            with deadline_scope(monotonic_us() + SECOND):
-                lines = [(b"content-type", b"application/json")]
-                body = json.dumps(facts).encode()
-                status, _, answer = await connection.request("POST", path, lines, body)
-                return status, json.loads(answer)
-        except (HttpConnectionFailed, ValueError):
-            pass
-        finally:
-            await connection.close()
-        return 0, {}
-
-    async def run(self):
+    async def run(self) -> None:
+        """Enrol, and send heartbeats while enrolled; never returns."""
         while True:
             if self.token is None:
                 await self.enrol()
             else:
-                await self.beat()
-            await sleep_us(self.beat_us if self.token else self.beat_us // 2)
+                await self.send_heartbeat()
+            await sleep_us(self.heartbeat_us if self.token else self.heartbeat_us // 2)
 
-    async def enrol(self):
-        facts = {
+    async def enrol(self) -> None:
+        """Ask the proxy for a token, once."""
+        enrolment = {
             "service": self.service,
             "address": self.address,
             "incarnation": self.incarnation,
             "capacity": self.capacity,
         }
-        status, told = await self.tell("/md/enrol", facts)
+        status, response = await self.post_to_proxy("/md/enrol", enrolment)
         if status == 200:
-            self.token, self.beat_us = told["token"], told["beat_us"]
+            self.token, self.heartbeat_us = response["token"], response["beat_us"]
             self.enrolled.set()
 
-    async def beat(self):
-        load = self.load()
-        facts = {
+    async def send_heartbeat(self) -> None:
+        """Report capacity, load and whether this endpoint drains; the token may turn out lost."""
+        heartbeat: dict[str, Any] = {
             "token": self.token,
             "capacity": self.capacity,
             "draining": self.draining,
-            **({"load": load} if load is not None else {}),
         }
-        status, _ = await self.tell("/md/beat", facts)
-        if status in (401, 404, 409):
+        load = self.load()
+        if load is not None:
+            heartbeat["load"] = load
+        status, _ = await self.post_to_proxy("/md/beat", heartbeat)
+        if status in ENROLMENT_LOST:
             self.token = None
 
-    async def drain(self, wait_us=4 * SECOND):
-        """No new calls; gives back once the calls under way are done, or after the wait."""
+    async def drain(self, wait_us: int = 4 * SECOND) -> None:
+        """Take no new requests; returns once those in flight are done, or after wait_us."""
         self.draining = True
         if self.token:
-            await self.beat()
+            await self.send_heartbeat()
         with deadline_scope(monotonic_us() + wait_us):
-            while self.working:
-                await sleep_us(10 * MILLISECOND)
+            while self.requests_in_flight:
+                await sleep_us(DRAIN_POLL_US)
 
-    async def leave(self):
+    async def deregister(self) -> None:
+        """Tell the proxy that this endpoint ends."""
         if self.token:
-            await self.tell("/md/leave", {"token": self.token})
+            await self.post_to_proxy("/md/leave", {"token": self.token})
             self.token = None
+
+    async def post_to_proxy(self, path: str, content: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+        """The status and content of the proxy's response; (0, {}) if there is none."""
+        connection = self.net.http(self.proxy)
+        try:
+            with deadline_scope(monotonic_us() + PROXY_TIMEOUT_US):
+                headers = [(b"content-type", b"application/json")]
+                body = json.dumps(content).encode()
+                status, _, response = await connection.request("POST", path, headers, body)
+                return status, json.loads(response)
+        except (HttpConnectionFailed, ValueError):
+            pass
+        finally:
+            await connection.close()
+        return 0, {}
+
+
+def endpoint_request(request: Request, body: Any) -> EndpointRequest:
+    """The request that the proxy's headers describe."""
+    return EndpointRequest(
+        method=request.method,
+        path=request.path,
+        query=request.query,
+        caller=request.header(b"md-caller") or "",
+        key=request.header(b"md-key"),
+        call_id=request.header(b"md-call") or "",
+        due_us=int(request.header(b"md-due") or 0),
+        body=body,
+        repeat=request.header(b"md-repeat") == "1",
+    )
--- a/packages/local_fleet/meadowdock/local_fleet/standin.py
+++ b/packages/local_fleet/meadowdock/local_fleet/standin.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from meadowdock.client import Endpoint, Record
+from meadowdock.client import Endpoint, ExecutionRecord
 from meadowdock.runtime import Disk, Net, sleep_us
 
 KNOBS = {
@@ -43,7 +43,7 @@
             self.knobs.update(got.body)
             if self.knobs["draining"]:
                 self.endpoint.draining = True
-                await self.endpoint.beat()
+                await self.endpoint.send_heartbeat()
             return 200, self.knobs
         if got.path == "/standin":
             twice = sum(1 for n in self.ran.values() if n > 1)
@@ -55,7 +55,7 @@
             self.total += 1
             if got.key:
                 self.ran[got.key] = self.ran.get(got.key, 0) + 1
-                line = {"key": got.key, "caller": got.caller, "path": got.path, "call": got.call}
+                line = {"key": got.key, "caller": got.caller, "path": got.path, "call": got.call_id}
                 self.journal.write(json.dumps(line) + "\n")
         if self.rng.random() < self.knobs["lose"]:
             raise Lose
@@ -74,7 +74,7 @@
             self.handle,
             spec["capacity"],
             lambda: self.knobs["load"],
-            Record(Disk(spec["record"])),
+            ExecutionRecord(Disk(spec["record"])),
         )
         stopping = trio.Event()
         async with trio.open_nursery() as nursery:
@@ -86,7 +86,7 @@
                 async for _ in received:
                     break
             await endpoint.drain()
-            await endpoint.leave()
+            await endpoint.deregister()
             stopping.set()
             nursery.cancel_scope.cancel()
 
--- a/packages/simulator/meadowdock/simulator/faults.py
+++ b/packages/simulator/meadowdock/simulator/faults.py
@@ -210,7 +210,7 @@
         with deadline_scope(monotonic_us() + 3 * SECOND):
             while endpoint.token is None:
                 await sleep_us(50 * MILLISECOND)
-            status, _ = await endpoint.tell(
+            status, _ = await endpoint.post_to_proxy(
                 "/md/beat",
                 {"token": endpoint.token, "capacity": endpoint.capacity, "draining": True},
             )
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -11,7 +11,7 @@
 
 from meadowdock import audit
 from meadowdock.admin_http import RouteTable
-from meadowdock.client import Endpoint, Record
+from meadowdock.client import Endpoint, ExecutionRecord
 from meadowdock.runtime import (
     MILLISECOND,
     SECOND,
@@ -94,8 +94,8 @@
     last = spoilt = None  # (headers, body) of the last answer; what the next answer is instead
 
     @table.otherwise
-    async def called(self, request):
-        reply = await super().called(request)
+    async def handle_request(self, request):
+        reply = await super().handle_request(request)
         spoilt, self.spoilt = self.spoilt, None
         if isinstance(spoilt, tuple):
             reply.headers, reply.body = spoilt
@@ -142,7 +142,7 @@
                 made.spoilt = self.rng.choice([*GARBAGE, made.last or GARBAGE[0]])
             return 200, {"uid": uid, "caller": got.caller, "whole": True}
 
-        record = Record(self.records.setdefault((host, service), MemoryDisk()))
+        record = ExecutionRecord(self.records.setdefault((host, service), MemoryDisk()))
         made = await self.world.endpoint(
             host, service, handle, capacity=6, wait=wait, kind=Odd, record=record
         )
--- a/tests/load_sharing/test_load.py
+++ b/tests/load_sharing/test_load.py
@@ -64,7 +64,7 @@
     async def scenario(world):
         made = await serving(world)
         for endpoint in made:
-            await endpoint.leave()
+            await endpoint.deregister()
         begun = monotonic_us()
         client = world.client(hosts(world)[0])
         found = (await client.call("GET", "/balances/1")).failure()
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -68,7 +68,7 @@
     Odd.table.exact = dict(Endpoint.table.exact)
 
     @Odd.table.otherwise
-    async def called(self, request):
+    async def handle_request(self, request):
         ran.append(request.path)
         call = request.header(b"md-call").encode()
         lines = [(b"md-call", reply.get("call", call))]
@@ -174,7 +174,7 @@
             return 503, {"code": "busy"}
 
         made = await world.endpoint(hosts(world)[0], "desk", busy)
-        original = made.called.__func__
+        original = made.handle_request.__func__
 
         async def called(self, request):
             reply = await original(self, request)
--- a/tests/proxy/test_endpoints.py
+++ b/tests/proxy/test_endpoints.py
@@ -76,7 +76,7 @@
                 found = await world.client(caller).call("GET", f"/balances/{number}")
                 assert is_successful(found), found
         assert is_successful(results[0])  # the one under way was finished
-        assert made[0].working == 0
+        assert made[0].requests_in_flight == 0
         assert len(list(world.trace.events(402))) == 1
         assert monotonic_us() > at
         counts = world.daemon("mdproxy", host).forwarder.counts
--- a/tests/proxy/test_once.py
+++ b/tests/proxy/test_once.py
@@ -9,7 +9,7 @@
 from facts import manifest
 from mesh import configured, hosts
 
-from meadowdock.client import Got, Record
+from meadowdock.client import EndpointRequest, ExecutionRecord
 from meadowdock.runtime import MILLISECOND, Disk, MemoryDisk, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
@@ -34,7 +34,7 @@
 
     disk = disks.setdefault(host, MemoryDisk())
     return await world.endpoint(
-        host, "desk", work, capacity=capacity, record=Record(disk), wait=False
+        host, "desk", work, capacity=capacity, record=ExecutionRecord(disk), wait=False
     )
 
 
@@ -151,7 +151,7 @@
 
 
 def got(key="k", body=None, repeat=False, caller="guest"):
-    return Got("POST", "/w", "", caller, key, "c", 0, body, repeat)
+    return EndpointRequest("POST", "/w", "", caller, key, "c", 0, body, repeat)
 
 
 def test_the_record_lasts_is_bounded_and_runs_a_key_once(tmp_path):
@@ -164,20 +164,22 @@
                 raise RuntimeError
             return 200, {"n": len(ran)}
 
-        record = Record(Disk(tmp_path), most=3)
-        first = await record.answer(got(), work)
-        assert (await record.answer(got(), work)).body == first.body
-        assert (await record.answer(got(body={"other": 1}), work)).status == 422
-        assert (await record.answer(got(caller="paper"), work)).status == 200  # keys are a caller's
+        record = ExecutionRecord(Disk(tmp_path), capacity=3)
+        first = await record.run_once(got(), work)
+        assert (await record.run_once(got(), work)).body == first.body
+        assert (await record.run_once(got(body={"other": 1}), work)).status == 422
+        assert (
+            await record.run_once(got(caller="paper"), work)
+        ).status == 200  # keys are a caller's
         with pytest.raises(RuntimeError):
-            await record.answer(got("breaks"), work)
-        again = Record(Disk(tmp_path), most=3)
-        assert (await again.answer(got(), work)).body == first.body
-        assert (await again.answer(got("breaks"), work)).status == 409  # it may have run
-        assert (await again.answer(got("new", repeat=True), work)).status == 409
+            await record.run_once(got("breaks"), work)
+        again = ExecutionRecord(Disk(tmp_path), capacity=3)
+        assert (await again.run_once(got(), work)).body == first.body
+        assert (await again.run_once(got("breaks"), work)).status == 409  # it may have run
+        assert (await again.run_once(got("new", repeat=True), work)).status == 409
         for number in range(5):
-            await again.answer(got(f"n{number}"), work)
-        assert len(again.known) == 3
+            await again.run_once(got(f"n{number}"), work)
+        assert len(again.entries) == 3
         assert len(await again.disk.names("key")) == 3
         assert ran.count("k") == 2
         assert ran.count("breaks") == 1
@@ -190,12 +192,12 @@
         async def work(got):
             return 200, {}
 
-        record = Record(Disk(tmp_path))
-        await record.answer(got(), work)
+        record = ExecutionRecord(Disk(tmp_path))
+        await record.run_once(got(), work)
         (name,) = await record.disk.names("key")
         with open(tmp_path / "key" / name, "r+b") as file:
             file.truncate(20)
-        assert (await Record(Disk(tmp_path)).answer(got(), work)).status == 409
+        assert (await ExecutionRecord(Disk(tmp_path)).run_once(got(), work)).status == 409
 
     trio.run(scenario)
 
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -30,7 +30,7 @@
 from raw_bytes import raw
 
 from meadowdock import audit
-from meadowdock.client.record import Got, Record
+from meadowdock.client import EndpointRequest, ExecutionRecord
 from meadowdock.config_store.lease_messages import (
     AcquireLease,
     LeaseGranted,
@@ -112,7 +112,9 @@
 LEASE = LeaseRecord("mdreg@10.0.0.1", 3, 9, 2_000_000)
 ACCEPTED = {"head": {"version": 2, "ranges": ["00"], "plan": "11", "history": [[1, "22"]]}}
 CHUNK = b"\x01 a chunk's body"
-KEYED_CALL = Got("POST", "/withdrawals", "a=1", "guest", "key-1", "call-1", 0, {"amount": 5})
+KEYED_CALL = EndpointRequest(
+    "POST", "/withdrawals", "a=1", "guest", "key-1", "call-1", 0, {"amount": 5}
+)
 
 
 def silent(*_, **__):
@@ -150,12 +152,12 @@
     await store.trail.put(audit_chain(66))
     await store.trail.seal()
     record_disk = MemoryDisk()
-    record = Record(record_disk)
+    record = ExecutionRecord(record_disk)
 
     async def work(_):
         return 200, {"balance": 5}
 
-    await record.answer(KEYED_CALL, work)
+    await record.run_once(KEYED_CALL, work)
     return {
         **{f"member/{name}": data for name, data in disk.files.items()},
         **{f"endpoint/{name}": data for name, data in record_disk.files.items()},
@@ -183,12 +185,12 @@
         for folder, state in store.acceptor.states.items()
     }
     chunks = [await store.blob(name) for name in await store.names()]
-    record = Record(disk_of(files, "endpoint/"))
+    record = ExecutionRecord(disk_of(files, "endpoint/"))
 
     async def never(_):
         raise AssertionError("a recorded call must not run again")
 
-    reply = await record.answer(KEYED_CALL, never)
+    reply = await record.run_once(KEYED_CALL, never)
     return readable(
         {
             "disk": store.disk,
@@ -436,7 +438,11 @@
     record_disk = MemoryDisk()
     endpoints = [
         await world.endpoint(
-            host, service, answers(50 * MILLISECOND), capacity=2, record=Record(record_disk)
+            host,
+            service,
+            answers(50 * MILLISECOND),
+            capacity=2,
+            record=ExecutionRecord(record_disk),
         )
         for host, service in world.application.items()
     ]
