--- a/packages/forwarding/meadowdock/forwarding/dispatcher.py
+++ b/packages/forwarding/meadowdock/forwarding/dispatcher.py
@@ -117,9 +117,9 @@
 
     # ------------------------------------------------------------ placement
 
-    def choose(self, call: Call) -> tuple[Choice, Endpoint | None]:
-        """Where a call goes now, and the endpoint here that takes the service's next call."""
-        service, at = call.service, monotonic_us()
+    def choose(self, call: Call, at: int) -> tuple[Choice, Endpoint | None]:
+        """Where a call goes at a time, and the endpoint here that takes the service's next call."""
+        service = call.service
         endpoint = self.registry.local_endpoint(service)
         local = local_state(endpoint, self.registry.service_loads.get(service))
         choice = self.placement.choose(service, local, self.thresholds, call.tried_peers, at)
@@ -130,12 +130,13 @@
         if call.abandoned:
             self.finish(call, Rejected(CANCELLED, 0))
             return
-        if monotonic_us() >= call.deadline:
+        at = monotonic_us()
+        if at >= call.deadline:
             late = OutcomeUnknown(NO_ANSWER) if call.may_have_run else Rejected(LATE, 0)
             self.finish(call, late)
             return
         while True:
-            choice, endpoint = self.choose(call)
+            choice, endpoint = self.choose(call, at)
             self.counts[f"rule.{choice.rule}"] += 1
             if choice.placement is LOCAL and endpoint is not None:
                 self.local_calls.start(call, endpoint)
@@ -206,7 +207,7 @@
         if code == NO_ANSWER and call.endpoint is not None:
             # it would have held the slot that long at least
             self.admission.learn(call, monotonic_us() - call.dispatched_at)
-        self.local_calls.free_slot(call)
+        self.local_calls.free_slot(call, monotonic_us())
         self.counts[f"unknown.{code}"] += 1
         call.may_have_run = True
         if self.retries.after_unknown(call, code, monotonic_us()):
--- a/packages/forwarding/meadowdock/forwarding/local_calls.py
+++ b/packages/forwarding/meadowdock/forwarding/local_calls.py
@@ -33,7 +33,7 @@
         self.figures.started(call, at)
         self.admission.started(call, at)
         self.registry.acquire_slot(endpoint, at)
-        self.pool(endpoint).run(call)
+        self.pool(endpoint).run(call, at)
 
     def pool(self, endpoint: Endpoint) -> UpstreamPool:
         """The connections to an endpoint. The key is its enrolment: an instance that was lost and
@@ -43,12 +43,11 @@
             pool = self.pools[id(endpoint)] = UpstreamPool(self, endpoint)
         return pool
 
-    def free_slot(self, call: Call) -> None:
-        """The call is at its endpoint no more."""
+    def free_slot(self, call: Call, at: int) -> None:
+        """The call is at its endpoint no more, from a time on."""
         endpoint, call.endpoint = call.endpoint, None
         call.stop_timer()
         if endpoint is not None:
-            at = monotonic_us()
             self.admission.freed(call, at)
             self.registry.release_slot(endpoint, at)
 
@@ -59,13 +58,13 @@
         at = monotonic_us()
         self.admission.learn(call, at - call.dispatched_at)
         self.figures.ended(call, at)
-        self.free_slot(call)
+        self.free_slot(call, at)
         self.dispatcher.finish(call, served)
 
     def no_connection(self, call: Call, endpoint: Endpoint) -> None:
         """An endpoint took no connection: no byte of the call left."""
         self.registry.mark_unreachable(endpoint)
-        self.free_slot(call)
+        self.free_slot(call, monotonic_us())
         self.dispatcher.after_not_run(call, UNREACHED)
 
     def other_instance(self, endpoint: Endpoint) -> None:
@@ -77,7 +76,7 @@
         """The endpoint says, or it is certain, that the call did not run."""
         if call.on_outcome is None:
             return
-        self.free_slot(call)
+        self.free_slot(call, monotonic_us())
         self.counts[f"endpoint.{code}"] += 1
         self.dispatcher.after_not_run(call, code)
 
@@ -87,7 +86,7 @@
         """Nobody needs an answer any more: break the call off, if it is idempotent."""
         if call.idempotent:
             self.pool(endpoint).abandon(call)
-            self.free_slot(call)
+            self.free_slot(call, monotonic_us())
             self.dispatcher.finish(call, OutcomeUnknown(CANCELLED))
 
     def tidy(self, at: int) -> None:
--- a/packages/forwarding/meadowdock/forwarding/peer_link.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_link.py
@@ -152,7 +152,7 @@
     def __init__(self, peers: Peers, address: str) -> None:
         super().__init__(peers)
         self.address = address
-        self.pending = Slab()
+        self.pending: Slab[Call] = Slab()
         self.unsent: dict[Handle, tuple[Call, bool]] = {}  # and whether it may be queued there
         self.reads_target = False  # the peer's version reads a call's latency target and route
         self.over = False
--- a/packages/forwarding/meadowdock/forwarding/queueing.py
+++ b/packages/forwarding/meadowdock/forwarding/queueing.py
@@ -94,7 +94,7 @@
                 continue
             call.tried_peers.clear()
             call.asked_peers.clear()
-            if no_endpoint or self.dispatcher.choose(call)[0].placement is FORWARD:
+            if no_endpoint or self.dispatcher.choose(call, monotonic_us())[0].placement is FORWARD:
                 self.take_out(call)
                 self.dispatcher.place(call)
 
--- a/packages/forwarding/meadowdock/forwarding/upstream.py
+++ b/packages/forwarding/meadowdock/forwarding/upstream.py
@@ -132,9 +132,8 @@
 
     # ------------------------------------------------------------ sending
 
-    def run(self, call: Call) -> None:
-        """Send a call, which holds a slot already."""
-        at = monotonic_us()
+    def run(self, call: Call, at: int) -> None:
+        """Send a call, which holds a slot since a time."""
         call.dispatched_at = at
         # a call that comes again goes over another connection: on its former one a late second
         # response couldn't be told from the new one
@@ -161,14 +160,14 @@
         """A connection is open: send its call, if that may still run here."""
         self.opening -= 1
         self.connections.add(upstream)
-        call = upstream.call
+        call, at = upstream.call, monotonic_us()
         if call is None or call.on_outcome is None:
             upstream.call = None
-            self.keep(upstream, KEEP_ALIVE_US)
-        elif self.endpoint.removed or self.endpoint.draining or monotonic_us() >= call.deadline:
+            self.keep(upstream, KEEP_ALIVE_US, at)
+        elif self.endpoint.removed or self.endpoint.draining or at >= call.deadline:
             upstream.call = None
-            self.keep(upstream, KEEP_ALIVE_US)
-            self.local_calls.not_run(call, LATE if monotonic_us() >= call.deadline else GONE)
+            self.keep(upstream, KEEP_ALIVE_US, at)
+            self.local_calls.not_run(call, LATE if at >= call.deadline else GONE)
         else:
             self.send(upstream, call)
 
@@ -200,10 +199,11 @@
 
     def answered(self, upstream: UpstreamConnection, call: Call, response: Response) -> None:
         """A response to a call came: is it the call's, and did the call run?"""
+        at = monotonic_us()
         load = reported_load(response.facts.get(self.load_name))
         if load is not None:
-            self.endpoint.reported_load, self.endpoint.reported_load_at = load, monotonic_us()
-        self.keep_or_drop(upstream, call, response)
+            self.endpoint.reported_load, self.endpoint.reported_load_at = load, at
+        self.keep_or_drop(upstream, call, response, at)
         verdict = self.check.verdict(response, call.id, len(upstream.earlier_ids) == 1)
         if verdict is VALID:
             response.lines = self.check.lines_for_caller(response, call.id)
@@ -219,16 +219,18 @@
                 upstream.drop()
             self.dispatcher.outcome_unknown(call, BAD_ANSWER)
 
-    def keep_or_drop(self, upstream: UpstreamConnection, call: Call, response: Response) -> None:
+    def keep_or_drop(
+        self, upstream: UpstreamConnection, call: Call, response: Response, at: int
+    ) -> None:
         """Use the connection again, unless a later response on it could be mistaken for another:
         one without an id can't be told from another call's when it comes again."""
         has_id = self.check.call_id_name in response.facts
         if not has_id or not response.keep_alive or not upstream.reusable(call):
             upstream.drop()
         elif response.keep_alive_s is None:
-            self.keep(upstream, KEEP_ALIVE_US)
+            self.keep(upstream, KEEP_ALIVE_US, at)
         else:
-            self.keep(upstream, response.keep_alive_s * SECOND - KEEP_ALIVE_MARGIN_US)
+            self.keep(upstream, response.keep_alive_s * SECOND - KEEP_ALIVE_MARGIN_US, at)
 
     def overdue(self, call: Call) -> None:
         """The endpoint says nothing by the deadline: its connection can't be used again."""
@@ -247,13 +249,13 @@
 
     # ------------------------------------------------------------ idle connections
 
-    def keep(self, upstream: UpstreamConnection, keep_alive_us: int) -> None:
-        """The connection has no call; use it again within that time."""
+    def keep(self, upstream: UpstreamConnection, keep_alive_us: int, at: int) -> None:
+        """The connection has no call since a time; use it again within so long."""
         assert upstream.connection is not None
         if self.endpoint.removed or keep_alive_us <= 0 or upstream.connection.closed:
             upstream.drop()
             return
-        upstream.idle_until = monotonic_us() + keep_alive_us
+        upstream.idle_until = at + keep_alive_us
         self.idle.append(upstream)
 
     def forget(self, upstream: UpstreamConnection) -> None:
