--- a/packages/forwarding/meadowdock/forwarding/admission.py
+++ b/packages/forwarding/meadowdock/forwarding/admission.py
@@ -26,14 +26,15 @@
         self.services: dict[str, WaitEstimates] = {}
         self.routes: dict[str, CallerTimeouts] = {}
 
-    def averaged_over(self, interval_us: int) -> None:
-        """The load list's interval is another one."""
+    def set_load_interval(self, interval_us: int) -> None:
+        """Average the slots in use over a span that fits the interval of load lists."""
         self.span_us = INTERVALS * interval_us
         for waits in self.services.values():
             waits.span_us = self.span_us
 
-    def keep(self, routes: set[str], services: set[str]) -> None:
-        """Forget what is in force no more, but for services that calls still wait for or hold."""
+    def forget_unused(self, routes: set[str], services: set[str]) -> None:
+        """Forget routes and services that are not configured any more, but for services whose slots are
+        in use or waited for."""
         self.routes = {name: known for name, known in self.routes.items() if name in routes}
         for waits in self.services.values():
             waits.holds = {route: hold for route, hold in waits.holds.items() if route in routes}
@@ -41,7 +42,7 @@
             if not self.services[service].any_in_use() and not len(self.queue(service)):
                 del self.services[service], self.queues[service]
 
-    def waits(self, service: str) -> WaitEstimates:
+    def estimates(self, service: str) -> WaitEstimates:
         """The estimates for a service."""
         found = self.services.get(service)
         if found is None:
@@ -55,39 +56,39 @@
             found = self.queues[service] = WaitQueue()
         return found
 
-    def spent(self, route: str, left_us: int) -> int:
+    def time_spent_us(self, route: str, left_us: int) -> int:
         """How much of its time a caller of this route has probably spent on earlier attempts."""
         timeouts = self.routes.pop(route, None) or CallerTimeouts()
         self.routes[route] = timeouts
         if len(self.routes) > ROUTES_REMEMBERED:
             del self.routes[next(iter(self.routes))]
-        return timeouts.spent(left_us)
+        return timeouts.time_spent_us(left_us)
 
     # ------------------------------------------------------------ slots
 
     def started(self, call: Call, at: int) -> None:
         """The call takes a slot."""
-        self.waits(call.service).entered(call.urgency, at)
+        self.estimates(call.service).slot_taken(call.urgency, at)
 
     def freed(self, call: Call, at: int) -> None:
         """The call gives its slot back."""
-        self.waits(call.service).left(call.urgency, at)
+        self.estimates(call.service).slot_released(call.urgency, at)
 
     def learn(self, call: Call, took_us: int) -> None:
         """The call held its slot for so long, until its answer or, without one, its deadline."""
-        self.waits(call.service).hold(call.route).learn(took_us)
+        self.estimates(call.service).hold(call.route).learn(took_us)
 
     # ------------------------------------------------------------ waiting
 
-    def rate(self, call: Call, at: int) -> None:
+    def estimate(self, call: Call, at: int) -> None:
         """Set how long the call will hold a slot here, and its urgency, as of now."""
-        call.hold_us, call.likely_hold_us = self.waits(call.service).expected(call.route)
+        call.hold_us, call.likely_hold_us = self.estimates(call.service).expected(call.route)
         call.urgency = urgency_of(call, at)
 
     def wait_us(self, call: Call, capacity: int, at: int) -> int:
         """How long the call will likely wait if it joins now."""
         work_us = self.queue(call.service).work_us
-        waits = self.waits(call.service)
+        waits = self.estimates(call.service)
         return waits.wait_us(work_us, call.urgency, call.hold_us, capacity, at)
 
     def may_join(self, call: Call, wait_us: int, at: int) -> bool:
--- a/packages/forwarding/meadowdock/forwarding/caller_timeouts.py
+++ b/packages/forwarding/meadowdock/forwarding/caller_timeouts.py
@@ -20,10 +20,10 @@
     callers with much longer deadlines don't count.
 
     >>> timeouts = CallerTimeouts()
-    >>> timeouts.spent(1500), timeouts.spent(1100), timeouts.spent(1500)
+    >>> timeouts.time_spent_us(1500), timeouts.time_spent_us(1100), timeouts.time_spent_us(1500)
     (0, 400, 0)
-    >>> for _ in range(30): _ = timeouts.spent(1500)
-    >>> timeouts.spent(60_000), timeouts.spent(1500), timeouts.spent(1400)
+    >>> for _ in range(30): _ = timeouts.time_spent_us(1500)
+    >>> timeouts.time_spent_us(60_000), timeouts.time_spent_us(1500), timeouts.time_spent_us(1400)
     (0, 0, 100)
     """
 
@@ -33,7 +33,7 @@
         self.latest: deque[int] = deque(maxlen=SAMPLES)
         self.seen = self.usual_us = 0
 
-    def spent(self, left_us: int) -> int:
+    def time_spent_us(self, left_us: int) -> int:
         """How much of its time a request has probably spent when it comes with so much left."""
         self.latest.append(left_us)
         self.seen += 1
--- a/packages/forwarding/meadowdock/forwarding/dispatcher.py
+++ b/packages/forwarding/meadowdock/forwarding/dispatcher.py
@@ -75,7 +75,7 @@
 
     def dispatch(self, call: Call, at: int) -> None:
         """A call of a caller on this machine."""
-        self.admission.rate(call, at)
+        self.admission.estimate(call, at)
         self.counts["calls"] += 1
         self.figures.arrived(call)
         self.retries.budget(call.service).deposit(at)
@@ -95,7 +95,7 @@
             self.finish(call, Rejected(GONE, 0))
             return
         at = monotonic_us()
-        self.admission.rate(call, at)
+        self.admission.estimate(call, at)
         if endpoint.has_capacity:  # then nobody is in the queue
             self.local_calls.start(call, endpoint)
             return
@@ -264,5 +264,5 @@
 
         :param log_fields: what is known of a service, as fields of a log event
         """
-        self.figures.report(at, log_fields, self.invariants.queue)
-        self.invariants.slots(self.admission, self.calls, at)
+        self.figures.report(at, log_fields, self.invariants.check_queue)
+        self.invariants.check_slots(self.admission, self.calls, at)
--- a/packages/forwarding/meadowdock/forwarding/downstream.py
+++ b/packages/forwarding/meadowdock/forwarding/downstream.py
@@ -177,7 +177,7 @@
 
     # ------------------------------------------------------------ time
 
-    def look(self, at: int) -> None:
+    def check_timeouts(self, at: int) -> None:
         """Bounds on what a caller may take: a head in time, an idle connection for so long."""
         limits, connection = self.gateway.limits, self.connection
         idle = not self.pending and not self.requests.in_progress
--- a/packages/forwarding/meadowdock/forwarding/figures.py
+++ b/packages/forwarding/meadowdock/forwarding/figures.py
@@ -44,7 +44,7 @@
         self.since = monotonic_us()
         self.services: dict[str, dict[int, PriorityFigures]] = {}
 
-    def of(self, call: Call) -> PriorityFigures:
+    def for_call(self, call: Call) -> PriorityFigures:
         """The figures of a call's service and priority since the last report."""
         priorities = self.services.setdefault(call.service, {})
         found = priorities.get(call.priority)
@@ -54,7 +54,7 @@
 
     def arrived(self, call: Call) -> None:
         """A call came here, from a caller or a peer."""
-        figures = self.of(call)
+        figures = self.for_call(call)
         if not call.from_peer:
             figures.arrived += 1
             figures.left_us += call.deadline - call.arrived_at
@@ -63,14 +63,14 @@
 
     def started(self, call: Call, at: int) -> None:
         """A call was given a slot."""
-        figures = self.of(call)
+        figures = self.for_call(call)
         figures.started += 1
         figures.start_wait_us += at - call.arrived_at
         figures.late_starts += at > call.target_deadline
 
     def ended(self, call: Call, at: int) -> None:
         """A call left its slot with an answer."""
-        figures = self.of(call)
+        figures = self.for_call(call)
         if at <= call.target_deadline:
             figures.in_time += 1
             figures.admitted_in_time += call.admitted
@@ -81,11 +81,11 @@
 
     def not_served(self, call: Call) -> None:
         """A queued call is rejected without having been started."""
-        self.of(call).admitted_late += call.admitted
+        self.for_call(call).admitted_late += call.admitted
 
     def rejected(self, call: Call, code: str) -> None:
         """A call was rejected, not run."""
-        self.of(call).rejected[code] += 1
+        self.for_call(call).rejected[code] += 1
 
     def report(
         self,
--- a/packages/forwarding/meadowdock/forwarding/gateway.py
+++ b/packages/forwarding/meadowdock/forwarding/gateway.py
@@ -95,8 +95,8 @@
         self.dispatcher.thresholds = Thresholds(load["phi"], load["omega"], load["stale_us"])
         routes = [route for prefixes in table.routes.values() for route in prefixes.values()]
         self.lowest_priority = max((route.priority for route in routes), default=0)
-        self.admission.averaged_over(load["interval_us"])
-        self.admission.keep({route.name for route in routes}, set(table.services))
+        self.admission.set_load_interval(load["interval_us"])
+        self.admission.forget_unused({route.name for route in routes}, set(table.services))
 
     @property
     def limits(self) -> Limits:
@@ -152,7 +152,7 @@
             call_id,
             head_to_pass_on(request, call_id, self.caller_name, self.dialect),
             total_us,
-            self.admission.spent(route.name, total_us),
+            self.admission.time_spent_us(route.name, total_us),
             self.lowest_priority,
             at,
         )
@@ -171,10 +171,10 @@
     def tidy(self, at: int) -> None:
         """Called every now and then: time-outs, reports, checks."""
         self.dispatcher.report(at, self.slowness.log_fields)
-        self.peers.look(at)
+        self.peers.check_links(at)
         for connection in list(self.connections):
-            connection.look(at)
-        self.dispatcher.local_calls.tidy(at)
+            connection.check_timeouts(at)
+        self.dispatcher.local_calls.close_expired(at)
         self.reactor.end_turn()
 
     def close_idle_connections(self) -> None:
--- a/packages/forwarding/meadowdock/forwarding/invariants.py
+++ b/packages/forwarding/meadowdock/forwarding/invariants.py
@@ -44,17 +44,17 @@
             self.logged_at[name] = at
             self.log(802, invariant=name, count=self.violations[name], **fields)
 
-    def starting(self, call: Call, admission: Admission, at: int) -> None:
+    def check_start(self, call: Call, admission: Admission, at: int) -> None:
         """A call was taken from the queue and is about to start."""
         if at > call.target_deadline and admission.queue(call.service).in_time(call.priority):
             self.violated(LATE_BEFORE_IN_TIME, at, service=call.service, rank=call.priority)
 
-    def woken(self, service: str, waiting: int, has_capacity: bool, at: int) -> None:
+    def check_idle_capacity(self, service: str, waiting: int, has_capacity: bool, at: int) -> None:
         """All that could start has been started."""
         if waiting and has_capacity:
             self.violated(WAITING_WITH_CAPACITY, at, service=service, waiting=waiting)
 
-    def queue(self, service: str, priority: int, figures: PriorityFigures, at: int) -> None:
+    def check_queue(self, service: str, priority: int, figures: PriorityFigures, at: int) -> None:
         """An interval is over: the figures of a service and priority."""
         in_time, late = figures.admitted_in_time, figures.admitted_late
         if late <= in_time or in_time + late < JUDGED_FROM:
@@ -65,11 +65,11 @@
             fields = {"service": service, "rank": priority, "kept": in_time, "broken": late}
             self.violated(QUEUE_OVERCOMMITTED, at, **fields)
 
-    def slots(self, admission: Admission, calls: Iterable[Call], at: int) -> None:
+    def check_slots(self, admission: Admission, calls: Iterable[Call], at: int) -> None:
         """Compare the slots that are held, by service, with the calls under way that hold one."""
         holding = Counter(call.service for call in calls if call.endpoint is not None)
         for service in {*admission.services, *holding}:
-            in_use = sum(slots.level for slots in admission.waits(service).in_use.values())
+            in_use = sum(slots.level for slots in admission.estimates(service).in_use.values())
             if in_use != holding[service]:
                 self.violated(
                     SLOTS_DIFFER, at, service=service, held=in_use, holding=holding[service]
--- a/packages/forwarding/meadowdock/forwarding/local_calls.py
+++ b/packages/forwarding/meadowdock/forwarding/local_calls.py
@@ -89,9 +89,9 @@
             self.free_slot(call, monotonic_us())
             self.dispatcher.finish(call, OutcomeUnknown(CANCELLED))
 
-    def tidy(self, at: int) -> None:
+    def close_expired(self, at: int) -> None:
         """Close idle connections in time, and forget endpoints that are gone."""
         for key, pool in list(self.pools.items()):
-            pool.tidy(at)
+            pool.close_expired(at)
             if pool.endpoint.removed and not pool.connections and not pool.opening:
                 del self.pools[key]
--- a/packages/forwarding/meadowdock/forwarding/peer_link.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_link.py
@@ -270,7 +270,7 @@
             call.tried_peers.add(address)
             self.peers.dispatcher.outcome_unknown(call, LOST)
 
-    def look(self, at: int) -> None:
+    def check_silence(self, at: int) -> None:
         """Check that the peer is reachable, only while something is pending."""
         if not self.ready or not len(self.pending):
             self.received_at = max(self.received_at, at - PING_INTERVAL_US)
--- a/packages/forwarding/meadowdock/forwarding/peers.py
+++ b/packages/forwarding/meadowdock/forwarding/peers.py
@@ -84,12 +84,12 @@
         self.quiet_until[link.address] = monotonic_us() + RECONNECT_PAUSE_US
         self.log(202, peer=link.address, cause=str(cause))
 
-    def look(self, at: int) -> None:
+    def check_links(self, at: int) -> None:
         """Called every now and then: give up links that are silent, open those that ended."""
         paused_us = self.pauses.look(at)  # what peers sent meanwhile is unread
         for link in list(self.outgoing.values()):
             link.received_at += paused_us
-            link.look(at)
+            link.check_silence(at)
         for address, deadline_scope in list(self.quiet_until.items()):
             if at > deadline_scope and address not in self.outgoing:
                 if self.is_listed(address):
--- a/packages/forwarding/meadowdock/forwarding/queueing.py
+++ b/packages/forwarding/meadowdock/forwarding/queueing.py
@@ -72,11 +72,11 @@
             if at > call.position_until:  # its timer comes late: this process was paused
                 self.position_lost(call)
                 continue
-            self.invariants.starting(call, self.admission, at)
+            self.invariants.check_start(call, self.admission, at)
             self.dispatcher.local_calls.start(call, endpoint)
         endpoint = self.registry.local_endpoint(service)
         has_room = endpoint is not None and endpoint.has_capacity
-        self.invariants.woken(service, len(queue), has_room, monotonic_us())
+        self.invariants.check_idle_capacity(service, len(queue), has_room, monotonic_us())
         if len(queue) and endpoint is None:
             self.place_waiting(service)
 
--- a/packages/forwarding/meadowdock/forwarding/slowness.py
+++ b/packages/forwarding/meadowdock/forwarding/slowness.py
@@ -35,7 +35,7 @@
     def hold_us(self, service: str) -> int:
         """The mean time for which a call holds a slot here, as reported on the load list; 0 if it is
         unknown."""
-        return self.admission.waits(service).mean_us()
+        return self.admission.estimates(service).mean_us()
 
     def factor(self, service: str, at: int) -> float:
         """How much longer calls take here than over all nodes of the service, from 1 to
--- a/packages/forwarding/meadowdock/forwarding/upstream.py
+++ b/packages/forwarding/meadowdock/forwarding/upstream.py
@@ -264,7 +264,7 @@
         if upstream in self.idle:
             self.idle.remove(upstream)
 
-    def tidy(self, at: int) -> None:
+    def close_expired(self, at: int) -> None:
         """Close idle connections that the endpoint is about to close, or all once it is gone."""
         for idle in [o for o in self.idle if o.idle_until <= at or self.endpoint.removed]:
             idle.drop()
--- a/packages/forwarding/meadowdock/forwarding/wait_estimates.py
+++ b/packages/forwarding/meadowdock/forwarding/wait_estimates.py
@@ -115,14 +115,14 @@
         known = [hold.mean_us for hold in self.holds.values() if hold.known]
         return sum(known) // len(known) if known else 0
 
-    def entered(self, urgency: int, at: int) -> None:
+    def slot_taken(self, urgency: int, at: int) -> None:
         """A call took a slot."""
         found = self.in_use.get(urgency)
         if found is None:
             found = self.in_use[urgency] = SlotsInUse(at)
         found.change(at, self.span_us, 1)
 
-    def left(self, urgency: int, at: int) -> None:
+    def slot_released(self, urgency: int, at: int) -> None:
         """A call gave its slot back."""
         self.in_use[urgency].change(at, self.span_us, -1)
 
@@ -141,7 +141,7 @@
         >>> waits = WaitEstimates(500_000)
         >>> waits.wait_us({0: 900_000}, 0, 100_000, 10, 0)
         100000
-        >>> for _ in range(5): waits.entered(0, 0)
+        >>> for _ in range(5): waits.slot_taken(0, 0)
         >>> waits.wait_us({2: 90_000}, 2, 10_000, 10, 99_000_000)  # half of the slots go to urgency 0
         20000
         """
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -91,11 +91,11 @@
 def test_slots_that_greater_urgencies_hold_are_not_counted_on():
     waits, work = WaitEstimates(500 * MILLISECOND), {4: 10 * 150 * MILLISECOND}
     for _ in range(12):
-        waits.entered(2, 0)
+        waits.slot_taken(2, 0)
     alone = waits.wait_us(work, 4, 150 * MILLISECOND, 16, 10 * SECOND)
     assert alone == pytest.approx(11 * 150 * MILLISECOND / 4, rel=0.01)
     for _ in range(12):
-        waits.left(2, 10 * SECOND)
+        waits.slot_released(2, 10 * SECOND)
     # ten seconds later nobody of rank 1 has held a slot for long
     idle = waits.wait_us(work, 4, 150 * MILLISECOND, 16, 20 * SECOND)
     assert idle == pytest.approx(11 * 150 * MILLISECOND / 16, rel=0.01)
@@ -109,7 +109,7 @@
 def test_with_all_slots_taken_by_greater_urgencies_the_wait_is_long_but_has_an_end():
     waits = WaitEstimates(500 * MILLISECOND)
     for _ in range(10):
-        waits.entered(0, 0)
+        waits.slot_taken(0, 0)
     assert waits.wait_us({}, 2, 50 * MILLISECOND, 10, 60 * SECOND) == 50 * MILLISECOND / (0.05 * 10)
 
 
@@ -132,7 +132,7 @@
 
 def admission(hold_us, deviation_us=0):
     made = Admission()
-    hold = made.waits("desk").hold("k")
+    hold = made.estimates("desk").hold("k")
     hold.known, hold.mean_us, hold.deviation_us = True, hold_us, deviation_us
     return made
 
@@ -144,14 +144,14 @@
 def test_a_call_joins_if_it_will_likely_end_in_its_aim(wait_ms, deviation_ms, wanted):
     made = admission(400 * MILLISECOND, deviation_ms * MILLISECOND)
     one = call()
-    made.rate(one, 0)
+    made.estimate(one, 0)
     assert made.may_join(one, wait_ms * MILLISECOND, 0) is wanted
 
 
 def test_where_the_aim_can_hardly_be_met_the_mean_decides():
     made = admission(800 * MILLISECOND, 300 * MILLISECOND)
     tight = call()
-    made.rate(tight, 0)
+    made.estimate(tight, 0)
     assert made.may_join(tight, 190 * MILLISECOND, 0)
     assert not made.may_join(tight, 210 * MILLISECOND, 0)
 
@@ -180,53 +180,53 @@
 
 def test_time_spent_on_earlier_tries_is_read_off_the_deadline_and_forgotten_with_the_route():
     made = Admission()
-    assert made.spent("r", 1500) == 0
-    assert made.spent("r", 1100) == 400
-    assert made.spent("other", 1100) == 0
-    made.waits("desk").hold("r").learn(9)
-    made.waits("desk").hold("other").learn(9)
-    made.keep({"other"}, {"desk"})
-    assert made.spent("r", 1100) == 0
-    assert set(made.waits("desk").holds) == {"other"}
+    assert made.time_spent_us("r", 1500) == 0
+    assert made.time_spent_us("r", 1100) == 400
+    assert made.time_spent_us("other", 1100) == 0
+    made.estimates("desk").hold("r").learn(9)
+    made.estimates("desk").hold("other").learn(9)
+    made.forget_unused({"other"}, {"desk"})
+    assert made.time_spent_us("r", 1100) == 0
+    assert set(made.estimates("desk").holds) == {"other"}
 
 
 def test_the_routes_used_last_are_remembered():
     made = Admission()
     for number in range(ROUTES_REMEMBERED):
-        made.spent(str(number), 1500)
-    made.spent("0", 1500)
-    made.spent("one more", 1500)
-    assert made.spent("0", 1100) == 400
-    assert made.spent("1", 1100) == 0
+        made.time_spent_us(str(number), 1500)
+    made.time_spent_us("0", 1500)
+    made.time_spent_us("one more", 1500)
+    assert made.time_spent_us("0", 1100) == 400
+    assert made.time_spent_us("1", 1100) == 0
     assert len(made.routes) == ROUTES_REMEMBERED
 
 
 def test_a_service_is_forgotten_once_nobody_waits_for_it_or_holds_a_slot():
     made, one = Admission(), call()
     made.started(one, 0)
-    made.keep(set(), set())
+    made.forget_unused(set(), set())
     assert "desk" in made.services
     made.freed(one, 1)
     made.queue("desk").join(one)
-    made.keep(set(), set())
+    made.forget_unused(set(), set())
     assert "desk" in made.services
     made.queue("desk").leave(one)
-    made.keep(set(), {"desk"})
+    made.forget_unused(set(), {"desk"})
     assert "desk" in made.services
-    made.keep(set(), set())
+    made.forget_unused(set(), set())
     assert not made.services and not made.queues
 
 
 def test_a_few_callers_with_long_deadlines_make_no_second_tries_of_the_others():
     timeouts = CallerTimeouts()
-    spent = [timeouts.spent(60_000 if n % 20 == 5 else 1500) for n in range(200)]
+    spent = [timeouts.time_spent_us(60_000 if n % 20 == 5 else 1500) for n in range(200)]
     assert spent[100:] == [0] * 100
 
 
 def test_while_one_in_five_is_a_first_try_it_is_told_from_the_others():
     timeouts = CallerTimeouts()
     for n in range(200):
-        spent = timeouts.spent(1500 if n % 5 == 0 else 900)
+        spent = timeouts.time_spent_us(1500 if n % 5 == 0 else 900)
         assert n < 20 or spent == (0 if n % 5 == 0 else 600)
 
 
@@ -234,7 +234,7 @@
     timeouts = CallerTimeouts()
     for left in (1500, 700):
         for _ in range(100):
-            spent = timeouts.spent(left)
+            spent = timeouts.time_spent_us(left)
         assert spent == 0
 
 
@@ -249,7 +249,7 @@
     async def scenario(world):
         host = list(world.application)[0]
         gate = gate_of(world, host)
-        gate.admission.spent("low", 2 * SECOND)
+        gate.admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
         believe_hold(gate, 20 * MILLISECOND)
@@ -268,7 +268,7 @@
     async def scenario(world):
         host = list(world.application)[0]
         gate = gate_of(world, host)
-        gate.admission.spent("low", 2 * SECOND)
+        gate.admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
         believe_hold(gate, 100 * MILLISECOND)
@@ -288,7 +288,7 @@
 def test_a_peer_is_told_the_aim_and_orders_by_it():
     async def scenario(world):
         guest, there = list(world.application)
-        gate_of(world, guest).admission.spent("low", 2 * SECOND)
+        gate_of(world, guest).admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(there)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
         believe_hold(gate_of(world, there), 20 * MILLISECOND)
@@ -333,19 +333,21 @@
     found = Invariants(lambda number, **facts: logged.append((number, facts["invariant"])))
     made = Admission()
     made.queue("desk").join(call(priority=1))
-    found.starting(call(priority=1, target_deadline=5), made, 4)
-    found.starting(call(priority=0, target_deadline=5), made, 6)  # of a higher rank than who waits
+    found.check_start(call(priority=1, target_deadline=5), made, 4)
+    found.check_start(
+        call(priority=0, target_deadline=5), made, 6
+    )  # of a higher rank than who waits
     assert not found.violations
-    found.starting(call(priority=1, target_deadline=5), made, 6)
-    found.starting(call(priority=1, target_deadline=5), made, 7)
-    found.woken("desk", 0, True, 8)
-    found.woken("desk", 1, False, 8)
-    found.woken("desk", 1, True, 8)
+    found.check_start(call(priority=1, target_deadline=5), made, 6)
+    found.check_start(call(priority=1, target_deadline=5), made, 7)
+    found.check_idle_capacity("desk", 0, True, 8)
+    found.check_idle_capacity("desk", 1, False, 8)
+    found.check_idle_capacity("desk", 1, True, 8)
     made.started(call(), 9)
-    found.slots(made, [call()], 10)
+    found.check_slots(made, [call()], 10)
     assert found.violations == {LATE_BEFORE_IN_TIME: 2, WAITING_WITH_CAPACITY: 1, SLOTS_DIFFER: 1}
     assert logged == [(802, LATE_BEFORE_IN_TIME), (802, WAITING_WITH_CAPACITY), (802, SLOTS_DIFFER)]
-    found.starting(call(priority=1, target_deadline=5), made, 6 + SECOND)
+    found.check_start(call(priority=1, target_deadline=5), made, 6 + SECOND)
     assert len(logged) == 4
 
 
@@ -379,7 +381,7 @@
         (5, 6, 1),
         (5, 6, 2),
     ):
-        found.queue("desk", 2, figures(in_time, late), 0)
+        found.check_queue("desk", 2, figures(in_time, late), 0)
         assert found.violations[QUEUE_OVERCOMMITTED] == violations
 
 
--- a/tests/support/gate_beliefs.py
+++ b/tests/support/gate_beliefs.py
@@ -31,7 +31,7 @@
     """The gate's estimate of how long a call of whatever kind holds a slot."""
     for prefixes in gate.table.routes.values():
         for known in prefixes.values():
-            hold = gate.admission.waits(service).hold(known.name)
+            hold = gate.admission.estimates(service).hold(known.name)
             hold.known, hold.mean_us, hold.deviation_us = True, mean_us, 0
 
 
