--- a/tests/project/test_docs.py
+++ b/tests/project/test_docs.py
@@ -5,6 +5,8 @@
 import os
 import re
 
+import pytest
+
 from meadowdock.logs import CATALOGUE
 from meadowdock.outcome import REJECTION_CODES, SECOND
 
@@ -41,3 +43,40 @@
         named = re.findall(r"`((?:packages|platform|tests|deploy|docs)/[^`]*)`", file.read())
     assert len(named) > 30
     assert [path for path in named if not os.path.exists(os.path.join(root, path))] == []
+
+
+ROUTINE = re.compile(r"^Routine, nothing to do: ([\d, ]+)\.$", re.MULTILINE)
+MODULE = re.compile(r"`((?:[a-z_]+/)+(?:[a-z_]+\.py)?)`")
+PACKAGES = sorted(os.listdir(os.path.join(DOCS, "..", "packages")))
+
+
+def page(name):
+    with open(os.path.join(DOCS, name), encoding="utf-8") as file:
+        return file.read()
+
+
+def test_the_on_call_page_has_each_event_once():
+    alarms = [int(row[0].split()[0]) for row in rows("oncall.md") if row[0][:1].isdigit()]
+    routine = [int(number) for number in ROUTINE.search(page("oncall.md"))[1].split(",")]
+    assert sorted(alarms + routine) == sorted(CATALOGUE)
+
+
+def test_the_on_call_page_names_events_as_the_log_does():
+    for row in rows("oncall.md"):
+        found = re.fullmatch(r"(\d{3}) `(\w+)`", row[0])
+        if found:
+            assert CATALOGUE[int(found[1])][0] == found[2]
+
+
+@pytest.mark.parametrize("name", ["oncall.md", "glossary.md"])
+def test_modules_that_a_page_names_are_there(name):
+    named = {path for path in MODULE.findall(page(name)) if path.split("/")[0] in PACKAGES}
+    assert len(named) > 10
+    missing = [
+        path
+        for path in sorted(named)
+        if not os.path.exists(
+            os.path.join(DOCS, "..", "packages", path.split("/")[0], "meadowdock", path)
+        )
+    ]
+    assert missing == []
