--- a/packages/forwarding/meadowdock/forwarding/http.py
+++ b/packages/forwarding/meadowdock/forwarding/http.py
@@ -13,6 +13,8 @@
 
 import httptools
 
+from meadowdock.forwarding.exceptions import RequestRejected, ResponseTooLarge
+
 if TYPE_CHECKING:
     from meadowdock.configuration.items import Limits
 
@@ -38,11 +40,6 @@
 WITHOUT_BODY = (204, 304)  # statuses
 
 
-class RequestRejected(Exception):
-    """Raised inside the parser's callbacks to end the parsing; `RequestParser.error_status` says
-    why."""
-
-
 @dataclass(slots=True)
 class Request:
     """One complete request."""
@@ -195,7 +192,7 @@
     def reject(self, status: int) -> RequestRejected:
         """Remember the status that ends the connection; gives what is to be raised."""
         self.error_status = status
-        return RequestRejected()
+        return RequestRejected(status)
 
 
 @dataclass(slots=True)
@@ -255,7 +252,7 @@
         """A part of the body."""
         self.size += len(body)
         if self.size > self.body_bytes_max:
-            raise ValueError("response over the limit")
+            raise ResponseTooLarge(self.body_bytes_max)
         self.chunks.append(body)
 
     def on_message_complete(self) -> None:
--- a/packages/forwarding/meadowdock/forwarding/peer_frames.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_frames.py
@@ -25,6 +25,7 @@
 import ormsgpack
 
 from meadowdock.forwarding.call import Call, Outcome, OutcomeUnknown, Rejected, Served
+from meadowdock.forwarding.exceptions import PeerProtocolError
 from meadowdock.forwarding.outcome_codes import TOO_LARGE
 from meadowdock.rpc.frame import LENGTH_SIZE, MAX_FRAME_SIZE, TAG_SIZE, FrameAuthenticator
 from meadowdock.runtime import MILLISECOND
@@ -51,20 +52,20 @@
         """The proved frames in data. Each is opened once those before it are dealt with, since they
         may change the proof.
 
-        :raises ValueError: a frame is too long or fails its proof
+        :raises PeerProtocolError: a frame is too long or fails its proof
         """
         data = self.partial + data if self.partial else data
         start, size = 0, len(data)
         while size - start >= LENGTH_SIZE:
             length = int.from_bytes(data[start : start + LENGTH_SIZE], "big")
             if length > MAX_FRAME_SIZE:
-                raise ValueError(f"frame of {length} bytes, {MAX_FRAME_SIZE} at most")
+                raise PeerProtocolError(f"frame of {length} bytes, {MAX_FRAME_SIZE} at most")
             end = start + LENGTH_SIZE + TAG_SIZE + length
             if end > size:
                 break
             body = self.proof.open(data[start + LENGTH_SIZE : end])
             if body is None:
-                raise ValueError("frame fails its proof")
+                raise PeerProtocolError("frame fails its proof")
             start = end
             yield ormsgpack.unpackb(body)
         self.partial = data[start:] if start else data
--- a/packages/forwarding/meadowdock/forwarding/peer_link.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_link.py
@@ -13,6 +13,7 @@
 import ormsgpack
 
 from meadowdock.forwarding.call import Call, Outcome, Rejected, Served
+from meadowdock.forwarding.exceptions import PeerProtocolError
 from meadowdock.forwarding.outcome_codes import LOST
 from meadowdock.forwarding.peer_frames import (
     CALL,
@@ -128,7 +129,7 @@
     def on_greeting(self, frame: Frame) -> None:
         """A frame before the link is ready.
 
-        :raises ValueError: the other side doesn't know the fleet key
+        :raises PeerProtocolError: the other side doesn't know the fleet key
         """
         raise NotImplementedError
 
@@ -181,7 +182,7 @@
         _, peer_nonce, name, proof = frame
         facts = (self.nonce, peer_nonce, self.peers.name.encode(), name.encode())
         if not hmac.compare_digest(proof, derive_key(self.peers.key, b"answerer", *facts)):
-            raise ValueError("the peer doesn't know the fleet key")
+            raise PeerProtocolError("the peer doesn't know the fleet key")
         self.send_now([PROVED, derive_key(self.peers.key, b"opener", *facts), monotonic_us()])
         self.greeted(facts)
         self.peers.link_ready(self)
@@ -301,10 +302,10 @@
             self.answer_hello(frame)
             return
         if not hmac.compare_digest(frame[1], derive_key(self.peers.key, b"opener", *self.greeting)):
-            raise ValueError("the opener doesn't know the fleet key")
+            raise PeerProtocolError("the opener doesn't know the fleet key")
         at = monotonic_us()
         if at - self.greeted_at > GREETING_TIMEOUT_US:
-            raise ValueError("the greeting took too long")  # and calls behind it as long
+            raise PeerProtocolError("the greeting took too long")  # and calls behind it as long
         if len(frame) > 2:  # else of the former version, which sent no time here
             self.lag.measure(frame[2], at)  # so that the first call's delay is seen, too
         self.greeted(self.greeting)
@@ -314,7 +315,7 @@
         """Prove to the opener that this node knows the fleet key."""
         _, magic, peer_nonce, name = frame
         if magic != MAGIC:
-            raise ValueError(f"not a link between gateways: {magic!r}")
+            raise PeerProtocolError(f"not a link between gateways: {magic!r}")
         own_name = self.peers.name
         self.greeting = (peer_nonce, self.nonce, name.encode(), own_name.encode())
         proof = derive_key(self.peers.key, b"answerer", *self.greeting)
--- a/tests/forwarding/test_peer_frames.py
+++ b/tests/forwarding/test_peer_frames.py
@@ -5,6 +5,7 @@
 import pytest
 
 from meadowdock.forwarding.call import Call, OutcomeUnknown, Rejected, Served
+from meadowdock.forwarding.exceptions import PeerProtocolError
 from meadowdock.forwarding.peer_frames import (
     CALL_SIZE_MAX,
     DEADLINE_MARGIN_US,
@@ -118,5 +119,5 @@
         sealed(b"\x91\x01", b"\x91\x02")[-len(sealed(b"\x91\x02")) :],
     )
     for data in (first[:-1] + b"\x09", second, b"\xff\xff\xff\xff" + first):
-        with pytest.raises(ValueError, match="frame"):
+        with pytest.raises(PeerProtocolError, match="frame"):
             list(FrameReader(FrameAuthenticator(b"k" * 32, b"out")).feed(data))
