--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -78,7 +78,7 @@
     assert queue.work_us == {0: 15, 1: 7}
 
 
-def test_who_can_still_end_in_its_aim_is_counted_up_to_a_rank():
+def test_who_can_still_meet_its_target_is_counted_up_to_a_priority():
     queue = WaitQueue()
     for urgency in (0, 1, 2, 4):
         queue.join(call(urgency=urgency))
@@ -141,14 +141,14 @@
     ("wait_ms", "deviation_ms", "wanted"),
     [(590, 0, True), (610, 0, False), (490, 50, True), (510, 50, False)],
 )
-def test_a_call_joins_if_it_will_likely_end_in_its_aim(wait_ms, deviation_ms, wanted):
+def test_a_call_joins_if_it_will_likely_meet_its_target(wait_ms, deviation_ms, wanted):
     made = admission(400 * MILLISECOND, deviation_ms * MILLISECOND)
     one = call()
     made.estimate(one, 0)
     assert made.may_join(one, wait_ms * MILLISECOND, 0) is wanted
 
 
-def test_where_the_aim_can_hardly_be_met_the_mean_decides():
+def test_where_the_target_can_hardly_be_met_the_mean_decides():
     made = admission(800 * MILLISECOND, 300 * MILLISECOND)
     tight = call()
     made.estimate(tight, 0)
@@ -165,7 +165,7 @@
     assert not made.may_join(late, 310 * MILLISECOND, 0)
 
 
-def test_a_place_is_kept_while_the_aim_can_be_met_and_a_late_one_while_it_may_wait():
+def test_a_position_is_kept_while_the_target_can_be_met_and_a_late_one_while_it_may_wait():
     made = admission(400 * MILLISECOND)
     for facts, until_ms in (
         ({}, 600),
@@ -178,7 +178,7 @@
         )
 
 
-def test_time_spent_on_earlier_tries_is_read_off_the_deadline_and_forgotten_with_the_route():
+def test_time_spent_on_earlier_attempts_is_read_off_the_deadline_and_forgotten_with_the_route():
     made = Admission()
     assert made.time_spent_us("r", 1500) == 0
     assert made.time_spent_us("r", 1100) == 400
@@ -217,13 +217,13 @@
     assert not made.services and not made.queues
 
 
-def test_a_few_callers_with_long_deadlines_make_no_second_tries_of_the_others():
+def test_a_few_callers_with_long_deadlines_make_no_retries_of_the_others():
     timeouts = CallerTimeouts()
     spent = [timeouts.time_spent_us(60_000 if n % 20 == 5 else 1500) for n in range(200)]
     assert spent[100:] == [0] * 100
 
 
-def test_while_one_in_five_is_a_first_try_it_is_told_from_the_others():
+def test_while_one_in_five_is_a_first_attempt_it_is_told_from_the_others():
     timeouts = CallerTimeouts()
     for n in range(200):
         spent = timeouts.time_spent_us(1500 if n % 5 == 0 else 900)
@@ -245,7 +245,7 @@
 ONE_SLOT = {"slots": 1, "work_us": works(longlow=300, low=10)}
 
 
-def test_a_second_try_goes_behind_a_first_one_of_its_rank():
+def test_a_retry_goes_behind_a_first_attempt_of_its_priority():
     async def scenario(world):
         host = list(world.application)[0]
         gate = gate_of(world, host)
@@ -264,7 +264,7 @@
     gated(scenario, application=("desk",), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
 
 
-def test_a_call_whose_aim_passes_in_the_queue_goes_behind_one_that_can_be_in_time():
+def test_a_call_whose_target_passes_in_the_queue_goes_behind_one_that_can_be_in_time():
     async def scenario(world):
         host = list(world.application)[0]
         gate = gate_of(world, host)
@@ -285,7 +285,7 @@
     gated(scenario, application=("desk",), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
 
 
-def test_a_peer_is_told_the_aim_and_orders_by_it():
+def test_a_peer_gets_the_target_and_orders_by_it():
     async def scenario(world):
         guest, there = list(world.application)
         gate_of(world, guest).admission.time_spent_us("low", 2 * SECOND)
@@ -303,7 +303,7 @@
     gated(scenario, application=("", "desk"), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
 
 
-def test_a_slot_held_without_an_answer_counts_for_how_long_slots_are_held():
+def test_a_slot_in_use_without_an_answer_counts_for_the_hold_time():
     async def scenario(world):
         host = list(world.application)[0]
         gate, end = gate_of(world, host), world.ends[host]
@@ -385,7 +385,7 @@
         assert found.violations[QUEUE_OVERCOMMITTED] == violations
 
 
-def test_what_was_let_in_and_not_served_in_its_aim_is_counted():
+def test_what_was_admitted_and_missed_its_target_is_counted():
     async def scenario(world):
         host = list(world.application)[0]
         gate = gate_of(world, host)
--- a/tests/forwarding/test_endpoint_faults.py
+++ b/tests/forwarding/test_endpoint_faults.py
@@ -255,7 +255,7 @@
 
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_neighbour_in_trouble(trouble, seed):
+def test_a_faulty_peer(trouble, seed):
     """What may be repeated goes on elsewhere within a second, the rest is told that nobody knows."""
 
     async def scenario(world):
@@ -306,7 +306,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_gate_that_stood_still_blames_no_neighbour(seed):
+def test_a_gateway_that_was_paused_blames_no_peer(seed):
     async def scenario(world):
         home, there = hosts(world)
         made = (await world.caller(home)).ask(b"/once/x", due_ms=5000)
@@ -338,7 +338,7 @@
     gated(scenario, seed, application=("", "desk", "desk"), endpoint={"slots": 20})
 
 
-def test_a_hundred_neighbours_that_answer_nothing_are_passed_over_in_one_turn():
+def test_hundreds_of_peers_that_answer_nothing_are_passed_over_in_one_turn():
     from meadowdock.load_sharing import LoadList, NodeLoad
 
     async def scenario(world):
@@ -360,7 +360,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_neighbours_endpoint_that_turns_calls_away_counts_as_a_try(seed):
+def test_a_peers_endpoint_that_rejects_calls_counts_as_an_attempt(seed):
     async def scenario(world):
         home = hosts(world)[0]
         for end in world.ends.values():
--- a/tests/forwarding/test_gateway.py
+++ b/tests/forwarding/test_gateway.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_call_is_answered_whole_by_the_endpoint_at_home(seed):
+def test_a_call_gets_the_complete_answer_of_the_local_endpoint(seed):
     async def scenario(world):
         host = hosts(world)[0]
         made = await asked(world, host, target=b"/p/a%20b?x=1&y=%2F", method=b"POST", body=b"\x00b")
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_home_is_kept_below_omega_and_offloading_spills_round_robin(seed):
+def test_calls_stay_local_below_omega_and_offloading_relocates_round_robin(seed):
     async def scenario(world):
         home, b, c, d = hosts(world)
         gate = gate_of(world, home)
@@ -217,7 +217,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_what_no_slot_is_free_for_waits_and_is_then_told_that_it_did_not_run(seed):
+def test_what_no_slot_is_free_for_waits_and_is_then_rejected_as_not_run(seed):
     async def scenario(world):
         host = hosts(world)[0]
         caller = await world.caller(host)
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_waiting_call_starts_as_soon_as_a_slot_is_free_the_higher_rank_first(seed):
+def test_a_waiting_call_starts_as_soon_as_a_slot_is_free_the_higher_priority_first(seed):
     ranked = route("low", prefix="/low/", priority=3)
 
     async def scenario(world):
@@ -275,7 +275,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_caller_that_hangs_up_frees_its_place_in_line(seed):
+def test_a_caller_that_hangs_up_frees_its_position_in_the_queue(seed):
     async def scenario(world):
         host = hosts(world)[0]
         running, waiting, third = [await world.caller(host) for _ in range(3)]
@@ -296,7 +296,7 @@
     )
 
 
-def test_a_caller_that_hangs_up_mid_run_leaves_no_slot_held():
+def test_a_caller_that_hangs_up_mid_run_leaves_no_slot_in_use():
     async def scenario(world):
         host = hosts(world)[0]
         for target in (b"/p/x", b"/paper/x"):
@@ -354,7 +354,7 @@
     gated(scenario, application=("desk", "desk"))
 
 
-def test_a_waiting_call_goes_to_a_neighbour_as_soon_as_one_is_known():
+def test_a_waiting_call_goes_to_a_peer_as_soon_as_one_is_known():
     async def scenario(world):
         home, other = hosts(world)
         gate = gate_of(world, home)
@@ -461,7 +461,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_second_tries_stay_within_the_fleets_budget(seed):
+def test_retries_stay_within_the_fleets_budget(seed):
     terms = {"ratio": 0.2, "window_us": 2 * SECOND, "reserve": 12}
 
     async def scenario(world):
--- a/tests/forwarding/test_gateway_http.py
+++ b/tests/forwarding/test_gateway_http.py
@@ -47,7 +47,7 @@
     gated(scenario, application=("desk",))
 
 
-def test_lines_of_one_connection_are_not_passed_on_others_are():
+def test_hop_by_hop_headers_are_not_passed_on_others_are():
     async def scenario(world):
         lines = [
             (b"Connection", b"x-mine, keep-alive"),
@@ -157,7 +157,7 @@
     gated(scenario, application=("desk",))
 
 
-def test_a_head_that_takes_too_long_is_told_so_an_idle_connection_is_closed():
+def test_a_head_that_takes_too_long_is_answered_so_and_an_idle_connection_is_closed():
     async def scenario(world):
         begun = monotonic_us()
         status, closed, _ = await raw(world, b"GET /p/x HTTP/1.1\r\nHost: h", 4 * SECOND)
--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_call_without_a_home_goes_round_the_accepting_nodes_of_its_zone(seed):
+def test_a_call_without_a_local_endpoint_goes_round_the_accepting_nodes_of_its_zone(seed):
     async def scenario(world):
         guest, *ends = hosts(world)
         told = gate_of(world, guest).loads.nodes["desk"]
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_call_with_a_home_is_sent_away_whatever_the_zone(seed):
+def test_a_call_with_a_local_endpoint_is_relocated_whatever_the_zone(seed):
     async def scenario(world):
         home, *others = hosts(world)
         assert len({world.halls[h] for h in others}) == 3
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_full_home_with_nobody_accepting_gives_a_call_to_a_neighbour_with_a_free_slot(seed):
+def test_a_full_endpoint_with_nobody_accepting_gives_a_call_to_a_peer_with_a_free_slot(seed):
     async def scenario(world):
         home, other = hosts(world)
         hold(world)
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_neighbour_below_1_without_a_free_slot_refuses_and_the_call_waits_at_home(seed):
+def test_a_peer_below_1_without_a_free_slot_rejects_and_the_call_waits_at_its_node(seed):
     async def scenario(world):
         home, other = hosts(world)
         hold(world)
@@ -269,7 +269,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_line_at_a_neighbour_is_ordered_by_rank(seed):
+def test_a_queue_at_a_peer_is_ordered_by_priority(seed):
     async def scenario(world):
         guest, there = hosts(world)
         first, *callers = [await world.caller(guest) for _ in range(5)]
@@ -298,7 +298,7 @@
 @pytest.mark.parametrize(
     ("mean_ms", "low", "high"), [(290, 200, 200), (310, 503, 200), (490, 503, 200), (510, 503, 503)]
 )
-def test_a_call_joins_a_line_only_if_it_will_likely_be_served_early(mean_ms, low, high, away):
+def test_a_call_joins_a_queue_only_if_it_will_likely_be_served_early(mean_ms, low, high, away):
     """Within 0.3 of the aim (1 s) at the lowest rank, 0.6 above, and if it will end in its aim,
     which here it does up to 500 ms of waiting and as much of work; else it is told at once."""
 
@@ -328,7 +328,7 @@
 
 
 @pytest.mark.parametrize("away", (False, True))
-def test_a_call_leaves_the_line_when_it_cannot_be_served_in_time_any_more(away):
+def test_a_call_leaves_the_queue_when_it_cannot_be_served_in_time_any_more(away):
     async def scenario(world):
         guest, there = hosts(world)
         held = await occupied(world, there, 50 * MILLISECOND)
@@ -352,7 +352,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_at_most_two_neighbours_are_asked_to_let_a_call_wait(seed):
+def test_at_most_two_peers_are_asked_to_queue_a_call(seed):
     async def scenario(world):
         guest, *ends = hosts(world)
         held = []
@@ -386,7 +386,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_neighbours_call_in_line_is_not_spilled_again_and_not_run_when_its_endpoint_leaves(seed):
+def test_a_peers_queued_call_is_not_relocated_again_and_not_run_when_its_endpoint_leaves(seed):
     async def scenario(world):
         guest, full, free = hosts(world)
         hold(world)
@@ -749,7 +749,7 @@
 # ---------------------------------------------------------------- idle connections
 
 
-def test_how_long_a_connection_is_kept_is_told_and_held_and_none_under_way_is_closed():
+def test_the_announced_keep_alive_is_kept_and_no_connection_with_a_call_is_closed():
     patient = {**LIMITS, "spec": {**LIMITS["spec"], "idle_us": 60 * SECOND}}
 
     async def scenario(world):
--- a/tests/forwarding/test_reactor.py
+++ b/tests/forwarding/test_reactor.py
@@ -15,7 +15,7 @@
         self.flushed += 1
 
 
-def test_timers_fire_in_order_of_due_and_never_when_cancelled():
+def test_timers_run_in_order_of_time_and_never_when_cancelled():
     reactor, seen = Reactor(), []
     reactor.at(30, lambda: seen.append(30))
     reactor.at(10, lambda: seen.append(10))
--- a/tests/forwarding/test_response_matching.py
+++ b/tests/forwarding/test_response_matching.py
@@ -170,7 +170,7 @@
     gated(scenario, application=("desk", "desk"), tries=TRIES)
 
 
-def test_after_a_run_that_may_have_been_a_refusal_is_no_promise():
+def test_after_a_run_that_may_have_been_a_rejection_is_no_promise():
     async def scenario(world):
         await budgeted(world)
         left = ["reset"]
@@ -336,7 +336,7 @@
     gated(scenario, application=("", "desk", "desk"), endpoint={"work_us": 300 * MILLISECOND})
 
 
-def test_a_refusal_that_comes_after_the_due_is_still_true():
+def test_a_rejection_that_comes_after_the_deadline_is_still_true():
     async def scenario(world):
         home, peer = hosts(world)
         await ready_link(world, home, peer)
