--- a/packages/config_store/meadowdock/config_store/broadcast.py
+++ b/packages/config_store/meadowdock/config_store/broadcast.py
@@ -109,4 +109,6 @@
         async def write_at(address: str) -> None:
             await self.server.node.rpc.call(address, "audit.put", records, deadline)
 
-        await self.write_to_quorum(lambda: self.server.store.trail.put(records), write_at, deadline)
+        await self.write_to_quorum(
+            lambda: self.server.store.audit_log.put(records), write_at, deadline
+        )
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -244,7 +244,7 @@
         async with trio.open_nursery() as nursery:
             for body in bodies:
                 nursery.start_soon(run_write, self.server.store.put_blob, body)
-            nursery.start_soon(run_write, self.server.store.trail.put, records)
+            nursery.start_soon(run_write, self.server.store.audit_log.put, records)
         if failures:
             raise failures[0]
 
--- a/packages/config_store/meadowdock/config_store/lease.py
+++ b/packages/config_store/meadowdock/config_store/lease.py
@@ -56,7 +56,7 @@
         return first
 
 
-class LeaseRegister:
+class LeaseService:
     """The register's side of leases, at one mdconf."""
 
     handlers = Handlers()
--- a/packages/config_store/meadowdock/config_store/operator_api.py
+++ b/packages/config_store/meadowdock/config_store/operator_api.py
@@ -164,7 +164,7 @@
 
 def plan_expired(plan_id: str) -> Response:
     """The answer to the commit of a plan that is too old."""
-    detail = f"a plan can be confirmed for {repair.PLAN_LIFE // SECOND} s; plan again"
+    detail = f"a plan can be confirmed for {repair.PLAN_LIFETIME_US // SECOND} s; plan again"
     return Response(410, {"code": "plan_expired", "plan": plan_id, "detail": detail})
 
 
@@ -242,7 +242,7 @@
     """The audit records up to the current revision, with the public key and the trail's anchor."""
     deadline = monotonic_us() + server.operator_timing.change_us
     current = await server.revisions.read(deadline)
-    state, records = await server.trail.records(current.version, deadline)
+    state, records = await server.audit_log_transfer.records(current.version, deadline)
     if current.audit_record:
         records[current.version] = current.audit_record
     return Response(
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -208,14 +208,14 @@
 
     def is_expired(self, plan: Plan) -> bool:
         """Whether a plan is older than a plan may be."""
-        return self.server.node.runtime.wall_us() - plan.created_us > repair.PLAN_LIFE
+        return self.server.node.runtime.wall_us() - plan.created_us > repair.PLAN_LIFETIME_US
 
     async def version_after_conflict(self, plan_id: str, plan: Plan, current: Revision) -> int:
         """The version that the plan became: an earlier attempt at this very change may have been
         committed, and others after it.
 
         :raises PlanOutdated: it was not committed
-        :raises PlanExpired: the audit trail begins too late to tell
+        :raises PlanExpired: the audit log begins too late to tell
         :raises OutcomeUnknown: this can't be told now
         """
         try:
@@ -224,7 +224,7 @@
             raise OutcomeUnknown(plan_id) from None
         if version:
             return version
-        if plan.base + 1 < self.server.store.trail.first:
+        if plan.base + 1 < self.server.store.audit_log.first_version:
             raise PlanExpired(plan_id) from None
         changed_since = await self.changes_since(plan.base, current)
         raise PlanOutdated(plan_id, plan.base, current.version, changed_since) from None
@@ -246,7 +246,7 @@
         for known, plan_id in current.history:
             if known == version:
                 return plan_id
-        record = await self.server.trail.record(version, deadline)
+        record = await self.server.audit_log_transfer.record(version, deadline)
         return str(audit.read_payload(record)["plan"]) if record else None
 
     async def status(self, plan_id: str) -> PlanStatus:
--- a/packages/config_store/meadowdock/config_store/repair.py
+++ b/packages/config_store/meadowdock/config_store/repair.py
@@ -11,8 +11,8 @@
 PACE = SECOND
 FILES_A_TURN = 8
 RANGES = 16
-PLAN_LIFE = 600 * SECOND  # so long an unconfirmed plan can be confirmed
-RANGES_KEPT = 32  # versions whose range files are kept, to tell what changed since
+PLAN_LIFETIME_US = 600 * SECOND  # so long an unconfirmed plan can be confirmed
+RETAINED_VERSIONS = 32  # versions whose range files are kept, to tell what changed since
 COMPARE_WAIT = SECOND
 
 
@@ -48,9 +48,9 @@
 
     async def scrub(self):
         """The next few files, in turn: a key is written again from what this process knows, a
-        range file is fetched, a segment of the audit trail counts as missing and is pulled."""
+        range file is fetched, a segment of the audit log counts as missing and is pulled."""
         acceptor = self.store.acceptor
-        segments = self.store.trail.segments
+        segments = self.store.audit_log.segments
         names = [*sorted(acceptor.keys), *await self.store.names(), *sorted(segments)]
         start = self.turn * FILES_A_TURN % max(1, len(names))
         # on from the front when the end is reached: else the first files come up in few turns only
@@ -59,11 +59,11 @@
                 if await acceptor.rewrite_if_damaged(name):
                     self.mended("key_file", key=acceptor.keys[name])
             elif name in segments:
-                await self.store.trail.read_segment(name)
+                await self.store.audit_log.read_segment(name)
             elif await self.store.blob(name) is None:
-                await self.refetch([name])
+                await self.restore_chunks([name])
 
-    async def refetch(self, names):
+    async def restore_chunks(self, names):
         """Missing or rotten range files, from other members; true if all are whole now."""
         bodies = await self.fetch(names)
         for body in bodies.values():
@@ -96,7 +96,7 @@
             theirs = await self.ask(address, "mend.digests", None)
             for span, (mine, other) in enumerate(zip(self.digests(), theirs, strict=True)):
                 if mine != other:
-                    await self.mend_keys(await self.ask(address, "mend.keys", span))
+                    await self.repair_keys(await self.ask(address, "mend.keys", span))
         except (ConnectionFailed, Rejected):
             pass
 
@@ -104,7 +104,7 @@
         """Call one member."""
         return await self.node.rpc.call(address, method, args, monotonic_us() + COMPARE_WAIT)
 
-    async def mend_keys(self, theirs):
+    async def repair_keys(self, theirs):
         """Take newer accepted pairs, as if their writes had come late."""
         for key, (ballot, value) in theirs.items():
             try:
@@ -128,11 +128,11 @@
 
     # ------------------------------------------------------------ what nobody needs
 
-    async def sweep(self, revision, find_plan):
+    async def remove_unreferenced_chunks(self, revision, find_plan):
         """Removes old files. revision was read from a quorum just now."""
         plans = {plan for _, plan in revision.history}
         kept = plans | set(revision.chunks)
-        for _, plan in revision.history[-RANGES_KEPT:]:
+        for _, plan in revision.history[-RETAINED_VERSIONS:]:
             if plan not in self.ranges_of:
                 found = await find_plan(plan)
                 if found is None:
@@ -141,5 +141,5 @@
             kept.update(self.ranges_of[plan])
         self.ranges_of = {p: r for p, r in self.ranges_of.items() if p in plans}
         for name in await self.store.names():
-            if name not in kept and await self.store.drop_idle(name, 2 * PLAN_LIFE):
+            if name not in kept and await self.store.drop_idle(name, 2 * PLAN_LIFETIME_US):
                 self.counts["removed"] += 1
--- a/packages/config_store/meadowdock/config_store/revision.py
+++ b/packages/config_store/meadowdock/config_store/revision.py
@@ -16,7 +16,7 @@
 from meadowdock.runtime import fingerprint
 
 PLAN_ID_LENGTH = 32  # hexadecimal digits of a fingerprint
-HISTORY_LENGTH = repair.RANGES_KEPT  # revisions whose plans the current one names
+HISTORY_LENGTH = repair.RETAINED_VERSIONS  # revisions whose plans the current one names
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/config_store/meadowdock/config_store/revision_reader.py
+++ b/packages/config_store/meadowdock/config_store/revision_reader.py
@@ -105,7 +105,9 @@
                 try:
                     revision = await self.read(monotonic_us() + REFRESH_TIMEOUT_US)
                     await self.fetch_missing_chunks(revision)
-                    await self.server.repairer.sweep(revision, self.server.plans.find)
+                    await self.server.repairer.remove_unreferenced_chunks(
+                        revision, self.server.plans.find
+                    )
                 except NoQuorum:
                     pass
             await sleep_us(REFRESH_INTERVAL_US)
@@ -116,5 +118,5 @@
             return
         names = [*revision.chunks, *([revision.plan_id] if revision.plan_id else [])]
         missing = await self.server.store.missing(names)
-        if not missing or await self.server.repairer.refetch(missing):
+        if not missing or await self.server.repairer.restore_chunks(missing):
             self.complete_version = revision.version
--- a/packages/config_store/meadowdock/config_store/rpc_handlers.py
+++ b/packages/config_store/meadowdock/config_store/rpc_handlers.py
@@ -66,4 +66,4 @@
         :raises Rejected: "disk" if they can't be written
         """
         with disk_failures_rejected():
-            await self.server.store.trail.put(records)
+            await self.server.store.audit_log.put(records)
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -11,6 +11,7 @@
 
 from meadowdock import process
 from meadowdock.config_store import operator_api
+from meadowdock.config_store.audit_log_transfer import AuditLogTransfer
 from meadowdock.config_store.audit_records import AuditSigner
 from meadowdock.config_store.broadcast import Broadcast, IsEnough
 from meadowdock.config_store.chunks import ChunkService
@@ -18,7 +19,7 @@
 from meadowdock.config_store.handover import Handover
 from meadowdock.config_store.item_changes import ItemChanges
 from meadowdock.config_store.item_snapshot import ItemSnapshot
-from meadowdock.config_store.lease import LeaseRegister
+from meadowdock.config_store.lease import LeaseService
 from meadowdock.config_store.members import Members
 from meadowdock.config_store.plans import Plans
 from meadowdock.config_store.quorum_monitor import QuorumMonitor
@@ -28,7 +29,6 @@
 from meadowdock.config_store.rpc_handlers import RevisionHandlers
 from meadowdock.config_store.store import HEAD, Store
 from meadowdock.config_store.timing import OperatorTiming
-from meadowdock.config_store.trail_transfer import TrailTransfer
 from meadowdock.consensus import NoQuorum
 from meadowdock.runtime import SECOND, monotonic_us
 
@@ -53,14 +53,16 @@
         self.broadcast = Broadcast(self)
         self.chunks = ChunkService(node, self.store, self.broadcast.peers)
         self.repairer = Repairer(node, self.store, self.broadcast.peers, self.chunks.fetch)
-        self.trail = TrailTransfer(node, self.store, self.broadcast.peers, self.repairer.mended)
+        self.audit_log_transfer = AuditLogTransfer(
+            node, self.store, self.broadcast.peers, self.repairer.mended
+        )
         self.revisions = RevisionReader(self)
         self.audit_signer = AuditSigner(node)
         self.plans = Plans(self)
         self.item_snapshot = ItemSnapshot(self.chunks)
         self.item_changes = ItemChanges(self)
         self.delivery = Delivery(node)
-        self.leases = LeaseRegister(self)
+        self.leases = LeaseService(self)
         self.quorum_monitor = QuorumMonitor(self)
         self.handover = Handover(self)
         self.revision_handlers = RevisionHandlers(self)
@@ -73,9 +75,9 @@
             | self.member_handlers()
             | Repairer.handlers.bind(self.repairer)
             | ItemChanges.handlers.bind(self.item_changes)
-            | TrailTransfer.handlers.bind(self.trail)
+            | AuditLogTransfer.handlers.bind(self.audit_log_transfer)
             | ChunkService.handlers.bind(self.chunks)
-            | LeaseRegister.handlers.bind(self.leases)
+            | LeaseService.handlers.bind(self.leases)
         )
 
     async def prepare(self) -> None:
@@ -91,7 +93,7 @@
             "head": self.revisions.run,
             "roster": self.delivery.run,
             "repairer": self.repairer.run,
-            "trail": self.trail.run,
+            "trail": self.audit_log_transfer.run,
         }
 
     # ------------------------------------------------------------ operators
@@ -157,7 +159,7 @@
     # ------------------------------------------------------------ state transfer
 
     async def transfer_files(self, deadline: int, enough: IsEnough | None = None) -> None:
-        """Transfer the audit trail and the chunks of the current revision, until enough(disk ids
+        """Transfer the audit log and the chunks of the current revision, until enough(disk ids
         that hold them); without it, until all newcomers and a quorum of both sides do.
 
         :raises NoQuorum: they are on too few members by the deadline
@@ -165,7 +167,9 @@
         enough = enough or self.transferred(self.store.membership)
         assert self.proposer is not None
         current = Revision.from_record(await self.proposer.read(HEAD, deadline))
-        await self.trail.carry(partial(self.broadcast.write_to_quorum, is_enough=enough), deadline)
+        await self.audit_log_transfer.transfer_to_quorum(
+            partial(self.broadcast.write_to_quorum, is_enough=enough), deadline
+        )
         plan_ids = (plan_id for _, plan_id in current.history)
         bodies = await self.chunks.fetch(sorted({*current.chunks, *plan_ids}))
         if not set(current.chunks) <= set(bodies):
--- a/packages/config_store/meadowdock/config_store/status.py
+++ b/packages/config_store/meadowdock/config_store/status.py
@@ -35,7 +35,7 @@
         "members_change": membership.next_voters if membership else None,
         "disk_here": server.store.files.wrong() or "good",
         "mended_here": dict(server.repairer.counts),
-        "catching_up": {"audit_records": len(server.store.trail.missing(revision.version))},
+        "catching_up": {"audit_records": len(server.store.audit_log.missing(revision.version))},
         "regs": {
             address: {field: table[field] for field in REGISTRY_FIELDS}
             for address, table in node_tables.items()
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -7,8 +7,8 @@
 import ormsgpack
 import trio
 
+from meadowdock.config_store.audit_log import AuditLog
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
-from meadowdock.config_store.trail import AuditTrail
 from meadowdock.consensus import NO_LOSSES, Acceptor, VoterSets
 from meadowdock.rpc import Rejected
 from meadowdock.runtime import SECOND, fingerprint, monotonic_us, sealed, unsealed
@@ -38,7 +38,7 @@
         self.disk = None
         self.membership: MembershipConfiguration | None = None
         self.tolerance = NO_LOSSES
-        self.trail = AuditTrail(self.files)
+        self.audit_log = AuditLog(self.files)
 
     async def load(self):
         """Read the disk: record, trail, keys and disk id. A disk that lost something becomes another."""
@@ -50,7 +50,7 @@
                 self.membership = MembershipConfiguration.from_record(ormsgpack.unpackb(body))
                 break
         forgot = bool(versions) and (body is None or version != versions[-1])
-        await self.trail.load()
+        await self.audit_log.load()
         kept = unsealed(await self.files.read("disk"))
         await self.acceptor.load()
         lost = self.acceptor.lost_keys()
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit trail of the simulated core: one signed record for each accepted change."""
+"""The audit log of the simulated core: one signed record for each accepted change."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
                 await world.eventually(lambda c=conf: not c.unready_reasons(), within=15 * SECOND)
         await sleep_us(8 * SECOND)
         for host in world.core:  # and each replica is complete by itself, repaired by digests
-            assert world.daemon("mdconf", host).store.trail.state().tail == [1, 2, 3, 4, 5, 6]
+            assert world.daemon("mdconf", host).store.audit_log.state().tail == [1, 2, 3, 4, 5, 6]
         world.kill(f"mdconf@{world.core[0]}")
         assert len((await trail(world, 1))["records"]) == 7
 
--- a/tests/config_store/test_trail.py
+++ b/tests/config_store/test_audit_log.py
@@ -1,4 +1,4 @@
-"""The audit trail's segments and their transfer; commits that are sent again; members that lag."""
+"""The audit log's segments and their transfer; commits that are sent again; members that lag."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 import pytest
 import trio
+from audit_log_facts import SIGNING_KEY, chain, measure, opened, write_former_layout
 from facts import manifest, way
 from item_builders import dropped, route, service
 from mesh import configured, first_with_a_blank_disk
-from trail_facts import SIGNING_KEY, chain, measure, opened, write_former_layout
 
 from meadowdock import audit
-from meadowdock.config_store import repair, trail, trail_transfer
-from meadowdock.config_store.trail import RECORDS, SEGMENTS, TrailState
+from meadowdock.config_store import audit_log, audit_log_transfer, repair
+from meadowdock.config_store.audit_log import RECORD_FOLDER, SEGMENT_FOLDER, AuditLogState
 from meadowdock.rpc import Rejected
 from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, sleep_us
 from meadowdock.simulator import SimDisk, run
@@ -46,8 +46,8 @@
     return told
 
 
-def trail_at(world, host):
-    return world.daemon("mdconf", host).store.trail
+def audit_log_at(world, host):
+    return world.daemon("mdconf", host).store.audit_log
 
 
 def on_disk(disk, folder):
@@ -65,12 +65,12 @@
         records, disk = chain(length), MemoryDisk()
         write_former_layout(disk, records)
         store = await opened(disk)
-        assert await store.trail.read(records) == records  # before anything is written
-        await store.trail.seal()
+        assert await store.audit_log.read(records) == records  # before anything is written
+        await store.audit_log.seal()
         again = await opened(disk)
-        assert await again.trail.read(records) == records
-        assert len(on_disk(disk, SEGMENTS)) == length // trail.SEGMENT
-        assert len(on_disk(disk, RECORDS)) == length % trail.SEGMENT
+        assert await again.audit_log.read(records) == records
+        assert len(on_disk(disk, SEGMENT_FOLDER)) == length // audit_log.RECORDS_PER_SEGMENT
+        assert len(on_disk(disk, RECORD_FOLDER)) == length % audit_log.RECORDS_PER_SEGMENT
 
     run(work)
 
@@ -87,8 +87,8 @@
 @pytest.mark.parametrize("kept", [2, 256])
 def test_power_lost_at_each_step_of_sealing_loses_no_record(monkeypatch, kept):
     """kept: segments; with 2 the oldest are dropped meanwhile."""
-    monkeypatch.setattr(trail, "SEGMENT", SHORT)
-    monkeypatch.setattr(trail, "SEGMENTS_KEPT", kept)
+    monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
+    monkeypatch.setattr(audit_log, "MAX_SEGMENTS", kept)
     records = chain(4 * SHORT + 3)
 
     async def cut_at(step):
@@ -99,21 +99,21 @@
         store = await opened(disk)
         with trio.CancelScope() as scope:
             disk.lose_at, disk.on_loss = step, scope.cancel
-            await store.trail.seal()
+            await store.audit_log.seal()
         disk.lose_at = None
         disk.power_off()
         store = await opened(disk)
-        first = store.trail.first
+        first = store.audit_log.first_version
         assert first in ((1,) if kept == 256 else (1, 2 * SHORT + 1))
         wanted = {v: r for v, r in records.items() if v >= first}
         for _ in range(2):
-            held = await store.trail.read(wanted)
+            held = await store.audit_log.read(wanted)
             assert held == wanted
-            anchor = store.trail.state().anchor()
+            anchor = store.audit_log.state().anchor()
             assert audit.verify(list(held.values()), PUBLIC, len(records), anchor) == []
-            await store.trail.seal()  # what the power loss left half done is ended
-            wanted = {v: r for v, r in records.items() if v >= store.trail.first}
-        assert len(on_disk(disk, SEGMENTS)) == min(kept, 4)
+            await store.audit_log.seal()  # what the power loss left half done is ended
+            wanted = {v: r for v, r in records.items() if v >= store.audit_log.first_version}
+        assert len(on_disk(disk, SEGMENT_FOLDER)) == min(kept, 4)
         return scope.cancelled_caught
 
     async def work(world):
@@ -132,61 +132,66 @@
             write_former_layout(target, records)
         disk.lasting = dict(disk.files)
         store, source = await opened(disk), await opened(whole)
-        await store.trail.seal()
-        await source.trail.seal()
-        disk.rot(on_disk(disk, SEGMENTS)[1])
-        assert await store.trail.read(range(65, 129)) == {}
-        lacking = store.trail.lacking(source.trail.state())
-        assert lacking == list(range(65, 129))
-        await store.trail.put_batch(await source.trail.read(lacking))
-        assert await (await opened(disk)).trail.read(records) == records
+        await store.audit_log.seal()
+        await source.audit_log.seal()
+        disk.rot(on_disk(disk, SEGMENT_FOLDER)[1])
+        assert await store.audit_log.read(range(65, 129)) == {}
+        versions_to_pull = store.audit_log.versions_to_pull(source.audit_log.state())
+        assert versions_to_pull == list(range(65, 129))
+        await store.audit_log.put_batch(await source.audit_log.read(versions_to_pull))
+        assert await (await opened(disk)).audit_log.read(records) == records
 
     run(work)
 
 
 def test_the_oldest_segments_go_behind_a_checkpoint_that_verify_takes(monkeypatch):
-    monkeypatch.setattr(trail, "SEGMENT", SHORT)
-    monkeypatch.setattr(trail, "SEGMENTS_KEPT", 3)
+    monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
+    monkeypatch.setattr(audit_log, "MAX_SEGMENTS", 3)
 
     async def work(world):
         records, disk = chain(100), MemoryDisk()
         store = await opened(disk)
         for version, text in records.items():
-            await store.trail.put({version: text})
-            await store.trail.seal()
+            await store.audit_log.put({version: text})
+            await store.audit_log.seal()
         again = await opened(disk)
-        assert again.trail.state() == store.trail.state()
-        assert again.trail.first == 73  # of 12 sealed segments the last 3
-        assert len(on_disk(disk, SEGMENTS)) + len(on_disk(disk, RECORDS)) == 3 + 4
-        kept = list((await again.trail.read(range(1, 101))).values())
-        anchor = again.trail.state().anchor()
+        assert again.audit_log.state() == store.audit_log.state()
+        assert again.audit_log.first_version == 73  # of 12 sealed segments the last 3
+        assert len(on_disk(disk, SEGMENT_FOLDER)) + len(on_disk(disk, RECORD_FOLDER)) == 3 + 4
+        kept = list((await again.audit_log.read(range(1, 101))).values())
+        anchor = again.audit_log.state().anchor()
         assert audit.verify(kept, PUBLIC, 100, anchor) == []
         assert audit.verify(kept[1:], PUBLIC, 100, anchor) == ["record 73 is missing"]
         assert audit.verify(kept, PUBLIC, 100, {**anchor, "former": "00"}) == [
             "record 73 does not follow the one before it"
         ]
-        await again.trail.put({1: records[1]})  # what was dropped does not come back
-        assert not again.trail.holds(1)
+        await again.audit_log.put({1: records[1]})  # what was dropped does not come back
+        assert not again.audit_log.holds(1)
         blank = await opened(MemoryDisk())
-        await blank.trail.begin_at(TrailState(**again.trail.state().as_dict()))
-        assert (blank.trail.first, blank.trail.former) == (73, anchor["former"])
+        await blank.audit_log.adopt_beginning(
+            AuditLogState.from_wire(again.audit_log.state().to_wire())
+        )
+        assert (blank.audit_log.first_version, blank.audit_log.previous_hash) == (
+            73,
+            anchor["former"],
+        )
 
     run(work)
 
 
 def test_of_two_chains_the_later_record_decides_before_a_segment_is_sealed(monkeypatch):
-    monkeypatch.setattr(trail, "SEGMENT", SHORT)
+    monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
 
     async def work(world):
         true, other = chain(SHORT), chain(1, 5, "00")
         store = await opened(MemoryDisk())
-        await store.trail.put(true | other)
+        await store.audit_log.put(true | other)
         for _ in range(SHORT):
-            await store.trail.seal()
-            await store.trail.put(true)
-        await store.trail.seal()
-        assert list(store.trail.segments) == [0]
-        assert await store.trail.read(true) == true
+            await store.audit_log.seal()
+            await store.audit_log.put(true)
+        await store.audit_log.seal()
+        assert list(store.audit_log.segments) == [0]
+        assert await store.audit_log.read(true) == true
 
     run(work)
 
@@ -196,7 +201,7 @@
         _, short = await measure(300)
         _, long = await measure(3_000)
         for what in ("files read", "records in memory", "files on disk"):
-            assert long[what] <= max(short[what], 2 * trail.SEGMENT), what
+            assert long[what] <= max(short[what], 2 * audit_log.RECORDS_PER_SEGMENT), what
         assert long["head in a ballot"] < short["head in a ballot"] + 16
         assert long["largest message"] <= 64 << 10
         assert long["bytes after 10 missed"] <= short["bytes after 10 missed"] + 256
@@ -233,10 +238,10 @@
         await world.start("mdconf", host)
         durable = set()
         if trouble == "power":
-            await world.eventually(lambda: len(on_disk(disk, SEGMENTS)) >= 3)
+            await world.eventually(lambda: len(on_disk(disk, SEGMENT_FOLDER)) >= 3)
             world.power_off("mdconf", host)
-            durable = set(on_disk(disk, SEGMENTS))
-            assert 3 <= len(durable) < 600 // trail.SEGMENT  # in the middle of it
+            durable = set(on_disk(disk, SEGMENT_FOLDER))
+            assert 3 <= len(durable) < 600 // audit_log.RECORDS_PER_SEGMENT  # in the middle of it
             await sleep_us(
                 5 * MILLISECOND
             )  # a simulated write ends, and is logged, after its process
@@ -245,12 +250,12 @@
         _, told = await world.operate("GET", "/status")
         assert told["catching_up"]["audit_records"] > 0
         await world.eventually(
-            lambda: trail_at(world, host).missing(601) == [],
+            lambda: audit_log_at(world, host).missing(601) == [],
             within=(30 if trouble == "loss" else 10) * SECOND,
         )
         again = [line["first"] for _, line in world.trace.events(606) if line["what"] == "audit"]
         assert again
-        assert not {f"{(first - 1) // trail.SEGMENT:08d}" for first in again} & {
+        assert not {f"{(first - 1) // audit_log.RECORDS_PER_SEGMENT:08d}" for first in again} & {
             name.split("/")[1][:8] for name in durable
         }  # nothing that was durable is pulled again
         world.meddle = {}
@@ -265,7 +270,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 4))
 def test_a_disk_lost_right_after_a_change_of_members_takes_no_record(monkeypatch, seed):
-    monkeypatch.setattr(trail, "SEGMENT", SHORT)
+    monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
 
     async def scenario(world):
         await configured(world)
@@ -291,8 +296,8 @@
 def test_a_member_with_old_state_serves_nothing_old_and_may_lead_a_change_of_members(monkeypatch):
     """It is cut off first, then leads, at once, a change in which another disk is new. Nothing is
     compared meanwhile: the change alone has to carry the trail."""
-    monkeypatch.setattr(trail, "SEGMENT", SHORT)
-    monkeypatch.setattr(trail_transfer, "PACE", 3600 * SECOND)
+    monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
+    monkeypatch.setattr(audit_log_transfer, "RUN_INTERVAL_US", 3600 * SECOND)
 
     async def scenario(world):
         await configured(world)
@@ -306,7 +311,7 @@
         status, told = await world.operate("GET", "/manifest", core=0)
         assert (status, told["code"]) == (503, "no_majority")
         with pytest.raises(Rejected, match="no_majority"):
-            await daemon.on_head(None, 0)
+            await daemon.revision_handlers.on_current_revision(None, 0)
         world.power_off("mdconf", other)
         world.lose_disk("mdconf", other)
         world.web.heal()
@@ -323,9 +328,9 @@
 
 
 def test_a_change_of_members_sends_the_trail_in_bounded_pieces(monkeypatch):
-    monkeypatch.setattr(trail, "SEGMENT", SHORT)
+    monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
     sizes = []
-    original = trail.AuditTrail.read
+    original = audit_log.AuditLog.read
 
     async def read(self, versions):
         records = await original(self, versions)
@@ -336,11 +341,11 @@
         await configured(world)
         await change(world, range(60))
         host = await first_with_a_blank_disk(world)
-        monkeypatch.setattr(trail.AuditTrail, "read", read)
+        monkeypatch.setattr(audit_log.AuditLog, "read", read)
         link = f"{host}:7421"
         status, told = await world.operate("POST", "/members", {"old": link, "new": link}, core=1)
         assert (status, told["state"]) == (200, "changed"), told
-        assert trail_at(world, host).missing(61) == []
+        assert audit_log_at(world, host).missing(61) == []
         assert sum(sizes) >= 60
         assert max(sizes) <= SHORT
 
@@ -372,13 +377,13 @@
             for host in world.core:
                 await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
         current = await world.daemon("mdconf", world.core[0]).revisions.read(10**12)
-        assert len(current.history) == repair.RANGES_KEPT
+        assert len(current.history) == repair.RETAINED_VERSIONS
 
     run(scenario, application=())
 
 
 def test_a_confirm_sent_again_at_a_member_that_lacks_the_record_asks_the_others(monkeypatch):
-    monkeypatch.setattr(trail, "SEGMENT", SHORT)
+    monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
 
     async def scenario(world):
         await configured(world)
@@ -387,8 +392,8 @@
         await sleep_us(3 * SECOND)
         host = world.core[0]
         disk = world.disks["mdconf", host]
-        held = trail_at(world, host)
-        for name in on_disk(disk, SEGMENTS):
+        held = audit_log_at(world, host)
+        for name in on_disk(disk, SEGMENT_FOLDER):
             disk.rot(name)
         status, told = await world.operate("POST", "/confirm", {"plan": plan})
         assert (status, told.get("version")) == (200, version), told
@@ -399,7 +404,7 @@
 
 @pytest.mark.parametrize("silent", [1, 2])
 def test_a_member_that_stands_still_does_not_hold_up_a_piece(monkeypatch, silent):
-    monkeypatch.setattr(trail, "SEGMENT", SHORT)
+    monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
 
     async def scenario(world):
         await configured(world)
@@ -409,9 +414,9 @@
         disk = world.disks["mdconf", world.core[0]]
         world.processes[f"mdconf@{world.core[silent]}"].freeze()
         for turn in range(2):  # whichever is asked first
-            for name in on_disk(disk, SEGMENTS):
+            for name in on_disk(disk, SEGMENT_FOLDER):
                 disk.rot(name)
-            world.daemon("mdconf", world.core[0]).trail.turn = turn
+            world.daemon("mdconf", world.core[0]).audit_log_transfer.round_number = turn
             status, told = await world.operate("POST", "/confirm", {"plan": plan})
             assert (status, told.get("version")) == (200, version), told
             await sleep_us(2 * SECOND)
@@ -420,21 +425,21 @@
 
 
 def test_a_confirm_older_than_the_trail_is_refused_as_expired(monkeypatch):
-    monkeypatch.setattr(trail, "SEGMENT", SHORT)
-    monkeypatch.setattr(trail, "SEGMENTS_KEPT", 2)
+    monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
+    monkeypatch.setattr(audit_log, "MAX_SEGMENTS", 2)
 
     async def scenario(world):
         await configured(world)
         ((_, plan),) = (await change(world, [0])).items()
         await change(world, range(1, 60))
         await sleep_us(3 * SECOND)
-        assert all(trail_at(world, host).first > 32 for host in world.core)
+        assert all(audit_log_at(world, host).first_version > 32 for host in world.core)
         status, told = await world.operate("POST", "/confirm", {"plan": plan})
         assert (status, told["code"]) == (410, "plan_expired")
         assert len((await checked_audit(world, 0, 61))["records"]) == 62 - told_first(world)
 
     def told_first(world):
-        return trail_at(world, world.core[0]).first
+        return audit_log_at(world, world.core[0]).first_version
 
     run(scenario, application=())
 
@@ -452,7 +457,7 @@
         status, told = await world.operate("POST", "/confirm", {"plan": f"{7:032x}"}, 1)
         assert (status, told["version"]) == (200, 7)
         assert await world.configure(changed(1), 1) == 257
-        assert len((await daemon.revisions.read(10**12)).history) == repair.RANGES_KEPT
+        assert len((await daemon.revisions.read(10**12)).history) == repair.RETAINED_VERSIONS
 
     run(scenario, application=())
 
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -9,7 +9,7 @@
 from lease_checks import holders, isolate, one_holder
 from mesh import hosts, serving
 
-from meadowdock.config_store.lease import DRIFT, LeaseRegister
+from meadowdock.config_store.lease import DRIFT, LeaseService
 from meadowdock.config_store.lease_messages import (
     COLLECTOR_KEY,
     LEASE_HELD,
@@ -376,7 +376,7 @@
 
 def at_once(work):
     async def main():
-        return await work(LeaseRegister(None))
+        return await work(LeaseService(None))
 
     return trio.run(main, clock=Clock())
 
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -409,11 +409,11 @@
         disk = Slow()
         store = Store(disk, random.Random(1), lambda *_, **__: None)
         await store.load()
-        await store.trail.put(dict.fromkeys(range(1, 1001), "record"))  # none sealed yet
+        await store.audit_log.put(dict.fromkeys(range(1, 1001), "record"))  # none sealed yet
         begun = monotonic_us()
         again = Store(disk, random.Random(1), lambda *_, **__: None)
         await again.load()
-        assert len(again.trail.tail) == 1000
+        assert len(again.audit_log.tail) == 1000
         assert monotonic_us() - begun <= SECOND
 
     run(work)
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -202,7 +202,7 @@
 
 
 def holds_everything(world, fleet, newcomer, old):
-    """Keys at the newest accepted pairs, chunk files of the head, the audit trail."""
+    """Keys at the newest accepted pairs, chunk files of the head, the audit log."""
     new, former = fleet.store(newcomer), [fleet.store(h) for h in old]
     newest = {}
     for store in former:
@@ -216,7 +216,7 @@
             if key != "members"
         )
         and {f"blob/{name}" for name in head["ranges"]} <= set(new.files.disk.files)
-        and all(new.trail.holds(version) for version in range(1, head["version"]))
+        and all(new.audit_log.holds(version) for version in range(1, head["version"]))
     )
 
 
@@ -232,7 +232,7 @@
         world.power_off("mdconf", gone)
         await world.start("mdconf", "10.0.3.1")
         store = fleet.store("10.0.3.1")
-        slowed = {"write": store.acceptor, "put_blob": store, "put": store.trail}[slow]
+        slowed = {"write": store.acceptor, "put_blob": store, "put": store.audit_log}[slow]
         slow_down(slowed, slow)
         await world.eventually(
             lambda: store.disk in (fleet.store(fleet.hosts[0]).membership.voters),
--- a/tests/config_store/test_repair.py
+++ b/tests/config_store/test_repair.py
@@ -106,7 +106,7 @@
         own = world.daemon("mdconf", host)
         ballot, value = own.store.acceptor.read("manifest/head")
         await own.store.acceptor.prepare("manifest/head", (ballot[0] + 9, "x"))
-        await own.repairer.mend_keys(
+        await own.repairer.repair_keys(
             {"manifest/head": [[ballot[0] + 5, "y"], {**value, "version": 99}]}
         )
         assert own.store.acceptor.read("manifest/head") == (ballot, value)
@@ -116,7 +116,7 @@
 
 def test_thousands_of_changes_keep_the_folder_bounded(monkeypatch):
     """With the power lost now and then, also in the middle of removing."""
-    monkeypatch.setattr(repair, "PLAN_LIFE", SECOND)
+    monkeypatch.setattr(repair, "PLAN_LIFETIME_US", SECOND)
     monkeypatch.setattr(revision, "HISTORY_LENGTH", 40)
 
     async def scenario(world):
@@ -158,7 +158,7 @@
 
 
 def test_an_old_plan_is_refused_clearly_and_a_confirm_that_races_with_removal_is_whole(monkeypatch):
-    monkeypatch.setattr(repair, "PLAN_LIFE", 4 * SECOND)
+    monkeypatch.setattr(repair, "PLAN_LIFETIME_US", 4 * SECOND)
 
     async def scenario(world):
         await configured(world)
--- a/tests/support/trail_facts.py
+++ b/tests/support/audit_log_facts.py
@@ -1,6 +1,6 @@
 """Audit trails for tests, and counts of what a member reads, holds and sends at a length of history.
 
-python tests/trail_facts.py    # prints the table of docs/measurements.md, "Length of history"
+python tests/audit_log_facts.py    # prints the table of docs/measurements.md, "Length of history"
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 import trio
 
 from meadowdock import audit
+from meadowdock.config_store.audit_log import RECORD_FOLDER, AuditLogState, by_segment, record_file
 from meadowdock.config_store.store import Store
-from meadowdock.config_store.trail import RECORDS, TrailState, by_segment, record_file
 from meadowdock.runtime import MemoryDisk, fingerprint, sealed
 
 SIGNING_KEY = audit.signing_key(b"k" * 32)
@@ -75,16 +75,16 @@
     return store
 
 
-async def pulled(source, trail):
-    """Let a trail catch up with another by pieces, as over links; (messages, bytes, largest)."""
+async def pulled(source, target):
+    """Let an audit log catch up with another by pieces, as over links; (messages, bytes, largest)."""
     sizes = []
-    state = TrailState(**source.state(trail.complete_before()).as_dict())
-    sizes.append(len(ormsgpack.packb(state.as_dict(), option=ormsgpack.OPT_NON_STR_KEYS)))
-    await trail.begin_at(state)
-    for versions in by_segment(trail.lacking(state)):
+    state = AuditLogState.from_wire(source.state(target.first_missing_segment()).to_wire())
+    sizes.append(len(ormsgpack.packb(state.to_wire(), option=ormsgpack.OPT_NON_STR_KEYS)))
+    await target.adopt_beginning(state)
+    for versions in by_segment(target.versions_to_pull(state)):
         records = await source.read(versions)
         sizes.append(len(ormsgpack.packb(records, option=ormsgpack.OPT_NON_STR_KEYS)))
-        await trail.put_batch(records)
+        await target.put_batch(records)
     return len(sizes), sum(sizes), max(sizes)
 
 
@@ -120,22 +120,22 @@
         "head in a ballot": head_bytes(256, length, records[length]),
     }
     store = await opened(disk)
-    await store.trail.seal()  # the former layout is migrated
-    names = [name for name in disk.files if name.startswith((RECORDS, "trail"))]
+    await store.audit_log.seal()  # the former layout is migrated
+    names = [name for name in disk.files if name.startswith((RECORD_FOLDER, "trail"))]
     disk.reads = disk.read_bytes = 0
     again = await opened(disk)
     reads, read_bytes = disk.reads, disk.read_bytes
-    _, blank_bytes, largest = await pulled(again.trail, (await opened(MemoryDisk())).trail)
+    _, blank_bytes, largest = await pulled(again.audit_log, (await opened(MemoryDisk())).audit_log)
     late = MemoryDisk()
     write_former_layout(late, {v: r for v, r in records.items() if v <= length - MISSED})
     lagging = await opened(late)
-    await lagging.trail.seal()
-    _, missed_bytes, _ = await pulled(again.trail, lagging.trail)
+    await lagging.audit_log.seal()
+    _, missed_bytes, _ = await pulled(again.audit_log, lagging.audit_log)
     after = {
         "files on disk": len(names),
         "files read": reads,
         "bytes read": read_bytes,
-        "records in memory": len(again.trail.tail),
+        "records in memory": len(again.audit_log.tail),
         "bytes to a blank member": blank_bytes,
         "largest message": largest,
         "bytes after 10 missed": missed_bytes,
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -149,8 +149,8 @@
     await store.acceptor.write("configuration", (4, "00a1"), ACCEPTED)
     await store.acceptor.write("lease", (5, "00a2"), LEASE.encode())
     await store.acceptor.prepare("promised-only", (6, "00a3"))
-    await store.trail.put(audit_chain(66))
-    await store.trail.seal()
+    await store.audit_log.put(audit_chain(66))
+    await store.audit_log.seal()
     record_disk = MemoryDisk()
     record = ExecutionRecord(record_disk)
 
@@ -199,8 +199,8 @@
             "keys": states,
             "lost": store.acceptor.lost_keys(),
             "chunks": chunks,
-            "audit": await store.trail.read(audit_chain(66)),
-            "anchor": store.trail.state().anchor(),
+            "audit": await store.audit_log.read(audit_chain(66)),
+            "anchor": store.audit_log.state().anchor(),
             "lease": LeaseRecord.decode(store.acceptor.read("lease")[1]) == LEASE,
             "recorded_answer": [reply.status, reply.body],
         }
