--- a/packages/proxy/meadowdock/proxy/__init__.py
+++ b/packages/proxy/meadowdock/proxy/__init__.py
@@ -1,5 +1,5 @@
-"""The helper on each application machine."""
+"""The proxy (program mdproxy) beside each endpoint."""
 
-from meadowdock.proxy.part import Part
+from meadowdock.proxy.server import ProxyServer
 
-__all__ = ["Part"]
+__all__ = ["ProxyServer"]
--- a/packages/proxy/meadowdock/proxy/__main__.py
+++ b/packages/proxy/meadowdock/proxy/__main__.py
@@ -1,10 +1,10 @@
 """The mdproxy daemon's command line."""
 
 from meadowdock.process import start
-from meadowdock.proxy.part import Part
+from meadowdock.proxy.server import ProxyServer
 from meadowdock.settings import command
 
-main = command("mdproxy", start(Part))
+main = command("mdproxy", start(ProxyServer))
 
 if __name__ == "__main__":
     main()
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -37,8 +37,8 @@
 
     handlers = Handlers()
 
-    def __init__(self, node, put_in_force):
-        self.node, self.put_in_force = node, put_in_force
+    def __init__(self, node, activate):
+        self.node, self.activate = node, activate
         self.active = None  # Staged
         self.staged = None
         self.stager = Stager(node, self.former, self.on_staged)
@@ -238,7 +238,7 @@
             return
         self.active, self.staged = staged, None
         self.stager.keep([staged.head])
-        self.put_in_force(staged.routing_table)
+        self.activate(staged.routing_table)
         self.node.view.advance_heartbeat(version=staged.routing_table.version)
         self.node.log(502, version=staged.routing_table.version)
 
--- /dev/null
+++ b/packages/proxy/meadowdock/proxy/endpoint_connections.py
@@ -0,0 +1,81 @@
+"""Connections to the endpoints on this machine: opened, verified, and kept for the next call."""
+
+from __future__ import annotations
+
+import json
+from typing import TYPE_CHECKING, Any
+
+from meadowdock.proxy.endpoints import Endpoint, EndpointRegistry
+from meadowdock.runtime import HttpConnectionFailed
+from meadowdock.runtime.http_client import HttpConnection
+
+if TYPE_CHECKING:
+    from meadowdock.process import Node
+
+IDENTITY_PATH = "/md/identity"
+
+
+class EndpointConnections:
+    """Opens connections, and keeps idle ones in `Endpoint.idle_connections`."""
+
+    def __init__(self, node: Node, endpoints: EndpointRegistry) -> None:
+        self.node, self.endpoints = node, endpoints
+
+    async def acquire(self, endpoint: Endpoint, service: dict[str, Any]) -> HttpConnection:
+        """An idle connection, or a new one that proved service and incarnation first.
+
+        :raises HttpConnectionFailed: with sent=False: no byte of a call left.
+        """
+        while endpoint.idle_connections:
+            connection = endpoint.idle_connections.pop()
+            if not connection.stale():
+                return connection
+            await connection.close()
+        connection = self.node.runtime.net.http(endpoint.address)
+        if service["identity"]:
+            await self.verify_identity(endpoint, connection)
+        if endpoint.removed:
+            await connection.close()
+            raise HttpConnectionFailed(False, "endpoint is gone")
+        return connection
+
+    async def verify_identity(self, endpoint: Endpoint, connection: HttpConnection) -> None:
+        """Ask who answers at the address; another process costs the endpoint its registration.
+
+        :raises HttpConnectionFailed: another process, or no answer.
+        """
+        try:
+            status, _, body = await connection.request("GET", IDENTITY_PATH, [], b"")
+        except HttpConnectionFailed as failed:
+            raise HttpConnectionFailed(False, failed) from failed  # no byte of the call was sent
+        expected = {"service": endpoint.service, "incarnation": endpoint.incarnation}
+        if status != 200 or not includes(body, expected):
+            await connection.close()
+            self.node.log(405, address=endpoint.address, why="identity")
+            self.endpoints.remove(endpoint, "identity")
+            raise HttpConnectionFailed(False, "another process answers there")
+
+    def release(self, endpoint: Endpoint, connection: HttpConnection) -> None:
+        """Keep a connection that carried a complete response, or have it closed."""
+        idle = endpoint.idle_connections
+        if not endpoint.removed and not connection.stale() and len(idle) < endpoint.capacity:
+            idle.append(connection)
+        else:
+            self.endpoints.connections_to_close.append(connection)
+
+    async def close_unwanted(self) -> None:
+        """Close the connections that nobody uses any more."""
+        unwanted, self.endpoints.connections_to_close = self.endpoints.connections_to_close, []
+        for connection in unwanted:
+            await connection.close()
+
+
+def includes(body: bytes, expected: dict[str, str]) -> bool:
+    """Whether a body is a JSON object with all of these fields."""
+    try:
+        fields = json.loads(body)
+    except ValueError:
+        return False
+    return isinstance(fields, dict) and all(
+        fields.get(name) == value for name, value in expected.items()
+    )
--- a/packages/proxy/meadowdock/proxy/endpoints.py
+++ b/packages/proxy/meadowdock/proxy/endpoints.py
@@ -1,143 +1,154 @@
-"""The endpoints on this machine: enrolment, beats, leaving, and connections to them."""
+"""The endpoints on this machine: registration, heartbeats, departure, slots and load.
+
+The registry owns the state of every endpoint beside this proxy. It does no I/O: connections that
+are no longer wanted are left in `connections_to_close` for the loop that closes them.
+"""
 
 from __future__ import annotations
 
-import base64
-import binascii
-import hmac
-import json
+from collections.abc import Callable
 from dataclasses import dataclass, field
-
-import ormsgpack
+from typing import NamedTuple
 
 from meadowdock.load_sharing import Gauge, load_level
-from meadowdock.rpc import derive_key
+from meadowdock.proxy.exceptions import RegistrationDenied
+from meadowdock.proxy.tokens import TokenClaims, TokenSigner
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us
+from meadowdock.runtime.http_client import HttpConnection
 
-HEARTBEAT_INTERVAL = 500 * MILLISECOND
-HEARTBEAT_TIMEOUT = 1_500 * MILLISECOND  # three beats
-PAUSE_THRESHOLD = 250 * MILLISECOND
-DEPARTED_TOKEN_TTL = 5 * SECOND  # an endpoint that left may end its own calls under its name
-
-
-class RegistrationDenied(Exception):
-    def __init__(self, status, code, detail=""):
-        super().__init__(code)
-        self.status, self.code, self.detail = status, code, detail
+HEARTBEAT_INTERVAL_US = 500 * MILLISECOND
+HEARTBEAT_TIMEOUT_US = 1_500 * MILLISECOND  # three heartbeats
+PAUSE_THRESHOLD_US = 250 * MILLISECOND
+DEPARTED_TOKEN_TTL_US = 5 * SECOND  # an endpoint that left may end its own calls under its name
+REPORTED_LOAD_TTL_US = 2 * SECOND
 
 
 @dataclass
 class Endpoint:
-    """One incarnation of a back end. Invariants: 0 <= in_flight; gone and draining never go back
-    to False; idle holds only connections that carried whole answers, and none once gone."""
+    """One incarnation of an endpoint.
+
+    Invariants: 0 <= in_flight; removed and draining never go back to False; idle_connections holds
+    only connections that carried complete responses, and none once the endpoint is removed. Times
+    are monotonic, in microseconds.
+    """
 
     service: str
     address: str
     incarnation: str
-    capacity: int
-    issued: int
+    capacity: int  # calls at once
+    issued_at: int  # of its registration, see TokenClaims
     heartbeat_at: int
     in_flight: int = 0
     draining: bool = False
     removed: bool = False
-    unreachable: bool = False  # took no connection; until its next beat
-    reported_load: float | None = None
+    unreachable: bool = False  # took no connection; until its next heartbeat
+    reported_load: float | None = None  # in 0..1
     reported_load_at: int = 0
-    slow_start_until: int = 0  # it is slow until then
-    idle_connections: list = field(default_factory=list)
+    slow_start_until: int = 0
+    idle_connections: list[HttpConnection] = field(default_factory=list)
 
     @property
-    def identity(self):
+    def identity(self) -> tuple[str, str, str]:
+        """What no other process shares with it."""
         return self.service, self.address, self.incarnation
 
     @property
-    def available(self):
+    def available(self) -> bool:
+        """Whether calls may be sent to it."""
         return not (self.draining or self.removed or self.unreachable)
 
     @property
-    def has_capacity(self):
+    def has_capacity(self) -> bool:
+        """Whether it would take one more call now."""
         return self.available and self.in_flight < self.capacity
 
 
 class ServiceLoad:
-    """Gauges of one service on this node, and the rho of the last interval."""
+    """The load of one service on this node: its gauges, and rho of the last interval."""
 
-    def __init__(self, at):
+    def __init__(self, at: int) -> None:
         self.in_flight, self.forwarded = Gauge(at), Gauge(at)
-        self.forwarded_now = 0
+        self.forwarded_now = 0  # calls that a peer is working on for this node
         self.rho = 0.0
 
 
-class EndpointRegistry:
-    """Invariants: by_address holds at most one endpoint an address, never a gone one; a token is
-    good only for the process it was made for: while that is enrolled, and after it left for
-    DEPARTED_TOKEN_TTL unless another took its address."""
-
-    def __init__(self, host, key, log):
-        self.host, self.log = host, log
-        self.key = derive_key(key, b"token", host.encode())
-        self.by_address = {}
-        self.service_loads = {}
-        self.slot_waiters = {}  # service -> callables that may start a held call
-        self.connections_to_close = []  # connections to close, by the loop that owns them
-        self.last_issued = 0
-        self.departed_tokens = {}  # the facts of a token whose process left -> until when it is good
-        self.pause_detector = PauseDetector(PAUSE_THRESHOLD, monotonic_us())
-        self.heartbeat_timeout_us = (
-            HEARTBEAT_TIMEOUT  # an endpoint that is silent for so long is gone
-        )
+class ServiceReport(NamedTuple):
+    """What this node reports of one service, as an entry of the load list.
 
-    # ------------------------------------------------------------ tokens
-
-    def issue_token(self, service, address, incarnation, issued):
-        body = ormsgpack.packb([service, address, incarnation, issued])
-        seal = hmac.digest(self.key, body, "sha256")[:16]
-        return base64.urlsafe_b64encode(seal + body).decode()
-
-    def verify_token(self, token):
-        """(service, address, incarnation, issued) or None."""
-        try:
-            raw = base64.b64decode(token.encode("ascii"), altchars=b"-_", validate=True)
-            seal, body = raw[:16], raw[16:]
-            if not hmac.compare_digest(seal, hmac.digest(self.key, body, "sha256")[:16]):
-                return None
-            return tuple(ormsgpack.unpackb(body))
-        except (binascii.Error, UnicodeEncodeError, ormsgpack.MsgpackDecodeError):
-            return None
+    `zone` and `slot_us` (the mean time that a call holds a slot) are reported by gateways only.
+    """
+
+    rho: float
+    incarnation: str
+    draining: bool
+    zone: str | None = None
+    slot_us: int | None = None
+
+    def to_wire(self) -> list[object]:
+        """Encode it: fields without a value are left out."""
+        return [value for value in self if value is not None]
 
-    def authenticate(self, token, young):
-        """The name that a token proves, or None. A young process, which hasn't heard all beats
-        yet, takes a good seal for an address that nobody else holds."""
-        facts = self.verify_token(token)
-        if facts is None:
+
+class EndpointRegistry:
+    """The endpoints beside this proxy, by address, and what their tokens prove.
+
+    Invariants: by_address holds at most one endpoint an address, never a removed one; a token is
+    good only for the process it was issued to: while that is registered, and for
+    DEPARTED_TOKEN_TTL_US after it left unless another one took its address.
+    """
+
+    def __init__(self, host: str, fleet_key: bytes, log: Callable[..., None]) -> None:
+        self.log = log
+        self.tokens = TokenSigner(host, fleet_key)
+        self.by_address: dict[str, Endpoint] = {}
+        self.service_loads: dict[str, ServiceLoad] = {}
+        self.slot_waiters: dict[str, Callable[[], None]] = {}  # by service: starts waiting calls
+        self.connections_to_close: list[HttpConnection] = []
+        self.last_issued_at = 0
+        self.departed_tokens: dict[TokenClaims, int] = {}  # claims -> until when they are good
+        self.pause_detector = PauseDetector(PAUSE_THRESHOLD_US, monotonic_us())
+        self.heartbeat_timeout_us = HEARTBEAT_TIMEOUT_US
+
+    # ------------------------------------------------------------ registration
+
+    def authenticate(self, token: str, just_started: bool) -> str | None:
+        """The service that a token proves its bearer to be, or None.
+
+        A process that has just started hasn't heard all heartbeats yet: it accepts a good signature
+        for an address that no other endpoint has.
+        """
+        claims = self.tokens.verify(token)
+        if claims is None:
             return None
-        held = self.by_address.get(facts[1])
-        if held is None:
-            return (
-                facts[0] if young or self.departed_tokens.get(facts, 0) > monotonic_us() else None
-            )
-        # the same process may have enrolled again meanwhile: no other has its incarnation
-        return facts[0] if held.identity == facts[:3] else None
-
-    # ------------------------------------------------------------ enrolment
-
-    def register(self, service, address, incarnation, capacity, at, wall_us):
-        self.last_issued = issued = max(self.last_issued + 1, wall_us)
-        held = self.by_address.get(address)
-        if held is not None and held.identity == (service, address, incarnation):
-            held.capacity, held.heartbeat_at = capacity, at
-            return self.issue_token(service, address, incarnation, held.issued)
-        self.add(Endpoint(service, address, incarnation, capacity, issued, at))
-        return self.issue_token(service, address, incarnation, issued)
-
-    def add(self, endpoint):
-        held = self.by_address.get(endpoint.address)
-        if held is not None:
-            self.remove(held, "address taken")
+        endpoint = self.by_address.get(claims.address)
+        if endpoint is None:
+            good = just_started or self.departed_tokens.get(claims, 0) > monotonic_us()
+            return claims.service if good else None
+        # the same process may have registered again meanwhile: no other has its incarnation
+        return claims.service if endpoint.identity == claims[:3] else None
+
+    def register(
+        self, service: str, address: str, incarnation: str, capacity: int, at: int, wall_us: int
+    ) -> str:
+        """Register an endpoint, in place of another one at its address, and issue its token."""
+        self.last_issued_at = issued_at = max(self.last_issued_at + 1, wall_us)
+        endpoint = self.by_address.get(address)
+        if endpoint is not None and endpoint.identity == (service, address, incarnation):
+            endpoint.capacity, endpoint.heartbeat_at = capacity, at
+            issued_at = endpoint.issued_at
+        else:
+            self.add(Endpoint(service, address, incarnation, capacity, issued_at, at))
+        return self.tokens.issue(TokenClaims(service, address, incarnation, issued_at))
+
+    def add(self, endpoint: Endpoint) -> None:
+        """Take in an endpoint; whoever had its address is removed."""
+        former = self.by_address.get(endpoint.address)
+        if former is not None:
+            self.remove(former, "address taken")
         self.departed_tokens = {
-            f: good_until
-            for f, good_until in self.departed_tokens.items()
-            if f[1] != endpoint.address
+            claims: good_until
+            for claims, good_until in self.departed_tokens.items()
+            if claims.address != endpoint.address
         }
         self.by_address[endpoint.address] = endpoint
         self.service_loads.setdefault(endpoint.service, ServiceLoad(endpoint.heartbeat_at))
@@ -149,46 +160,57 @@
         )
         self.notify_waiters(endpoint.service)
 
-    def heartbeat(self, token, capacity, draining, load, at):
-        facts = self.verify_token(token)
-        if facts is None:
+    def heartbeat(
+        self, token: str, capacity: int, draining: bool, load: float | None, at: int
+    ) -> None:
+        """Take a heartbeat of the endpoint that a token was issued to; it may be unknown here.
+
+        :raises RegistrationDenied: bad_token, or superseded by a later registration.
+        """
+        claims = self.tokens.verify(token)
+        if claims is None:
             raise RegistrationDenied(401, "bad_token")
-        service, address, incarnation, issued = facts
-        held = self.by_address.get(address)
-        if held is not None and held.issued > issued:
+        endpoint = self.by_address.get(claims.address)
+        if endpoint is not None and endpoint.issued_at > claims.issued_at:
             raise RegistrationDenied(409, "superseded", "another enrolment holds the address")
-        if held is None or held.issued != issued:
-            self.add(Endpoint(service, address, incarnation, capacity, issued, at))
-            self.last_issued = max(self.last_issued, issued)
-            held = self.by_address[address]
-        held.heartbeat_at, held.capacity, held.unreachable = at, capacity, False
+        if endpoint is None or endpoint.issued_at != claims.issued_at:
+            endpoint = Endpoint(*claims[:3], capacity, claims.issued_at, at)
+            self.add(endpoint)
+            self.last_issued_at = max(self.last_issued_at, claims.issued_at)
+        endpoint.heartbeat_at, endpoint.capacity, endpoint.unreachable = at, capacity, False
         if load is not None:
-            held.reported_load, held.reported_load_at = load, at
+            endpoint.reported_load, endpoint.reported_load_at = load, at
         if draining:
-            self.start_draining(held)
-        self.notify_waiters(service)
+            self.start_draining(endpoint)
+        self.notify_waiters(claims.service)
 
-    def start_draining(self, endpoint):
+    def start_draining(self, endpoint: Endpoint) -> None:
+        """No new call goes to the endpoint from here on."""
         if not endpoint.draining:
             endpoint.draining = True
             self.log(402, service=endpoint.service, address=endpoint.address)
             self.notify_waiters(endpoint.service)
 
-    def deregister(self, token):
-        facts = self.verify_token(token)
-        if facts is None:
+    def deregister(self, token: str) -> None:
+        """The endpoint that a token was issued to shuts down.
+
+        :raises RegistrationDenied: bad_token.
+        """
+        claims = self.tokens.verify(token)
+        if claims is None:
             raise RegistrationDenied(401, "bad_token")
-        held = self.by_address.get(facts[1])
-        if held is not None and (*held.identity, held.issued) == facts:
+        endpoint = self.by_address.get(claims.address)
+        if endpoint is not None and (*endpoint.identity, endpoint.issued_at) == claims:
             self.departed_tokens = {
-                f: good_until
-                for f, good_until in self.departed_tokens.items()
+                departed: good_until
+                for departed, good_until in self.departed_tokens.items()
                 if good_until > monotonic_us()
             }
-            self.departed_tokens[facts] = monotonic_us() + DEPARTED_TOKEN_TTL
-            self.remove(held, "left")
+            self.departed_tokens[claims] = monotonic_us() + DEPARTED_TOKEN_TTL_US
+            self.remove(endpoint, "left")
 
-    def remove(self, endpoint, why):
+    def remove(self, endpoint: Endpoint, why: str) -> None:
+        """Forget an endpoint; its idle connections are to be closed."""
         if endpoint.removed:
             return
         endpoint.removed = True
@@ -198,132 +220,110 @@
         self.log(403, service=endpoint.service, address=endpoint.address, why=why)
         self.notify_waiters(endpoint.service)
 
-    def mark_unreachable(self, endpoint):
+    def mark_unreachable(self, endpoint: Endpoint) -> None:
+        """The endpoint took no connection: no call goes there until its next heartbeat."""
         if not endpoint.unreachable and not endpoint.removed:
             endpoint.unreachable = True
             self.log(404, service=endpoint.service, address=endpoint.address)
             self.notify_waiters(endpoint.service)
 
-    def remove_expired(self, at):
-        stood = self.pause_detector.look(at)  # beats may lie unread
+    def remove_expired(self, at: int) -> None:
+        """Remove the endpoints whose heartbeats failed to come for too long.
+
+        While this process was paused, heartbeats may have arrived that nobody has read yet: such a
+        pause is not counted.
+        """
+        paused_us = self.pause_detector.look(at)
         for endpoint in self.by_address.values():
-            endpoint.heartbeat_at += stood
+            endpoint.heartbeat_at += paused_us
         for endpoint in list(self.by_address.values()):
             if at - endpoint.heartbeat_at > self.heartbeat_timeout_us:
                 self.remove(endpoint, "no beat")
 
-    # ------------------------------------------------------------ use
+    # ------------------------------------------------------------ slots
 
-    def available_endpoints(self, service):
+    def available_endpoints(self, service: str) -> list[Endpoint]:
+        """The endpoints of a service that calls may be sent to."""
         return [e for e in self.by_address.values() if e.service == service and e.available]
 
-    def local_endpoint(self, service):
-        """The endpoint here that takes the next call: the emptiest of those present."""
+    def local_endpoint(self, service: str) -> Endpoint | None:
+        """The endpoint here that takes the next call: the least loaded of those available."""
         return min(
             self.available_endpoints(service), key=lambda e: e.in_flight / e.capacity, default=None
         )
 
-    def update_gauges(self, service, at):
-        load = self.service_loads.get(service)
-        if load is not None:
-            level = sum(e.in_flight for e in self.by_address.values() if e.service == service)
-            load.in_flight.set(at, level)
-            load.forwarded.set(at, load.forwarded_now)
-        return load
-
-    def acquire_slot(self, endpoint, at):
+    def acquire_slot(self, endpoint: Endpoint, at: int) -> None:
+        """Count a call that begins at the endpoint."""
         endpoint.in_flight += 1
         self.update_gauges(endpoint.service, at)
 
-    def release_slot(self, endpoint, at):
+    def release_slot(self, endpoint: Endpoint, at: int) -> None:
+        """Count a call that ended at the endpoint; one that waits for the slot may start."""
         endpoint.in_flight -= 1
         self.update_gauges(endpoint.service, at)
         self.notify_waiters(endpoint.service)
 
-    def adjust_forwarded(self, service, change, at):
+    def notify_waiters(self, service: str) -> None:
+        """There may be a slot of the service, or none any more: waiting calls look again."""
+        notify = self.slot_waiters.get(service)
+        if notify is not None:
+            notify()
+
+    # ------------------------------------------------------------ load
+
+    def adjust_forwarded(self, service: str, change: int, at: int) -> None:
+        """So many more calls of the service are with peers now."""
         load = self.service_loads.setdefault(service, ServiceLoad(at))
         load.forwarded_now += change
         self.update_gauges(service, at)
 
-    def notify_waiters(self, service):
-        wake = self.slot_waiters.get(service)
-        if wake:
-            wake()
+    def update_gauges(self, service: str, at: int) -> None:
+        """Record how many calls of the service are in flight, here and with peers."""
+        load = self.service_loads.get(service)
+        if load is not None:
+            in_flight = sum(e.in_flight for e in self.by_address.values() if e.service == service)
+            load.in_flight.set(at, in_flight)
+            load.forwarded.set(at, load.forwarded_now)
 
-    def measure_load(self, at, share):
-        """Ends the interval: a new rho for every service that has an endpoint here."""
+    def measure_load(self, at: int, forwarded_weight: float) -> dict[str, ServiceReport]:
+        """End the interval: a new rho for every service that has an endpoint here."""
         for service, load in self.service_loads.items():
-            here = [e for e in self.by_address.values() if e.service == service]
-            told = [
-                e.reported_load
-                for e in here
-                if e.reported_load is not None and at - e.reported_load_at < 2 * SECOND
-            ]
+            endpoints = [e for e in self.by_address.values() if e.service == service]
             load.rho = load_level(
                 load.in_flight.take_mean(at),
                 load.forwarded.take_mean(at),
-                sum(e.capacity for e in here),
-                share,
-                sum(told) / len(told) if told else None,
+                sum(endpoint.capacity for endpoint in endpoints),
+                forwarded_weight,
+                mean_reported_load(endpoints, at),
             )
         return {
-            service: [
-                self.service_loads[service].rho,
-                (self.local_endpoint(service) or here[0]).incarnation,
-                self.local_endpoint(service) is None,
-            ]
-            for service, here in self.endpoints_by_service().items()
+            service: self.report(service, endpoints)
+            for service, endpoints in self.endpoints_by_service().items()
         }
 
-    def endpoints_by_service(self):
-        found = {}
+    def report(self, service: str, endpoints: list[Endpoint]) -> ServiceReport:
+        """What is reported of a service that has these endpoints here."""
+        next_endpoint = self.local_endpoint(service)
+        return ServiceReport(
+            rho=self.service_loads[service].rho,
+            incarnation=(next_endpoint or endpoints[0]).incarnation,
+            draining=next_endpoint is None,
+        )
+
+    def endpoints_by_service(self) -> dict[str, list[Endpoint]]:
+        """All endpoints, by service, in order of their registration."""
+        found: dict[str, list[Endpoint]] = {}
         for endpoint in self.by_address.values():
             found.setdefault(endpoint.service, []).append(endpoint)
         return found
 
 
-# ---------------------------------------------------------------- the endpoint's answer
-
-
-class InvalidEndpointResponse(Exception):
-    pass
-
-
-def no_constant(word):
-    raise ValueError(word)
-
-
-def check_endpoint_response(endpoint, service, call_id, status, headers, body):
-    """Raises BadAnswer unless the answer is whole and is this call's. Gives lower-case headers."""
-    lines = [(name.lower(), value) for name, value in headers]
-    facts = dict(lines)
-    chunked = facts.get(b"transfer-encoding", b"").lower() == b"chunked"
-    if b"content-length" not in facts and not chunked and status not in (204, 304):
-        raise InvalidEndpointResponse("no length, so nobody knows if it is whole")
-    if not 200 <= status <= 599:
-        raise InvalidEndpointResponse(f"status {status}")
-    if facts.get(b"content-encoding", b"identity").lower() != b"identity":
-        raise InvalidEndpointResponse("encoded body")
-    if body:
-        try:
-            json.loads(body, parse_constant=no_constant)
-        except (ValueError, RecursionError):
-            raise InvalidEndpointResponse("body is no JSON") from None
-    elif status not in (204, 304):
-        raise InvalidEndpointResponse("empty body")
-    told_call = facts.get(b"md-call")
-    if (service["echo"] or told_call is not None) and told_call != call_id.encode():
-        raise InvalidEndpointResponse("another call's id")
-    told_incarnation = facts.get(b"md-incarnation")
-    if told_incarnation is not None and told_incarnation != endpoint.incarnation.encode():
-        raise InvalidEndpointResponse("another incarnation")
-    return lines
-
-
-def told_load(lines):
-    value = dict(lines).get(b"md-load")
-    try:
-        load = float(value) if value is not None else None
-    except ValueError:
-        return None
-    return load if load is not None and 0 <= load <= 1 else None
+def mean_reported_load(endpoints: list[Endpoint], at: int) -> float | None:
+    """The mean of the loads that the endpoints reported lately; None if none did."""
+    loads = [
+        endpoint.reported_load
+        for endpoint in endpoints
+        if endpoint.reported_load is not None
+        and at - endpoint.reported_load_at < REPORTED_LOAD_TTL_US
+    ]
+    return sum(loads) / len(loads) if loads else None
--- a/packages/proxy/meadowdock/proxy/forwarder.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -1,12 +1,15 @@
-"""A call's walk: arrival, (one) spill, endpoint. Each step gives the next, or None at the end."""
+"""Forwarding of the calls that arrive on the proxy's own HTTP interface or from a peer.
 
-from __future__ import annotations
+A call goes through steps: choose where it goes, wait for a slot, forward to a peer, send to the
+local endpoint. Each step gives the next one, or None once the call has its outcome.
+"""
 
-import json
-from collections import deque
+from __future__ import annotations
 
-import trio
+from collections.abc import Callable
+from typing import TYPE_CHECKING, NamedTuple
 
+from meadowdock.configuration import RoutingTable
 from meadowdock.load_sharing import (
     FORWARD,
     LOCAL,
@@ -17,453 +20,440 @@
     choose,
 )
 from meadowdock.outcome import NOT_RUN, REJECTION_CODES
-from meadowdock.proxy.call import EndpointResponse, passed_on
-from meadowdock.proxy.endpoints import InvalidEndpointResponse, check_endpoint_response, told_load
+from meadowdock.proxy.call import Call, EndpointResponse, Outcome, Step
+from meadowdock.proxy.endpoint_connections import EndpointConnections
+from meadowdock.proxy.endpoint_responses import check_endpoint_response, reported_load
+from meadowdock.proxy.endpoints import Endpoint, EndpointRegistry
+from meadowdock.proxy.exceptions import EndpointOutcomeUnknown, InvalidEndpointResponse, NotSent
+from meadowdock.proxy.headers import Headers, end_to_end_headers
+from meadowdock.proxy.messages import NodesByService
+from meadowdock.proxy.peer_requests import FORWARD_METHOD, call_to_wire, response_from_wire
+from meadowdock.proxy.retry_budget import RetryBudget
+from meadowdock.proxy.slot_queue import SlotQueue
 from meadowdock.rpc import ConnectionFailed, Rejected
-from meadowdock.runtime import MILLISECOND, HttpConnectionFailed, deadline_scope, monotonic_us
+from meadowdock.runtime import HttpConnectionFailed, deadline_scope, monotonic_us
 from meadowdock.runtime.slab import Slab
 
-FIRST_HOLD = 50 * MILLISECOND  # how long a call holds a slot, until one of its route was seen
-SMOOTHED = 8
-REMEMBERED = 1_000  # routes of a service
-
-
-class SlotQueue:
-    """Calls of one service that wait for a slot here. Invariant: first come, first served; an
-    entry is either in line or has been told its fate, never both."""
-
-    def __init__(self, forwarder, service):
-        self.forwarder, self.service = forwarder, service
-        self.line = deque()
-        self.hold_us = {}  # route -> how long its calls hold a slot, smoothed: routes may be unlike
-
-    def expected_us(self, call):
-        """How long the call will hold a slot."""
-        return self.hold_us.get(call.route.name, FIRST_HOLD)
-
-    def worth_it(self, call, capacity, wait_us):
-        """Would the call, if it joins now, likely be served within its wait?"""
-        ahead_us = sum(self.expected_us(waiting) for waiting, _ in self.line)
-        return (ahead_us + self.expected_us(call)) / max(1, capacity) <= wait_us
-
-    def wake(self):
-        while self.line:
-            home = self.forwarder.endpoints.local_endpoint(self.service)
-            if home is None:
-                while self.line:
-                    self.line.popleft()[1].set()
-                return
-            if not home.has_capacity:
-                return
-            call, told = self.line.popleft()
-            self.forwarder.take(call, home)
-            told.set()
-
-    def ended(self, call, took_us):
-        """A call held its slot for so long; the routes seen last are remembered."""
-        mean_us = self.hold_us.pop(call.route.name, FIRST_HOLD)
-        self.hold_us[call.route.name] = mean_us + (took_us - mean_us) // SMOOTHED
-        if len(self.hold_us) > REMEMBERED:
-            del self.hold_us[next(iter(self.hold_us))]
+if TYPE_CHECKING:
+    from meadowdock.process import Node
+
+# Of an endpoint whose service the configuration no longer has.
+UNKNOWN_SERVICE = {"echo": False, "identity": False}
+
+# What an endpoint answers instead of running the call: (status, md-verdict) -> rejection code.
+ENDPOINT_REJECTIONS = {
+    (503, b"not-run"): "busy",
+    (409, b"may-have-run"): "key_may_have_run",
+    (422, b"not-run"): "key_mismatch",
+}
+
+
+class CheckedResponse(NamedTuple):
+    """A response of an endpoint that passed the checks; header names are in lower case."""
+
+    status: int
+    headers: Headers
+    body: bytes
 
 
 class Forwarder:
-    """Invariants: every call under way is in the slab, with its continuation in call.step; a call
-    holds a slot of call.endpoint iff that is not None."""
+    """Drives calls to their outcome.
+
+    Invariants: every call in flight is in the slab, with its continuation in call.next_step; a call
+    holds a slot of call.endpoint iff that is not None.
+    """
 
-    def __init__(self, node, endpoints, retry_budget):
+    def __init__(self, node: Node, endpoints: EndpointRegistry, retry_budget: RetryBudget) -> None:
         self.node, self.endpoints, self.retry_budget = node, endpoints, retry_budget
+        self.connections = EndpointConnections(node, endpoints)
         self.slab = Slab()
+        self.routing_table: RoutingTable | None = None  # of the configuration in force
         self.load_list = LoadList()
-        self.nodes_by_service = {}  # service -> tuple of meadowdock.load_sharing.Node, of the latest list
-        self.left_out = set()  # (service, neighbour) that had no room, until the next list
-        self.wheels = {}
-        self.holdings = {}
-        self.counts = {}
-        self.routing_table = None
-
-    def count(self, name):
+        self.nodes_by_service: NodesByService = {}  # of the latest load list
+        # (service, address) of peers that were full, until the next load list
+        self.full_peers: set[tuple[str, str]] = set()
+        self.round_robins: dict[str, RoundRobin] = {}
+        self.slot_queues: dict[str, SlotQueue] = {}
+        self.counts: dict[str, int] = {}
+
+    def count(self, name: str) -> None:
+        """Count an event, for operators."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
-    def holding(self, service):
-        if service not in self.holdings:
-            made = self.holdings[service] = SlotQueue(self, service)
-            self.endpoints.slot_waiters[service] = made.wake
-        return self.holdings[service]
+    def use_load_list(self, load_list: LoadList, nodes_by_service: NodesByService) -> None:
+        """Decide by this load list from here on."""
+        self.load_list, self.nodes_by_service = load_list, nodes_by_service
+        self.full_peers = set()
 
-    # ------------------------------------------------------------ driving
+    async def remove_expired(self) -> None:
+        """Remove endpoints without heartbeats, and close connections that nobody uses."""
+        self.endpoints.remove_expired(monotonic_us())
+        await self.connections.close_unwanted()
 
-    async def walk(self, call):
+    def abort_requests(self) -> None:
+        """End the calls that are at an endpoint now, as may have run."""
+        for call in self.slab:
+            if call.cancel_scope is not None:
+                call.cancel_scope.cancel()
+
+    # ------------------------------------------------------------ the steps
+
+    async def run(self, call: Call) -> Outcome:
         """Drive a call to its outcome."""
-        if call.repeat:
-            call.step = self.look_up_step
-        else:
-            call.step = self.choose_step if call.home else self.enter_spilled
+        call.next_step = self.first_step(call)
         handle = self.slab.put(call)
         try:
-            while (call := self.slab.get(handle)).step is not None:
-                if monotonic_us() >= call.due and call.outcome is None:
-                    call.shed("due_passed")
+            while (call := self.slab.get(handle)).next_step is not None:
+                if monotonic_us() >= call.deadline and call.outcome is None:
+                    call.reject("due_passed")
                     break
-                call.step = await call.step(call)
+                call.next_step = await call.next_step(call)
             return call.outcome
         finally:
             call = self.slab.take(handle)
-            self.let_go(call)
+            self.release_slot(call)
+
+    def first_step(self, call: Call) -> Step:
+        """Where a call begins."""
+        if call.lookup_only:
+            return self.lookup_step
+        return self.choose_step if call.arrived_here else self.peer_call_step
 
-    def take(self, call, endpoint):
-        """A slot of the endpoint, and what comes next with it."""
+    def assign_slot(self, call: Call, endpoint: Endpoint) -> Step:
+        """Give the call a slot of the endpoint; the step to take with it."""
         call.endpoint = endpoint
         self.endpoints.acquire_slot(endpoint, monotonic_us())
         return self.endpoint_step
 
-    def let_go(self, call):
+    def release_slot(self, call: Call) -> None:
+        """Give back the slot that the call holds, if any."""
         if call.endpoint is not None:
             endpoint, call.endpoint = call.endpoint, None
             self.endpoints.release_slot(endpoint, monotonic_us())
 
-    def second_try(self, call):
-        """May this call be sent once more? Counts it if so. The first sending is always free."""
-        if call.sends == 0:
-            return True
-        return self.retry_budget.try_withdraw(monotonic_us())
+    def reject(self, call: Call, code: str, detail: str = "") -> None:
+        """End a call with a rejection: there is no next step."""
+        call.reject(code, detail)
 
     # ------------------------------------------------------------ arrival
 
-    def decide(self, call):
-        service, at = call.route.service, monotonic_us()
-        load, me = self.routing_table.load, self.node.settings.link
-        home = self.endpoints.local_endpoint(service)
-        occupation = self.endpoints.service_loads.get(service)
-        facts = LocalEndpointState(
-            rho=occupation.rho if occupation else 0.0,
-            has_capacity=home is not None and home.has_capacity,
-            available=home is not None,
-        )
-        view = LoadList(
+    def decide(self, call: Call) -> Choice:
+        """Where the policy places a call now."""
+        service = call.route.service
+        parameters, own_address = self.routing_table.load, self.node.settings.link
+        service_list = LoadList(
             self.load_list.epoch,
             self.load_list.seq,
             self.load_list.received_at,
             self.nodes_by_service.get(service, ()),
         )
+        full = {address for of_service, address in self.full_peers if of_service == service}
         return choose(
-            facts,
-            view,
-            self.wheels.setdefault(service, RoundRobin()),
-            at,
-            me,
-            load["phi"],
-            load["omega"],
-            load["stale_us"],
-            frozenset(call.tried) | {a for s, a in self.left_out if s == service},
+            self.local_state(service),
+            service_list,
+            self.round_robins.setdefault(service, RoundRobin()),
+            monotonic_us(),
+            own_address,
+            parameters["phi"],
+            parameters["omega"],
+            parameters["stale_us"],
+            frozenset(call.excluded_peers) | full,
         )
 
-    def use_load_list(self, load_list, nodes_by_service):
-        """A new list is in hand."""
-        self.load_list, self.nodes_by_service = load_list, nodes_by_service
-        self.left_out = set()
-
-    async def look_up_step(self, call):
-        """A key that may have run somewhere: only the record of the endpoint here can tell more."""
-        home = self.endpoints.local_endpoint(call.route.service)
-        if home is None or not self.routing_table.services[call.route.service].get("record"):
-            return call.shed("key_may_have_run")
-        return self.take(call, home) if home.has_capacity else call.shed("busy")
+    def local_state(self, service: str) -> LocalEndpointState:
+        """What the policy needs to know of the endpoint here."""
+        endpoint = self.endpoints.local_endpoint(service)
+        load = self.endpoints.service_loads.get(service)
+        return LocalEndpointState(
+            rho=load.rho if load is not None else 0.0,
+            has_capacity=endpoint is not None and endpoint.has_capacity,
+            available=endpoint is not None,
+        )
 
-    async def choose_step(self, call):
-        choice: Choice = self.decide(call)
+    async def lookup_step(self, call: Call) -> Step | None:
+        """A key that may have run elsewhere: only the record of the endpoint here can tell more."""
+        endpoint = self.endpoints.local_endpoint(call.route.service)
+        service = self.routing_table.services[call.route.service]
+        if endpoint is None or not service.get("record"):
+            return self.reject(call, "key_may_have_run")
+        if not endpoint.has_capacity:
+            return self.reject(call, "busy")
+        return self.assign_slot(call, endpoint)
+
+    async def choose_step(self, call: Call) -> Step | None:
+        """Choose where the call goes."""
+        choice = self.decide(call)
         self.count(f"rule.{choice.rule}")
         if choice.placement is LOCAL:
-            return self.take(call, self.endpoints.local_endpoint(call.route.service))
-        if choice.placement is FORWARD and call.spills <= call.route.relocation.retries:
+            return self.assign_slot(call, self.endpoints.local_endpoint(call.route.service))
+        if choice.placement is FORWARD and self.peer_attempts_left(call):
             call.target = choice.target
-            return self.spill_step
-        return self.hold_step
-
-    async def hold_step(self, call):
-        """No room anywhere: wait a little for a slot at home, if that is likely to help."""
-        home = self.endpoints.local_endpoint(call.route.service)
-        if home is None:
-            return call.shed("home_gone")
-        if home.has_capacity:
-            return self.take(call, home)
-        holding = self.holding(call.route.service)
-        wait_us = call.route.arrival.wait_us
-        if call.spills or not holding.worth_it(call, home.capacity, wait_us):
-            return call.shed("busy")
-        told = trio.Event()
-        entry = (call, told)
-        holding.line.append(entry)
+            return self.forward_step
+        return self.wait_step
+
+    async def wait_step(self, call: Call) -> Step | None:
+        """No capacity anywhere: wait a little for a local slot, if that is likely to help."""
+        endpoint = self.endpoints.local_endpoint(call.route.service)
+        if endpoint is None:
+            return self.reject(call, "home_gone")
+        if endpoint.has_capacity:
+            return self.assign_slot(call, endpoint)
+        queue = self.slot_queue(call.route.service)
+        wait_us, max_waits = call.route.arrival.wait_us, call.route.arrival.retries
+        if call.peer_attempts or not queue.would_serve_in_time(call, endpoint.capacity, wait_us):
+            return self.reject(call, "busy")
+        entry = queue.join(call)
         try:
-            with deadline_scope(min(call.due, monotonic_us() + wait_us)):
-                await told.wait()
+            with deadline_scope(min(call.deadline, monotonic_us() + wait_us)):
+                await entry.decided.wait()
         finally:
-            if not told.is_set():
-                holding.line.remove(entry)
+            if not entry.decided.is_set():
+                queue.waiting.remove(entry)
         if call.endpoint is not None:
             return self.endpoint_step
         call.waits += 1
-        if told.is_set() and call.waits <= call.route.arrival.retries:
-            return self.choose_step  # home is gone meanwhile
-        return call.shed("busy")
-
-    # ------------------------------------------------------------ spill
-
-    async def spill_step(self, call):
-        if not self.second_try(call):
-            return self.hold_step
+        if entry.decided.is_set() and call.waits <= max_waits:
+            return self.choose_step  # the local endpoint was removed meanwhile
+        return self.reject(call, "busy")
+
+    def slot_queue(self, service: str) -> SlotQueue:
+        """The queue of a service, which is told of free slots from its first use on."""
+        queue = self.slot_queues.get(service)
+        if queue is None:
+            queue = SlotQueue(service, self.endpoints, self.assign_slot)
+            self.slot_queues[service] = queue
+            self.endpoints.slot_waiters[service] = queue.on_slot_change
+        return queue
+
+    async def peer_call_step(self, call: Call) -> Step | None:
+        """A call that a peer forwarded: the endpoint here takes it now, or nobody does."""
+        service = call.route.service
+        endpoint = self.endpoints.local_endpoint(service)
+        if endpoint is None:
+            return self.reject(call, "home_gone")
+        if endpoint.incarnation != call.incarnation:
+            wanted = (
+                other
+                for other in self.endpoints.available_endpoints(service)
+                if other.incarnation == call.incarnation
+            )
+            endpoint = next(wanted, None)
+            if endpoint is None:
+                return self.reject(call, "home_gone", "another incarnation")
+        if not endpoint.has_capacity:
+            return self.reject(call, "busy")
+        return self.assign_slot(call, endpoint)
+
+    # ------------------------------------------------------------ forwarding to a peer
+
+    async def forward_step(self, call: Call) -> Step | None:
+        """Forward the call to the chosen peer."""
+        if call.sends and not self.retry_budget.try_withdraw(monotonic_us()):
+            return self.wait_step
         call.sends += 1
-        call.spills += 1
+        call.peer_attempts += 1
         self.count("spilled")
-        target, route, at = call.target, call.route, monotonic_us()
-        due = min(call.due, at + route.relocation.wait_us + route.endpoint.wait_us)
-        args = {
-            "id": call.id,
-            "caller": call.caller,
-            "method": call.method,
-            "path": call.path,
-            "query": call.query,
-            "headers": [list(line) for line in call.headers],
-            "body": call.body,
-            "key": call.key,
-            "way": route.name,
-            "service": route.service,
-            "incarnation": target.incarnation,
-            "version": call.version,
-        }
+        route, target = call.route, call.target
+        at = monotonic_us()
+        deadline = min(call.deadline, at + route.relocation.wait_us + route.endpoint.wait_us)
+        message = call_to_wire(call, target.incarnation)
         self.endpoints.adjust_forwarded(route.service, 1, at)
         try:
-            told = await self.node.rpc.call(target.address, "call.run", args, due)
-        except Rejected as shed:
-            call.tried.add(target.address)
-            if shed.code == "busy":
-                self.left_out.add((route.service, target.address))
-            self.count(f"spill.shed.{shed.code}")
-            if surely_not_run(shed.code):
-                return self.choose_step
-            return self.unknown(
-                call, shed.code, self.choose_step, call.spills <= route.relocation.retries
-            )
-        except ConnectionFailed as broken:
-            call.tried.add(target.address)
-            self.count("spill.broke")
-            if not broken.sent:
-                call.sends -= 1
-                return self.choose_step
-            call.reached += 1
-            code = "no_answer" if monotonic_us() >= due else "lost"
-            return self.unknown(
-                call, code, self.choose_step, call.spills <= route.relocation.retries
-            )
+            response = await self.node.rpc.call(target.address, FORWARD_METHOD, message, deadline)
+        except Rejected as rejected:
+            return self.after_peer_rejected(call, target.address, rejected.code)
+        except ConnectionFailed as failed:
+            return self.after_peer_failed(call, target.address, failed.sent, deadline)
         finally:
             self.endpoints.adjust_forwarded(route.service, -1, monotonic_us())
-        call.outcome = EndpointResponse(
-            told["status"], [(bytes(n), bytes(v)) for n, v in told["headers"]], told["body"]
-        )
+        call.outcome = response_from_wire(response)
         return None
 
-    def unknown(self, call, code, again, tries_left):
-        """A try's fate is unknown: try again only on a route that is safe to repeat."""
+    def after_peer_rejected(self, call: Call, address: str, code: str) -> Step | None:
+        """The peer rejected the call."""
+        call.excluded_peers.add(address)
+        if code == "busy":
+            self.full_peers.add((call.route.service, address))
+        self.count(f"spill.shed.{code}")
+        if certainly_not_run(code):
+            return self.choose_step
+        return self.after_outcome_unknown(
+            call, code, self.choose_step, self.peer_attempts_left(call)
+        )
+
+    def after_peer_failed(self, call: Call, address: str, sent: bool, deadline: int) -> Step | None:
+        """The connection to the peer failed, or it didn't answer by the deadline."""
+        call.excluded_peers.add(address)
+        self.count("spill.broke")
+        if not sent:
+            call.sends -= 1
+            return self.choose_step
+        call.endpoint_sends += 1
+        code = "no_answer" if monotonic_us() >= deadline else "lost"
+        return self.after_outcome_unknown(
+            call, code, self.choose_step, self.peer_attempts_left(call)
+        )
+
+    def peer_attempts_left(self, call: Call) -> bool:
+        """Whether the route allows one more attempt at a peer."""
+        return call.peer_attempts <= call.route.relocation.retries
+
+    def after_outcome_unknown(
+        self, call: Call, code: str, retry: Step | None, attempts_left: bool
+    ) -> Step | None:
+        """The fate of an attempt is unknown: retry only on a route that is safe to repeat."""
         call.may_have_run = True
         over = (
-            call.hung_up
+            call.disconnected
             or self.node.shutdown.abort_requested.is_set()
-            or monotonic_us() >= call.due
+            or monotonic_us() >= call.deadline
         )
-        if call.route.idempotent and tries_left and not over:
-            return again
-        return call.shed(code)
-
-    async def enter_spilled(self, call):
-        """At the neighbour: everything is checked here again, and refused as not run."""
-        home = self.endpoints.local_endpoint(call.route.service)
-        if home is None:
-            return call.shed("home_gone")
-        if home.incarnation != call.incarnation:
-            known = [
-                e
-                for e in self.endpoints.available_endpoints(call.route.service)
-                if e.incarnation == call.incarnation
-            ]
-            if not known:
-                return call.shed("home_gone", "another incarnation")
-            home = known[0]
-        if not home.has_capacity:
-            return call.shed("busy")
-        return self.take(call, home)
-
-    # ------------------------------------------------------------ endpoint
-
-    async def endpoint_step(self, call):
-        endpoint, route = call.endpoint, call.route
+        if call.route.idempotent and attempts_left and not over:
+            return retry
+        return self.reject(call, code)
+
+    # ------------------------------------------------------------ the local endpoint
+
+    async def endpoint_step(self, call: Call) -> Step | None:
+        """Send the call to the endpoint whose slot it holds."""
+        endpoint = call.endpoint
         if not endpoint.available:
-            self.let_go(call)
+            self.release_slot(call)
             return self.after_not_run(call)
-        # a call that a neighbour shed has been nowhere yet: home keeps it, as the paper's would
-        if call.reached and not self.retry_budget.try_withdraw(monotonic_us()):
-            return call.shed("busy", "no second tries left")
+        # a call that a peer rejected was at no endpoint yet: it stays here, as the paper's would
+        if call.endpoint_sends and not self.retry_budget.try_withdraw(monotonic_us()):
+            return self.reject(call, "busy", "no second tries left")
         call.sends += 1
-        call.reached += 1
-        call.endpoint_tries += 1
-        begun = monotonic_us()
-        due = min(call.due, begun + route.endpoint.wait_us)
-        service = self.routing_table.services.get(route.service) or {
-            "echo": False,
-            "identity": False,
-        }
+        call.endpoint_sends += 1
+        call.endpoint_attempts += 1
+        begun_at = monotonic_us()
+        try:
+            response = await self.exchange(call, endpoint, begun_at)
+        except NotSent:
+            return self.after_not_sent(call, endpoint)
+        except EndpointOutcomeUnknown as unknown:
+            self.count(unknown.counter)
+            return self.after_endpoint_unknown(call, unknown.code)
+        load = reported_load(response.headers)
+        if load is not None:
+            endpoint.reported_load, endpoint.reported_load_at = load, monotonic_us()
+        self.slot_queue(call.route.service).record_slot_time(call, monotonic_us() - begun_at)
+        return self.after_response(call, response)
+
+    async def exchange(self, call: Call, endpoint: Endpoint, begun_at: int) -> CheckedResponse:
+        """One request and its response.
+
+        Until the first byte is sent, a caller that disconnects cancels it; from then on only the
+        deadline or an abort ends it.
+
+        :raises NotSent: no byte of the call left.
+        :raises EndpointOutcomeUnknown: it was sent, and there is no valid response.
+        """
+        deadline = min(call.deadline, begun_at + call.route.endpoint.wait_us)
         sent = False
 
-        def started():
+        def on_first_byte() -> None:
             nonlocal sent
             sent = call.started = True
-            guard.shield = True  # from here on only the due ends it
+            scope.shield = True
 
-        with deadline_scope(due) as guard:
-            call.guard = guard
+        with deadline_scope(deadline) as scope:
+            call.cancel_scope = scope
             try:
-                connection = await self.connection(endpoint, service)
-                status, lines, body = await connection.request(
-                    call.method,
-                    call.target_path,
-                    self.endpoint_lines(call, endpoint, due),
-                    call.body,
-                    started,
-                )
-                try:
-                    lines = check_endpoint_response(endpoint, service, call.id, status, lines, body)
-                except InvalidEndpointResponse as bad:
-                    await connection.close()
-                    self.node.log(405, address=endpoint.address, why=str(bad), call=call.id)
-                    self.count("answer.bad")
-                    return self.after_unknown(call, "bad_answer")
-                self.keep(endpoint, connection)
-            except HttpConnectionFailed:
+                return await self.request(call, endpoint, deadline, on_first_byte)
+            except HttpConnectionFailed as failed:
                 if sent:
-                    self.count("endpoint.lost")
-                    return self.after_unknown(call, "lost")
-                return self.not_sent(call, endpoint)
-        if guard.cancelled_caught:
-            if sent:
-                self.count("endpoint.late")
-                return self.after_unknown(call, "no_answer")
-            return self.not_sent(call, endpoint)
-        load = told_load(lines)
-        if load is not None:
-            endpoint.reported_load, endpoint.reported_load_at = load, monotonic_us()
-        self.holding(route.service).ended(call, monotonic_us() - begun)
-        word = SAID.get((status, dict(lines).get(b"md-verdict")))
-        if word is not None:
-            self.let_go(call)
-            self.count(f"endpoint.{word}")
-            return self.after_not_run(call, "busy") if word == "busy" else call.shed(word)
-        call.outcome = EndpointResponse(status, passed_on(lines), body)
-        return None
-
-    def not_sent(self, call, endpoint):
-        """Nothing of the call left here, so what comes next is no second sending."""
+                    raise EndpointOutcomeUnknown("lost", "endpoint.lost") from failed
+                raise NotSent from failed
+        if sent:
+            raise EndpointOutcomeUnknown("no_answer", "endpoint.late")
+        raise NotSent
+
+    async def request(
+        self, call: Call, endpoint: Endpoint, deadline: int, on_first_byte: Callable[[], None]
+    ) -> CheckedResponse:
+        """Send the call on a connection, and check the response.
+
+        :raises HttpConnectionFailed: the connection failed.
+        :raises EndpointOutcomeUnknown: the response failed a check.
+        """
+        service = self.routing_table.services.get(call.route.service) or UNKNOWN_SERVICE
+        connection = await self.connections.acquire(endpoint, service)
+        status, headers, body = await connection.request(
+            call.method,
+            call.request_target,
+            request_headers(call, endpoint, deadline),
+            call.body,
+            on_first_byte,
+        )
+        try:
+            headers = check_endpoint_response(endpoint, service, call.id, status, headers, body)
+        except InvalidEndpointResponse as invalid:
+            await connection.close()
+            self.node.log(405, address=endpoint.address, why=str(invalid), call=call.id)
+            raise EndpointOutcomeUnknown("bad_answer", "answer.bad") from invalid
+        self.connections.release(endpoint, connection)
+        return CheckedResponse(status, headers, body)
+
+    def after_response(self, call: Call, response: CheckedResponse) -> Step | None:
+        """The endpoint answered: with its response, or that it did not run the call."""
+        verdict = dict(response.headers).get(b"md-verdict")
+        code = ENDPOINT_REJECTIONS.get((response.status, verdict))
+        if code is None:
+            headers = end_to_end_headers(response.headers)
+            call.outcome = EndpointResponse(response.status, headers, response.body)
+            return None
+        self.release_slot(call)
+        self.count(f"endpoint.{code}")
+        return self.after_not_run(call, code) if code == "busy" else self.reject(call, code)
+
+    def after_not_sent(self, call: Call, endpoint: Endpoint) -> Step | None:
+        """No byte of the call left this process, so that what comes next is no retry."""
         call.sends -= 1
-        call.reached -= 1
+        call.endpoint_sends -= 1
         self.endpoints.mark_unreachable(endpoint)
-        self.let_go(call)
+        self.release_slot(call)
         return self.after_not_run(call)
 
-    def after_unknown(self, call, code):
-        again = None if call.repeat else self.endpoint_step
-        if call.endpoint is None or not call.endpoint.available:
-            self.let_go(call)
-            again = self.choose_step if call.home and not call.repeat else None
-        tries_left = again is not None and call.endpoint_tries <= call.route.endpoint.retries
-        return self.unknown(call, code, again, tries_left)
-
-    def after_not_run(self, call, code="unreachable"):
-        """The endpoint surely didn't run it: a home may look again, a neighbour says so."""
-        tries_left = (
-            call.endpoint_tries <= call.route.endpoint.retries and monotonic_us() < call.due
-        )
-        if call.home and tries_left and code != "busy" and not call.repeat:
+    def after_not_run(self, call: Call, code: str = "unreachable") -> Step | None:
+        """The endpoint certainly didn't run it: look again, or tell the peer that sent it."""
+        may_retry = self.endpoint_attempts_left(call) and monotonic_us() < call.deadline
+        if call.arrived_here and may_retry and code != "busy" and not call.lookup_only:
             return self.choose_step
-        return call.shed(code)
-
-    def endpoint_lines(self, call, endpoint, due):
-        return [
-            *call.headers,
-            (b"md-call", call.id.encode()),
-            (b"md-caller", call.caller.encode()),
-            (b"md-service", endpoint.service.encode()),
-            (b"md-incarnation", endpoint.incarnation.encode()),
-            (b"md-due", str(max(0, due - monotonic_us())).encode()),
-            *([(b"md-key", call.key.encode())] if call.key else []),
-            *([(b"md-repeat", b"1")] if call.repeat else []),
-        ]
-
-    async def connection(self, endpoint, service):
-        """One that is free, or a new one, which proves service and incarnation first."""
-        while endpoint.idle_connections:
-            connection = endpoint.idle_connections.pop()
-            if not connection.stale():
-                return connection
-            await connection.close()
-        connection = self.node.runtime.net.http(endpoint.address)
-        if service["identity"]:
-            try:
-                status, _, body = await connection.request("GET", "/md/identity", [], b"")
-            except HttpConnectionFailed as broken:
-                raise HttpConnectionFailed(
-                    False, broken
-                ) from broken  # no byte of the call was sent
-            want = {"service": endpoint.service, "incarnation": endpoint.incarnation}
-            if status != 200 or not holds(body, want):
-                await connection.close()
-                self.node.log(405, address=endpoint.address, why="identity")
-                self.endpoints.remove(endpoint, "identity")
-                raise HttpConnectionFailed(False, "another process answers there")
-        if endpoint.removed:
-            await connection.close()
-            raise HttpConnectionFailed(False, "endpoint is gone")
-        return connection
-
-    def keep(self, endpoint, connection):
-        if (
-            not endpoint.removed
-            and not connection.stale()
-            and len(endpoint.idle_connections) < endpoint.capacity
-        ):
-            endpoint.idle_connections.append(connection)
-        else:
-            self.endpoints.connections_to_close.append(connection)
-
-    def abort_requests(self):
-        """A second signal: calls at an endpoint end now, as may have run."""
-        for call in self.slab:
-            if call.guard is not None:
-                call.guard.cancel()
+        return self.reject(call, code)
 
-    async def tidy(self):
-        """Endpoints that no longer beat, connections that nobody uses."""
-        self.endpoints.remove_expired(monotonic_us())
-        closing, self.endpoints.connections_to_close = self.endpoints.connections_to_close, []
-        for connection in closing:
-            await connection.close()
-
-
-# what an endpoint says of a call instead of an answer: (status, md-verdict) -> code
-SAID = {
-    (503, b"not-run"): "busy",
-    (409, b"may-have-run"): "key_may_have_run",
-    (422, b"not-run"): "key_mismatch",
-}
-
-
-def surely_not_run(code):
-    """What a peer's rejection says. An unknown word claims nothing."""
-    return code == "no_such_method" or (
-        code in REJECTION_CODES and REJECTION_CODES[code].verdict is NOT_RUN
-    )
-
-
-def holds(body, want):
-    try:
-        facts = json.loads(body)
-    except ValueError:
-        return False
-    return isinstance(facts, dict) and all(facts.get(k) == v for k, v in want.items())
+    def after_endpoint_unknown(self, call: Call, code: str) -> Step | None:
+        """The endpoint may have run it: retry there, or elsewhere if it was removed."""
+        retry: Step | None = None if call.lookup_only else self.endpoint_step
+        if call.endpoint is None or not call.endpoint.available:
+            self.release_slot(call)
+            retry = self.choose_step if call.arrived_here and not call.lookup_only else None
+        attempts_left = retry is not None and self.endpoint_attempts_left(call)
+        return self.after_outcome_unknown(call, code, retry, attempts_left)
+
+    def endpoint_attempts_left(self, call: Call) -> bool:
+        """Whether the route allows one more attempt at an endpoint."""
+        return call.endpoint_attempts <= call.route.endpoint.retries
+
+
+def request_headers(call: Call, endpoint: Endpoint, deadline: int) -> Headers:
+    """The headers that an endpoint gets: the caller's, and the mesh's own."""
+    remaining_us = max(0, deadline - monotonic_us())
+    key = call.idempotency_key
+    return [
+        *call.headers,
+        (b"md-call", call.id.encode()),
+        (b"md-caller", call.caller.encode()),
+        (b"md-service", endpoint.service.encode()),
+        (b"md-incarnation", endpoint.incarnation.encode()),
+        (b"md-due", str(remaining_us).encode()),
+        *([(b"md-key", key.encode())] if key else []),
+        *([(b"md-repeat", b"1")] if call.lookup_only else []),
+    ]
+
+
+def certainly_not_run(code: str) -> bool:
+    """Whether a peer's rejection says that the call did not run. An unknown code claims nothing."""
+    if code == "no_such_method":
+        return True
+    return code in REJECTION_CODES and REJECTION_CODES[code].verdict is NOT_RUN
--- a/packages/proxy/meadowdock/proxy/gateway.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -1,57 +1,53 @@
-"""mdproxy with a gate: calls come by host and prefix, endpoints tell everything in their beats."""
+"""The proxy with a gateway: calls come by host and prefix, and are forwarded by a Gateway.
+
+The wiring of meadowdock.forwarding into the proxy daemon; platform adapters subclass it.
+"""
 
 from __future__ import annotations
 
-from collections import OrderedDict
+from collections.abc import Awaitable, Callable, Mapping
+from typing import Any
 
 import trio
 
+from meadowdock import process
+from meadowdock.configuration import RoutingTable
 from meadowdock.configuration.check import LOAD
-from meadowdock.forwarding import Gateway, Reactor, SocketNetwork
-from meadowdock.proxy.endpoints import Endpoint, RegistrationDenied
-from meadowdock.proxy.part import Part
+from meadowdock.forwarding import Dialect, Gateway, Reactor, SocketNetwork
+from meadowdock.load_sharing import LoadList
+from meadowdock.proxy.endpoints import ServiceReport
+from meadowdock.proxy.gateway_endpoints import EndpointHeartbeat, GatewayEndpoints
+from meadowdock.proxy.messages import NodesByService
 from meadowdock.proxy.retry_budget import RetryBudget
-from meadowdock.runtime import (
-    MILLISECOND,
-    SECOND,
-    HttpConnectionFailed,
-    deadline_scope,
-    monotonic_us,
-    sleep_us,
-)
-
-LEFT_MAX = (
-    1_000  # instances that left and are remembered, so that a late beat can't bring them back
-)
-BEATS = 3  # so many missed, an endpoint is gone
-# where no operator's manifest says otherwise: chosen by measurement on calls by host and prefix
-GATE_LOAD = {"omega": 0.8, "phi": 0.7, "interval_us": 250 * MILLISECOND}
-QUIET = 200 * MILLISECOND
-LOOK, LOOK_WAIT = 60 * MILLISECOND, 300 * MILLISECOND
-FLUSH = 50 * MILLISECOND
-SAFE = (
-    0.6  # of the fleet's second tries: windows of nodes don't begin together, and repeats call on
-)
-
-
-class GatewayProxy(Part):
-    """Invariants: gate.table is delivery's active items; sequences holds the highest beat's number of
-    each instance enrolled here; left holds instances that left, the oldest first."""
-
-    dialect = None  # of the platform, by a subclass
-
-    def __init__(self, node):
+from meadowdock.proxy.server import ProxyServer
+from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
+
+MISSED_HEARTBEATS = 3  # so many missed, and a third of an interval, an endpoint is removed
+LISTENERS = 2  # for callers and for peers
+# Where no operator's configuration says otherwise: by measurement on calls by host and prefix.
+GATEWAY_LOAD_PARAMETERS = {"omega": 0.8, "phi": 0.7, "interval_us": 250 * MILLISECOND}
+# Of the fleet's retries: the windows of nodes don't begin together, and callers retry, too.
+RETRY_BUDGET_SHARE = 0.6
+
+# A graceful shutdown closes the listeners once no call arrived for this long.
+QUIET_US = 200 * MILLISECOND
+DRAIN_POLL_US = 10 * MILLISECOND
+FLUSH_US = 50 * MILLISECOND  # for the last responses to leave
+STOP_MARGIN_US = SECOND
+
+
+class GatewayProxy(ProxyServer):
+    """One proxy process with a gateway. Invariant: gate.configuration is delivery's active items."""
+
+    dialect: Dialect  # the platform's header names, set by a subclass
+
+    def __init__(self, node: process.Node) -> None:
         super().__init__(node)
         settings = node.settings
         self.reactor = Reactor(node.log)
-        make = getattr(node.runtime.net, "wires", None)
-        self.wires = (
-            make(node.nursery, self.reactor)
-            if make
-            else SocketNetwork(settings.host, node.nursery, self.reactor)
-        )
+        self.sockets = self.make_sockets()
         self.gate = Gateway(
-            self.wires,
+            self.sockets,
             self.reactor,
             self.endpoints,
             self.dialect,
@@ -60,180 +56,141 @@
             node.log,
             self,
         )
-        self.forwarder.use_load_list = self.listed
         self.endpoints.heartbeat_timeout_us = (
-            BEATS * settings.heartbeat_us + settings.heartbeat_us // 3
+            MISSED_HEARTBEATS * settings.heartbeat_us + settings.heartbeat_us // 3
         )
-        self.sequences, self.left = {}, OrderedDict()
+        self.gateway_endpoints = GatewayEndpoints(self, self.reactor.end_turn)
         self.closing = trio.Event()
-        self.leaves = False  # the doors are about to close
-        self.listening = 0
+        self.closing_listeners = False
+        self.open_listeners = 0
 
-    def background_tasks(self):
+    def make_sockets(self) -> SocketNetwork:
+        """The sockets: the runtime's own, if it has any (a simulated network does)."""
+        node = self.node
+        make = getattr(node.runtime.net, "wires", None)
+        if make is not None:
+            return make(node.nursery, self.reactor)
+        return SocketNetwork(node.settings.host, node.nursery, self.reactor)
+
+    # ------------------------------------------------------------ the daemon's hooks
+
+    def background_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
+        """The loops that the node keeps running, by the names they have in the log."""
         return super().background_tasks() | {
             "reactor": self.reactor.run,
-            "arrivals": self.serve_arrivals,
-            "neighbours": self.serve_neighbours,
-            "beside": self.look_beside,
+            "arrivals": self.serve_callers,
+            "neighbours": self.serve_peers,
+            "beside": self.gateway_endpoints.discover,
         }
 
-    @property
-    def out(self):
-        # while its doors are open a stopping node serves, and its endpoint is not lost to others
-        return self.leaves
-
-    async def serve_arrivals(self):
-        self.listening += 1
-        await self.wires.listen(self.node.settings.gate_address, self.gate.accept, self.closing)
+    async def serve_callers(self) -> None:
+        """Accept connections of callers on this machine, until the shutdown closes the listener."""
+        self.open_listeners += 1
+        await self.sockets.listen(self.node.settings.gate_address, self.gate.accept, self.closing)
 
-    async def serve_neighbours(self):
+    async def serve_peers(self) -> None:
+        """Accept connections of peers."""
         settings = self.node.settings
-        self.listening += 1
-        await self.wires.listen(f"{settings.host}:{settings.gate_port}", self.gate.peers.accept)
+        self.open_listeners += 1
+        await self.sockets.listen(f"{settings.host}:{settings.gate_port}", self.gate.peers.accept)
+
+    def unready_reasons(self) -> list[str]:
+        """Why this process is not ready; empty if it is."""
+        reasons = super().unready_reasons()
+        if self.open_listeners < LISTENERS:
+            reasons.append("the doors are not open yet")
+        return reasons
+
+    async def announce_shutdown(self) -> None:
+        """Ask callers to close their connections; the node stays in rotation until `drain`."""
+        self.gate.closing = True
+
+    async def drain(self) -> None:
+        """Leave the rotation, close the listeners once it is quiet, and end the calls in flight."""
+        self.closing_listeners = True
+        await self.heartbeats.send()
+        await self.wait_until_quiet()
+        self.closing.set()
+        await sleep_us(QUIET_US // 4)
+        self.gate.close_idle_connections()
+        while self.gate.in_use():
+            self.gate.close_idle_connections()
+            await sleep_us(DRAIN_POLL_US)
+        await sleep_us(FLUSH_US)
+        await super().drain()
 
-    async def tidy(self):
-        await super().tidy()
+    async def wait_until_quiet(self) -> None:
+        """Wait until no call arrived for QUIET_US, or the stop is near."""
+        latest = self.node.shutdown.deadline - STOP_MARGIN_US
+        while monotonic_us() - self.gate.last_arrival_at < QUIET_US and monotonic_us() < latest:
+            await sleep_us(QUIET_US // 4)
+
+    # ------------------------------------------------------------ hooks of the proxy
+
+    @property
+    def out_of_rotation(self) -> bool:
+        """While its listeners are open a stopping node serves, and its endpoint is not lost."""
+        return self.closing_listeners
+
+    async def maintain(self) -> None:
+        """What is due at each turn."""
+        await super().maintain()
         self.gate.tidy(monotonic_us())
 
-    def put_in_force(self, routing_table):
+    def activate(self, routing_table: RoutingTable) -> None:
+        """Route by this configuration from here on."""
         if routing_table.load is LOAD:  # no operator has said anything of it
-            routing_table.load = {**LOAD, **GATE_LOAD}
-        super().put_in_force(routing_table)
+            routing_table.load = {**LOAD, **GATEWAY_LOAD_PARAMETERS}
+        super().activate(routing_table)
         self.gate.apply_configuration(routing_table.items, routing_table.load)
 
-    def listed(self, lists, told_nodes):
-        type(self.forwarder).use_load_list(self.forwarder, lists, told_nodes)
-        self.gate.update_loads(lists, told_nodes)
+    def use_load_list(self, load_list: LoadList, nodes_by_service: NodesByService) -> None:
+        """Decide by this load list from here on."""
+        super().use_load_list(load_list, nodes_by_service)
+        self.gate.update_loads(load_list, nodes_by_service)
         self.reactor.end_turn()
 
-    def measure(self):
+    def measure_load(self, at: int) -> dict[str, ServiceReport]:
         """As the paper's level, grown by how slow the endpoint here is; with zone and mean time."""
-        told, at = super().measure(), monotonic_us()
-        for service, line in told.items():
-            occupation = self.endpoints.service_loads[service]
-            occupation.rho = min(1.0, occupation.rho * self.gate.slowness.factor(service, at))
-            line[0] = occupation.rho
-            line += [self.node.settings.zone, self.gate.slowness.hold_us(service)]
-        return told
-
-    def new_retry_budget(self, gate):
-        """A new service's second tries."""
-        terms = self.node.settings.retry_budget
-        ratio, reserve = SAFE * terms.ratio, int(SAFE * terms.reserve)
-        return RetryBudget(gate.peer_count(), self.born, ratio, reserve, terms.window_us)
-
-    def settings_changed(self, settings):
-        """New settings of a running process: the service beside, and the bounds of second tries."""
-        self.gate.caller_name = (settings.service or "guest").encode()
-        self.gate.retries.budgets = {
-            service: self.new_retry_budget(self.gate).carry_over(old)
-            for service, old in self.gate.retries.budgets.items()
+        return {
+            service: self.adjusted(service, report, at)
+            for service, report in super().measure_load(at).items()
         }
 
-    def unready_reasons(self):
-        why = super().unready_reasons()
-        return [*why, *([] if self.listening >= 2 else ["the doors are not open yet"])]
-
-    # ------------------------------------------------------------ endpoints
-
-    async def look_beside(self):
-        """A process that has just started asks the endpoint beside who it is, since its next beat
-        may be a whole interval away."""
-        settings, words = self.node.settings, self.dialect
-        while (
-            settings.app_address
-            and monotonic_us() - self.born < settings.heartbeat_us
-            and not self.endpoints.by_address
-        ):
-            await sleep_us(LOOK)
-            service = self.gate.table.services.get(settings.service) if self.gate.table else None
-            if not service or not service.get("health"):
-                continue
-            at = monotonic_us()
-            try:
-                with deadline_scope(at + LOOK_WAIT):
-                    connection = self.node.runtime.net.http(settings.app_address)
-                    status, lines, _ = await connection.request("GET", service["health"], [], b"")
-                    await connection.close()
-                    self.found_beside(status, {n.lower(): v for n, v in lines}, words)
-            except HttpConnectionFailed:
-                pass
-
-    def found_beside(self, status, facts, words):
-        instance = facts.get(words.health_instance.lower(), b"").decode("latin-1")
-        slots = facts.get(words.load.lower(), b"").split(b",")[-1]
-        settings = self.node.settings
-        well = status == 200 and instance and slots.isdigit() and int(slots)
-        if well and not self.endpoints.by_address and instance not in self.left:
-            at = monotonic_us()
-            self.endpoints.add(
-                Endpoint(settings.service, settings.app_address, instance, int(slots), at, at)
-            )
-            self.reactor.end_turn()
-
-    def endpoint_heartbeat(self, facts):
-        """One beat of the endpoint beside. facts: service, address, instance, capacity (calls at
-        once), draining, warm_us (how much longer it is slow), sequence. Raises Denied."""
-        instance, sequence, at = facts["instance"], facts["sequence"], monotonic_us()
-        if instance in self.left or sequence <= self.sequences.get(instance, -1):
-            return  # late: something newer is known
-        held = self.endpoints.by_address.get(facts["address"])
-        if held is None or held.incarnation != instance:
-            if facts["address"].rpartition(":")[0] not in self.node.settings.local_addresses:
-                raise RegistrationDenied(
-                    403, "not_local", "the endpoint's address is of another machine"
-                )
-            if held is not None:
-                self.forget(held.incarnation)  # a late beat of it doesn't take the address back
-            held = Endpoint(
-                facts["service"],
-                facts["address"],
-                instance,
-                facts["capacity"],
-                at,
-                at,
-                draining=facts["draining"],  # who waits must not start there meanwhile
-            )
-            self.endpoints.add(held)
-        self.sequences[instance] = sequence
-        held.heartbeat_at, held.capacity, held.unreachable = at, facts["capacity"], False
-        held.slow_start_until = at + facts["warm_us"]
-        if facts["draining"]:
-            self.endpoints.start_draining(held)
-        self.endpoints.notify_waiters(held.service)
-        self.reactor.end_turn()
+    def adjusted(self, service: str, report: ServiceReport, at: int) -> ServiceReport:
+        """A service's report, with what the gateway knows of it."""
+        load = self.endpoints.service_loads[service]
+        load.rho = min(1.0, load.rho * self.gate.slowness.factor(service, at))
+        return report._replace(
+            rho=load.rho, zone=self.node.settings.zone, slot_us=self.gate.slowness.hold_us(service)
+        )
 
-    def deregister_endpoint(self, instance):
-        """The endpoint ends; nothing of it is used again."""
-        self.forget(instance)
-        for endpoint in list(self.endpoints.by_address.values()):
-            if endpoint.incarnation == instance:
-                self.endpoints.remove(endpoint, "left")
-        self.reactor.end_turn()
+    # ------------------------------------------------------------ retry budgets
 
-    def forget(self, instance):
-        """Its beats count no more."""
-        self.left[instance] = True
-        while len(self.left) > LEFT_MAX:
-            self.left.popitem(last=False)
-        self.sequences.pop(instance, None)
+    def new_retry_budget(self, gate: Gateway) -> RetryBudget:
+        """The retry budget of a service."""
+        limits = self.node.settings.retry_budget
+        ratio = RETRY_BUDGET_SHARE * limits.ratio
+        reserve = int(RETRY_BUDGET_SHARE * limits.reserve)
+        return RetryBudget(gate.peer_count(), self.started_at, ratio, reserve, limits.window_us)
 
-    # ------------------------------------------------------------ stop
+    def settings_changed(self, settings: Any) -> None:
+        """Take new settings of a running process: the service beside, and the retry limits."""
+        self.gate.caller_name = (settings.service or "guest").encode()
+        self.gate.retries.budgets = {
+            service: self.new_retry_budget(self.gate).carry_over(former)
+            for service, former in self.gate.retries.budgets.items()
+        }
 
-    async def announce_shutdown(self):
-        self.gate.closing = True
+    # ------------------------------------------------------------ for adapters
 
-    async def drain(self):
-        gate, last = self.gate, self.node.shutdown.deadline - SECOND
-        self.leaves = True
-        await self.tell_core()
-        while monotonic_us() - gate.last_arrival_at < QUIET and monotonic_us() < last:
-            await sleep_us(QUIET // 4)
-        self.closing.set()
-        await sleep_us(QUIET // 4)
-        gate.close_idle_connections()
-        while gate.in_use():
-            gate.close_idle_connections()
-            await sleep_us(10 * MILLISECOND)
-        await sleep_us(FLUSH)
-        await super().drain()
+    def endpoint_heartbeat(self, fields: Mapping[str, Any]) -> None:
+        """A heartbeat of the endpoint beside; its fields are those of EndpointHeartbeat.
+
+        :raises RegistrationDenied: the endpoint is of another machine.
+        """
+        self.gateway_endpoints.heartbeat(EndpointHeartbeat.from_fields(fields))
+
+    def deregister_endpoint(self, instance: str) -> None:
+        """The endpoint beside shuts down."""
+        self.gateway_endpoints.deregister(instance)
--- /dev/null
+++ b/packages/proxy/meadowdock/proxy/gateway_endpoints.py
@@ -0,0 +1,188 @@
+"""The endpoint beside a gateway: its numbered heartbeats, its departure, and its discovery.
+
+Unlike the endpoints of the proxy's own HTTP API, these have no tokens: the platform's adapter reads
+their heartbeats. A heartbeat may be delivered late; its sequence number tells.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from meadowdock.forwarding import Dialect
+from meadowdock.proxy.endpoints import Endpoint
+from meadowdock.runtime import (
+    MILLISECOND,
+    HttpConnectionFailed,
+    deadline_scope,
+    monotonic_us,
+    sleep_us,
+)
+
+if TYPE_CHECKING:
+    from meadowdock.proxy.gateway import GatewayProxy
+
+MAX_DEPARTED_INSTANCES = 1_000  # remembered, so that a late heartbeat can't bring them back
+DISCOVERY_INTERVAL_US = 60 * MILLISECOND
+DISCOVERY_TIMEOUT_US = 300 * MILLISECOND
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointHeartbeat:
+    """One heartbeat of the endpoint beside this node."""
+
+    service: str
+    address: str
+    instance: str
+    capacity: int  # calls at once
+    draining: bool
+    slow_start_us: int  # how much longer it is slow
+    sequence: int  # goes up with each heartbeat of an instance
+
+    @classmethod
+    def from_fields(cls, fields: Mapping[str, Any]) -> EndpointHeartbeat:
+        """Decode the fields that adapters give.
+
+        :raises KeyError: a field is missing.
+        """
+        return cls(
+            service=fields["service"],
+            address=fields["address"],
+            instance=fields["instance"],
+            capacity=fields["capacity"],
+            draining=fields["draining"],
+            slow_start_us=fields["warm_us"],
+            sequence=fields["sequence"],
+        )
+
+
+class GatewayEndpoints:
+    """Takes heartbeats and departures.
+
+    Invariants: last_sequence holds the highest heartbeat's number of each instance registered here;
+    departed holds instances that left, the oldest first.
+    """
+
+    def __init__(self, server: GatewayProxy, on_change: Callable[[], None]) -> None:
+        self.server = server
+        self.node, self.registry = server.node, server.endpoints
+        self.on_change = on_change  # ends the reactor's turn, so that waiting calls start
+        self.last_sequence: dict[str, int] = {}
+        self.departed: OrderedDict[str, bool] = OrderedDict()
+
+    # ------------------------------------------------------------ heartbeats
+
+    def heartbeat(self, heartbeat: EndpointHeartbeat) -> None:
+        """Take a heartbeat; one that is late changes nothing.
+
+        :raises RegistrationDenied: the endpoint is of another machine.
+        """
+        at = monotonic_us()
+        if self.is_late(heartbeat):
+            return
+        endpoint = self.registry.by_address.get(heartbeat.address)
+        if endpoint is None or endpoint.incarnation != heartbeat.instance:
+            endpoint = self.register(heartbeat, endpoint, at)
+        self.last_sequence[heartbeat.instance] = heartbeat.sequence
+        endpoint.heartbeat_at = at
+        endpoint.capacity, endpoint.unreachable = heartbeat.capacity, False
+        endpoint.slow_start_until = at + heartbeat.slow_start_us
+        if heartbeat.draining:
+            self.registry.start_draining(endpoint)
+        self.registry.notify_waiters(endpoint.service)
+        self.on_change()
+
+    def is_late(self, heartbeat: EndpointHeartbeat) -> bool:
+        """Whether something newer is known of the instance."""
+        last = self.last_sequence.get(heartbeat.instance, -1)
+        return heartbeat.instance in self.departed or heartbeat.sequence <= last
+
+    def register(self, heartbeat: EndpointHeartbeat, former: Endpoint | None, at: int) -> Endpoint:
+        """Register the instance of a first heartbeat, in place of the former at its address."""
+        self.server.require_local_address(heartbeat.address)
+        if former is not None:
+            self.forget(former.incarnation)  # a late heartbeat doesn't take the address back
+        endpoint = Endpoint(
+            heartbeat.service,
+            heartbeat.address,
+            heartbeat.instance,
+            heartbeat.capacity,
+            at,
+            at,
+            draining=heartbeat.draining,  # so that no waiting call starts there meanwhile
+        )
+        self.registry.add(endpoint)
+        return endpoint
+
+    def deregister(self, instance: str) -> None:
+        """The endpoint shuts down; nothing of it is used again."""
+        self.forget(instance)
+        for endpoint in list(self.registry.by_address.values()):
+            if endpoint.incarnation == instance:
+                self.registry.remove(endpoint, "left")
+        self.on_change()
+
+    def forget(self, instance: str) -> None:
+        """Ignore the instance's heartbeats from here on."""
+        self.departed[instance] = True
+        while len(self.departed) > MAX_DEPARTED_INSTANCES:
+            self.departed.popitem(last=False)
+        self.last_sequence.pop(instance, None)
+
+    # ------------------------------------------------------------ discovery
+
+    async def discover(self) -> None:
+        """After a start: ask the endpoint beside who it is.
+
+        Its next heartbeat may be a whole interval away.
+        """
+        settings = self.node.settings
+        while settings.app_address and self.in_first_interval() and not self.registry.by_address:
+            await sleep_us(DISCOVERY_INTERVAL_US)
+            health_path = self.health_path()
+            if not health_path:
+                continue
+            try:
+                with deadline_scope(monotonic_us() + DISCOVERY_TIMEOUT_US):
+                    await self.ask(settings.app_address, health_path)
+            except HttpConnectionFailed:
+                pass
+
+    def in_first_interval(self) -> bool:
+        """Whether the endpoint's first heartbeat may still be on its way."""
+        first_interval: int = self.node.settings.heartbeat_us
+        return monotonic_us() - self.server.started_at < first_interval
+
+    def health_path(self) -> str | None:
+        """The health check of the service beside, if the configuration names one."""
+        table = self.server.gate.table
+        service = table.services.get(self.node.settings.service) if table else None
+        return service.get("health") if service else None
+
+    async def ask(self, address: str, health_path: str) -> None:
+        """One health check; its headers name the instance and its slots.
+
+        :raises HttpConnectionFailed: no complete answer.
+        """
+        connection = self.node.runtime.net.http(address)
+        status, headers, _ = await connection.request("GET", health_path, [], b"")
+        await connection.close()
+        by_name = {name.lower(): value for name, value in headers}
+        self.on_health_response(status, by_name, self.server.dialect)
+
+    def on_health_response(
+        self, status: int, by_name: dict[bytes, bytes], dialect: Dialect
+    ) -> None:
+        """Register the endpoint that answered, unless its own heartbeat came first."""
+        instance = by_name.get(dialect.health_instance.lower(), b"").decode("latin-1")
+        slots = by_name.get(dialect.load.lower(), b"").split(b",")[-1]
+        healthy = status == 200 and instance and slots.isdigit() and int(slots)
+        if not healthy or self.registry.by_address or instance in self.departed:
+            return
+        settings, at = self.node.settings, monotonic_us()
+        self.registry.add(
+            Endpoint(settings.service, settings.app_address, instance, int(slots), at, at)
+        )
+        self.on_change()
--- /dev/null
+++ b/packages/proxy/meadowdock/proxy/heartbeats.py
@@ -0,0 +1,132 @@
+"""Heartbeats of this proxy to the registries.
+
+They say that the node is alive and what its endpoints are doing. The answers carry the highest
+epoch of the load collector, and before the first load list a provisional one.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import trio
+
+from meadowdock.load_sharing import LoadList
+from meadowdock.membership import MemberEntry
+from meadowdock.proxy.messages import (
+    HEARTBEAT_METHOD,
+    REGISTRY_ROLE,
+    HeartbeatReply,
+    ProxyHeartbeat,
+    WireMap,
+    count_addresses,
+    nodes_from_wire,
+)
+from meadowdock.rpc import ConnectionFailed, Rejected
+from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us, sleep_us
+
+if TYPE_CHECKING:
+    from meadowdock.proxy.server import ProxyServer
+
+HEARTBEAT_INTERVAL_US = 500 * MILLISECOND
+STARTUP_HEARTBEAT_INTERVAL_US = 150 * MILLISECOND  # until the first load list
+# The wait after a registry was discovered, before it gets a heartbeat: it is seldom the only one.
+DISCOVERY_DELAY_US = 10 * MILLISECOND
+
+
+class HeartbeatSender:
+    """Sends heartbeats, and remembers what the registries answered.
+
+    Invariant: epoch_floor never goes down; it is None until a registry answered. No load list of
+    an epoch below it is accepted.
+    """
+
+    def __init__(self, server: ProxyServer) -> None:
+        self.server = server
+        self.node = server.node
+        self.epoch_floor: int | None = None
+        self.known_registries: set[str] = set()  # that got the last heartbeat
+        self.registry_discovered = trio.Event()
+
+    def on_member(self, member: MemberEntry) -> None:
+        """A member that gossip told of: a registry that is new gets a heartbeat soon."""
+        if member.role == REGISTRY_ROLE and member.address not in self.known_registries:
+            self.registry_discovered.set()
+
+    async def run(self) -> None:
+        """Send heartbeats; and end the load intervals, while no collector asks for the load."""
+        while True:
+            await self.send()
+            self.server.load_reporter.check_collector()
+            await self.wait_for_next()
+
+    async def wait_for_next(self) -> None:
+        """Wait until the next heartbeat is scheduled or a new registry was discovered."""
+        has_load_list = self.server.forwarder.load_list.seq
+        interval = HEARTBEAT_INTERVAL_US if has_load_list else STARTUP_HEARTBEAT_INTERVAL_US
+        with deadline_scope(self.node.view.schedule.next_wakeup(interval)):
+            await self.registry_discovered.wait()
+            await sleep_us(DISCOVERY_DELAY_US)
+        self.registry_discovered = trio.Event()
+
+    async def send(self) -> None:
+        """One heartbeat to every registry that is known."""
+        heartbeat = self.heartbeat().to_wire()
+        registries = self.node.view.core_members(REGISTRY_ROLE)
+        self.known_registries = set(registries)
+        replies: list[HeartbeatReply] = []
+        deadline = monotonic_us() + HEARTBEAT_INTERVAL_US
+
+        async def send_to(registry: str) -> None:
+            reply = await self.send_to(registry, heartbeat, deadline)
+            if reply is not None:
+                replies.append(reply)
+
+        async with trio.open_nursery() as nursery:
+            for registry in registries:
+                nursery.start_soon(send_to, registry)
+        self.use_provisional_list([reply.nodes for reply in replies if reply.nodes])
+
+    async def send_to(
+        self, registry: str, heartbeat: WireMap, deadline: int
+    ) -> HeartbeatReply | None:
+        """One registry's answer; None if it didn't take the heartbeat."""
+        try:
+            wire = await self.node.rpc.call(registry, HEARTBEAT_METHOD, heartbeat, deadline)
+        except (ConnectionFailed, Rejected):
+            return None
+        reply = HeartbeatReply.from_wire(wire)
+        self.epoch_floor = max(self.epoch_floor or 0, reply.epoch)
+        return reply
+
+    def heartbeat(self) -> ProxyHeartbeat:
+        """What there is to tell now."""
+        server, me = self.server, self.node.view.me
+        routing_table = server.forwarder.routing_table
+        return ProxyHeartbeat(
+            address=me.address,
+            http_address=self.node.settings.http,
+            zone=me.zone,
+            incarnation=me.incarnation,
+            version=server.delivery.version,
+            newest_version=server.delivery.newest,
+            cut_off=server.delivery.cut_off,
+            shutting_down=server.out_of_rotation,
+            nodes_known=None if server.forwarder.load_list.seq else self.nodes_known(),
+            collection_interval_us=routing_table.load["interval_us"] if routing_table else None,
+            endpoints=list(server.endpoints.by_address.values()),
+            counts=dict(server.forwarder.counts),
+        )
+
+    def nodes_known(self) -> int:
+        """How many nodes the provisional list names."""
+        return count_addresses(self.server.forwarder.nodes_by_service.values())
+
+    def use_provisional_list(self, lists: list[WireMap]) -> None:
+        """Before the first load list: the nodes that send heartbeats to the registries.
+
+        The list counts as stale from the beginning. Of several, the one with the most nodes is
+        used; it is asked for anew at each heartbeat, since registries that have just started
+        themselves hear of the proxies one by one.
+        """
+        if lists and not self.server.forwarder.load_list.seq:
+            self.server.use_load_list(LoadList(), nodes_from_wire(max(lists, key=len)))
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -16,7 +16,7 @@
 from meadowdock.logs import Log
 from meadowdock.process import Node
 from meadowdock.proxy.gateway import GatewayProxy
-from meadowdock.proxy.part import Part as Proxy
+from meadowdock.proxy.server import ProxyServer
 from meadowdock.registry.server import RegistryServer
 from meadowdock.rpc import ConnectionFailed
 from meadowdock.runtime import MILLISECOND, SECOND, Runtime, monotonic_us, sleep_us
@@ -25,7 +25,7 @@
 from meadowdock.simulator.net import SimNet, Web
 from meadowdock.simulator.standin import Ledger, StandIn, StandInCaller
 
-PARTS = {"mdproxy": Proxy, "mdreg": RegistryServer, "mdconf": ConfigStore}
+PARTS = {"mdproxy": ProxyServer, "mdreg": RegistryServer, "mdconf": ConfigStore}
 KEY = "5a" * 32
 GATE_PORT, LINKS_OF_GATES = 7440, 7402
 DIALECT = Dialect(deadline_unit_us=1000, stamp=b"md-stamp")
--- a/packages/soak/meadowdock/soak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -14,7 +14,7 @@
 from meadowdock.config_store.server import ConfigStore
 from meadowdock.forwarding import Dialect
 from meadowdock.process import Node, watch_signals
-from meadowdock.proxy.endpoints import RegistrationDenied
+from meadowdock.proxy.exceptions import RegistrationDenied
 from meadowdock.proxy.gateway import GatewayProxy
 from meadowdock.registry.server import RegistryServer
 from meadowdock.runtime import Disk, NoDisk, Runtime
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -357,7 +357,9 @@
         await world.start("mdproxy", place)
         assert (await send()).code == "epoch_unknown"
         del world.meddle["reg.beat"]
-        await world.eventually(lambda: world.daemon("mdproxy", place).epoch_floor is not None)
+        await world.eventually(
+            lambda: world.daemon("mdproxy", place).heartbeats.epoch_floor is not None
+        )
         assert (await send()).code == "old_epoch"
         del world.meddle["load.list"]
         await world.eventually(
--- a/tests/forwarding/test_gateway.py
+++ b/tests/forwarding/test_gateway.py
@@ -185,10 +185,8 @@
         home, b, c, d = hosts(world)
         gate = gate_of(world, home)
         for host in hosts(world):  # no news but the test's own
-            gate_at = world.daemon("mdproxy", host)
-            gate_at.endpoints.measure_load = lambda at, share: {}
-            gate_at.listed = lambda lists, told: None
-        world.daemon("mdproxy", home).forwarder.use_load_list = lambda lists, told: None
+            world.daemon("mdproxy", host).endpoints.measure_load = lambda at, share: {}
+        world.daemon("mdproxy", home).use_load_list = lambda load_list, nodes: None
         omega, phi = gate.dispatcher.thresholds.omega, gate.dispatcher.thresholds.phi
         low, mid = phi / 2, (phi + omega) / 2
         assert await batch(world, home, low, {b: low, c: low}) == [home] * 6
--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -575,7 +575,9 @@
         assert {n.address for n in real["desk"]} == wanted
         # and none comes after one
         daemon = world.daemon("mdproxy", guest)
-        daemon.learn_nodes([{"10.9.9.9:7401": {"desk": [0.0, "x", False, "b"]}}] * 3)
+        daemon.heartbeats.use_provisional_list(
+            [{"10.9.9.9:7401": {"desk": [0.0, "x", False, "b"]}}] * 3
+        )
         assert gate.loads.nodes is real
 
     gated(scenario, application=("", "desk", "desk"))
--- a/tests/load_sharing/test_load.py
+++ b/tests/load_sharing/test_load.py
@@ -187,12 +187,12 @@
         process.processors = slow = Processors(1, step_us=30 * MILLISECOND)
         world.nursery.start_soon(slow.run)
         daemon = world.daemon("mdproxy", host)
-        await world.eventually(daemon.behind)
+        await world.eventually(daemon.overloaded)
         status, lines, told = await world.http(host, "POST", f"{host}:7400", "/withdrawals", {})
         assert (status, told["code"], lines[b"retry-after"]) == (503, "busy", b"1")
         assert lines[b"md-verdict"] == b"not-run"
         process.processors = None
-        await world.eventually(lambda: not daemon.behind())
+        await world.eventually(lambda: not daemon.overloaded())
         assert is_successful(await world.client(host).call("GET", "/balances/1"))
         assert [got.path for got in journal] == ["/balances/1"]
 
--- a/tests/load_sharing/test_ways.py
+++ b/tests/load_sharing/test_ways.py
@@ -23,7 +23,7 @@
     assert world.daemon("mdproxy", host).delivery.version < version
     for other in hosts(world)[1:]:
         assert world.daemon("mdproxy", other).delivery.version == version
-        world.web.mend([(host, other), (other, host)])
+        world.web.heal_links([(host, other), (other, host)])
     return host
 
 
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -13,7 +13,7 @@
 from meadowdock.admin_http import App
 from meadowdock.configuration.items import Invalid, check, merge, standing
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
-from meadowdock.proxy.endpoints import RegistrationDenied
+from meadowdock.proxy.exceptions import RegistrationDenied
 
 sys.path.insert(0, str(Path(__file__).parents[2] / "platform"))
 
--- a/tests/support/gate_beliefs.py
+++ b/tests/support/gate_beliefs.py
@@ -24,7 +24,7 @@
     for host in hosts(world):
         daemon = world.daemon("mdproxy", host)
         daemon.endpoints.measure_load = lambda at, share: {}
-        daemon.forwarder.use_load_list = lambda lists, told: None
+        daemon.use_load_list = lambda load_list, nodes: None
 
 
 def believe_hold(gate, mean_us, service="desk"):
