--- /dev/null
+++ b/tests/forwarding/test_arrivals.py
@@ -0,0 +1,112 @@
+"""What a caller's request becomes: its time, its deadlines and the head to pass on."""
+
+from __future__ import annotations
+
+import pytest
+
+from meadowdock.configuration.items.table import Route
+from meadowdock.forwarding.arrivals import (
+    EARLY,
+    JOIN,
+    JOIN_ABOVE_LOWEST,
+    WAIT,
+    head_to_pass_on,
+    new_call,
+    total_time_us,
+)
+from meadowdock.forwarding.dialect import Dialect
+from meadowdock.forwarding.http import Request
+
+ARRIVED_AT, LOWEST_PRIORITY = 5_000_000, 3
+MILLISECONDS = Dialect(deadline_unit_us=1000)
+
+
+def route(timeout_us=2_000_000, target_us=1_000_000, priority=LOWEST_PRIORITY):
+    return Route("r", 1, b"h", b"/", True, timeout_us, target_us, priority, 2, (("desk", 1),))
+
+
+def request(method=b"GET", lines=(), facts=(), body=b""):
+    return Request(method, b"/x", b"h.example", list(lines), dict(facts), body, True)
+
+
+def arrived(known, total_us=2_000_000, spent_us=0, method=b"GET"):
+    return new_call(
+        request(method), known, "desk", b"c-1", b"", total_us, spent_us, LOWEST_PRIORITY, ARRIVED_AT
+    )
+
+
+@pytest.mark.parametrize(
+    ("deadline", "expected"),
+    [
+        (None, 2_000_000),
+        (b"900", 900_000),
+        (b"0", 0),
+        (b"9000", 2_000_000),  # never more than the route's time-out
+        (b"soon", 2_000_000),
+        (b"-5", 2_000_000),
+        (b"1" * 16, 2_000_000),
+    ],
+)
+def test_the_time_of_a_request_is_the_routes_or_less_if_its_caller_says_so(deadline, expected):
+    facts = {} if deadline is None else {b"md-due": deadline}
+    assert total_time_us(request(facts=facts), route(), MILLISECONDS) == expected
+
+
+@pytest.mark.parametrize(
+    ("method", "body", "length"),
+    [
+        (b"GET", b"", b""),
+        (b"HEAD", b"", b""),
+        (b"POST", b"", b"Content-Length: 0\r\n"),
+        (b"POST", b"abc", b"Content-Length: 3\r\n"),
+        (b"GET", b"abc", b"Content-Length: 3\r\n"),
+    ],
+)
+def test_an_endpoint_gets_the_host_the_id_and_the_caller_first(method, body, length):
+    lines = [(b"HOST", b"h.example"), (b"X-A", b"1")]
+    head = head_to_pass_on(request(method, lines, body=body), b"c-1", b"ledger", Dialect())
+    assert head == (
+        b"%s /x HTTP/1.1\r\nHost: h.example\r\nmd-call: c-1\r\nmd-caller: ledger\r\nX-A: 1\r\n%s"
+        % (method, length)
+    )
+
+
+def test_the_deadlines_of_a_call_are_parts_of_its_target():
+    call = arrived(route())
+    target_us = 1_000_000
+    assert call.deadline == ARRIVED_AT + 2_000_000
+    assert call.target_deadline == ARRIVED_AT + target_us
+    assert call.early_deadline == ARRIVED_AT + EARLY * target_us
+    assert call.join_deadline == ARRIVED_AT + JOIN * target_us
+    assert call.wait_deadline == ARRIVED_AT + WAIT * target_us
+
+
+def test_above_the_lowest_priority_a_call_may_join_a_longer_queue():
+    call = arrived(route(priority=LOWEST_PRIORITY - 1))
+    assert call.join_deadline == ARRIVED_AT + JOIN_ABOVE_LOWEST * 1_000_000
+
+
+def test_a_call_waits_for_a_third_of_its_time_where_its_target_is_short():
+    assert arrived(route(target_us=30_000)).wait_deadline == ARRIVED_AT + 2_000_000 // 3
+
+
+@pytest.mark.parametrize(
+    ("target_us", "total_us", "spent_us", "expected_us"),
+    [
+        (0, 2_000_000, 0, 2_000_000),  # no target: the whole time
+        (1_000_000, 400_000, 0, 400_000),
+        (1_000_000, 2_000_000, 300_000, 700_000),
+        (1_000_000, 2_000_000, 1_500_000, 0),
+    ],
+)
+def test_the_target_is_within_the_time_and_counts_from_the_first_attempt(
+    target_us, total_us, spent_us, expected_us
+):
+    call = arrived(route(target_us=target_us), total_us, spent_us)
+    assert call.target_deadline == ARRIVED_AT + expected_us
+
+
+def test_a_call_keeps_what_its_route_says():
+    call = arrived(route(), method=b"HEAD")
+    assert (call.route, call.priority, call.max_attempts) == ("r", LOWEST_PRIORITY, 2)
+    assert call.idempotent and call.is_head and not call.from_peer
