--- a/packages/forwarding/meadowdock/forwarding/admission.py
+++ b/packages/forwarding/meadowdock/forwarding/admission.py
@@ -9,7 +9,7 @@
 
 from meadowdock.forwarding.call import Call
 from meadowdock.forwarding.caller_timeouts import CallerTimeouts
-from meadowdock.forwarding.wait_estimates import WaitEstimates, urgency_of
+from meadowdock.forwarding.wait_estimates import WaitEstimates, misses_target, urgency_of
 from meadowdock.forwarding.wait_queue import WaitQueue
 
 INTERVALS = 2  # of the load list, over which the slots held by other calls are averaged
@@ -96,7 +96,7 @@
         start = at + wait_us
         if start > call.join_deadline:
             return False
-        if call.urgency % 2:  # it will miss its target anyhow
+        if misses_target(call.urgency):
             return True
         return start + call.likely_hold_us <= call.target_deadline or self.meets_tight_target(
             call, start
@@ -110,11 +110,13 @@
     def position_until(self, call: Call) -> int:
         """Until when the call keeps its position in the queue."""
         last = min(call.wait_deadline, call.deadline - call.hold_us)
-        return last if call.urgency % 2 else min(last, call.target_deadline - call.hold_us)
+        return (
+            last if misses_target(call.urgency) else min(last, call.target_deadline - call.hold_us)
+        )
 
     def may_wait_on(self, call: Call, capacity: int, at: int) -> bool:
         """Whether a call whose position is lost may wait among those of its priority that will be late."""
-        if call.urgency % 2 or at >= call.wait_deadline:
+        if misses_target(call.urgency) or at >= call.wait_deadline:
             return False
         call.urgency += 1
         return at + self.wait_us(call, capacity, at) <= call.wait_deadline
--- a/packages/forwarding/meadowdock/forwarding/queueing.py
+++ b/packages/forwarding/meadowdock/forwarding/queueing.py
@@ -10,6 +10,7 @@
 
 from meadowdock.forwarding.call import Call, Rejected
 from meadowdock.forwarding.outcome_codes import BUSY, GONE
+from meadowdock.forwarding.wait_estimates import misses_target
 from meadowdock.load_sharing import FORWARD
 from meadowdock.runtime import monotonic_us
 
@@ -30,7 +31,7 @@
 
     def admit(self, call: Call) -> None:
         """Into the queue, as one that will likely be served in time."""
-        call.admitted = call.urgency % 2 == 0
+        call.admitted = not misses_target(call.urgency)
         self.join(call)
 
     def join(self, call: Call) -> None:
--- a/packages/forwarding/meadowdock/forwarding/wait_estimates.py
+++ b/packages/forwarding/meadowdock/forwarding/wait_estimates.py
@@ -33,6 +33,15 @@
     return 2 * call.priority + (at + call.hold_us > call.target_deadline)
 
 
+def misses_target(urgency: int) -> bool:
+    """Whether a call of this urgency will be late even if it starts at once.
+
+    >>> misses_target(2), misses_target(3)
+    (False, True)
+    """
+    return urgency % 2 == 1
+
+
 class HoldTime:
     """How long calls of one route hold a slot: mean and mean deviation, in microseconds.
 
--- a/packages/forwarding/meadowdock/forwarding/wait_queue.py
+++ b/packages/forwarding/meadowdock/forwarding/wait_queue.py
@@ -5,6 +5,7 @@
 import heapq
 
 from meadowdock.forwarding.call import Call
+from meadowdock.forwarding.wait_estimates import misses_target
 
 
 class WaitQueue:
@@ -62,5 +63,5 @@
         return sum(
             count
             for urgency, count in self.waiting.items()
-            if urgency % 2 == 0 and urgency <= 2 * priority
+            if not misses_target(urgency) and urgency <= 2 * priority
         )
--- a/packages/simulator/meadowdock/simulator/wires.py
+++ b/packages/simulator/meadowdock/simulator/wires.py
@@ -204,7 +204,7 @@
 
 
 class SimWires:
-    """The traffic of one process, with meadowdock.forwarding.sockets.SocketNetwork' interface."""
+    """The traffic of one process, with meadowdock.forwarding.sockets.SocketNetwork's interface."""
 
     def __init__(self, net, nursery, reactor):
         self.net, self.web, self.host = net, net.web, net.host
