--- a/packages/cli/meadowdock/cli/__main__.py
+++ b/packages/cli/meadowdock/cli/__main__.py
@@ -15,7 +15,7 @@
 
 from meadowdock import audit
 from meadowdock.cli.client import OutcomeUnknown, Unreachable, ask
-from meadowdock.configuration import checked
+from meadowdock.configuration import validate_configuration
 from meadowdock.settings import VERSION
 
 REFUSED, USAGE, UNCLEAR = 1, 2, 3
@@ -71,7 +71,7 @@
     @fire.decorators.SetParseFn(str)
     def check(self, file):
         """Check a manifest without any mesh; lists every error."""
-        found = checked(_read(file))
+        found = validate_configuration(_read(file))
         if not is_successful(found):
             _print({"code": "invalid", "errors": found.failure()})
             sys.exit(REFUSED)
--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -9,8 +9,9 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from meadowdock.configuration import WHOLE
-from meadowdock.configuration.fetch import Fetch, Fetcher, PackedCache, answer_request
+from meadowdock.configuration import COMPLETE_FORM
+from meadowdock.configuration.chunk_fetch import ChunkFetch, ChunkFetcher
+from meadowdock.configuration.chunk_server import PackedChunkCache, serve_chunks
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us
 
@@ -36,9 +37,9 @@
         self.node, self.store, self.peers = node, store, peers
         self.recent: dict[str, bytes] = {}
         self.recent_bytes = 0
-        self.packed = PackedCache(self.read)
+        self.packed = PackedChunkCache(self.read)
         hedge_us = node.settings.apply_us // HEDGE_SHARE
-        self.fetcher = Fetcher(node.rpc, node.settings.link, hedge_us, WHOLE)
+        self.fetcher = ChunkFetcher(node.rpc, node.settings.link, hedge_us, COMPLETE_FORM)
 
     async def read(self, name: str) -> bytes | None:
         """The body of a chunk from memory or disk; None if it is missing or damaged."""
@@ -61,7 +62,7 @@
         deadline = limit if deadline is None else min(deadline, limit)
         sources = self.fetcher.spread(self.peers().values())
         found = {name: self.recent[name] for name in names if name in self.recent}
-        fetch = Fetch(names, sources, found)
+        fetch = ChunkFetch(names, sources, found)
         if not fetch.complete.is_set():
             self.node.nursery.start_soon(self.read_disk, fetch)
             await self.wait_for_disk(fetch, deadline)
@@ -72,7 +73,7 @@
                 await fetch.disk_read.wait()
         return {name: fetch.found[name] for name in names if name in fetch.found}
 
-    async def wait_for_disk(self, fetch: Fetch, deadline: int) -> None:
+    async def wait_for_disk(self, fetch: ChunkFetch, deadline: int) -> None:
         """Wait for this disk, as long as it goes on giving chunks."""
         while not fetch.disk_read.is_set() and monotonic_us() < deadline:
             found = len(fetch.found)
@@ -81,7 +82,7 @@
             if len(fetch.found) == found:
                 return
 
-    async def read_disk(self, fetch: Fetch) -> None:
+    async def read_disk(self, fetch: ChunkFetch) -> None:
         """Give a fetch the chunks that this disk has."""
         try:
             for name in sorted(fetch.wanted):
@@ -97,7 +98,7 @@
     @handlers.on("chunk.get")
     async def on_get_packed(self, peer: object, request: Any) -> Any:
         """Parts of packed chunks, as many bytes as the asker takes."""
-        return await answer_request(request, self.packed.get)
+        return await serve_chunks(request, self.packed.get)
 
     @handlers.on("blob.get")
     async def on_get(self, peer: object, names: Sequence[str]) -> dict[str, bytes]:
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -18,8 +18,8 @@
 from meadowdock.config_store.item_snapshot import Item, ItemsByKey
 from meadowdock.config_store.revision import Plan, Revision, plan_id_of
 from meadowdock.config_store.store import HEAD, disk_failures_rejected
-from meadowdock.configuration import cut_items
 from meadowdock.configuration import items as config_items
+from meadowdock.configuration import split_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import MILLISECOND, deadline_scope, fingerprint, monotonic_us, sleep_us
@@ -76,23 +76,23 @@
         """As read, without the check that a quorum is in touch."""
         revision = await self.server.revisions.read(deadline)
         items = await self.server.item_snapshot.at(revision, deadline)
-        return revision.version, config_items.standing(items)
+        return revision.version, config_items.current_items(items)
 
     # ------------------------------------------------------------ changes
 
     async def change(self, items: list[Item]) -> int:
         """Make a change; the version of the revision that holds it, once that is committed.
 
-        :raises config_items.Invalid: nothing was changed
+        :raises config_items.InvalidItems: nothing was changed
         :raises config_items.VersionConflict: nothing was changed
         :raises NoQuorum: nothing was changed
         :raises OutcomeUnknown: the change may be committed
         """
-        errors = config_items.check(items)
+        errors = config_items.validate_items(items)
         if errors:
-            raise config_items.Invalid(errors)
+            raise config_items.InvalidItems(errors)
         await self.server.quorum_monitor.require_quorum()
-        change = PendingChange([config_items.clean(item) for item in items])
+        change = PendingChange([config_items.normalize(item) for item in items])
         self.pending.append(change)
         if not self.running:
             self.running = True
@@ -176,7 +176,7 @@
         """The successor of a revision with these items, committed. Raises RevisionConflict if the
         current revision is another."""
         server = self.server
-        chunks = await server.node.runtime.offload(cut_items, items)
+        chunks = await server.node.runtime.offload(split_items, items)
         names = [name for name, _ in chunks]
         plan = Plan(
             base=current.version,
@@ -270,6 +270,6 @@
     for index, change in enumerate(batch):
         try:
             merged, _ = config_items.merge(merged, change.items)
-        except (config_items.Invalid, config_items.VersionConflict) as cause:
+        except (config_items.InvalidItems, config_items.VersionConflict) as cause:
             rejected[index] = cause
     return merged, rejected
--- a/packages/config_store/meadowdock/config_store/item_snapshot.py
+++ b/packages/config_store/meadowdock/config_store/item_snapshot.py
@@ -46,7 +46,9 @@
         }
         unknown = [name for name in names if name not in items_by_chunk]
         items_by_chunk |= await self.fetch_decoded(unknown, deadline)
-        items = {config_items.key_of(item): item for name in names for item in items_by_chunk[name]}
+        items = {
+            config_items.item_key(item): item for name in names for item in items_by_chunk[name]
+        }
         if revision.version >= self.version:
             self.version, self.names = revision.version, names
             self.items_by_chunk, self.items = items_by_chunk, items
--- a/packages/config_store/meadowdock/config_store/operator_api.py
+++ b/packages/config_store/meadowdock/config_store/operator_api.py
@@ -22,8 +22,8 @@
     QuorumUnreachable,
 )
 from meadowdock.config_store.status import status_of
-from meadowdock.configuration import SIZE_MAX
-from meadowdock.configuration.items import Invalid, VersionConflict
+from meadowdock.configuration import MAX_CONFIGURATION_BYTES
+from meadowdock.configuration.items import InvalidItems, VersionConflict
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.runtime import SECOND, monotonic_us
 
@@ -88,7 +88,9 @@
             except QuorumUnreachable as cause:
                 return redirect(request, cause.listeners.get(LISTENER))
             except BodyTooLarge:
-                return Response(413, {"code": "too_large", "errors": [f"over {SIZE_MAX} bytes"]})
+                return Response(
+                    413, {"code": "too_large", "errors": [f"over {MAX_CONFIGURATION_BYTES} bytes"]}
+                )
             except NoQuorum:
                 return no_quorum()
             except OutcomeUnknown:
@@ -108,7 +110,7 @@
 async def create_plan(server: ConfigStore, request: Request) -> Response:
     """Plan a configuration on the current revision."""
     try:
-        planned = await server.plans.create(await request.body(SIZE_MAX))
+        planned = await server.plans.create(await request.body(MAX_CONFIGURATION_BYTES))
     except InvalidConfiguration as invalid:
         return Response(422, {"code": "invalid", "errors": invalid.errors})
     body = {"plan": planned.plan_id, "base": planned.base, "changes": planned.changes}
@@ -190,12 +192,12 @@
 async def change_items(server: ConfigStore, request: Request) -> Response:
     """Change items: all of a request, or none."""
     try:
-        items = json.loads(await request.body(SIZE_MAX))["items"]
+        items = json.loads(await request.body(MAX_CONFIGURATION_BYTES))["items"]
     except (ValueError, KeyError, TypeError, RecursionError):
         return Response(400, {"code": "malformed", "detail": 'wanted: {"items": [...]}'})
     try:
         version = await server.item_changes.change(items)
-    except Invalid as invalid:
+    except InvalidItems as invalid:
         return Response(422, {"code": "invalid", "errors": invalid.errors})
     except VersionConflict as conflict:
         return Response(409, version_conflict(conflict))
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -23,8 +23,13 @@
 )
 from meadowdock.config_store.revision import Plan, Revision, is_plan_id, plan_id_of
 from meadowdock.config_store.store import HEAD
-from meadowdock.configuration import assemble, checked, cut, difference
-from meadowdock.configuration.items import standing
+from meadowdock.configuration import (
+    assemble,
+    difference,
+    split_configuration,
+    validate_configuration,
+)
+from meadowdock.configuration.items import current_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.runtime import monotonic_us
 
@@ -94,7 +99,7 @@
         configuration = await self.checked_configuration(body)
         current = await self.server.revisions.read(self.deadline())
         former = await self.configuration_of(current.configuration_chunks)
-        chunks = await runtime.offload(cut, configuration)
+        chunks = await runtime.offload(split_configuration, configuration)
         changes = difference(former, configuration)
         names = (*(name for name, _ in chunks), *current.item_chunks)
         if names == current.chunks:
@@ -113,7 +118,7 @@
         """The configuration in a request's body. Raises InvalidConfiguration."""
         from returns.pipeline import is_successful  # here: a daemon without plans is spared it
 
-        result = await self.server.node.runtime.offload(checked, body)
+        result = await self.server.node.runtime.offload(validate_configuration, body)
         if not is_successful(result):
             raise InvalidConfiguration(result.failure())
         configuration: dict[str, Any] = result.unwrap()
@@ -276,7 +281,9 @@
         revision = await self.server.revisions.read(self.deadline())
         items = await self.server.item_snapshot.at(revision, self.deadline())
         configuration = await self.configuration_of(revision.configuration_chunks)
-        return CommittedConfiguration(revision, configuration, standing(items) if items else None)
+        return CommittedConfiguration(
+            revision, configuration, current_items(items) if items else None
+        )
 
     async def changes_since(self, base: int, current: Revision) -> dict[str, Any] | None:
         """What changed from a former version to the current one, by section; None if the former
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -110,7 +110,7 @@
     async def change_items(self, items: list[dict[str, Any]]) -> int:
         """Change items; the version of the revision that holds the change.
 
-        :raises meadowdock.configuration.items.Invalid: nothing was changed
+        :raises meadowdock.configuration.items.InvalidItems: nothing was changed
         :raises meadowdock.configuration.items.VersionConflict: nothing was changed
         :raises NoQuorum: nothing was changed
         :raises OutcomeUnknown: the change may be committed
--- a/packages/configuration/meadowdock/configuration/__init__.py
+++ b/packages/configuration/meadowdock/configuration/__init__.py
@@ -1,36 +1,61 @@
-"""Operators' manifests: read, checked, cut into ranges, compared, and looked up."""
+"""Configurations: validated, split into chunks, compared, sent between processes, and looked up."""
 
-from meadowdock.configuration.check import (
-    SIZE_MAX,
-    TOTAL_WAIT_MAX,
-    Bad,
-    checked,
-    parse,
+from meadowdock.configuration.chunk_codec import (
+    COMPLETE_FORM,
+    ROUTING_FORM,
+    pack_chunk,
+    unpack_chunk,
+)
+from meadowdock.configuration.chunks import (
+    Chunk,
+    assemble,
+    encode_chunk,
+    split_configuration,
+    split_items,
+)
+from meadowdock.configuration.difference import difference
+from meadowdock.configuration.exceptions import CorruptChunk, EmptyResponse, InvalidJson
+from meadowdock.configuration.routing_table import (
+    Route,
+    RouteLookup,
+    RoutingTable,
+    Stage,
+)
+from meadowdock.configuration.schema import (
+    ANONYMOUS_CALLER,
+    DEFAULT_LOAD,
+    MAX_CONFIGURATION_BYTES,
+    MAX_TOTAL_WAIT_US,
+)
+from meadowdock.configuration.validation import (
+    parse_json,
+    validate_configuration,
     with_defaults,
 )
-from meadowdock.configuration.packed import ROUTING, WHOLE, CorruptChunk, pack_chunk, unpack_chunk
-from meadowdock.configuration.ranges import assemble, cut, cut_items, difference, seal_range
-from meadowdock.configuration.routing_table import GUEST, Route, RoutingTable, Stage
 
 __all__ = [
-    "unpack_chunk",
-    "pack_chunk",
-    "WHOLE",
-    "ROUTING",
+    "ANONYMOUS_CALLER",
+    "COMPLETE_FORM",
+    "DEFAULT_LOAD",
+    "MAX_CONFIGURATION_BYTES",
+    "MAX_TOTAL_WAIT_US",
+    "ROUTING_FORM",
+    "Chunk",
     "CorruptChunk",
-    "GUEST",
-    "SIZE_MAX",
-    "TOTAL_WAIT_MAX",
-    "Bad",
+    "EmptyResponse",
+    "InvalidJson",
+    "Route",
+    "RouteLookup",
     "RoutingTable",
     "Stage",
-    "Route",
     "assemble",
-    "checked",
-    "cut",
-    "cut_items",
     "difference",
-    "parse",
-    "seal_range",
+    "encode_chunk",
+    "pack_chunk",
+    "parse_json",
+    "split_configuration",
+    "split_items",
+    "unpack_chunk",
+    "validate_configuration",
     "with_defaults",
 ]
--- a/packages/configuration/meadowdock/configuration/routing_table.py
+++ b/packages/configuration/meadowdock/configuration/routing_table.py
@@ -14,9 +14,8 @@
 import immutables
 
 from meadowdock.configuration import items as config_items
-from meadowdock.configuration.check import LOAD
+from meadowdock.configuration.schema import DEFAULT_LOAD
 
-GUEST = "guest"  # the name of callers that have no token
 CANONICAL_PATH = re.compile(r"^(/[A-Za-z0-9_~:@!$&'()*+,;=-][A-Za-z0-9._~:@!$&'()*+,;=-]*)+/?$")
 
 # codes of rejected lookups, as in meadowdock.outcome
@@ -63,8 +62,10 @@
     def __init__(self, version: int, configuration: Mapping[str, Any]) -> None:
         """:param configuration: as `assemble` gives it, checked before it was stored."""
         self.version = version
-        self.load = configuration["load"] or LOAD  # none before the operators' first configuration
-        self.items = config_items.Table(version, configuration.get("items", ()))
+        self.load = (
+            configuration["load"] or DEFAULT_LOAD
+        )  # none before the operators' first configuration
+        self.items = config_items.ItemTable(version, configuration.get("items", ()))
         self.services = immutables.Map({s["name"]: s for s in configuration["services"]})
         self.routes: dict[tuple[str, str, str], Route] = {}  # by caller, method and path
         self.paths: set[str] = set()  # of all routes
--- a/packages/forwarding/meadowdock/forwarding/arrivals.py
+++ b/packages/forwarding/meadowdock/forwarding/arrivals.py
@@ -8,7 +8,7 @@
 from meadowdock.forwarding.http import HeaderLine, Request, head_of
 
 if TYPE_CHECKING:
-    from meadowdock.configuration.items import Route
+    from meadowdock.configuration.items import ItemRoute
     from meadowdock.forwarding.dialect import Dialect
 
 # parts of a route's latency target
@@ -21,7 +21,7 @@
 BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")
 
 
-def total_time_us(request: Request, route: Route, dialect: Dialect) -> int:
+def total_time_us(request: Request, route: ItemRoute, dialect: Dialect) -> int:
     """How long the caller waits for an answer: its route's time-out, or less if it says so."""
     left = request.facts.get(dialect.deadline.lower())
     if left is None or not left.isdigit() or len(left) > DEADLINE_DIGITS_MAX:
@@ -44,7 +44,7 @@
 
 def new_call(
     request: Request,
-    route: Route,
+    route: ItemRoute,
     service: str,
     call_id: bytes,
     head: bytes,
--- a/packages/forwarding/meadowdock/forwarding/gateway.py
+++ b/packages/forwarding/meadowdock/forwarding/gateway.py
@@ -25,7 +25,7 @@
 from meadowdock.runtime import MILLISECOND, monotonic_us
 
 if TYPE_CHECKING:
-    from meadowdock.configuration.items import Limits, Route, Table
+    from meadowdock.configuration.items import ItemRoute, ItemTable, Limits
     from meadowdock.forwarding.dialect import Dialect
     from meadowdock.forwarding.interfaces import (
         Connection,
@@ -64,7 +64,7 @@
         self.reactor, self.dialect = reactor, dialect
         self.call_id_name = dialect.call_id.lower()
         self.caller_name = (settings.service or UNNAMED_CALLER).encode()
-        self.table: Table | None = None
+        self.table: ItemTable | None = None
         self.lowest_priority = 0
         self.split = TrafficSplit()
         self.placement = ZonePlacement(
@@ -86,7 +86,7 @@
 
     # ------------------------------------------------------------ configuration
 
-    def apply_configuration(self, table: Table, load: Mapping[str, Any]) -> None:
+    def apply_configuration(self, table: ItemTable, load: Mapping[str, Any]) -> None:
         """Use a configuration from now on.
 
         :param load: the bounds of load sharing: "phi", "omega", "stale_us", "interval_us"
@@ -159,11 +159,11 @@
         call.on_outcome = downstream.expect(request, call)
         self.dispatcher.dispatch(call, at)
 
-    def route_of(self, request: Request) -> Route | None:
+    def route_of(self, request: Request) -> ItemRoute | None:
         """The route of a request's host and path."""
         assert self.table is not None
         host = request.host.lower().partition(b":")[0]
-        route: Route | None = self.table.find(host, request.target.partition(b"?")[0])
+        route: ItemRoute | None = self.table.find(host, request.target.partition(b"?")[0])
         return route
 
     # ------------------------------------------------------------ upkeep and shutdown
--- a/packages/forwarding/meadowdock/forwarding/traffic_split.py
+++ b/packages/forwarding/meadowdock/forwarding/traffic_split.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from meadowdock.configuration.items import Route
+    from meadowdock.configuration.items import ItemRoute
 
 
 class TrafficSplit:
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self.credits: dict[tuple[str, int], dict[str, float]] = {}
 
-    def service_for(self, route: Route) -> str | None:
+    def service_for(self, route: ItemRoute) -> str | None:
         """The service of the route's next request; None if no service has a weight above 0."""
         split = route.split
         if len(split) == 1:
@@ -37,7 +37,7 @@
         credit[chosen] -= total
         return chosen
 
-    def credits_of(self, route: Route) -> dict[str, float]:
+    def credits_of(self, route: ItemRoute) -> dict[str, float]:
         """The credit of each service of a route; those of another version are forgotten."""
         credit = self.credits.get((route.name, route.version))
         if credit is None:
--- a/packages/proxy/meadowdock/proxy/gateway.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -12,7 +12,7 @@
 
 from meadowdock import process
 from meadowdock.configuration import RoutingTable
-from meadowdock.configuration.check import LOAD
+from meadowdock.configuration.schema import DEFAULT_LOAD
 from meadowdock.forwarding import Dialect, Gateway, Reactor, SocketNetwork
 from meadowdock.load_sharing import LoadList
 from meadowdock.proxy.endpoints import ServiceReport
@@ -139,8 +139,8 @@
 
     def activate(self, routing_table: RoutingTable) -> None:
         """Route by this configuration from here on."""
-        if routing_table.load is LOAD:  # no operator has said anything of it
-            routing_table.load = {**LOAD, **GATEWAY_LOAD_PARAMETERS}
+        if routing_table.load is DEFAULT_LOAD:  # no operator has said anything of it
+            routing_table.load = {**DEFAULT_LOAD, **GATEWAY_LOAD_PARAMETERS}
         super().activate(routing_table)
         self.gate.apply_configuration(routing_table.items, routing_table.load)
 
--- a/packages/proxy/meadowdock/proxy/request_handling.py
+++ b/packages/proxy/meadowdock/proxy/request_handling.py
@@ -12,7 +12,7 @@
 import trio
 
 from meadowdock.admin_http import BodyTooLarge, ClientDisconnected, Request, Response, RouteTable
-from meadowdock.configuration import GUEST, Route
+from meadowdock.configuration import ANONYMOUS_CALLER, Route
 from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, Rejection, rejection
 from meadowdock.proxy.call import Call, EndpointResponse, Outcome
 from meadowdock.proxy.endpoints import HEARTBEAT_TIMEOUT_US
@@ -101,13 +101,13 @@
 
 
 def authenticate(server: ProxyServer, request: Request) -> str:
-    """The service that the caller is, by its token; GUEST without one.
+    """The service that the caller is, by its token; ANONYMOUS_CALLER without one.
 
     :raises RequestRejected: bad_token.
     """
     token = request.header(b"md-token")
     if token is None:
-        return GUEST
+        return ANONYMOUS_CALLER
     if request.peer not in server.node.settings.local_addresses:
         raise RequestRejected("bad_token")
     just_started = monotonic_us() - server.started_at < HEARTBEAT_TIMEOUT_US
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -7,9 +7,10 @@
 import ormsgpack
 import trio
 
-from meadowdock.configuration import ROUTING, RoutingTable, assemble, unpack_chunk
+from meadowdock.configuration import ROUTING_FORM, RoutingTable, assemble, unpack_chunk
 from meadowdock.configuration import items as config_items
-from meadowdock.configuration.fetch import Fetch, Fetcher, answer_request
+from meadowdock.configuration.chunk_fetch import ChunkFetch, ChunkFetcher
+from meadowdock.configuration.chunk_server import serve_chunks
 from meadowdock.process import RECOVERABLE_ERRORS
 from meadowdock.runtime import monotonic_us
 
@@ -44,7 +45,7 @@
         self.staged = staged  # takes (routing table, head, count of fetched chunks)
         self.chunks, self.running = {}, {}
         hedge_us = node.settings.apply_us // HEDGE_PART
-        self.fetcher = Fetcher(node.rpc, node.settings.link, hedge_us, ROUTING)
+        self.fetcher = ChunkFetcher(node.rpc, node.settings.link, hedge_us, ROUTING_FORM)
 
     async def stage(self, head, source):
         """True once it, or a newer one, is staged; False if its chunks were not to be had."""
@@ -94,7 +95,7 @@
         if missing:
             self.node.runtime.rng.shuffle(missing)  # two stagings fetch different ones first
             # Kept as they come, also when this staging ends before it is complete.
-            fetch = Fetch(missing, self.sources(source), self.chunks)
+            fetch = ChunkFetch(missing, self.sources(source), self.chunks)
             await self.fetcher.run(
                 fetch, monotonic_us() + self.node.settings.apply_us // FETCH_PART
             )
@@ -132,15 +133,15 @@
         return config_items.parse_chunk(ormsgpack.unpackb(self.body(name))[1])
 
     def body(self, name):
-        return unpack_chunk(name, self.chunks[name], ROUTING)
+        return unpack_chunk(name, self.chunks[name], ROUTING_FORM)
 
     # ------------------------------------------------------------ for peers
 
     async def answer(self, request):
         async def packed(name, form):
-            return self.chunks.get(name) if form == ROUTING else None
+            return self.chunks.get(name) if form == ROUTING_FORM else None
 
-        return await answer_request(request, packed)
+        return await serve_chunks(request, packed)
 
 
 def split_names(head):
--- a/tests/config_store/test_items_change.py
+++ b/tests/config_store/test_items_change.py
@@ -16,7 +16,7 @@
 
 
 def by_key(*items):
-    return {config_items.key_of(item): item for item in items}
+    return {config_items.item_key(item): item for item in items}
 
 
 def test_what_was_set_is_read_back_verbatim_at_every_member():
@@ -121,7 +121,7 @@
         for core in range(3):
             status, told = await change(world, items, core)
             assert (status, told["code"]) == (409, "version_conflict")
-            kind, name = config_items.key_of(items[1])
+            kind, name = config_items.item_key(items[1])
             listed = {"kind": kind, "name": name, "version": items[1]["version"]}
             assert told["items"] == [listed]
             for call in taken:
--- a/tests/configuration/test_items_model.py
+++ b/tests/configuration/test_items_model.py
@@ -7,7 +7,7 @@
 from item_builders import service
 
 from meadowdock.configuration import items as config_items
-from meadowdock.configuration.items.merge import SUPERSEDED_MAX
+from meadowdock.configuration.items.merge import MAX_SUPERSEDED
 
 
 def item(name, version, content):
@@ -16,8 +16,8 @@
     return made if content else {**made, "spec": None}
 
 
-ITEMS = st.builds(item, st.sampled_from("ab"), st.integers(0, SUPERSEDED_MAX), st.integers(0, 2))
-FAR_ITEMS = st.builds(item, st.just("a"), st.integers(0, 4 * SUPERSEDED_MAX), st.integers(0, 2))
+ITEMS = st.builds(item, st.sampled_from("ab"), st.integers(0, MAX_SUPERSEDED), st.integers(0, 2))
+FAR_ITEMS = st.builds(item, st.just("a"), st.integers(0, 4 * MAX_SUPERSEDED), st.integers(0, 2))
 
 
 def content_of(sent):
@@ -61,7 +61,7 @@
 
 
 def shown(held):
-    return {i["name"]: (i["version"], content_of(i)) for i in config_items.standing(held)}
+    return {i["name"]: (i["version"], content_of(i)) for i in config_items.current_items(held)}
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
@@ -87,15 +87,15 @@
             held, acknowledged = merged(held, [former])
             assert acknowledged
         for sent in held.values():
-            assert len(sent.get("superseded", [])) <= SUPERSEDED_MAX
+            assert len(sent.get("superseded", [])) <= MAX_SUPERSEDED
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
-@given(st.permutations([item("a", version, 1) for version in range(2 * SUPERSEDED_MAX)]))
+@given(st.permutations([item("a", version, 1) for version in range(2 * MAX_SUPERSEDED)]))
 def test_what_is_remembered_does_not_depend_on_the_order(orders):
     held = {}
     for order in orders:
         held, _ = config_items.merge(held, [order])
     versions = [version for version, _ in held["service", "a"]["superseded"]]
-    top = 2 * SUPERSEDED_MAX - 1
-    assert versions == list(range(top - 1, top - 1 - SUPERSEDED_MAX, -1))
+    top = 2 * MAX_SUPERSEDED - 1
+    assert versions == list(range(top - 1, top - 1 - MAX_SUPERSEDED, -1))
--- a/tests/configuration/test_manifest.py
+++ b/tests/configuration/test_manifest.py
@@ -10,14 +10,21 @@
 from mesh import configured, hosts, serving
 from returns.pipeline import is_successful
 
-from meadowdock.configuration import SIZE_MAX, RoutingTable, checked, cut
+from meadowdock.configuration import (
+    MAX_CONFIGURATION_BYTES,
+    RoutingTable,
+    split_configuration,
+    validate_configuration,
+)
 from meadowdock.proxy.delivery import SWITCH_ALONE_PART
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
 
 def errors_of(facts):
-    found = checked(facts if isinstance(facts, bytes) else json.dumps(facts).encode())
+    found = validate_configuration(
+        facts if isinstance(facts, bytes) else json.dumps(facts).encode()
+    )
     return found.failure() if not is_successful(found) else []
 
 
@@ -64,10 +71,12 @@
 
 def test_tens_of_thousands_of_ways_and_a_change_of_one_touches_one_range():
     ways = [way(f"w{n}", f"/p{n // 100}/q{n}") for n in range(30_000)]
-    facts = checked(json.dumps(manifest(ways)).encode()).unwrap()
-    before = cut(facts)
+    facts = validate_configuration(json.dumps(manifest(ways)).encode()).unwrap()
+    before = split_configuration(facts)
     ways[777]["repeat"] = "once"
-    after = cut(checked(json.dumps(manifest(ways)).encode()).unwrap())
+    after = split_configuration(
+        validate_configuration(json.dumps(manifest(ways)).encode()).unwrap()
+    )
     assert len(before) > 200
     assert len({f for f, _ in after} - {f for f, _ in before}) == 1
     assert RoutingTable(1, facts).find_route("guest", "GET", "/p7/q777/deeper")[0].name == "w777"
@@ -93,7 +102,7 @@
 
 @pytest.mark.parametrize(("caller", "method", "path", "name", "code"), LOOKUPS)
 def test_lookups(caller, method, path, name, code):
-    ways = RoutingTable(1, checked(json.dumps(manifest()).encode()).unwrap())
+    ways = RoutingTable(1, validate_configuration(json.dumps(manifest()).encode()).unwrap())
     way_found, refused = ways.find_route(caller, method, path)
     assert (way_found and way_found.name, refused) == (name, code)
 
@@ -379,7 +388,9 @@
 
 
 def test_a_manifest_over_the_size_limit_is_refused():
-    assert errors_of(b" " * (SIZE_MAX + 1)) == [f"manifest is over {SIZE_MAX} bytes"]
+    assert errors_of(b" " * (MAX_CONFIGURATION_BYTES + 1)) == [
+        f"manifest is over {MAX_CONFIGURATION_BYTES} bytes"
+    ]
 
 
 def test_waits_over_the_cap_are_named():
--- a/tests/forwarding/test_traffic_split.py
+++ b/tests/forwarding/test_traffic_split.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from meadowdock.configuration.items.table import Route
+from meadowdock.configuration.items import ItemRoute
 from meadowdock.forwarding.traffic_split import TrafficSplit
 
 
 def route(*split, version=1):
-    return Route("r", version, b"h", b"/", True, 1, 0, 0, 1, split)
+    return ItemRoute("r", version, b"h", b"/", True, 1, 0, 0, 1, split)
 
 
 @pytest.mark.parametrize(
--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -289,12 +289,12 @@
 
 def test_a_planted_snapshot_without_drops_is_found(monkeypatch):
     items = importlib.import_module("meadowdock.config_store.item_changes")
-    cut_items = items.cut_items
+    split_items = items.split_items
 
     def without_drops(held):
-        return cut_items({key: item for key, item in held.items() if item["spec"] is not None})
+        return split_items({key: item for key, item in held.items() if item["spec"] is not None})
 
-    monkeypatch.setattr(items, "cut_items", without_drops)
+    monkeypatch.setattr(items, "split_items", without_drops)
     assert any(unexplained_keys(items_history(seed), ITEMS) for seed in ITEM_SEEDS)
 
 
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -14,9 +14,9 @@
 from planted_faults import plant_new_voters_alone
 
 from meadowdock.config_store.exceptions import MembershipConflict
-from meadowdock.configuration import cut_items
 from meadowdock.configuration import items as config_items
-from meadowdock.configuration.items.merge import SUPERSEDED_MAX
+from meadowdock.configuration import split_items
+from meadowdock.configuration.items.merge import MAX_SUPERSEDED
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.model_checker.process import (
     Implementation,
@@ -215,7 +215,7 @@
 
 
 ITEM_NAMES = st.sampled_from("pq")
-ITEM_VERSIONS = st.integers(0, SUPERSEDED_MAX)
+ITEM_VERSIONS = st.integers(0, MAX_SUPERSEDED)
 CONTENTS = st.integers(0, 2)  # 0 is a drop
 
 
@@ -233,7 +233,7 @@
         self.items, self.taken = {}, {}
 
     def chunks(self):
-        return cut_items(self.items)
+        return split_items(self.items)
 
     @rule(name=ITEM_NAMES, version=ITEM_VERSIONS, content=CONTENTS)
     def order(self, name, version, content):
@@ -249,7 +249,7 @@
     @rule()
     def transfer(self):
         bodies = [ormsgpack.unpackb(body)[1] for _, body in self.chunks()]
-        self.items = {config_items.key_of(item): item for items in bodies for item in items}
+        self.items = {config_items.item_key(item): item for items in bodies for item in items}
 
     @invariant()
     def the_highest_version_is_visible(self):
@@ -258,7 +258,7 @@
             top[name] = version, content
         shown = {
             i["name"]: (i["version"], i["spec"]["health"])
-            for i in config_items.standing(self.items)
+            for i in config_items.current_items(self.items)
         }
         assert shown == {n: (v, f"/{c}") for n, (v, c) in top.items() if c}
 
@@ -267,7 +267,7 @@
     """Planted: a snapshot that forgets what was dropped."""
 
     def chunks(self):
-        return cut_items({k: item for k, item in self.items.items() if item["spec"] is not None})
+        return split_items({k: item for k, item in self.items.items() if item["spec"] is not None})
 
 
 class AnyContent(ItemsMachine):
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -11,7 +11,7 @@
 import trio
 
 from meadowdock.admin_http import App
-from meadowdock.configuration.items import Invalid, check, merge, standing
+from meadowdock.configuration.items import InvalidItems, current_items, merge, validate_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.proxy.exceptions import RegistrationDenied
 
@@ -64,7 +64,7 @@
 
 def test_a_change_becomes_items():
     read = items.read(change(route(), *SERVICES, LIMITS, routeTable=[drop("old", 12)]))
-    assert check(read) == []
+    assert validate_items(read) == []
     first, mill, _, limits, dropped = read
     assert (first["kind"], first["version"]) == ("route", 3)
     assert first["spec"] == {
@@ -95,7 +95,7 @@
 def test_the_read_back_gives_what_was_sent():
     sent = [LIMITS, route(), *SERVICES]
     held, _ = merge({}, items.read(change(*sent)))
-    back = items.written(standing(held))
+    back = items.written(current_items(held))
     assert sorted(json.loads(back)["resourceList"], key=str) == sorted(sent, key=str)
     assert json.loads(items.written([])) == {"resourceList": []}
 
@@ -171,8 +171,8 @@
     ],
 )
 def test_what_has_no_counterpart_is_refused_by_the_products_check(wrong):
-    assert check(items.read(change(wrong, *SERVICES)))
-    assert not check(items.read(change(route(), *SERVICES, LIMITS)))
+    assert validate_items(items.read(change(wrong, *SERVICES)))
+    assert not validate_items(items.read(change(route(), *SERVICES, LIMITS)))
 
 
 # ---------------------------------------------------------------- the listeners
@@ -198,15 +198,15 @@
 
     async def change_items(self, change):
         self.check()
-        errors = check(change)
+        errors = validate_items(change)
         if errors:
-            raise Invalid(errors)
+            raise InvalidItems(errors)
         self.held, _ = merge(self.held, change)
         return 1
 
     async def read_items(self):
         self.check()
-        return standing(self.held)
+        return current_items(self.held)
 
 
 def asked(table, owner, method, path, body=b""):
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -12,23 +12,18 @@
 
 from meadowdock.config_store.chunks import ChunkService
 from meadowdock.configuration import (
-    ROUTING,
-    WHOLE,
+    COMPLETE_FORM,
+    ROUTING_FORM,
     CorruptChunk,
-    cut_items,
     pack_chunk,
+    split_items,
     unpack_chunk,
 )
 from meadowdock.configuration import items as config_items
-from meadowdock.configuration.fetch import (
-    CACHE_MAX,
-    FRAME,
-    Fetch,
-    Fetcher,
-    PackedCache,
-    answer_request,
-)
-from meadowdock.configuration.packed import checksum
+from meadowdock.configuration.chunk_codec import checksum
+from meadowdock.configuration.chunk_fetch import ChunkFetch, ChunkFetcher
+from meadowdock.configuration.chunk_messages import MAX_FRAME_BYTES
+from meadowdock.configuration.chunk_server import MAX_CACHE_BYTES, PackedChunkCache, serve_chunks
 from meadowdock.proxy.staging import Stager
 from meadowdock.runtime import MILLISECOND, SECOND, fingerprint, monotonic_us, sleep_us
 from meadowdock.simulator import run
@@ -162,7 +157,7 @@
             cache = world.daemon("mdconf", host).chunks.packed
 
             async def get(name, form, original=cache.get):
-                if form == ROUTING and hanging and name not in held:
+                if form == ROUTING_FORM and hanging and name not in held:
                     asked.add(name)
                 if name in asked:
                     await trio.sleep_forever()
@@ -190,7 +185,7 @@
             cache = world.daemon("mdconf", host).chunks.packed
 
             async def get(name, form, original=cache.get):
-                if form == ROUTING and name not in held and not hanging:
+                if form == ROUTING_FORM and name not in held and not hanging:
                     hanging.add(name)
                 if name in hanging and monotonic_us() < hanging_until:
                     await trio.sleep_forever()
@@ -224,7 +219,7 @@
 
             async def get(name, form, original=cache.get):
                 nonlocal wrong
-                if wrong == 8 or form == WHOLE:
+                if wrong == 8 or form == COMPLETE_FORM:
                     return await original(name, form)
                 wrong += 1
                 return checksum(name, b"\xc1", form) + zlib.compress(b"\xc1")
@@ -257,9 +252,9 @@
         version = await world.set_items(many(1400)[440:])
         took = await in_force(world, version)
         received = max(world.web.received[h] - before[h] for h in world.application)
-        items = {config_items.key_of(item): item for item in [service("desk"), *many(1400)]}
-        whole = sum(len(body) for _, body in cut_items(items))
-        assert 0 < largest < FRAME
+        items = {config_items.item_key(item): item for item in [service("desk"), *many(1400)]}
+        whole = sum(len(body) for _, body in split_items(items))
+        assert 0 < largest < MAX_FRAME_BYTES
         assert received < whole // 5, (received, whole, took)
         for delivery in deliveries(world):
             table = delivery.active.routing_table.items
@@ -276,7 +271,7 @@
             chunks = world.daemon("mdconf", host).chunks
 
             async def get(name, form, host=host, original=chunks.packed.get):
-                served[host] += form == ROUTING
+                served[host] += form == ROUTING_FORM
                 return await original(name, form)
 
             chunks.packed.get = get
@@ -423,30 +418,34 @@
 
 def chunk_of(count, size=0):
     items = [{**item, "source": item["source"] + "x" * size} for item in many(count)]
-    return max(cut_items({config_items.key_of(i): i for i in items}), key=lambda made: len(made[1]))
+    return max(
+        split_items({config_items.item_key(i): i for i in items}), key=lambda made: len(made[1])
+    )
 
 
 def test_a_packed_chunk_is_small_the_same_everywhere_and_refused_when_altered():
     name, body = chunk_of(500)
-    packed = pack_chunk(name, body, ROUTING)
-    assert packed == pack_chunk(name, body, ROUTING)
+    packed = pack_chunk(name, body, ROUTING_FORM)
+    assert packed == pack_chunk(name, body, ROUTING_FORM)
     assert len(packed) < len(body) // 5
     for wrong in (corrupt(packed), packed[:-1], b"", packed[:20]):
         with pytest.raises(CorruptChunk):
-            unpack_chunk(name, wrong, ROUTING)
+            unpack_chunk(name, wrong, ROUTING_FORM)
     with pytest.raises(CorruptChunk):  # another chunk than was asked for
-        unpack_chunk(fingerprint(b"other"), packed, ROUTING)
+        unpack_chunk(fingerprint(b"other"), packed, ROUTING_FORM)
     with pytest.raises(CorruptChunk):
-        unpack_chunk(name, packed, WHOLE)
+        unpack_chunk(name, packed, COMPLETE_FORM)
 
 
 def test_what_no_proxy_needs_does_not_travel():
     items = [route("kept", 2), route("gone", 2)]
     held, _ = config_items.merge({}, [service("desk"), *items])
     held, _ = config_items.merge(held, [route("kept", 3), dropped(items[1], 3)])
-    ((name, body),) = cut_items(held)
+    ((name, body),) = split_items(held)
     assert b"superseded" in body
-    sent = ormsgpack.unpackb(unpack_chunk(name, pack_chunk(name, body, ROUTING), ROUTING))[1]
+    sent = ormsgpack.unpackb(
+        unpack_chunk(name, pack_chunk(name, body, ROUTING_FORM), ROUTING_FORM)
+    )[1]
     assert [item["name"] for item in sent] == ["kept", "desk"]
     assert all(item.keys() == {"kind", "name", "spec", "version"} for item in sent)
 
@@ -461,7 +460,7 @@
         async def packed(name, form):
             return self.chunks.get(name)
 
-        answer = await answer_request(args, packed)
+        answer = await serve_chunks(args, packed)
         self.sizes.append(sum(len(piece) for _, _, piece in answer["pieces"]))
         await trio.lowlevel.checkpoint()
         return answer
@@ -472,17 +471,19 @@
     noise = b"".join(fingerprint(b"%d" % n).encode() for n in range(4000))
     chunks = {fingerprint(body): body for body in (b"%d" % n * 50 for n in range(40))}
     chunks[fingerprint(noise)] = noise
-    packed = {name: pack_chunk(name, body, WHOLE) for name, body in chunks.items()}
+    packed = {name: pack_chunk(name, body, COMPLETE_FORM) for name, body in chunks.items()}
     member = Member(packed)
 
     async def main():
-        fetch = Fetch([*chunks, big], ["m"], {})
-        await Fetcher(member, "me", 100 * MILLISECOND, WHOLE).run(fetch, monotonic_us() + SECOND)
+        fetch = ChunkFetch([*chunks, big], ["m"], {})
+        await ChunkFetcher(member, "me", 100 * MILLISECOND, COMPLETE_FORM).run(
+            fetch, monotonic_us() + SECOND
+        )
         return fetch
 
     fetch = trio.run(main)
     assert fetch.found == chunks  # all but the one that nobody has
-    assert max(member.sizes) <= FRAME
+    assert max(member.sizes) <= MAX_FRAME_BYTES
     assert len(member.sizes) < 20
 
 
@@ -496,9 +497,9 @@
             return {"pieces": [["other", 3, b"abc"]], "missing": ["another"]}
 
     async def main():
-        fetch = Fetch([fingerprint(b"wanted")], ["m"], {})
+        fetch = ChunkFetch([fingerprint(b"wanted")], ["m"], {})
         with trio.move_on_after(1):
-            await Fetcher(liar, "me", 100 * MILLISECOND, ROUTING).run(
+            await ChunkFetcher(liar, "me", 100 * MILLISECOND, ROUTING_FORM).run(
                 fetch, monotonic_us() + SECOND
             )
         return fetch.found
@@ -518,11 +519,14 @@
         return bodies.get(name)
 
     async def main():
-        cache = PackedCache(read)
+        cache = PackedChunkCache(read)
         for name in bodies:
-            assert unpack_chunk(name, await cache.get(name, WHOLE), WHOLE) == bodies[name]
-            assert cache.bytes == sum(map(len, cache.packed.values())) <= CACHE_MAX
-        assert await cache.get(fingerprint(b"none"), WHOLE) is None
+            assert (
+                unpack_chunk(name, await cache.get(name, COMPLETE_FORM), COMPLETE_FORM)
+                == bodies[name]
+            )
+            assert cache.size_bytes == sum(map(len, cache.packed.values())) <= MAX_CACHE_BYTES
+        assert await cache.get(fingerprint(b"none"), COMPLETE_FORM) is None
         return len(cache.packed)
 
     assert 0 < trio.run(main) < 200
@@ -534,13 +538,13 @@
         "one": config_items.parse_chunk([clash[0], service("desk")]),
         "two": config_items.parse_chunk([clash[1], route("c", host="other")]),
     }
-    first = config_items.Table(1, []).with_chunks(2, chunks)
+    first = config_items.ItemTable(1, []).with_chunks(2, chunks)
     assert first.find(b"h.example", b"/same/").name == "b"
     second = first.with_chunks(3, {"one": chunks["one"]})
     assert second.find(b"h.example", b"/same/").name == "a"
     assert second.find(b"other", b"/p/") is None
     assert (second.version, second.services) == (3, {"desk": {}})
-    anew = config_items.Table(3, [clash[0], service("desk")])
+    anew = config_items.ItemTable(3, [clash[0], service("desk")])
     assert (second.routes, second.services, second.limits) == (
         anew.routes,
         anew.services,
--- a/tests/support/item_changes.py
+++ b/tests/support/item_changes.py
@@ -18,7 +18,7 @@
 async def standing(world, core=0):
     status, told = await world.operate("GET", "/items", core=core)
     assert status == 200, told
-    return {config_items.key_of(item): item for item in told["items"]}
+    return {config_items.item_key(item): item for item in told["items"]}
 
 
 async def founded(world):
