--- a/tests/forwarding/test_arrivals.py
+++ b/tests/forwarding/test_arrivals.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from meadowdock.configuration.items.table import Route
+from meadowdock.configuration.items import ItemRoute
 from meadowdock.forwarding.arrivals import (
     EARLY,
     JOIN,
@@ -22,7 +22,7 @@
 
 
 def route(timeout_us=2_000_000, target_us=1_000_000, priority=LOWEST_PRIORITY):
-    return Route("r", 1, b"h", b"/", True, timeout_us, target_us, priority, 2, (("desk", 1),))
+    return ItemRoute("r", 1, b"h", b"/", True, timeout_us, target_us, priority, 2, (("desk", 1),))
 
 
 def request(method=b"GET", lines=(), facts=(), body=b""):
