--- /dev/null
+++ b/packages/logs/meadowdock/logs/log.py
@@ -0,0 +1,35 @@
+"""Writes log events as lines of JSON.
+
+>>> Log("mdreg@x", file=sys.stdout, timed=False)(101, role="mdreg")
+{"of": "mdreg@x", "number": 101, "role": "mdreg", "event": "started"}
+"""
+
+from __future__ import annotations
+
+import json
+import sys
+from datetime import UTC, datetime
+from typing import Any, TextIO
+
+from meadowdock.logs.catalogue import CATALOGUE
+
+
+class Log:
+    """The log of one process: one JSON object a line; what JSON can't represent is written as text.
+
+    of: the name of the process, role@host. file: standard error unless given. timed: whether each
+    line has a timestamp.
+    """
+
+    def __init__(self, of: str, file: TextIO | None = None, timed: bool = True) -> None:
+        self.of, self.file, self.timed = of, file or sys.stderr, timed
+
+    def __call__(self, number: int, **fields: Any) -> None:
+        """Write the event of a number with its fields.
+
+        :raises KeyError: the number is not in the catalogue.
+        """
+        line = {"of": self.of, "number": number, **fields, "event": CATALOGUE[number].name}
+        if self.timed:
+            line["timestamp"] = datetime.now(UTC).isoformat().replace("+00:00", "Z")
+        print(json.dumps(line, default=str), file=self.file, flush=True)
--- a/packages/process/meadowdock/process/node.py
+++ b/packages/process/meadowdock/process/node.py
@@ -81,7 +81,7 @@
         await self.nursery.start(self.listeners.serve, self.runtime.net, grace_us)
         settings = self.settings
         self.log(
-            101, role=settings.role, link=settings.link, http=settings.http, hall=settings.zone
+            101, role=settings.role, link=settings.link, http=settings.http, zone=settings.zone
         )
         task_status.started()
         await self.shutdown.requested.wait()
--- a/packages/process/meadowdock/process/shutdown.py
+++ b/packages/process/meadowdock/process/shutdown.py
@@ -52,7 +52,7 @@
     async def run(self) -> None:
         """Shut the node down, then cancel its nursery."""
         node = self.node
-        node.log(102, working=node.listeners.requests_in_flight())
+        node.log(102, requests_in_flight=node.listeners.requests_in_flight())
         node.stopping = True
         node.listeners.end_connections()
         self.deadline = monotonic_us() + self.timeout_us
@@ -67,7 +67,7 @@
         node.listeners.closing.set()
         with deadline_scope(max(self.deadline, monotonic_us()) + LAST_REQUESTS_US):
             await node.listeners.closed.wait()
-        node.log(103, working=node.listeners.requests_in_flight())
+        node.log(103, requests_in_flight=node.listeners.requests_in_flight())
         node.nursery.cancel_scope.cancel()
 
     async def abort_when_requested(self, scope: trio.CancelScope) -> None:
--- a/packages/registry/meadowdock/registry/election.py
+++ b/packages/registry/meadowdock/registry/election.py
@@ -81,7 +81,7 @@
         self.highest_epoch = max(self.highest_epoch, epoch)
         granted = self.lease.granted
         if granted is not None and self.highest_epoch > granted.epoch:
-            self.node.log(702, duty=COLLECTOR, epoch=granted.epoch, seen=self.highest_epoch)
+            self.node.log(702, lease=COLLECTOR, epoch=granted.epoch, seen=self.highest_epoch)
             self.lease.drop()
             self.reclaiming = False
 
@@ -117,7 +117,7 @@
         elif self.epoch is not None:
             self.reclaiming = False
             self.learn_epoch(self.epoch)
-            self.node.log(701, duty=COLLECTOR, epoch=self.epoch)
+            self.node.log(701, lease=COLLECTOR, epoch=self.epoch)
             await self.announce()
 
     def learn_holder(self, refusal: Rejected | None) -> None:
