--- a/packages/config_store/meadowdock/config_store/broadcast.py
+++ b/packages/config_store/meadowdock/config_store/broadcast.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable, Collection, Mapping
+from collections.abc import Awaitable, Callable, Iterable, Mapping
 from typing import TYPE_CHECKING, Any
 
 import trio
@@ -22,7 +22,7 @@
 
 LocalWrite = Callable[[], Awaitable[object]]
 RemoteWrite = Callable[[str], Awaitable[object]]  # of a member's address
-IsEnough = Callable[[Collection[str]], bool]  # of the disk ids that are through
+IsEnough = Callable[[Iterable[str]], bool]  # of the disk ids that are through
 
 
 class Broadcast:
@@ -100,7 +100,7 @@
 
         await self.write_to_quorum(write_here, write_at, deadline, is_enough)
 
-    async def replicate_audit_records(self, records: Mapping[int, str], deadline: int) -> None:
+    async def replicate_audit_records(self, records: dict[int, str], deadline: int) -> None:
         """Put audit records, {version: record}, on every member that answers.
 
         :raises NoQuorum: fewer members than a durable quorum hold them
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -4,7 +4,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Collection
+from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
 import trio
@@ -21,7 +21,7 @@
 SECURE_TIMEOUT_US = SECOND  # at most, for what only this disk may hold
 KEYS_AT_ONCE = 16
 
-IsDurable = Callable[[VoterSets, Collection[str]], bool]
+IsDurable = Callable[[VoterSets, Iterable[str]], bool]
 
 
 class Handover:
@@ -38,7 +38,8 @@
     def replaceable(self) -> bool:
         """Whether the membership is changing, or the policy would replace this voter."""
         server = self.server
-        if server.store.membership.is_joint:
+        membership = server.store.membership
+        if membership is not None and membership.is_joint:
             return True
         target = server.target()
         return target is not None and server.node.settings.link not in target
@@ -62,7 +63,7 @@
             return  # without this member nothing can be written anyway
         self.retired = True
 
-        def is_durable(voter_sets: VoterSets, members: Collection[str]) -> bool:
+        def is_durable(voter_sets: VoterSets, members: Iterable[str]) -> bool:
             return voter_sets.without(store.disk).is_durable(members)
 
         with deadline_scope(min(deadline, monotonic_us() + SECURE_TIMEOUT_US)):
@@ -99,7 +100,7 @@
             return
         bodies = await self.server.chunks.fetch(sorted(set(Revision.from_record(record).chunks)))
 
-        def is_enough(members: Collection[str]) -> bool:
+        def is_enough(members: Iterable[str]) -> bool:
             return is_durable(self.server.store.voter_sets, members)
 
         await self.server.broadcast.replicate_chunks(bodies, deadline, is_enough)
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -204,7 +204,7 @@
             deadline = monotonic_us() + self.timing.change_us
             try:
                 if target is None:
-                    membership = await self.end_change(deadline)
+                    membership = await self.resume_change(deadline)
                 else:
                     membership = await self.change_members(target, deadline)
                 self.node.log(
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -1,7 +1,14 @@
-"""A change of members: old and new together, the state transfer, then the new alone."""
+"""Changes of the membership: a joint configuration of the old and the new voters, the transfer of all
+state, then the new voters alone (after Raft, section 6).
+
+A change that its process left unfinished is completed, or reverted, by any other member.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable, Collection, Iterable, Mapping
+from typing import Any, NoReturn
+
 import trio
 
 from meadowdock.config_store.exceptions import MembershipConflict
@@ -11,178 +18,234 @@
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import deadline_scope, monotonic_us
 
-MEMBERS = "members"
+MEMBERS = "members"  # the consensus key of the membership configuration
+ATTEMPTS_MAX = 2  # a transfer that takes longer than so many attempts counts as stuck
+
+Addresses = Collection[str]
+Answers = dict[str, Any]  # disk id -> answer
 
 
 class MembershipChange:
-    """Of Part. Invariant: a record is proposed only under the record it follows, and ended only
-    after all keys were transferred under that same version."""
+    """Mixed into `Members`.
+
+    Invariant: a configuration is proposed only under the one that it follows, and a joint one is
+    ended only after all keys were transferred under that same version.
+    """
 
     handlers = Handlers()
 
-    async def change_members(self, addresses, deadline):
-        """Make the disks at these addresses the voters. Old and new together first (every quorum
-        is then a majority of both), all keys and range files transferred, then the new alone.
-        Begun and not ended, it is ended by the same call again."""
+    async def change_members(self, addresses: Addresses, deadline: int) -> MembershipConfiguration:
+        """Make the disks at these addresses the voters. A change that was begun and not completed
+        is completed by the same call again.
+
+        :raises MembershipConflict: another change is under way, or a newcomer doesn't answer
+        :raises NoQuorum: this step of the change was not made
+        :raises OutcomeUnknown: the change may have been made
+        """
         self.changing += 1
         try:
             disks = await self.disks_at(addresses, deadline)
             places = self.places_by_address(self.reachable())
             places = {d: places[a] for d, a in disks.items() if a in places}
-            membership = await self.step_members(
+            membership = await self.propose_membership(
                 lambda current: current.change_begun(disks, places), deadline
             )
             if not membership.is_joint:
                 return membership
             if membership.next_voters != disks:
                 raise MembershipConflict("another_change", next=membership.next_voters)
-            return await self.end_known(membership, deadline)
+            return await self.complete_change(membership, deadline)
         finally:
             self.changing -= 1
 
-    async def end_change(self, deadline):
-        """End the change that is under way, whoever began it, with the disks it was begun for."""
+    async def resume_change(self, deadline: int) -> MembershipConfiguration:
+        """Complete the change that is under way, whoever began it, with the disks it was begun for.
+        Raises as change_members does."""
         self.changing += 1
         try:
-            membership = await self.step_members(lambda current: current, deadline)
-            return await self.end_known(membership, deadline) if membership.is_joint else membership
+            membership = await self.propose_membership(lambda current: current, deadline)
+            if not membership.is_joint:
+                return membership
+            return await self.complete_change(membership, deadline)
         finally:
             self.changing -= 1
 
-    async def end_known(self, membership, deadline):
-        """membership is known to a majority of both sides. What another ended meanwhile, and began
-        anew, is not ended here: its keys aren't transferred yet. The newcomers must hold
-        everything first; if one of them is gone, or can't, the change is taken back."""
-        if self.hopeless(membership):
+    async def complete_change(
+        self, membership: MembershipConfiguration, deadline: int
+    ) -> MembershipConfiguration:
+        """Transfer all state to the new voters of a joint configuration, which a majority of both
+        sides knows, and let them vote alone; if a newcomer can't take it, the change is reverted.
+        What another completed meanwhile, and began anew, is left alone: its keys aren't transferred
+        yet."""
+        if self.is_stuck(membership):
             return await self.revert_change(membership, deadline)
         await self.transfer_state(deadline)
 
-        def end(current):
+        def end(current: MembershipConfiguration) -> MembershipConfiguration:
             same = current.version == membership.version
             return current.change_ended() if same else current
 
-        ended = await self.step_members(end, deadline)
+        ended = await self.propose_membership(end, deadline)
         if ended.version > membership.version + 1:
             raise MembershipConflict("another_change", next=ended.next_voters)
         return ended
 
-    def hopeless(self, membership):
-        """Is a newcomer gone, or the transfer to it under way for longer than two attempts?"""
+    def is_stuck(self, membership: MembershipConfiguration) -> bool:
+        """Whether a newcomer failed, or the transfer to it takes longer than two attempts."""
         newcomers = membership.newcomers
         if not newcomers:
             return False
         version, since = self.joint
-        if version == membership.version and monotonic_us() - since > 2 * self.timing.change_us:
+        limit_us = ATTEMPTS_MAX * self.timing.change_us
+        if version == membership.version and monotonic_us() - since > limit_us:
             return True
-        there = self.reachable()
+        reachable = self.reachable()
         return any(
-            self.silence(a) > self.timing.failed_after_us
-            if a not in there
-            else there[a].disk != disk or not there[a].well
-            for disk, a in newcomers.items()
-            if a != self.node.settings.link
+            self.silence(address) > self.timing.failed_after_us
+            if address not in reachable
+            else reachable[address].disk != disk or not reachable[address].well
+            for disk, address in newcomers.items()
+            if address != self.node.settings.link
         )
 
-    async def revert_change(self, membership, deadline):
-        """The former voters alone again: all that was accepted meanwhile is on a majority of
-        them too."""
+    async def revert_change(self, membership: MembershipConfiguration, deadline: int) -> NoReturn:
+        """Let the former voters vote alone again, once all that was accepted meanwhile is on a
+        majority of them too.
+
+        :raises MembershipConflict: always
+        """
         await self.transfer_back(membership, deadline)
 
-        def revert(current):
+        def revert(current: MembershipConfiguration) -> MembershipConfiguration:
             same = current.version == membership.version
             return current.change_reverted() if same else current
 
-        await self.step_members(revert, deadline)
+        await self.propose_membership(revert, deadline)
         raise MembershipConflict("newcomer_gone", absent=sorted(membership.newcomers.values()))
 
-    async def disks_at(self, addresses, deadline):
-        """{disk id: address}; MembershipConflict if one that is no voter doesn't answer."""
-        me, voters = self.node.settings.link, self.store.membership.voters
-        silent = {
-            a for a in voters.values() if self.silence(a) > self.timing.failed_after_us
-        }  # not waited for
-        asked = [a for a in addresses if a != me and a not in silent]
-        hello = await self.node.rpc.successful_responses(
-            {a: (a, "member.hello", {"link": me}) for a in asked},
-            min(deadline, monotonic_us() + self.timing.hello_timeout_us),
-        )
-        for address, told in hello.items():
-            self.note_hello(address, told)
-        disks = {t["disk"]: a for a, t in hello.items()}
-        if me in addresses:
-            disks[self.store.disk] = me
-        absent = set(addresses) - set(disks.values())
-        # an absent one may stay if it is a voter already; it may not come in
-        disks |= {d: a for d, a in voters.items() if a in absent and d not in disks}
+    async def disks_at(self, addresses: Addresses, deadline: int) -> dict[str, str]:
+        """{disk id: address}. A voter that doesn't answer stays under its known disk.
+
+        :raises MembershipConflict: an address that is no voter's doesn't answer
+        """
+        own_address, voters = self.node.settings.link, self.store.membership.voters
+        disks = await self.answering_disks(addresses, deadline)
+        if own_address in addresses:
+            disks[self.store.disk] = own_address
+        unknown = set(addresses) - set(disks.values())
+        disks |= {d: a for d, a in voters.items() if a in unknown and d not in disks}
         absent = sorted(set(addresses) - set(disks.values()))
         if absent:
             raise MembershipConflict("absent", absent=absent)
         return disks
 
-    async def step_members(self, make, deadline):
-        """One change of the membership configuration: agreed in the register, then known to a
-        quorum of it."""
-        old, members = self.store.voter_sets, self.store.everybody
+    async def answering_disks(self, addresses: Addresses, deadline: int) -> dict[str, str]:
+        """{disk id: address} of the other members at these addresses that answer now. Voters that
+        failed are not waited for."""
+        own_address, voters = self.node.settings.link, self.store.membership.voters
+        failed = {
+            address
+            for address in voters.values()
+            if self.silence(address) > self.timing.failed_after_us
+        }
+        asked = [
+            address for address in addresses if address != own_address and address not in failed
+        ]
+        hello = await self.node.rpc.successful_responses(
+            {address: (address, "member.hello", {"link": own_address}) for address in asked},
+            min(deadline, monotonic_us() + self.timing.hello_timeout_us),
+        )
+        for address, answer in hello.items():
+            self.note_hello(address, answer)
+        return {answer["disk"]: address for address, answer in hello.items()}
+
+    async def propose_membership(
+        self,
+        change: Callable[[MembershipConfiguration], MembershipConfiguration],
+        deadline: int,
+    ) -> MembershipConfiguration:
+        """Make one change of the membership configuration: it is committed, then told to a quorum
+        of the old and the new members.
+
+        :raises NoQuorum: it was not made
+        :raises OutcomeUnknown: it may have been made
+        """
+        old_sets, members = self.store.voter_sets, self.store.everybody
         # more members may be what durability lacks, so a quorum decides on members
         enough = VoterSets.is_quorum
 
-        def checked_make(record):
+        def update(record: Mapping[str, Any] | None) -> dict[str, Any]:
             known_here = self.store.membership
             newer = record and record["version"] > known_here.version
             base = MembershipConfiguration.from_record(record) if newer else known_here
-            return make(base).to_record()
+            return change(base).to_record()
 
-        record = await self.proposer.change(MEMBERS, checked_make, deadline, enough)
+        record = await self.proposer.change(MEMBERS, update, deadline, enough)
         membership = MembershipConfiguration.from_record(record)
-        voter_sets = VoterSets(old.sets + membership.voter_sets().sets)
-        members = {**members, **membership.members}
-
-        def known(answers):
-            return voter_sets.is_quorum(answers)
-
-        if not known(await self.broadcast_to(members, "member.adopt", record, deadline, known)):
+        voter_sets = VoterSets(old_sets.sets + membership.voter_sets().sets)
+        recipients = {**members, **membership.members}
+        answers = await self.broadcast_to(
+            recipients, "member.adopt", record, deadline, voter_sets.is_quorum
+        )
+        if not voter_sets.is_quorum(answers):
             raise OutcomeUnknown(MEMBERS)
         await self.store.adopt(membership)
         return membership
 
-    # ------------------------------------------------------------ what members are told
+    # ------------------------------------------------------------ requests of other members
 
     @handlers.on("member.adopt")
-    async def on_adopt(self, peer, record):
-        """Take a newer membership record; answers the disk and version here."""
+    async def on_adopt(self, peer: object, record: Mapping[str, Any]) -> Answers:
+        """Take a newer membership configuration; answers the disk and version here.
+
+        :raises Rejected: "disk" if it can't be written
+        """
         with disk_failures_rejected():
             await self.store.adopt(MembershipConfiguration.from_record(record))
         return {"disk": self.store.disk, "version": self.store.membership.version}
 
     @handlers.on("member.keys")
-    async def on_keys(self, peer, record):
-        """Told only once the record is known here: no older round adds a key after that."""
+    async def on_keys(self, peer: object, record: Mapping[str, Any]) -> Answers:
+        """The keys that this member accepted. Answered only once the configuration is known here:
+        no ballot under an older one adds a key after that.
+
+        :raises Rejected: "disk" if the configuration can't be written
+        """
         with disk_failures_rejected():
             await self.store.adopt(MembershipConfiguration.from_record(record))
         return {"disk": self.store.disk, "keys": sorted(self.store.acceptor.keys.values())}
 
-    async def broadcast_to(self, members, method, args, deadline, enough):
-        """{disk id: answer} as soon as enough(answers), all answered, or the deadline; who is slower
-        is still told. members: {disk id: address}. An answer under another disk id is none."""
-        answers, waiting, done = {}, set(members), trio.Event()
-
-        async def one(disk, address):
+    async def broadcast_to(
+        self,
+        members: Mapping[str, str],
+        method: str,
+        args: object,
+        deadline: int,
+        enough: Callable[[Iterable[str]], bool],
+    ) -> Answers:
+        """{disk id: answer} as soon as enough(answers), all answered, or the deadline; slower members
+        still get the request. members: {disk id: address}. An answer under another disk id counts
+        as none."""
+        answers: Answers = {}
+        pending, done = set(members), trio.Event()
+
+        async def ask(disk: str, address: str) -> None:
             try:
                 if disk == self.store.disk:
                     handler = {"member.adopt": self.on_adopt, "member.keys": self.on_keys}[method]
-                    told = await handler(None, args)
+                    answer = await handler(None, args)
                 else:
-                    told = await self.node.rpc.call(address, method, args, deadline)
-                if told["disk"] == disk:
-                    answers[disk] = told
+                    answer = await self.node.rpc.call(address, method, args, deadline)
+                if answer["disk"] == disk:
+                    answers[disk] = answer
             except (ConnectionFailed, Rejected, OSError):
                 pass
-            waiting.discard(disk)
-            if not waiting or enough(answers):
+            pending.discard(disk)
+            if not pending or enough(answers):
                 done.set()
 
         for disk, address in sorted(members.items()):
-            self.node.nursery.start_soon(one, disk, address)
+            self.node.nursery.start_soon(ask, disk, address)
         with deadline_scope(deadline):
             await done.wait()
         return dict(answers)
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -252,7 +252,8 @@
             if known == version:
                 return plan_id
         record = await self.server.audit_log_transfer.record(version, deadline)
-        return str(audit.read_payload(record)["plan"]) if record else None
+        payload = audit.read_payload(record) if record else None
+        return str(payload["plan"]) if payload else None
 
     async def status(self, plan_id: str) -> PlanStatus:
         """What became of a plan.
@@ -293,7 +294,9 @@
             return None
         try:
             former = await self.configuration_of(former_chunks)
-            return difference(former, await self.configuration_of(current.configuration_chunks))
+            current_configuration = await self.configuration_of(current.configuration_chunks)
+            changes: dict[str, Any] = difference(former, current_configuration)
+            return changes
         except NoQuorum:
             return None
 
--- a/packages/config_store/meadowdock/config_store/quorum_monitor.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -78,8 +78,7 @@
             for answer in self.server.reachable().values()
             if monotonic_us() - answer.at < fresh_us and (answer.well or not writing)
         ]
-        proposer = self.server.proposer
-        return proposer is not None and proposer.is_quorum(disks)
+        return self.server.proposer.is_quorum(disks)
 
     async def require_quorum(self, writing: bool = True) -> None:
         """Return if a quorum is in touch; if none answered lately, the members are asked first.
--- a/packages/config_store/meadowdock/config_store/rpc_handlers.py
+++ b/packages/config_store/meadowdock/config_store/rpc_handlers.py
@@ -48,7 +48,8 @@
     @handlers.on("blob.missing")
     async def on_missing_chunks(self, peer: object, names: list[str]) -> list[str]:
         """Which of these chunks this member lacks."""
-        return await self.server.store.missing(names)
+        missing: list[str] = await self.server.store.missing(names)
+        return missing
 
     @handlers.on("blob.put")
     async def on_put_chunks(self, peer: object, bodies: list[bytes]) -> list[str]:
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -45,11 +45,11 @@
     """One member of the config store: a voter or a spare."""
 
     table = operator_api.table
+    proposer: Proposer  # made by prepare, before anything is served
 
     def __init__(self, node: Node) -> None:
         self.node = node
         self.store = Store(node.runtime.disk, node.runtime.rng, node.log)
-        self.proposer: Proposer | None = None  # once the disk is read
         self.broadcast = Broadcast(self)
         self.chunks = ChunkService(node, self.store, self.broadcast.peers)
         self.repairer = Repairer(node, self.store, self.broadcast.peers, self.chunks.fetch)
@@ -165,7 +165,6 @@
         :raises NoQuorum: they are on too few members by the deadline
         """
         enough = enough or self.transferred(self.store.membership)
-        assert self.proposer is not None
         current = Revision.from_record(await self.proposer.read(HEAD, deadline))
         await self.audit_log_transfer.transfer_to_quorum(
             partial(self.broadcast.write_to_quorum, is_enough=enough), deadline
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
 from types import SimpleNamespace
 from typing import Any
@@ -37,7 +37,7 @@
         self.handover = SimpleNamespace(retired=False)
         self.watch_members()
 
-    async def disks_at(self, addresses: frozenset[str], deadline: int) -> dict[str, str]:
+    async def disks_at(self, addresses: Collection[str], deadline: int) -> dict[str, str]:
         """Without asking: those of the explored change."""
         return self.target_disks
 
@@ -46,7 +46,7 @@
     ) -> None:
         """Chunks are no part of the model."""
 
-    def hopeless(self, membership: MembershipConfiguration) -> bool:
+    def is_stuck(self, membership: MembershipConfiguration) -> bool:
         """Who is reachable is no part of the model: newcomers always are."""
         return False
 
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -527,18 +527,18 @@
         def begin(current):
             return MembershipConfiguration(current.version + 1, current.voters, disks)
 
-        first = await daemon.step_members(begin, monotonic_us() + SECOND)
+        first = await daemon.propose_membership(begin, monotonic_us() + SECOND)
 
         async def meanwhile(due):
             """The other ends the change, and begins the next."""
-            await daemon.step_members(
+            await daemon.propose_membership(
                 lambda current: MembershipConfiguration(current.version + 1, disks), due
             )
-            await daemon.step_members(begin, due)
+            await daemon.propose_membership(begin, due)
 
         daemon.transfer_files = meanwhile
         with pytest.raises(Exception, match="another_change"):
-            await daemon.end_known(first, monotonic_us() + 2 * SECOND)
+            await daemon.complete_change(first, monotonic_us() + 2 * SECOND)
         assert daemon.store.membership.next_voters == disks
         assert daemon.store.membership.version == first.version + 2
 
--- a/tests/model_checker/test_model_register.py
+++ b/tests/model_checker/test_model_register.py
@@ -82,14 +82,14 @@
 class LateTransfer(ModelMembers):
     """Planted: the new voters alone first, and the values only then."""
 
-    async def end_known(self, record, deadline):
+    async def complete_change(self, record, deadline):
         transfer_state = self.transfer_state
 
         async def nothing(deadline):
             pass
 
         self.transfer_state = nothing
-        ended = await super().end_known(record, deadline)
+        ended = await super().complete_change(record, deadline)
         await transfer_state(deadline)
         return ended
 
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -174,7 +174,7 @@
             try:
                 await process.change_members(frozenset(voters), monotonic_us() + OPERATION_TIMEOUT)
             except MembershipConflict:
-                await process.end_change(monotonic_us() + OPERATION_TIMEOUT)
+                await process.resume_change(monotonic_us() + OPERATION_TIMEOUT)
 
         try:
             self.act(operator, work)
