--- a/packages/config_store/meadowdock/config_store/item_snapshot.py
+++ b/packages/config_store/meadowdock/config_store/item_snapshot.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
 import ormsgpack
@@ -19,7 +19,7 @@
     from meadowdock.config_store.chunks import ChunkService
 
 Item = dict[str, Any]
-ItemsByKey = dict[tuple[str, str], Item]  # (kind, name) -> item, the dropped ones included
+ItemsByKey = Mapping[tuple[str, str], Item]  # (kind, name) -> item, the dropped ones included
 
 
 class ItemSnapshot:
