--- a/tests/support/order_faults.py
+++ b/tests/support/order_faults.py
@@ -17,7 +17,7 @@
                 if not one_way or a == away:
                     world.web.cut(a, b, both=False)
             await sleep_us(world.rng.randrange(1500) * MILLISECOND)
-            world.web.mend(pairs)
+            world.web.heal_links(pairs)
         elif kind == 1:
             world.power_off("mdconf", away)
             await sleep_us(world.rng.randrange(500) * MILLISECOND)
