--- a/tests/config_store/test_order_times.py
+++ b/tests/config_store/test_item_change_times.py
@@ -101,7 +101,7 @@
 
 
 def summary(done):
-    """Counts, for who reads a failure: python tests/test_order_times.py prints them."""
+    """Counts, for who reads a failure: python tests/config_store/test_item_change_times.py prints them."""
     took = sorted(order.took for order in done)
     told = Counter(status for order in done for _, status, _ in order.answers)
     longest = max(span for order in done for _, _, span in order.answers)
