--- a/packages/zone_drill/meadowdock/zone_drill/drill.py
+++ b/packages/zone_drill/meadowdock/zone_drill/drill.py
@@ -9,7 +9,8 @@
 
 import trio
 
-from meadowdock.cli.client import OutcomeUnknown, Unreachable, ask
+from meadowdock.cli.exceptions import OutcomeUnknown, Unreachable
+from meadowdock.cli.operator_client import ask
 from meadowdock.local_fleet.caller import fetch
 from meadowdock.runtime import (
     MILLISECOND,
