--- a/packages/cli/meadowdock/cli/__main__.py
+++ b/packages/cli/meadowdock/cli/__main__.py
@@ -194,7 +194,7 @@
 def usage() -> str:
     """The text of --help."""
     commands = [
-        *("plan", "confirm", "settle", "get", "items", "status", "member", "audit", "check"),
+        *("plan", "confirm", "settle", "get", "items", "status", "audit", "check"),
         "version",
     ]
     lines = [f"  {n:<8} {getattr(Commands, n).__doc__.strip()}" for n in commands]
