--- a/tests/forwarding/test_cancellation.py
+++ b/tests/forwarding/test_cancellation.py
@@ -58,7 +58,7 @@
     async def scenario(world):
         host, there = list(world.application)[0], list(world.application)[-1]
         holding = await world.caller(host)
-        held = holding.ask(b"/long/x")
+        occupying = holding.ask(b"/long/x")
         await sleep_us(50 * MILLISECOND)
         caller = await world.caller(host)
         caller.ask(target)
@@ -68,7 +68,7 @@
         await sleep_us(20 * MILLISECOND)
         assert len(gate_of(world, there).admission.queue("desk")) == 0
         assert len(gate_of(world, host).dispatcher.calls) == 1
-        await held.done.wait()
+        await occupying.done.wait()
         await sleep_us(100 * MILLISECOND)
         assert [ran.target for ran in ends_of(world).journal] == [b"/long/x"]
 
--- a/tests/forwarding/test_endpoint_faults.py
+++ b/tests/forwarding/test_endpoint_faults.py
@@ -31,20 +31,20 @@
                 end.faults.clear()
             id = world.ledger.new_id()
             fault_once(ends, id, fault)
-            made = await asked(world, host, target=target, method=b"POST", id=id, due_ms=1500)
+            exchange = await asked(world, host, target=target, method=b"POST", id=id, due_ms=1500)
             ran = len(world.ledger.runs(id))
             again = target == b"/p/x"
             if fault in WHOLE:
-                assert (made.status, ran) == (200, 1)
+                assert (exchange.status, ran) == (200, 1)
             elif fault in REPEATED:
-                assert (made.status, ran) == ((200, 2) if again else (502, 1))
+                assert (exchange.status, ran) == ((200, 2) if again else (502, 1))
             elif fault in ("full", "other"):
-                assert (made.status, ran) == (200, 1)
+                assert (exchange.status, ran) == (200, 1)
                 assert world.ledger.arrivals(id) == 2
             elif fault == "silence":
-                assert (made.status, ran) == (504, 1) and made.took < 1700 * MILLISECOND
+                assert (exchange.status, ran) == (504, 1) and exchange.took < 1700 * MILLISECOND
             else:
-                assert (made.status, ran) == (500, 1) and made.line(b"md-call") == id
+                assert (exchange.status, ran) == (500, 1) and exchange.line(b"md-call") == id
             # nobody after it gets anything of it
             caller = await world.caller(host)
             if fault.startswith("twice"):
@@ -109,14 +109,14 @@
         for end in world.ends.values():
             del end.fault_of
         await sleep_us(3 * SECOND)
-        told = [made.status for made in calls]
+        told = [exchange.status for exchange in calls]
         assert told.count(200) > len(told) / 2
         assert {504, 502} & set(told)
-        assert all(made.took < 1200 * MILLISECOND for made in calls)
+        assert all(exchange.took < 1200 * MILLISECOND for exchange in calls)
         for host in hosts(world):  # nothing went round and round
             counts = gate_of(world, host).counts
             assert sum(n for name, n in counts.items() if name.startswith("rule.")) < 4000
-        assert all(world.ledger.arrivals(made.id) <= 2 for made in calls)
+        assert all(world.ledger.arrivals(exchange.id) <= 2 for exchange in calls)
 
     gated(scenario, seed, application=("desk", "desk", "paper", "paper", ""), tries=TRIES)
 
@@ -129,9 +129,9 @@
         end.idle_us, end.alive_s = 2 * SECOND, 2
         caller = await world.caller(host)
         for n in range(60):
-            made = caller.ask(b"/once/%d" % n, b"POST")
-            await made.done.wait()
-            assert made.status == 200
+            exchange = caller.ask(b"/once/%d" % n, b"POST")
+            await exchange.done.wait()
+            assert exchange.status == 200
             await sleep_us(world.rng.choice([100, 1200, *range(1995, 2025)]) * MILLISECOND)
 
     gated(scenario, seed, application=("desk",))
@@ -145,9 +145,9 @@
         # nobody has told the gate yet, and it beats nowhere
         taken = await world.stand_in(first, "paper", beats=False)
         for target in (b"/p/x", b"/once/x"):
-            made = await asked(world, first, target=target)
-            assert made.status == 200
-            assert [r.service for r in world.ledger.runs(made.id)] == ["desk"]
+            exchange = await asked(world, first, target=target)
+            assert exchange.status == 200
+            assert [r.service for r in world.ledger.runs(exchange.id)] == ["desk"]
         assert not taken.journal and taken.turned
 
     gated(scenario, seed, application=("desk", "desk"), tries=TRIES)
@@ -204,12 +204,12 @@
         host = hosts(world)[0]
         end = world.ends[host]
         end.work_us = 3 * SECOND
-        made = await asked(world, host, due_ms=300)
-        assert made.status == 504 and 290 * MILLISECOND < made.took < 330 * MILLISECOND
-        left = int(dict(world.ledger.runs(made.id)[0].lines)[b"md-due"])
+        exchange = await asked(world, host, due_ms=300)
+        assert exchange.status == 504 and 290 * MILLISECOND < exchange.took < 330 * MILLISECOND
+        left = int(dict(world.ledger.runs(exchange.id)[0].lines)[b"md-due"])
         assert 290 <= left <= 300
-        made = await asked(world, host, target=b"/short/x", due_ms=5000)
-        assert made.status == 504 and made.took < 430 * MILLISECOND
+        exchange = await asked(world, host, target=b"/short/x", due_ms=5000)
+        assert exchange.status == 504 and exchange.took < 430 * MILLISECOND
         assert not end.overdue
 
     short = route("short", prefix="/short/", timeout_us=400 * MILLISECOND)
@@ -260,8 +260,8 @@
 
     async def scenario(world):
         await budgeted(world)
-        home, bad, good = hosts(world)
-        callers = [await world.caller(home) for _ in range(8)]
+        local, bad, good = hosts(world)
+        callers = [await world.caller(local) for _ in range(8)]
         calls = [
             c.ask(b"/once/%d" % n if n % 2 else b"/p/%d" % n, due_ms=4000)
             for n, c in enumerate(callers)
@@ -273,18 +273,18 @@
         began = monotonic_us()
         later = []
         for n in range(20):
-            later.append((await world.caller(home)).ask(b"/p/l%d" % n, due_ms=4000))
+            later.append((await world.caller(local)).ask(b"/p/l%d" % n, due_ms=4000))
             await sleep_us(100 * MILLISECOND)
         await all_done([*calls, *later])
-        for made in [*calls, *later]:
-            if made.id in there and made.target.startswith(b"/once/"):
+        for exchange in [*calls, *later]:
+            if exchange.id in there and exchange.target.startswith(b"/once/"):
                 # who is only deaf still says its answer
-                assert made.status == 502 or (trouble is cut_in and made.status == 200)
-                assert made.at + made.took < began + 1200 * MILLISECOND
+                assert exchange.status == 502 or (trouble is cut_in and exchange.status == 200)
+                assert exchange.at + exchange.took < began + 1200 * MILLISECOND
             else:
-                assert made.status == 200
-                last = max(ran.begun for ran in world.ledger.runs(made.id))
-                assert last - max(made.at, began) < SECOND
+                assert exchange.status == 200
+                last = max(ran.begun for ran in world.ledger.runs(exchange.id))
+                assert last - max(exchange.at, began) < SECOND
         await sleep_us(2 * SECOND)
         world.web.heal()
         if trouble is frozen:
@@ -292,8 +292,8 @@
         await sleep_us(6 * SECOND)
         if trouble is not killed:  # it is used again
             before = len(world.ends[bad].journal)
-            after = [await asked(world, home) for _ in range(6)]
-            assert {made.status for made in after} == {200}
+            after = [await asked(world, local) for _ in range(6)]
+            assert {exchange.status for exchange in after} == {200}
             assert len(world.ends[bad].journal) > before
 
     gated(
@@ -308,14 +308,14 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_gateway_that_was_paused_blames_no_peer(seed):
     async def scenario(world):
-        home, there = hosts(world)
-        made = (await world.caller(home)).ask(b"/once/x", due_ms=5000)
+        local, there = hosts(world)
+        exchange = (await world.caller(local)).ask(b"/once/x", due_ms=5000)
         await sleep_us(100 * MILLISECOND)
-        world.processes[f"mdproxy@{home}"].freeze()
+        world.processes[f"mdproxy@{local}"].freeze()
         await sleep_us(1500 * MILLISECOND)
-        world.processes[f"mdproxy@{home}"].wake()
-        await made.done.wait()
-        assert made.status == 200
+        world.processes[f"mdproxy@{local}"].wake()
+        await exchange.done.wait()
+        assert exchange.status == 200
 
     gated(scenario, seed, application=("", "desk"), endpoint={"work_us": 1800 * MILLISECOND})
 
@@ -325,13 +325,13 @@
     """No byte of them left, so even those that must run once go on."""
 
     async def scenario(world):
-        home, bad, good = hosts(world)
+        local, bad, good = hosts(world)
         cut(world, bad)
-        callers = [await world.caller(home) for _ in range(6)]
+        callers = [await world.caller(local) for _ in range(6)]
         calls = [c.ask(b"/once/%d" % n) for n, c in enumerate(callers)]
         await all_done(calls)
-        assert {made.status for made in calls} == {200}
-        assert all(made.took < SECOND for made in calls)
+        assert {exchange.status for exchange in calls} == {200}
+        assert all(exchange.took < SECOND for exchange in calls)
         world.web.heal()
         await sleep_us(2 * SECOND)
 
@@ -342,8 +342,8 @@
     from meadowdock.load_sharing import LoadList, NodeLoad
 
     async def scenario(world):
-        home, good = hosts(world)
-        gate = gate_of(world, home)
+        local, good = hosts(world)
+        gate = gate_of(world, local)
         nodes = [NodeLoad(f"10.9.{n // 100}.{n % 100}:7401", 0.1, "i", False) for n in range(600)]
         real = gate.loads.nodes["desk"]
         gate.update_loads(
@@ -353,8 +353,8 @@
         gate.peers.quiet_until = {
             gate.peers.link_address(n.address): monotonic_us() + SECOND for n in nodes
         }
-        made = await asked(world, home)
-        assert made.status == 200
+        exchange = await asked(world, local)
+        assert exchange.status == 200
 
     gated(scenario, application=("", "desk"))
 
@@ -362,12 +362,12 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_peers_endpoint_that_rejects_calls_counts_as_an_attempt(seed):
     async def scenario(world):
-        home = hosts(world)[0]
+        local = hosts(world)[0]
         for end in world.ends.values():
             end.fault_of = lambda id: "full"
-        calls = [await asked(world, home) for _ in range(20)]
-        assert {made.status for made in calls} == {503}
-        again = sum(world.ledger.arrivals(made.id) - 1 for made in calls)
+        calls = [await asked(world, local) for _ in range(20)]
+        assert {exchange.status for exchange in calls} == {503}
+        again = sum(world.ledger.arrivals(exchange.id) - 1 for exchange in calls)
         assert again == 0  # a ratio of nothing, and no reserve before a window has passed
 
     terms = {"ratio": 0.0, "window_us": 600 * SECOND, "reserve": 0}
--- a/tests/forwarding/test_gateway.py
+++ b/tests/forwarding/test_gateway.py
@@ -18,10 +18,12 @@
 def test_a_call_gets_the_complete_answer_of_the_local_endpoint(seed):
     async def scenario(world):
         host = hosts(world)[0]
-        made = await asked(world, host, target=b"/p/a%20b?x=1&y=%2F", method=b"POST", body=b"\x00b")
-        assert made.status == 200 and made.line(b"X-Kept") == b"as it was"
-        assert [ran.id for ran in world.ends[host].journal] == [made.id]
-        assert made.took < 100 * MILLISECOND
+        exchange = await asked(
+            world, host, target=b"/p/a%20b?x=1&y=%2F", method=b"POST", body=b"\x00b"
+        )
+        assert exchange.status == 200 and exchange.line(b"X-Kept") == b"as it was"
+        assert [ran.id for ran in world.ends[host].journal] == [exchange.id]
+        assert exchange.took < 100 * MILLISECOND
 
     gated(scenario, seed)
 
@@ -39,7 +41,7 @@
             ]
             calls += [caller.ask(b"/p/..//x;y", b"PUT", body=b""), caller.ask(b"/p/", b"DELETE")]
             await all_done(calls)
-            assert [made.status for made in calls] == [200] * 4
+            assert [exchange.status for exchange in calls] == [200] * 4
 
     gated(scenario, seed)
 
@@ -64,9 +66,11 @@
             (b"none.example", b"/p/x", None),
         ]
         for name, target, ran_by in wanted:
-            made = await asked(world, host, host=name, target=target)
-            assert [r.service for r in world.ledger.runs(made.id)] == ([ran_by] if ran_by else [])
-            assert made.status == (200 if ran_by else 404)
+            exchange = await asked(world, host, host=name, target=target)
+            assert [r.service for r in world.ledger.runs(exchange.id)] == (
+                [ran_by] if ran_by else []
+            )
+            assert exchange.status == (200 if ran_by else 404)
 
     gated(scenario, application=("desk", "paper"), items=items(*more))
 
@@ -80,7 +84,7 @@
         caller = await world.caller(host)
         calls = [caller.ask(b"/split/%d" % n) for n in range(40)]
         await all_done(calls)
-        assert {made.status for made in calls} == {200}
+        assert {exchange.status for exchange in calls} == {200}
         ran = [r.service for r in world.ledger.runs()]
         assert (ran.count("desk"), ran.count("paper")) == (30, 10)
         # smooth: no service waits long for its turn
@@ -101,9 +105,9 @@
         lie = [(b"MD-Caller", b"paper"), (b"md-incarnation", b"x"), (b"md-not-run", b"1")]
         for host, name in ((first, b"desk"), (second, b"paper"), (nameless, b"guest")):
             for target in (b"/p/x", b"/paper/x"):  # one at home, one over a neighbour
-                made = await asked(world, host, target=target, lines=lie)
-                assert made.status == 200
-                (ran,) = world.ledger.runs(made.id)
+                exchange = await asked(world, host, target=target, lines=lie)
+                assert exchange.status == 200
+                (ran,) = world.ledger.runs(exchange.id)
                 names = [n.lower() for n, _ in ran.lines]
                 assert ran.caller == name and names.count(b"md-caller") == 1
                 assert names.count(b"md-incarnation") == 1 and b"md-not-run" not in names
@@ -119,10 +123,10 @@
         caller = await world.caller(host)
         calls = [caller.ask(b"/p/%d" % n) for n in range(3)]
         await all_done(calls)
-        assert [made.status for made in calls] == [200] * 3
+        assert [exchange.status for exchange in calls] == [200] * 3
         begun = [ran.begun for ran in world.ends[host].journal]
         assert max(begun) - min(begun) < 10 * MILLISECOND
-        assert all(made.took < 330 * MILLISECOND for made in calls)
+        assert all(exchange.took < 330 * MILLISECOND for exchange in calls)
 
     gated(scenario)
 
@@ -136,18 +140,18 @@
         inner_calls = []
 
         def inner(job):
-            made = caller.ask(b"/paper/inner", due_ms=(job.due - monotonic_us()) // MILLISECOND)
-            inner_calls.append(made)
-            return made
+            exchange = caller.ask(b"/paper/inner", due_ms=(job.due - monotonic_us()) // MILLISECOND)
+            inner_calls.append(exchange)
+            return exchange
 
         world.ends[first].inner = inner
-        made = await asked(world, first)
-        assert made.status == 200 and [c.status for c in inner_calls] == [200]
+        exchange = await asked(world, first)
+        assert exchange.status == 200 and [c.status for c in inner_calls] == [200]
         assert len(world.ledger.runs(inner_calls[0].id)) == 1
         world.ends[second].faults["*"] = ["close"] * 3
-        made = await asked(world, first)
-        assert made.status == 500  # the endpoint's own, with its id
-        assert made.line(b"md-call") == made.id
+        exchange = await asked(world, first)
+        assert exchange.status == 500  # the endpoint's own, with its id
+        assert exchange.line(b"md-call") == exchange.id
 
     gated(scenario, seed, application=("desk", "paper"))
 
@@ -173,39 +177,39 @@
     caller = await world.caller(host)
     calls = [caller.ask(b"/p/%d" % n) for n in range(count)]
     await all_done(calls)
-    assert {made.status for made in calls} == {200}
+    assert {exchange.status for exchange in calls} == {200}
     ran = {r.id: r.instance for r in world.ledger.runs()}
     host_of = {e.instance: h for h, e in world.ends.items()}
-    return [host_of[ran[made.id]] for made in calls]
+    return [host_of[ran[exchange.id]] for exchange in calls]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_calls_stay_local_below_omega_and_offloading_relocates_round_robin(seed):
     async def scenario(world):
-        home, b, c, d = hosts(world)
-        gate = gate_of(world, home)
+        local, b, c, d = hosts(world)
+        gate = gate_of(world, local)
         for host in hosts(world):  # no news but the test's own
             world.daemon("mdproxy", host).endpoints.measure_load = lambda at, share: {}
-        world.daemon("mdproxy", home).use_load_list = lambda load_list, nodes: None
+        world.daemon("mdproxy", local).use_load_list = lambda load_list, nodes: None
         omega, phi = gate.dispatcher.thresholds.omega, gate.dispatcher.thresholds.phi
         low, mid = phi / 2, (phi + omega) / 2
-        assert await batch(world, home, low, {b: low, c: low}) == [home] * 6
-        assert await batch(world, home, mid, {b: low, c: low}) == [home] * 6
-        ran = await batch(world, home, omega, {b: low, c: low, d: low})
+        assert await batch(world, local, low, {b: low, c: low}) == [local] * 6
+        assert await batch(world, local, mid, {b: low, c: low}) == [local] * 6
+        ran = await batch(world, local, omega, {b: low, c: low, d: low})
         assert ran[:3] == ran[3:] and set(ran) == {b, c, d}
         # only those that accept
-        ran = await batch(world, home, omega, {b: low, c: mid, d: low})
+        ran = await batch(world, local, omega, {b: low, c: mid, d: low})
         assert ran[:2] == ran[2:4] == ran[4:] and set(ran) == {b, d}
         # none accepts: home keeps
-        assert await batch(world, home, omega, {b: mid, c: omega, d: mid}) == [home] * 6
+        assert await batch(world, local, omega, {b: mid, c: omega, d: mid}) == [local] * 6
         # no home
-        world.daemon("mdproxy", home).endpoints.remove(
-            world.daemon("mdproxy", home).endpoints.by_address[f"{home}:8000"], "test"
+        world.daemon("mdproxy", local).endpoints.remove(
+            world.daemon("mdproxy", local).endpoints.by_address[f"{local}:8000"], "test"
         )
-        world.ends[home].left = True
-        ran = await batch(world, home, None, {b: low, c: low, d: mid})
+        world.ends[local].left = True
+        ran = await batch(world, local, None, {b: low, c: low, d: mid})
         assert ran[:2] == ran[2:4] == ran[4:] and set(ran) == {b, c}
-        ran = await batch(world, home, None, {b: mid, c: omega, d: mid})
+        ran = await batch(world, local, None, {b: mid, c: omega, d: mid})
         assert set(ran) == {b, d}
 
     gated(scenario, seed, application=("desk",) * 4, endpoint={"slots": 50})
@@ -226,7 +230,7 @@
             caller.ask(b"/once/%d" % n, b"POST", due_ms=1000) for n, caller in enumerate(callers)
         ]
         await all_done(calls)
-        answers = [made.status for made in calls]
+        answers = [exchange.status for exchange in calls]
         assert answers.count(200) == 4 and answers.count(503) == 8
         assert all(
             float(m.line(b"Retry-After")) * SECOND < SECOND - m.took
@@ -257,7 +261,7 @@
             later.append(caller.ask(target))
             await sleep_us(5 * MILLISECOND)
         await all_done([first, *later])
-        assert {made.status for made in [first, *later]} == {200}
+        assert {exchange.status for exchange in [first, *later]} == {200}
         order = [ran.target for ran in world.ends[host].journal]
         assert order == [b"/p/0", b"/p/1", b"/p/2", b"/low/0", b"/low/1"]
         begun = [ran.begun for ran in world.ends[host].journal]
@@ -299,11 +303,11 @@
         host = hosts(world)[0]
         for target in (b"/p/x", b"/paper/x"):
             caller = await world.caller(host)
-            made = caller.ask(target)
+            exchange = caller.ask(target)
             await sleep_us(30 * MILLISECOND)
             caller.hang_up()
             await sleep_us(SECOND)
-            assert len(world.ledger.runs(made.id)) == 1
+            assert len(world.ledger.runs(exchange.id)) == 1
 
     gated(scenario, application=("desk", "paper"), endpoint={"work_us": 200 * MILLISECOND})
 
@@ -314,19 +318,19 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_call_reaches_an_endpoint_that_drains_and_waiting_ones_go_elsewhere(seed):
     async def scenario(world):
-        home, other = hosts(world)
+        local, other = hosts(world)
         ends = world.ends
-        callers = [await world.caller(home) for _ in range(12)]
+        callers = [await world.caller(local) for _ in range(12)]
         calls = [c.ask(b"/p/%d" % n) for n, c in enumerate(callers)]
         await sleep_us(30 * MILLISECOND)
-        ends[home].draining = True
-        world.beat(home, ends[home], 1000)
+        ends[local].draining = True
+        world.beat(local, ends[local], 1000)
         told_at = monotonic_us()
         calls += [c.ask(b"/p/late%d" % n) for n, c in enumerate(callers)]
         await all_done(calls)
         # what was on its way for a moment may still come
-        assert [id for at, id in ends[home].came_at if at > told_at + 20 * MILLISECOND] == []
-        assert {made.status for made in calls} <= {200, 503}
+        assert [id for at, id in ends[local].came_at if at > told_at + 20 * MILLISECOND] == []
+        assert {exchange.status for exchange in calls} <= {200, 503}
         assert len(ends[other].journal) >= 4
 
     gated(
@@ -339,26 +343,26 @@
 
 def test_a_call_whose_connection_is_being_made_does_not_reach_an_endpoint_that_drains_by_then():
     async def scenario(world):
-        home, other = hosts(world)
-        world.web.slow[home] = (20 * MILLISECOND, 21 * MILLISECOND)
-        made = (await world.caller(home)).ask(b"/once/x")
+        local, other = hosts(world)
+        world.web.slow[local] = (20 * MILLISECOND, 21 * MILLISECOND)
+        exchange = (await world.caller(local)).ask(b"/once/x")
         await sleep_us(70 * MILLISECOND)
-        assert gate_of(world, home).dispatcher.calls and not world.ends[home].came_at
-        world.ends[home].draining = True
-        world.beat(home, world.ends[home], 1000)
-        await made.done.wait()
-        assert made.status == 200 and not world.ends[home].came_at
+        assert gate_of(world, local).dispatcher.calls and not world.ends[local].came_at
+        world.ends[local].draining = True
+        world.beat(local, world.ends[local], 1000)
+        await exchange.done.wait()
+        assert exchange.status == 200 and not world.ends[local].came_at
 
     gated(scenario, application=("desk", "desk"))
 
 
 def test_a_waiting_call_goes_to_a_peer_as_soon_as_one_is_known():
     async def scenario(world):
-        home, other = hosts(world)
-        gate = gate_of(world, home)
+        local, other = hosts(world)
+        gate = gate_of(world, local)
         known = dict(gate.loads.nodes)
         gate.update_loads(gate.loads.latest, {})
-        first, second = [(await world.caller(home)).ask(b"/p/%d" % n) for n in range(2)]
+        first, second = [(await world.caller(local)).ask(b"/p/%d" % n) for n in range(2)]
         await sleep_us(10 * MILLISECOND)
         assert len(gate.admission.queues["desk"]) == 1
         gate.update_loads(gate.loads.latest, known)
@@ -377,11 +381,13 @@
     big = {**LIMITS, "version": 2, "spec": {**LIMITS["spec"], "body_bytes": 64 << 20}}
 
     async def scenario(world):
-        home, other = hosts(world)
-        beside = (await world.caller(home)).ask(b"/once/beside", b"POST", due_ms=10_000)
-        made = (await world.caller(home)).ask(b"/p/x", b"PUT", body=bytes(33 << 20), due_ms=10_000)
-        await all_done([beside, made])
-        assert (beside.status, made.status) == (200, 503)
+        local, other = hosts(world)
+        beside = (await world.caller(local)).ask(b"/once/beside", b"POST", due_ms=10_000)
+        exchange = (await world.caller(local)).ask(
+            b"/p/x", b"PUT", body=bytes(33 << 20), due_ms=10_000
+        )
+        await all_done([beside, exchange])
+        assert (beside.status, exchange.status) == (200, 503)
 
     routes = [
         route("once", 2, prefix="/once/", repeat="once", timeout_us=20 * SECOND),
@@ -397,29 +403,29 @@
 
 def test_an_endpoint_first_heard_of_while_it_drains_gets_nothing():
     async def scenario(world):
-        home = hosts(world)[0]
-        caller = await world.caller(home)
-        world.ends[home].left = True  # no beats of its own any more
-        book = world.daemon("mdproxy", home).endpoints
-        book.remove(book.by_address[f"{home}:8000"], "test")
-        made = caller.ask()  # waits: nobody is there
+        local = hosts(world)[0]
+        caller = await world.caller(local)
+        world.ends[local].left = True  # no beats of its own any more
+        book = world.daemon("mdproxy", local).endpoints
+        book.remove(book.by_address[f"{local}:8000"], "test")
+        exchange = caller.ask()  # waits: nobody is there
         await sleep_us(20 * MILLISECOND)
-        world.beat(home, world.ends[home], 1000, draining=True)
-        await made.done.wait()
-        assert made.status == 503 and not world.ledger.runs()
+        world.beat(local, world.ends[local], 1000, draining=True)
+        await exchange.done.wait()
+        assert exchange.status == 503 and not world.ledger.runs()
 
     gated(scenario, application=("desk",))
 
 
 def test_a_late_beat_of_the_endpoint_before_changes_nothing():
     async def scenario(world):
-        home = hosts(world)[0]
-        old = world.ends[home]
+        local = hosts(world)[0]
+        old = world.ends[local]
         new_life = {"instance": "i-new"}
-        world.beat(home, old, 50, **new_life)
-        book = world.daemon("mdproxy", home).endpoints
+        world.beat(local, old, 50, **new_life)
+        book = world.daemon("mdproxy", local).endpoints
         assert book.by_address[old.address].incarnation == "i-new"
-        world.beat(home, old, 60)
+        world.beat(local, old, 60)
         assert book.by_address[old.address].incarnation == "i-new"
 
     gated(scenario, application=("desk",))
@@ -428,32 +434,32 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_stop_drops_nothing(seed):
     async def scenario(world):
-        home, other = hosts(world)
+        local, other = hosts(world)
         calls, over = [], []
 
         async def one(n):
-            caller = await world.caller(home)
+            caller = await world.caller(local)
             while not over:
                 if caller.wire is None:
                     return
-                made = caller.ask(b"/p/%d" % n if n % 2 else b"/once/%d" % n, b"POST")
-                calls.append((monotonic_us(), made))
-                await made.done.wait()
-                if caller.wire.closed or made.line(b"Connection") == b"close":
-                    caller = await world.caller(home)
+                exchange = caller.ask(b"/p/%d" % n if n % 2 else b"/once/%d" % n, b"POST")
+                calls.append((monotonic_us(), exchange))
+                await exchange.done.wait()
+                if caller.wire.closed or exchange.line(b"Connection") == b"close":
+                    caller = await world.caller(local)
 
         for n in range(6):
             world.nursery.start_soon(one, n)
         await sleep_us(300 * MILLISECOND)
-        await world.stop(f"mdproxy@{home}")
+        await world.stop(f"mdproxy@{local}")
         over.append(True)
         assert len(calls) > 100
         await sleep_us(SECOND)
-        unread = [made for _, made in calls if made.status == 0]
-        assert {made.status for _, made in calls} <= {200, 0}
+        unread = [exchange for _, exchange in calls if exchange.status == 0]
+        assert {exchange.status for _, exchange in calls} <= {200, 0}
         # what came as the connection was closed was not read
-        assert len(unread) <= 6 and all(made.done.is_set() for made in unread)
-        assert not any(world.ledger.runs(made.id) for made in unread)
+        assert len(unread) <= 6 and all(exchange.done.is_set() for exchange in unread)
+        assert not any(world.ledger.runs(exchange.id) for exchange in unread)
 
     gated(scenario, seed, application=("desk", "desk"), endpoint={"slots": 8})
 
@@ -471,8 +477,8 @@
         async def one(host):
             for _ in range(60):
                 caller = await world.caller(host)
-                made = caller.ask(due_ms=1500)
-                await made.done.wait()
+                exchange = caller.ask(due_ms=1500)
+                await exchange.done.wait()
                 await sleep_us(50 * MILLISECOND)
 
         async with _nursery() as nursery:
@@ -485,14 +491,14 @@
             if id in seen:
                 again.append(at)
             seen.add(id)
-        begun = [made.at for made in world.ledger.asked]
+        begun = [exchange.at for exchange in world.ledger.asked]
         assert len(again) > 20
         for start in again:
             window = range(start, start + terms["window_us"])
             tries = sum(at in window for at in again)
             requests = sum(at in window for at in begun)
             assert tries <= terms["ratio"] * requests + terms["reserve"]
-        assert all(world.ledger.arrivals(made.id) <= 2 for made in world.ledger.asked)
+        assert all(world.ledger.arrivals(exchange.id) <= 2 for exchange in world.ledger.asked)
 
     gated(scenario, seed, tries=terms, endpoint={"slots": 8})
 
--- a/tests/forwarding/test_gateway_http.py
+++ b/tests/forwarding/test_gateway_http.py
@@ -59,8 +59,8 @@
             (b"Proxy-Authorization", b"x"),
             (b"Accept-Encoding", b"identity"),
         ]
-        made = await asked(world, hosts(world)[0], lines=lines)
-        (ran,) = world.ledger.runs(made.id)
+        exchange = await asked(world, hosts(world)[0], lines=lines)
+        (ran,) = world.ledger.runs(exchange.id)
         passed = [(n, v) for n, v in ran.lines if n.lower().startswith((b"x-", b"accept"))]
         assert passed == [
             (b"X-Other", b"a, b"),
@@ -75,14 +75,14 @@
 
 def test_a_trailer_does_not_become_a_header():
     async def scenario(world):
-        made = (await world.caller(hosts(world)[0])).ask(
+        exchange = (await world.caller(hosts(world)[0])).ask(
             b"/p/x", b"POST", body=b"abc", in_chunks=True, send=False
         )
-        data = made.data[:-2] + b"X-Trail: 1\r\nHost: evil\r\n\r\n"
+        data = exchange.data[:-2] + b"X-Trail: 1\r\nHost: evil\r\n\r\n"
         world.ledger.callers[-1].wire.send(data)
-        await made.done.wait()
-        (ran,) = world.ledger.runs(made.id)
-        assert made.status == 200 and b"X-Trail" not in dict(ran.lines)
+        await exchange.done.wait()
+        (ran,) = world.ledger.runs(exchange.id)
+        assert exchange.status == 200 and b"X-Trail" not in dict(ran.lines)
 
     gated(scenario, application=("desk",))
 
@@ -90,10 +90,10 @@
 def test_an_upgrade_that_is_asked_for_is_let_be():
     async def scenario(world):
         caller = await world.caller(hosts(world)[0])
-        made = caller.ask(lines=[(b"Connection", b"Upgrade"), (b"Upgrade", b"websocket")])
-        await made.done.wait()
+        exchange = caller.ask(lines=[(b"Connection", b"Upgrade"), (b"Upgrade", b"websocket")])
+        await exchange.done.wait()
         await sleep_us(SECOND)
-        assert made.status == 200 and not caller.strays
+        assert exchange.status == 200 and not caller.strays
 
     gated(scenario, application=("desk",))
 
@@ -103,8 +103,8 @@
         caller = await world.caller(hosts(world)[0])
         calls = [caller.ask(method=m) for m in (b"HEAD", b"GET", b"HEAD", b"GET")]
         await all_done(calls)
-        assert [made.status for made in calls] == [200] * 4
-        assert [bool(made.answer) for made in calls] == [False, True, False, True]
+        assert [exchange.status for exchange in calls] == [200] * 4
+        assert [bool(exchange.answer) for exchange in calls] == [False, True, False, True]
 
     gated(scenario, application=("desk",))
 
@@ -116,24 +116,24 @@
         big = [(b"X-Big", b"x" * 5000)]
         many = [(b"X-%d" % n, b"x" * 50) for n in range(100)]
         for lines in (big, many):
-            made = await asked(world, hosts(world)[0], lines=lines)
-            assert made.status == 431
-        made = await asked(world, hosts(world)[0], target=b"/p/" + b"x" * 5000)
-        assert made.status == 431
+            exchange = await asked(world, hosts(world)[0], lines=lines)
+            assert exchange.status == 431
+        exchange = await asked(world, hosts(world)[0], target=b"/p/" + b"x" * 5000)
+        assert exchange.status == 431
         for in_chunks in (False, True):
-            made = await asked(
+            exchange = await asked(
                 world,
                 hosts(world)[0],
                 body=b"x" * ((1 << 20) + 1),
                 in_chunks=in_chunks,
                 method=b"PUT",
             )
-            assert made.status == 413
+            assert exchange.status == 413
         assert not world.ledger.runs()
-        made = await asked(
+        exchange = await asked(
             world, hosts(world)[0], body=b"x" * (1 << 20), method=b"PUT", due_ms=30_000
         )
-        assert made.status == 200
+        assert exchange.status == 200
         # a line without an end
         status, closed, _ = await raw(
             world, b"GET /p/x HTTP/1.1\r\nX-A: 1\r\nX-B: " + b"y" * 600_000
@@ -163,8 +163,8 @@
         status, closed, _ = await raw(world, b"GET /p/x HTTP/1.1\r\nHost: h", 4 * SECOND)
         assert (status, closed) == (408, True)
         caller = await world.caller(hosts(world)[0])
-        made = caller.ask()
-        await made.done.wait()
+        exchange = caller.ask()
+        await exchange.done.wait()
         await sleep_us(4 * SECOND)
         assert not caller.closed_at
         await sleep_us(2 * SECOND)
@@ -178,14 +178,14 @@
     async def scenario(world):
         caller = await world.caller(hosts(world)[0])
         calls = [caller.ask(b"/p/%d" % n, send=False) for n in range(60)]
-        data = b"".join(made.data for made in calls)
+        data = b"".join(exchange.data for exchange in calls)
         size = len(calls[0].data)
         for at in range(0, len(data), size):
             caller.wire.send(data[max(0, at - size // 2) : at + size - size // 2])
             await sleep_us(100 * MILLISECOND)
         caller.wire.send(data[(len(data) - 1) // size * size + size - size // 2 :])
         await sleep_us(SECOND)
-        assert [made.status for made in calls] == [200] * 60
+        assert [exchange.status for exchange in calls] == [200] * 60
 
     gated(scenario, application=("desk",))
 
@@ -194,15 +194,15 @@
     async def scenario(world):
         caller = await world.caller(hosts(world)[0])
         first = caller.ask()
-        made = caller.ask(
+        exchange = caller.ask(
             b"/p/2", b"PUT", body=b"abc", lines=[(b"Expect", b"100-continue")], send=False
         )
-        caller.wire.send(made.data[:-3])
+        caller.wire.send(exchange.data[:-3])
         await first.done.wait()
         await sleep_us(200 * MILLISECOND)
         assert caller.continues == 1
         caller.wire.send(b"abc")
-        await made.done.wait()
+        await exchange.done.wait()
         whole = caller.ask(
             b"/p/3", b"PUT", body=b"abc", lines=[(b"Expect", b"100-continue")], send=False
         )
@@ -211,9 +211,9 @@
         await sleep_us(200 * MILLISECOND)
         caller.wire.send(plain.data[20:])
         await all_done([whole, plain])
-        assert [m.status for m in (first, made, whole, plain)] == [200] * 4
+        assert [m.status for m in (first, exchange, whole, plain)] == [200] * 4
         assert caller.continues == 1
-        (ran,) = world.ledger.runs(made.id)
+        (ran,) = world.ledger.runs(exchange.id)
         assert b"expect" not in {n.lower() for n, _ in ran.lines}
 
     gated(scenario, application=("desk",))
@@ -254,8 +254,8 @@
         await sleep_us(3 * SECOND)
         caller.wire.resume()
         await all_done(calls)
-        assert {made.status for made in calls} <= {200, 503}
-        assert [made.status for made in calls].count(200) > 8
+        assert {exchange.status for exchange in calls} <= {200, 503}
+        assert [exchange.status for exchange in calls].count(200) > 8
 
     gated(scenario, application=("desk",), endpoint={"slots": 100})
 
@@ -267,9 +267,9 @@
             data,
             data.replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"Connection: close\r\n", b""),
         ):
-            made = (await world.caller(hosts(world)[0])).ask(send=False)
+            exchange = (await world.caller(hosts(world)[0])).ask(send=False)
             behind = b"GET /p/behind HTTP/1.1\r\nHost: h.example\r\nmd-call: never\r\n\r\n"
-            status, closed, text = await raw(world, first % made.id + behind)
+            status, closed, text = await raw(world, first % exchange.id + behind)
             assert (status, closed) == (200, True) and text.count(b"HTTP/1.1 ") == 1
             assert b"Connection: close" in text
 
--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -41,17 +41,17 @@
     return (thresholds.phi + thresholds.omega) / 2
 
 
-def ran_at(world, made):
+def ran_at(world, exchange):
     """The hosts that ran a call."""
     host_of = {end.instance: host for host, end in world.ends.items()}
-    return [host_of[ran.instance] for ran in world.ledger.runs(made.id)]
+    return [host_of[ran.instance] for ran in world.ledger.runs(exchange.id)]
 
 
 async def batch(world, host, count):
     """Who ran each of so many calls, one after the other."""
     calls = [await asked(world, host) for _ in range(count)]
-    assert {made.status for made in calls} == {200}
-    return [ran_at(world, made)[0] for made in calls]
+    assert {exchange.status for exchange in calls} == {200}
+    return [ran_at(world, exchange)[0] for exchange in calls]
 
 
 async def occupied(world, host, at, count=1):
@@ -90,12 +90,12 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_call_with_a_local_endpoint_is_relocated_whatever_the_zone(seed):
     async def scenario(world):
-        home, *others = hosts(world)
+        local, *others = hosts(world)
         assert len({world.halls[h] for h in others}) == 3
         hold(world)
-        busy(world, home, gate_of(world, home).dispatcher.thresholds.omega)
-        tell(world, home, dict.fromkeys(others, 0.1))
-        ran = await batch(world, home, 2 * len(others))
+        busy(world, local, gate_of(world, local).dispatcher.thresholds.omega)
+        tell(world, local, dict.fromkeys(others, 0.1))
+        ran = await batch(world, local, 2 * len(others))
         assert set(ran[: len(others)]) == set(others)
         assert ran[: len(others)] == ran[len(others) :]
 
@@ -108,24 +108,24 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_full_endpoint_with_nobody_accepting_gives_a_call_to_a_peer_with_a_free_slot(seed):
     async def scenario(world):
-        home, other = hosts(world)
+        local, other = hosts(world)
         hold(world)
-        held = await occupied(world, home, 30 * MILLISECOND)
-        gate = gate_of(world, home)
-        for rho in (between(world, home), (1 + gate.dispatcher.thresholds.omega) / 2):
-            tell(world, home, {other: rho})
+        occupying = await occupied(world, local, 30 * MILLISECOND)
+        gate = gate_of(world, local)
+        for rho in (between(world, local), (1 + gate.dispatcher.thresholds.omega) / 2):
+            tell(world, local, {other: rho})
             at = monotonic_us()
-            made = await asked(world, home, target=b"/once/x")
-            assert made.status == 200 and ran_at(world, made) == [other]
-            assert world.ledger.runs(made.id)[0].begun - at < 20 * MILLISECOND
+            exchange = await asked(world, local, target=b"/once/x")
+            assert exchange.status == 200 and ran_at(world, exchange) == [other]
+            assert world.ledger.runs(exchange.id)[0].begun - at < 20 * MILLISECOND
         assert gate.counts["rule.full-any-room"] == 2 and "desk" not in gate.admission.queues
         # below 1 no more: it waits at home
-        tell(world, home, {other: 1.0})
-        made = (await world.caller(home)).ask(b"/once/y")
+        tell(world, local, {other: 1.0})
+        exchange = (await world.caller(local)).ask(b"/once/y")
         await sleep_us(30 * MILLISECOND)
-        assert len(gate.admission.queues["desk"]) == 1 and not ran_at(world, made)
-        await all_done([made, *held])
-        assert made.status == 200 and ran_at(world, made) == [home]
+        assert len(gate.admission.queues["desk"]) == 1 and not ran_at(world, exchange)
+        await all_done([exchange, *occupying])
+        assert exchange.status == 200 and ran_at(world, exchange) == [local]
 
     gated(
         scenario,
@@ -139,16 +139,16 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_peer_below_1_without_a_free_slot_rejects_and_the_call_waits_at_its_node(seed):
     async def scenario(world):
-        home, other = hosts(world)
+        local, other = hosts(world)
         hold(world)
-        held = [await occupied(world, host, 10 * MILLISECOND) for host in (home, other)]
-        tell(world, home, {other: between(world, home)})
-        made = (await world.caller(home)).ask(b"/once/y")
+        occupying = [await occupied(world, host, 10 * MILLISECOND) for host in (local, other)]
+        tell(world, local, {other: between(world, local)})
+        exchange = (await world.caller(local)).ask(b"/once/y")
         await sleep_us(30 * MILLISECOND)
-        gate = gate_of(world, home)
+        gate = gate_of(world, local)
         assert gate.counts["spill.refused.busy"] == 1 and len(gate.admission.queues["desk"]) == 1
-        await all_done([made, *held[0], *held[1]])
-        assert made.status == 200 and ran_at(world, made) == [home]
+        await all_done([exchange, *occupying[0], *occupying[1]])
+        assert exchange.status == 200 and ran_at(world, exchange) == [local]
 
     gated(
         scenario,
@@ -281,7 +281,7 @@
         assert len(gate_of(world, there).admission.queues["desk"]) == 4
         assert not gate_of(world, guest).admission.queues.get("desk")
         await all_done(calls)
-        assert {made.status for made in calls} == {200}
+        assert {exchange.status for exchange in calls} == {200}
         order = [ran.target for ran in world.ends[there].journal]
         assert order == [b"/p/0", b"/p/1", b"/p/2", b"/low/0", b"/low/1"]
 
@@ -306,18 +306,20 @@
         guest, there = hosts(world)
         gate = gate_of(world, there)
         for target, wanted in ((b"/low/x", low), (b"/high/x", high)):
-            held = await occupied(world, there, 50 * MILLISECOND)
+            occupying = await occupied(world, there, 50 * MILLISECOND)
             believe_hold(gate, mean_ms * MILLISECOND)
-            made = await asked(world, guest if away else there, target=target)
-            assert made.status == wanted
+            exchange = await asked(world, guest if away else there, target=target)
+            assert exchange.status == wanted
             if wanted == 503:
-                assert not ran_at(world, made)
+                assert not ran_at(world, exchange)
                 # without a home it may wait a little for better news, but is in no line there
-                assert made.took < (EARLY * SECOND + 10 * MILLISECOND if away else 20 * MILLISECOND)
+                assert exchange.took < (
+                    EARLY * SECOND + 10 * MILLISECOND if away else 20 * MILLISECOND
+                )
                 assert not away or gate_of(world, guest).counts["spill.refused.busy"] >= 1
-                again = float(made.line(b"Retry-After"))
+                again = float(exchange.line(b"Retry-After"))
                 assert again == pytest.approx(min(mean_ms / 1000, 0.44), abs=0.07)
-            await all_done(held)
+            await all_done(occupying)
 
     gated(
         scenario,
@@ -331,17 +333,17 @@
 def test_a_call_leaves_the_queue_when_it_cannot_be_served_in_time_any_more(away):
     async def scenario(world):
         guest, there = hosts(world)
-        held = await occupied(world, there, 50 * MILLISECOND)
+        occupying = await occupied(world, there, 50 * MILLISECOND)
         gate = gate_of(world, there)
         believe_hold(gate, 490 * MILLISECOND)
-        made = (await world.caller(guest if away else there)).ask(b"/high/x", due_ms=1000)
+        exchange = (await world.caller(guest if away else there)).ask(b"/high/x", due_ms=1000)
         await sleep_us(100 * MILLISECOND)
         assert len(gate.admission.queues["desk"]) == 1
-        await made.done.wait()
-        assert made.status == 503 and made.line(b"Retry-After")
-        assert 460 * MILLISECOND < made.took < 520 * MILLISECOND
+        await exchange.done.wait()
+        assert exchange.status == 503 and exchange.line(b"Retry-After")
+        assert 460 * MILLISECOND < exchange.took < 520 * MILLISECOND
         assert not len(gate.admission.queues["desk"])
-        await all_done(held)
+        await all_done(occupying)
 
     gated(
         scenario,
@@ -355,9 +357,9 @@
 def test_at_most_two_peers_are_asked_to_queue_a_call(seed):
     async def scenario(world):
         guest, *ends = hosts(world)
-        held = []
+        occupying = []
         for host in ends:
-            held += await occupied(world, host, 10 * MILLISECOND)
+            occupying += await occupied(world, host, 10 * MILLISECOND)
             believe_hold(gate_of(world, host), 1100 * MILLISECOND)
         gate, sent = gate_of(world, guest), []
         hold(world)  # a new list is a new turn
@@ -369,12 +371,12 @@
             return relocate(call, node, may_queue)
 
         gate.dispatcher.peer_calls.relocate = noted
-        made = await asked(world, guest, target=b"/once/x")
-        assert made.status == 503 and made.line(b"Retry-After")
-        assert made.took < EARLY * 2 * SECOND + 20 * MILLISECOND
+        exchange = await asked(world, guest, target=b"/once/x")
+        assert exchange.status == 503 and exchange.line(b"Retry-After")
+        assert exchange.took < EARLY * 2 * SECOND + 20 * MILLISECOND
         waits = [address for address, may_wait in sent if may_wait]
         assert len(waits) == len(set(waits)) == 2 == len(sent)
-        await all_done(held)
+        await all_done(occupying)
 
     gated(
         scenario,
@@ -390,26 +392,26 @@
     async def scenario(world):
         guest, full, free = hosts(world)
         hold(world)
-        held = await occupied(world, full, 50 * MILLISECOND)
+        occupying = await occupied(world, full, 50 * MILLISECOND)
         tell(world, guest, {full: 0.1})
         tell(world, full, {free: 1.0})
-        made = (await world.caller(guest)).ask(b"/once/x")
+        exchange = (await world.caller(guest)).ask(b"/once/x")
         await sleep_us(50 * MILLISECOND)
         there = gate_of(world, full)
         assert len(there.admission.queues["desk"]) == 1
         tell(world, full, {free: 0.1})  # its own calls would go there
         await sleep_us(50 * MILLISECOND)
-        assert len(there.admission.queues["desk"]) == 1 and not ran_at(world, made)
+        assert len(there.admission.queues["desk"]) == 1 and not ran_at(world, exchange)
         tell(world, guest, {full: 0.1, free: 0.1})
         world.ends[full].left = True
         daemon, at = world.daemon("mdproxy", full), monotonic_us()
         daemon.deregister_endpoint(world.ends[full].instance.decode())
-        await made.done.wait()
-        assert made.status == 200 and ran_at(world, made) == [free]
+        await exchange.done.wait()
+        assert exchange.status == 200 and ran_at(world, exchange) == [free]
         assert monotonic_us() - at < 50 * MILLISECOND
         assert "spilled" not in there.counts
         assert gate_of(world, guest).counts["spill.refused.gone"] == 1
-        await all_done(held)
+        await all_done(occupying)
 
     gated(
         scenario,
@@ -423,15 +425,15 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_of_two_that_are_placed_anew_in_one_turn_one_may_make_room_for_the_other(seed):
     async def scenario(world):
-        home, other = hosts(world)
+        local, other = hosts(world)
         hold(world)
-        tell(world, home, {other: 1.0})
-        held = await occupied(world, home, 50 * MILLISECOND)
+        tell(world, local, {other: 1.0})
+        occupying = await occupied(world, local, 50 * MILLISECOND)
         calls = []
         for n in range(2):
-            calls.append((await world.caller(home)).ask(b"/once/%d" % n))
+            calls.append((await world.caller(local)).ask(b"/once/%d" % n))
         await sleep_us(20 * MILLISECOND)
-        gate, book = gate_of(world, home), world.daemon("mdproxy", home).endpoints
+        gate, book = gate_of(world, local), world.daemon("mdproxy", local).endpoints
         line, endpoint = gate.admission.queues["desk"], book.local_endpoint("desk")
         assert len(line) == 2
         place = gate.dispatcher.place
@@ -443,12 +445,12 @@
                 book.notify_waiters("desk")
 
         gate.dispatcher.place = making_room
-        tell(world, home, {other: 0.1})
+        tell(world, local, {other: 0.1})
         gate.dispatcher.place = place
         assert len(line) == 0 and endpoint.in_flight == 2
-        await all_done([*calls, *held])
-        assert [made.status for made in calls] == [200, 200]
-        assert [ran_at(world, made) for made in calls] == [[other], [home]]
+        await all_done([*calls, *occupying])
+        assert [exchange.status for exchange in calls] == [200, 200]
+        assert [ran_at(world, exchange) for exchange in calls] == [[other], [local]]
         assert len(line) == 0 and endpoint.in_flight == 0
 
     gated(
@@ -503,16 +505,16 @@
         await world.eventually(lambda: daemon.endpoints.by_address, within=500 * MILLISECOND)
         endpoint = daemon.endpoints.by_address[end.address]
         assert (endpoint.incarnation, endpoint.capacity) == (end.instance.decode(), 4)
-        made = await asked(world, host, target=b"/once/x")
-        assert made.status == 200
+        exchange = await asked(world, host, target=b"/once/x")
+        assert exchange.status == 200
         pool = gate_of(world, host).dispatcher.local_calls.pools[id(endpoint)]
         await sleep_us(SECOND - (monotonic_us() - began))
         enrolled = len(world.trace.events(401))
         world.beat(host, end, 1000, capacity=3)
         assert daemon.endpoints.by_address[end.address] is endpoint and endpoint.capacity == 3
         assert len(world.trace.events(401)) == enrolled
-        made = await asked(world, host, target=b"/once/y")
-        assert made.status == 200 and gate_of(world, host).dispatcher.local_calls.pools == {
+        exchange = await asked(world, host, target=b"/once/y")
+        assert exchange.status == 200 and gate_of(world, host).dispatcher.local_calls.pools == {
             id(endpoint): pool
         }
 
@@ -534,8 +536,8 @@
         await world.eventually(lambda: not daemon.unready_reasons())
         await sleep_us(SECOND)
         assert answers and not daemon.endpoints.by_address
-        made = await asked(world, host)
-        assert made.status == 503 and not ran_at(world, made)
+        exchange = await asked(world, host)
+        assert exchange.status == 503 and not ran_at(world, exchange)
 
     gated(scenario, **BESIDE)
 
@@ -631,10 +633,10 @@
         await sleep_us(1500 * MILLISECOND)
         over.set()
         await all_done(calls)
-        assert {made.status for made in calls} == {200}
-        later = [made for made in calls if made.at > broke]
-        assert len(later) > 150 and max(made.took for made in later) < 60 * MILLISECOND
-        assert {ran_at(world, made)[0] for made in later if made.at < back} >= {good}
+        assert {exchange.status for exchange in calls} == {200}
+        later = [exchange for exchange in calls if exchange.at > broke]
+        assert len(later) > 150 and max(exchange.took for exchange in later) < 60 * MILLISECOND
+        assert {ran_at(world, exchange)[0] for exchange in later if exchange.at < back} >= {good}
         assert how != "cut" or any(dialled)  # proved by itself, though no call went there
         again = [ran.begun for ran in world.ends[bad].journal if ran.begun > back]
         assert again and again[0] - back < SECOND
@@ -654,43 +656,43 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_stopping_node_stays_on_the_list_while_its_doors_are_open(seed):
     async def scenario(world):
-        guest, home = hosts(world)
-        held = await occupied(world, home, 50 * MILLISECOND)
-        daemon, reg = world.daemon("mdproxy", home), world.daemon("mdreg", world.core[0])
+        guest, local = hosts(world)
+        occupying = await occupied(world, local, 50 * MILLISECOND)
+        daemon, reg = world.daemon("mdproxy", local), world.daemon("mdreg", world.core[0])
         seen, ended = [], trio.Event()
 
         async def watch():
             while not ended.is_set():
-                listed = address_of(home) in {
+                listed = address_of(local) in {
                     n.address for n in gate_of(world, guest).loads.nodes.get("desk", ())
                 }
-                on_roster = address_of(home) in reg.proxies
+                on_roster = address_of(local) in reg.proxies
                 seen.append((daemon.node.stopping, daemon.closing.is_set(), on_roster, listed))
                 await sleep_us(5 * MILLISECOND)
 
         async def doors():
             await daemon.closing.wait()
-            at_close.append(address_of(home) in reg.proxies)
+            at_close.append(address_of(local) in reg.proxies)
 
         world.nursery.start_soon(watch)
         world.nursery.start_soon(doors)
-        made, at_close = [], []
+        exchange, at_close = [], []
 
         async def calls():
             for _ in range(10):
-                made.append(await asked(world, guest, target=b"/once/x"))
+                exchange.append(await asked(world, guest, target=b"/once/x"))
                 await sleep_us(20 * MILLISECOND)
 
         world.nursery.start_soon(calls)
-        await world.stop(f"mdproxy@{home}")
+        await world.stop(f"mdproxy@{local}")
         ended.set()
         await sleep_us(2 * SECOND)
         stopping = [(listed, roster) for s, shut, roster, listed in seen if s and not shut]
         assert len(stopping) > 50 and set(stopping[:-3]) == {(True, True)}
         assert at_close == [False]  # told just before
         assert not any(roster for _, shut, roster, _ in seen if shut)
-        assert held[0].status == 200
-        assert {m.status for m in made} <= {200, 503} and made[0].status == 200
+        assert occupying[0].status == 200
+        assert {m.status for m in exchange} <= {200, 503} and exchange[0].status == 200
 
     gated(
         scenario,
@@ -715,10 +717,10 @@
                         await sleep_us(30 * MILLISECOND)
                         continue
                 target = (b"/once/%d", b"/p/%d")[n % 2] % len(calls)
-                made = caller.ask(target, b"POST")
-                calls.append(made)
-                await made.done.wait()
-                if made.line(b"Connection") == b"close":
+                exchange = caller.ask(target, b"POST")
+                calls.append(exchange)
+                await exchange.done.wait()
+                if exchange.line(b"Connection") == b"close":
                     caller = None
                 await sleep_us(50 * MILLISECOND)
 
@@ -733,7 +735,7 @@
             await sleep_us(SECOND)
         over.set()
         await sleep_us(3 * SECOND)
-        assert all(made.done.is_set() for made in calls) and len(calls) > 300
+        assert all(exchange.done.is_set() for exchange in calls) and len(calls) > 300
         told = {status: [m for m in calls if m.status == status] for status in {200, 503, 0}}
         assert sum(map(len, told.values())) == len(calls), {m.status for m in calls}
         assert not any(world.ledger.runs(m.id) for m in told[503] + told[0])
@@ -762,16 +764,16 @@
         assert first.line(b"Keep-Alive")
         under_way = long.ask(b"/long/x", due_ms=None)
         for target, status in ((b"/p/x", 200), (b"/p/x", 200), (b"/none", 404)):
-            made = used.ask(target)
-            await made.done.wait()
-            assert made.status == status
-            assert made.line(b"Keep-Alive") == b"timeout=%d" % KEEP_ALIVE_S
+            exchange = used.ask(target)
+            await exchange.done.wait()
+            assert exchange.status == status
+            assert exchange.line(b"Keep-Alive") == b"timeout=%d" % KEEP_ALIVE_S
         # used again within what was told, it stays
         for _ in range(3):
             await sleep_us(KEEP_ALIVE_S * SECOND - 10 * MILLISECOND)
-            made = used.ask()
-            await made.done.wait()
-            assert made.status == 200
+            exchange = used.ask()
+            await exchange.done.wait()
+            assert exchange.status == 200
         last = monotonic_us()
         await sleep_us(KEEP_ALIVE_S * SECOND)
         assert not used.closed_at
--- a/tests/forwarding/test_placement.py
+++ b/tests/forwarding/test_placement.py
@@ -27,13 +27,13 @@
 
 
 def placement(*nodes, kind=ZonePlacement):
-    made = kind("own", "a", str) if kind is ZonePlacement else kind("own")
-    made.loads.update(LoadList(1, 1, 0), {SERVICE: nodes})
-    return made
+    chooser = kind("own", "a", str) if kind is ZonePlacement else kind("own")
+    chooser.loads.update(LoadList(1, 1, 0), {SERVICE: nodes})
+    return chooser
 
 
-def chosen(made, local, tried=frozenset()):
-    choice = made.choose(SERVICE, local, THRESHOLDS, tried, 0)
+def chosen(chooser, local, tried=frozenset()):
+    choice = chooser.choose(SERVICE, local, THRESHOLDS, tried, 0)
     return choice.placement, choice.target and choice.target.address, choice.rule
 
 
@@ -42,50 +42,50 @@
 
 
 def test_a_busy_endpoint_relocates_to_each_accepting_peer_in_turn():
-    made = placement(node("n1"), node("n2"), node("n3", rho=0.75))
-    found = [chosen(made, BUSY)[1] for _ in range(3)]
+    chooser = placement(node("n1"), node("n2"), node("n3", rho=0.75))
+    found = [chosen(chooser, BUSY)[1] for _ in range(3)]
     assert found == ["n1", "n2", "n1"]
 
 
 def test_a_peer_that_was_tried_or_has_no_capacity_is_not_chosen():
-    made = placement(node("n1"), node("n2"), node("n3"))
-    made.loads.exclude(SERVICE, "n2")
-    made.loads.exclude("another service", "n3")
-    assert {chosen(made, BUSY, {"n1"})[1] for _ in range(3)} == {"n3"}
-    made.loads.update(LoadList(1, 2, 0), made.loads.nodes)
-    assert {chosen(made, BUSY, {"n1"})[1] for _ in range(3)} == {"n2", "n3"}
+    chooser = placement(node("n1"), node("n2"), node("n3"))
+    chooser.loads.exclude(SERVICE, "n2")
+    chooser.loads.exclude("another service", "n3")
+    assert {chosen(chooser, BUSY, {"n1"})[1] for _ in range(3)} == {"n3"}
+    chooser.loads.update(LoadList(1, 2, 0), chooser.loads.nodes)
+    assert {chosen(chooser, BUSY, {"n1"})[1] for _ in range(3)} == {"n2", "n3"}
 
 
 def test_without_a_local_endpoint_peers_of_the_zone_go_first():
-    made = placement(node("n1", zone="b"), node("n2"), node("n3", zone="b"))
-    assert {chosen(made, ABSENT)[1] for _ in range(3)} == {"n2"}
-    assert {chosen(made, ABSENT, {"n2"})[1] for _ in range(2)} == {"n1", "n3"}
+    chooser = placement(node("n1", zone="b"), node("n2"), node("n3", zone="b"))
+    assert {chosen(chooser, ABSENT)[1] for _ in range(3)} == {"n2"}
+    assert {chosen(chooser, ABSENT, {"n2"})[1] for _ in range(2)} == {"n1", "n3"}
 
 
 def test_a_full_endpoint_relocates_to_any_peer_that_may_have_a_slot():
-    made = placement(node("n1", rho=0.9), node("n2", rho=0.75))
-    assert chosen(made, FULL) == (FORWARD, "n2", FULL_ANY_CAPACITY)
-    assert chosen(made, FULL, {"n2"}) == (FORWARD, "n1", FULL_ANY_CAPACITY)
-    assert chosen(made, FULL, {"n1", "n2"}) == (REJECT, None, "full")
+    chooser = placement(node("n1", rho=0.9), node("n2", rho=0.75))
+    assert chosen(chooser, FULL) == (FORWARD, "n2", FULL_ANY_CAPACITY)
+    assert chosen(chooser, FULL, {"n2"}) == (FORWARD, "n1", FULL_ANY_CAPACITY)
+    assert chosen(chooser, FULL, {"n1", "n2"}) == (REJECT, None, "full")
 
 
 def test_the_papers_placement_blocks_at_a_full_endpoint():
-    made = placement(node("n1", rho=0.75), kind=Placement)
-    assert chosen(made, FULL) == (REJECT, None, "full")
+    chooser = placement(node("n1", rho=0.75), kind=Placement)
+    assert chosen(chooser, FULL) == (REJECT, None, "full")
 
 
 def test_peers_are_asked_to_queue_a_request_once_each():
-    made = placement(node("own"), node("n1", zone="b"), node("n2"), node("n3", draining=True))
+    chooser = placement(node("own"), node("n1", zone="b"), node("n2"), node("n3", draining=True))
     asked = set()
-    while (found := made.peer_to_queue_at(SERVICE, asked)) is not None:
+    while (found := chooser.peer_to_queue_at(SERVICE, asked)) is not None:
         asked.add(found.address)
     assert asked == {"n1", "n2"}
 
 
 def test_the_first_peer_depends_on_where_the_round_begins():
-    made = ZonePlacement("own", "a", lambda: "n1")
-    made.loads.update(LoadList(1, 1, 0), {SERVICE: (node("n1"), node("n2"))})
-    assert chosen(made, BUSY)[1] == "n2"
+    chooser = ZonePlacement("own", "a", lambda: "n1")
+    chooser.loads.update(LoadList(1, 1, 0), {SERVICE: (node("n1"), node("n2"))})
+    assert chosen(chooser, BUSY)[1] == "n2"
 
 
 def test_nodes_on_the_list_are_counted_once():
--- a/tests/forwarding/test_response_matching.py
+++ b/tests/forwarding/test_response_matching.py
@@ -23,24 +23,24 @@
     end.answer_of = lambda job, ran, status: answer(job, ran, end.whole(ran, status))
 
 
-def link_of(world, home, peer):
-    gate = gate_of(world, home)
+def link_of(world, local, peer):
+    gate = gate_of(world, local)
     return gate.peers.link(f"{peer}:{gate.peers.link_port}")
 
 
-async def ready_link(world, home, peer):
-    link_of(world, home, peer)
-    await world.eventually(lambda: link_of(world, home, peer).ready)
-    return link_of(world, home, peer)
+async def ready_link(world, local, peer):
+    link_of(world, local, peer)
+    await world.eventually(lambda: link_of(world, local, peer).ready)
+    return link_of(world, local, peer)
 
 
 async def once_each(caller, count):
     """Calls that must run once only, one after another on one connection."""
-    made = []
+    exchange = []
     for n in range(count):
-        made.append(caller.ask(b"/once/%d" % n, b"POST", body=b"%d" % n))
-        await made[-1].done.wait()
-    return made
+        exchange.append(caller.ask(b"/once/%d" % n, b"POST", body=b"%d" % n))
+        await exchange[-1].done.wait()
+    return exchange
 
 
 # ---------------------------------------------------------------- gate to endpoint
@@ -60,8 +60,8 @@
 
         answering(end, answer)
         world.web.tear = torn
-        made = await once_each(await world.caller(hosts(world)[0]), others + 3)
-        assert [m.status for m in made] == [200] * len(made)
+        exchange = await once_each(await world.caller(hosts(world)[0]), others + 3)
+        assert [m.status for m in exchange] == [200] * len(exchange)
         assert len(end.conns) == 1
 
     gated(scenario, application=("desk",))
@@ -106,8 +106,8 @@
 
         end.turn_away = lambda job, status: (end.nursery.start_soon(away, job), job)[1]
         end.faults["*"] = ["full"]
-        made = await asked(world, first, target=b"/once/x", method=b"POST")
-        assert made.status == 200 and world.ledger.arrivals(made.id) == 2
+        exchange = await asked(world, first, target=b"/once/x", method=b"POST")
+        assert exchange.status == 200 and world.ledger.arrivals(exchange.id) == 2
 
     gated(scenario, application=("desk", "desk"), tries=TRIES)
 
@@ -123,8 +123,8 @@
             job.conn.say(data.replace(own, b"\r\n".join(both)))
 
         answering(end, answer)
-        made = await asked(world, hosts(world)[0], target=b"/once/x", method=b"POST")
-        assert made.status == 502
+        exchange = await asked(world, hosts(world)[0], target=b"/once/x", method=b"POST")
+        assert exchange.status == 502
 
     gated(scenario, application=("desk",))
 
@@ -155,17 +155,17 @@
         assert (await asked(world, first)).status == 200  # a connection is there
         end.process.freeze()
         caller = await world.caller(first)
-        made = caller.ask(b"/once/x", b"POST", body=b"x" * size, due_ms=4000)
+        exchange = caller.ask(b"/once/x", b"POST", body=b"x" * size, due_ms=4000)
         await sleep_us(300 * MILLISECOND)
         for wire in list(world.web.ends):
             if wire.here == wire.peer == first and wire.wires is end.wires:
                 wire.break_now()
                 wire.other.break_now()
-        await all_done([made])
+        await all_done([exchange])
         end.process.wake()
         await sleep_us(SECOND)
-        assert made.status == 502
-        assert made.id not in [ran.id for ran in world.ends[second].journal]
+        assert exchange.status == 502
+        assert exchange.id not in [ran.id for ran in world.ends[second].journal]
 
     gated(scenario, application=("desk", "desk"), tries=TRIES)
 
@@ -176,8 +176,8 @@
         left = ["reset"]
         for end in world.ends.values():
             end.fault_of = lambda id: left.pop() if left else "full"
-        made = await asked(world, hosts(world)[0])
-        assert made.status == 502 and len(world.ledger.runs(made.id)) == 1
+        exchange = await asked(world, hosts(world)[0])
+        assert exchange.status == 502 and len(world.ledger.runs(exchange.id)) == 1
 
     gated(scenario, application=("desk", "desk"), tries=TRIES)
 
@@ -193,64 +193,64 @@
 
     async def scenario(world):
         await budgeted(world)
-        home, bad, good = hosts(world)
-        await ready_link(world, home, bad)
-        await ready_link(world, home, good)
+        local, bad, good = hosts(world)
+        await ready_link(world, local, bad)
+        await ready_link(world, local, good)
         proxy = world.processes[f"mdproxy@{bad}"]
         proxy.freeze()
-        callers = [await world.caller(home) for _ in range(6)]
+        callers = [await world.caller(local) for _ in range(6)]
         calls = [c.ask(b"/once/%d" % n, b"POST", due_ms=due_ms) for n, c in enumerate(callers)]
         await all_done(calls)
-        assert {made.status for made in calls} == {200, 502}
+        assert {exchange.status for exchange in calls} == {200, 502}
         await sleep_us(still_ms * MILLISECOND)
         proxy.wake()
         await sleep_us(3 * SECOND)
-        for made in calls:
-            assert world.ledger.arrivals(made.id) <= 1
-            if made.status == 502:  # its time was over, or its link, before that gate went on
-                assert not [r for r in world.ends[good].journal if r.id == made.id]
-            for ran in world.ledger.runs(made.id):
-                assert ran.begun <= made.at + due_ms * MILLISECOND
+        for exchange in calls:
+            assert world.ledger.arrivals(exchange.id) <= 1
+            if exchange.status == 502:  # its time was over, or its link, before that gate went on
+                assert not [r for r in world.ends[good].journal if r.id == exchange.id]
+            for ran in world.ledger.runs(exchange.id):
+                assert ran.begun <= exchange.at + due_ms * MILLISECOND
 
     gated(scenario, seed, application=("", "desk", "desk"), tries=TRIES, endpoint={"slots": 20})
 
 
 def test_a_call_given_up_before_its_link_was_ready_never_leaves():
     async def scenario(world):
-        home, peer = hosts(world)
+        local, peer = hosts(world)
         world.web.slow[peer] = (140 * MILLISECOND, 150 * MILLISECOND)
-        made = await asked(world, home, target=b"/once/x", method=b"POST", due_ms=250)
-        assert made.status == 504
+        exchange = await asked(world, local, target=b"/once/x", method=b"POST", due_ms=250)
+        assert exchange.status == 504
         await sleep_us(3 * SECOND)
-        assert not world.ledger.arrivals(made.id)
+        assert not world.ledger.arrivals(exchange.id)
 
     gated(scenario, application=("", "desk"))
 
 
 def test_the_first_call_of_a_link_is_not_run_after_its_time():
     async def scenario(world):
-        home, peer = hosts(world)
-        await ready_link(world, home, peer)
-        world.web.cut(home, peer)
-        made = (await world.caller(home)).ask(b"/once/x", b"POST", due_ms=300)
+        local, peer = hosts(world)
+        await ready_link(world, local, peer)
+        world.web.cut(local, peer)
+        exchange = (await world.caller(local)).ask(b"/once/x", b"POST", due_ms=300)
         await sleep_us(500 * MILLISECOND)
         world.web.heal()
-        await all_done([made])
+        await all_done([exchange])
         await sleep_us(SECOND)
-        assert made.status == 504 and not world.ledger.arrivals(made.id)
+        assert exchange.status == 504 and not world.ledger.arrivals(exchange.id)
 
     gated(scenario, application=("", "desk"))
 
 
 def test_a_late_answer_does_not_reach_the_next_call_of_its_number():
     async def scenario(world):
-        home, peer = hosts(world)
-        link = await ready_link(world, home, peer)
-        caller = await world.caller(home)
+        local, peer = hosts(world)
+        link = await ready_link(world, local, peer)
+        caller = await world.caller(local)
         first = caller.ask(b"/once/1", b"POST", due_ms=300)
         await sleep_us(50 * MILLISECOND)
         slot = next(iter(link.pending)).peer_handle[0]
-        world.web.cut(peer, home, both=False)
+        world.web.cut(peer, local, both=False)
         await first.done.wait()
         second = caller.ask(b"/once/2", b"POST", due_ms=3000)
         await sleep_us(20 * MILLISECOND)
@@ -258,7 +258,7 @@
         world.web.heal()
         await all_done([second])
         assert (first.status, second.status) == (504, 200)
-        assert link_of(world, home, peer) is link
+        assert link_of(world, local, peer) is link
 
     gated(scenario, application=("", "desk"), endpoint={"work_us": 100 * MILLISECOND})
 
@@ -267,25 +267,25 @@
     """The same peer, address, port and call number, but another session."""
 
     async def scenario(world):
-        home, peer = hosts(world)
-        link = await ready_link(world, home, peer)
+        local, peer = hosts(world)
+        link = await ready_link(world, local, peer)
         heard, usual = [], link.on_data
         link.on_data = lambda data: (heard.append(data), usual(data))
-        assert (await asked(world, home, target=b"/once/1")).status == 200
+        assert (await asked(world, local, target=b"/once/1")).status == 200
         answer = b"".join(heard)
         world.processes[f"mdproxy@{peer}"].net.reset()
         await sleep_us(2 * SECOND)
-        fresh = await ready_link(world, home, peer)
+        fresh = await ready_link(world, local, peer)
         assert fresh is not link
         world.ends[peer].work_us = 300 * MILLISECOND
-        made = (await world.caller(home)).ask(b"/once/2", b"POST")
+        exchange = (await world.caller(local)).ask(b"/once/2", b"POST")
         await sleep_us(100 * MILLISECOND)
         assert next(iter(fresh.pending)).peer_handle == (0, 0)  # as the first one had
-        gate = gate_of(world, home)
-        world.processes[f"mdproxy@{home}"].enter(lambda: gate.reactor.turn(fresh.on_data, answer))
-        await all_done([made])
+        gate = gate_of(world, local)
+        world.processes[f"mdproxy@{local}"].enter(lambda: gate.reactor.turn(fresh.on_data, answer))
+        await all_done([exchange])
         await sleep_us(SECOND)
-        assert made.status == 502
+        assert exchange.status == 502
 
     gated(scenario, application=("", "desk"))
 
@@ -294,12 +294,12 @@
 def test_a_gate_that_starts_anew_at_its_address_answers_no_call_of_its_former_life(seed):
     async def scenario(world):
         await budgeted(world)
-        home, peer = hosts(world)
-        await ready_link(world, home, peer)
-        caller = await world.caller(home)
+        local, peer = hosts(world)
+        await ready_link(world, local, peer)
+        caller = await world.caller(local)
         lost = caller.ask(b"/once/1", b"POST", due_ms=4000)
         await sleep_us(50 * MILLISECOND)
-        world.web.cut(home, peer)
+        world.web.cut(local, peer)
         world.kill(f"mdproxy@{peer}")
         await world.start("mdproxy", peer)
         world.web.heal()
@@ -307,8 +307,8 @@
         assert lost.status == 502
         await world.eventually(lambda: world.daemon("mdproxy", peer).endpoints.by_address)
         await sleep_us(2 * SECOND)
-        made = await asked(world, home, target=b"/once/2", method=b"POST")
-        assert made.status == 200
+        exchange = await asked(world, local, target=b"/once/2", method=b"POST")
+        assert exchange.status == 200
         assert world.ledger.arrivals(lost.id) == 1
 
     gated(
@@ -322,30 +322,30 @@
 
 def test_a_cancel_does_not_end_what_has_begun():
     async def scenario(world):
-        home, *_ = hosts(world)
-        gate = gate_of(world, home)
-        made = (await world.caller(home)).ask(b"/once/x", b"POST")
+        local, *_ = hosts(world)
+        gate = gate_of(world, local)
+        exchange = (await world.caller(local)).ask(b"/once/x", b"POST")
         await sleep_us(100 * MILLISECOND)
         (call,) = gate.dispatcher.calls
-        world.processes[f"mdproxy@{home}"].enter(
+        world.processes[f"mdproxy@{local}"].enter(
             lambda: gate.reactor.turn(call.peer_link.send, [CANCEL, *call.peer_handle])
         )
-        await all_done([made])
-        assert made.status == 200 and world.ledger.arrivals(made.id) == 1
+        await all_done([exchange])
+        assert exchange.status == 200 and world.ledger.arrivals(exchange.id) == 1
 
     gated(scenario, application=("", "desk", "desk"), endpoint={"work_us": 300 * MILLISECOND})
 
 
 def test_a_rejection_that_comes_after_the_deadline_is_still_true():
     async def scenario(world):
-        home, peer = hosts(world)
-        await ready_link(world, home, peer)
+        local, peer = hosts(world)
+        await ready_link(world, local, peer)
         world.web.slow[peer] = (70 * MILLISECOND, 75 * MILLISECOND)
         world.ends[peer].fault_of = lambda id: "full"
         world.ends[peer].work_us = 1
         for due_ms in range(100, 300, 20):
-            made = await asked(world, home, target=b"/once/x", method=b"POST", due_ms=due_ms)
-            assert made.status in (503, 504)
+            exchange = await asked(world, local, target=b"/once/x", method=b"POST", due_ms=due_ms)
+            assert exchange.status in (503, 504)
         await sleep_us(2 * SECOND)
         assert not world.ledger.runs()
 
@@ -363,9 +363,9 @@
         end.work_us = lambda job: next(times) * MILLISECOND
         end.slots = 10
         caller = await world.caller(hosts(world)[0])
-        made = [caller.ask(b"/p/%d" % n, due_ms=2000) for n in range(6)]
-        await all_done(made)
-        assert {m.status for m in made} == {200}
+        exchange = [caller.ask(b"/p/%d" % n, due_ms=2000) for n in range(6)]
+        await all_done(exchange)
+        assert {m.status for m in exchange} == {200}
 
     gated(scenario, seed, application=("desk",), endpoint={"slots": 10})
 
@@ -374,13 +374,13 @@
 def test_a_request_that_was_read_in_part_runs_nowhere(cut_at):
     async def scenario(world):
         caller = await world.caller(hosts(world)[0])
-        made = caller.ask(b"/once/x", b"POST", body=b"x" * 500, send=False)
-        caller.wire.send(made.data[:cut_at])
+        exchange = caller.ask(b"/once/x", b"POST", body=b"x" * 500, send=False)
+        caller.wire.send(exchange.data[:cut_at])
         await sleep_us(50 * MILLISECOND)
         caller.wire.abort()
         caller.on_end("reset")
         await sleep_us(2 * SECOND)
-        assert not world.ledger.arrivals(made.id)
+        assert not world.ledger.arrivals(exchange.id)
 
     gated(scenario, application=("desk", "desk"))
 
@@ -410,13 +410,13 @@
 def test_a_head_that_came_too_late_runs_nowhere_after_its_408():
     async def scenario(world):
         caller = await world.caller(hosts(world)[0])
-        made = caller.ask(b"/once/x", b"POST", body=b"x", send=False)
-        caller.wire.send(made.data[:30])
-        await made.done.wait()
-        assert made.status == 408
-        caller.wire.send(made.data[30:])
+        exchange = caller.ask(b"/once/x", b"POST", body=b"x", send=False)
+        caller.wire.send(exchange.data[:30])
+        await exchange.done.wait()
+        assert exchange.status == 408
+        caller.wire.send(exchange.data[30:])
         await sleep_us(SECOND)
-        assert not world.ledger.arrivals(made.id)
+        assert not world.ledger.arrivals(exchange.id)
 
     gated(scenario, application=("desk",))
 
@@ -426,19 +426,19 @@
 def test_a_gate_that_stood_still_sends_nothing_a_second_time(still_ms, seed):
     async def scenario(world):
         await budgeted(world)
-        home, *_ = hosts(world)
-        callers = [await world.caller(home) for _ in range(12)]
+        local, *_ = hosts(world)
+        callers = [await world.caller(local) for _ in range(12)]
         calls = [c.ask(b"/once/%d" % n, b"POST", due_ms=1000) for n, c in enumerate(callers)]
         await sleep_us(5 * MILLISECOND)
-        process = world.processes[f"mdproxy@{home}"]
+        process = world.processes[f"mdproxy@{local}"]
         process.freeze()
-        late = (await world.caller(home)).ask(b"/once/late", b"POST", due_ms=1000)
+        late = (await world.caller(local)).ask(b"/once/late", b"POST", due_ms=1000)
         await sleep_us(still_ms * MILLISECOND)
         process.wake()
         await all_done([*calls, late])
         await sleep_us(2 * SECOND)
-        for made in calls:
-            assert world.ledger.arrivals(made.id) <= 1
+        for exchange in calls:
+            assert world.ledger.arrivals(exchange.id) <= 1
 
     terms = {"work_us": 100 * MILLISECOND}
     gated(scenario, seed, application=("desk", "desk", "desk"), tries=TRIES, endpoint=terms)
@@ -556,8 +556,8 @@
             caller.ask(target, b"PUT", body=rng.randbytes(size), due_ms=due_ms) for _ in range(many)
         ]
         calls.extend(batch)
-        for made in batch:
-            await made.done.wait()
+        for exchange in batch:
+            await exchange.done.wait()
         if rng.random() < 0.05:
             caller.hang_up()
 
@@ -577,11 +577,11 @@
                     nursery.start_soon(calls_until, world, host, end_at, calls)
         world.web.heal()
         await sleep_us(8 * SECOND)
-        statuses = [made.status for made in calls]
+        statuses = [exchange.status for exchange in calls]
         assert statuses.count(200) > len(statuses) / 3
         assert {502, 503, 504} <= set(statuses)
-        for made in calls:  # nobody was given more than its tries, however they ended
-            assert len(world.ledger.runs(made.id)) <= 2
+        for exchange in calls:  # nobody was given more than its tries, however they ended
+            assert len(world.ledger.runs(exchange.id)) <= 2
 
     services = ("desk", "desk", "paper", "paper", "")
     gated(scenario, seed, application=services, tries=TRIES, endpoint={"slots": 8})
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -107,26 +107,26 @@
             for pool in gate.dispatcher.local_calls.pools.values()
             if pool.opening
         ]
-        held = [
+        pending = [
             t
             for t in daemon.reactor.timers
             if t.callback is not None and t.when > monotonic_us() + 3 * SECOND
         ]
-        found += [f"{name}: timer {t.callback}" for t in held]
+        found += [f"{name}: timer {t.callback}" for t in pending]
     return found
 
 
 async def asked(world, at_host, **facts):
     """One call on a connection of its own, to its end."""
     caller = await world.caller(at_host)
-    made = caller.ask(**facts)
-    await made.done.wait()
-    return made
+    exchange = caller.ask(**facts)
+    await exchange.done.wait()
+    return exchange
 
 
 async def all_done(calls):
-    for made in calls:
-        await made.done.wait()
+    for exchange in calls:
+        await exchange.done.wait()
     await sleep_us(100 * MILLISECOND)
 
 
