--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -530,9 +530,12 @@
         daemon = await begun_anew(world, host)
         if case == "left":
             daemon.deregister_endpoint(world.ends[host].instance.decode())
-        found = daemon.found_beside
-        answers = []
-        daemon.found_beside = lambda *facts: (answers.append(facts), found(*facts))
+        discovery, answers = daemon.gateway_endpoints, []
+        on_health_response = discovery.on_health_response
+        discovery.on_health_response = lambda *response: (
+            answers.append(response),
+            on_health_response(*response),
+        )
         await world.eventually(lambda: not daemon.unready_reasons())
         await sleep_us(SECOND)
         assert answers and not daemon.endpoints.by_address
--- a/tests/forwarding/test_response_matching.py
+++ b/tests/forwarding/test_response_matching.py
@@ -513,7 +513,7 @@
         pairs = [(host, other), (other, host)][: self.rng.randrange(1, 3)]
         self.world.web.cuts |= set(pairs)
         await sleep_us(self.span())
-        self.world.web.mend(pairs)
+        self.world.web.heal_links(pairs)
 
     async def slow(self, host):
         self.world.web.slow[host] = (20 * MILLISECOND, 200 * MILLISECOND)
