--- a/packages/simulator/meadowdock/simulator/faults.py
+++ b/packages/simulator/meadowdock/simulator/faults.py
@@ -149,7 +149,7 @@
         world, old = day.world, chosen[1]
         day.newcomers += 1
         new = f"10.0.2.{day.newcomers}"
-        world.halls[new] = world.halls[old]
+        world.zones[new] = world.zones[old]
         day.touched |= {("mdconf", new), ("mdreg", new), reg}
         await world.start("mdreg", new)
         await world.start("mdconf", new)
--- a/packages/simulator/meadowdock/simulator/scale/faults.py
+++ b/packages/simulator/meadowdock/simulator/scale/faults.py
@@ -44,8 +44,8 @@
 
 def cut_off(world, zones):
     """Cut some zones off from the others; gives their hosts."""
-    away = {host for host, zone in world.halls.items() if zone in zones}
-    pairs = {(inside, outside) for inside in away for outside in world.halls if outside not in away}
+    away = {host for host, zone in world.zones.items() if zone in zones}
+    pairs = {(inside, outside) for inside in away for outside in world.zones if outside not in away}
     world.web.cuts |= pairs | {(outside, inside) for inside, outside in pairs}
     return away
 
@@ -65,7 +65,7 @@
     back = await fleet.wanted(partial(fleet.in_force, version))
     await fleet.wanted(fleet.whole)
     return {
-        "hit": f"zones {','.join(zones)} ({len(away)} of {len(world.halls)} machines) "
+        "hit": f"zones {','.join(zones)} ({len(away)} of {len(world.zones)} machines) "
         f"cut off for {lasting // SECOND} s",
         "change_s": took,
         "everywhere_after_heal_s": back / SECOND,
--- a/packages/simulator/meadowdock/simulator/scale/fleet.py
+++ b/packages/simulator/meadowdock/simulator/scale/fleet.py
@@ -67,7 +67,7 @@
 
     def __init__(self, world, n):
         self.world, self.n, self.meter = world, n, Meter()
-        world.core, world.application, world.halls = places(n)
+        world.core, world.application, world.zones = places(n)
         count_links(world, self.meter)
         fewer_voters(world)
 
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -331,7 +331,7 @@
         return [*self.world.core, *self.world.application]
 
     def hall(self, place):
-        return [h for h in self.everybody() if self.world.halls[h] == "abc"[place % 3]]
+        return [h for h in self.everybody() if self.world.zones[h] == "abc"[place % 3]]
 
     def on(self, hosts):
         """All that runs on these machines; endpoints last, as they need their proxy."""
--- a/packages/simulator/meadowdock/simulator/standin/caller.py
+++ b/packages/simulator/meadowdock/simulator/standin/caller.py
@@ -25,8 +25,8 @@
 class StandInCaller:
     """One connection of a caller. strays: what came while nothing was asked."""
 
-    def __init__(self, ledger, wire_host, service):
-        self.ledger, self.host, self.service = ledger, wire_host, service
+    def __init__(self, request_audit, wire_host, service):
+        self.request_audit, self.host, self.service = request_audit, wire_host, service
         self.reader, self.asked = Reader(), deque()
         self.wire, self.opened = None, trio.Event()
         self.strays, self.continues, self.failed = [], 0, None
@@ -53,22 +53,22 @@
         send=True,
     ):
         """Send one request at once; gives its Asked."""
-        id = id or self.ledger.new_id()
-        rows = [(b"Host", host), (self.ledger.dialect.call_id, id), *lines]
+        id = id or self.request_audit.new_id()
+        rows = [(b"Host", host), (self.request_audit.dialect.call_id, id), *lines]
         if due_ms is not None:
             rows.append(self.deadline_row(due_ms))
-        made = Asked(id, method, target, host, body, self.service, monotonic_us())
-        made.data = request_bytes(method, target, rows, body, in_chunks)
-        self.asked.append(made)
+        sent = Asked(id, method, target, host, body, self.service, monotonic_us())
+        sent.data = request_bytes(method, target, rows, body, in_chunks)
+        self.asked.append(sent)
         self.reader.bare.append(method == b"HEAD")
-        self.ledger.asked.append(made)
+        self.request_audit.asked.append(sent)
         if send:
-            self.wire.send(made.data)
-        return made
+            self.wire.send(sent.data)
+        return sent
 
     def deadline_row(self, due_ms):
         """The header that tells how long the call has."""
-        words = self.ledger.dialect
+        words = self.request_audit.dialect
         return words.deadline, b"%d" % (due_ms * MILLISECOND // words.deadline_unit_us)
 
     def on_data(self, data):
@@ -84,19 +84,19 @@
             elif not self.asked:
                 self.strays.append((first, lines, body))
             else:
-                made = self.asked.popleft()
-                made.status, made.lines, made.answer = status, lines, body
-                made.took = monotonic_us() - made.at
-                made.done.set()
+                sent = self.asked.popleft()
+                sent.status, sent.lines, sent.answer = status, lines, body
+                sent.took = monotonic_us() - sent.at
+                sent.done.set()
 
     def on_end(self, cause):
         self.closed_at = monotonic_us()
         if self.reader.held:
             self.cut_short = self.reader.held
         while self.asked:
-            made = self.asked.popleft()
-            made.ended, made.took = cause, monotonic_us() - made.at
-            made.done.set()
+            sent = self.asked.popleft()
+            sent.ended, sent.took = cause, monotonic_us() - sent.at
+            sent.done.set()
 
     def hang_up(self):
         self.wire.close()
--- a/packages/simulator/meadowdock/simulator/standin/endpoint.py
+++ b/packages/simulator/meadowdock/simulator/standin/endpoint.py
@@ -36,7 +36,7 @@
         self.inner = None  # a call of its own for each run: (caller's maker, host, target)
         self.last_words = False  # Connection: close on each answer
         self.chunks = False
-        self.load_told = True
+        self.reports_load = True
         self.size = 0  # of an answer's padding
         self.process = None
 
@@ -164,30 +164,30 @@
 
     async def call_on(self, job):
         """A call of this run's own; 500 if it fails, 504 at the parent's deadline."""
-        made = self.inner(job)
+        sent = self.inner(job)
         with trio.move_on_at(job.due / SECOND):
-            await made.done.wait()
-        if made.status == 200:
+            await sent.done.wait()
+        if sent.status == 200:
             return 200
         return 504 if monotonic_us() >= job.due else 500
 
     # ------------------------------------------------------------ answers
 
     def answer(self, status, lines, body, length=True):
-        told = [*lines]
-        if self.load_told:
+        header_lines = [*lines]
+        if self.reports_load:
             load = b"%d,%d,%d" % (len(self.running), len(self.queue), self.slots)
-            told.append((self.dialect.load, load))
+            header_lines.append((self.dialect.load, load))
         if self.alive_s:
-            told.append((b"Keep-Alive", b"timeout=%d" % self.alive_s))
+            header_lines.append((b"Keep-Alive", b"timeout=%d" % self.alive_s))
         if self.last_words or self.draining:
-            told.append((b"Connection", b"close"))
+            header_lines.append((b"Connection", b"close"))
         if self.chunks and length:
-            told.append((b"Transfer-Encoding", b"chunked"))
+            header_lines.append((b"Transfer-Encoding", b"chunked"))
             body = chunked(body, 1000)
         elif length:
-            told.append((b"Content-Length", b"%d" % len(body)))
-        rows = b"".join(b"%s: %s\r\n" % line for line in told)
+            header_lines.append((b"Content-Length", b"%d" % len(body)))
+        rows = b"".join(b"%s: %s\r\n" % line for line in header_lines)
         return b"HTTP/1.1 %d Status\r\n%s\r\n%s" % (status, rows, body)
 
     def whole(self, ran, status):
--- a/packages/simulator/meadowdock/simulator/standin/ledger.py
+++ b/packages/simulator/meadowdock/simulator/standin/request_audit.py
@@ -1,4 +1,4 @@
-"""What callers asked and endpoints ran, held against each other."""
+"""What callers asked and endpoints ran, compared with each other."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 PROMISES = (408, 421, 429, 503)
 
 
-class Ledger:
-    """What callers asked and endpoints ran, held against each other."""
+class RequestAudit:
+    """What callers asked and endpoints ran, compared with each other."""
 
     def __init__(self, dialect):
         self.dialect = dialect
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -23,7 +23,7 @@
 from meadowdock.settings import checked
 from meadowdock.simulator.disk import SimDisk
 from meadowdock.simulator.net import SimNet, Web
-from meadowdock.simulator.standin import Ledger, StandIn, StandInCaller
+from meadowdock.simulator.standin import RequestAudit, StandIn, StandInCaller
 
 PARTS = {"mdproxy": ProxyServer, "mdreg": RegistryServer, "mdconf": ConfigStore}
 KEY = "5a" * 32
@@ -168,9 +168,9 @@
         self.trace = Trace()
         self.disks, self.processes = {}, {}
         self.core, self.application = [], {}
-        self.halls = {}
+        self.zones = {}
         self.gated, self.boots = False, {}
-        self.ledger = Ledger(DIALECT)
+        self.request_audit = RequestAudit(DIALECT)
         self.meddle = {}  # method -> None, it is lost on its way, or how much later it leaves
         self.started = 0
 
@@ -183,12 +183,12 @@
         self.core = [f"10.0.0.{n}" for n in range(1, core + 1)]
         self.application = {f"10.0.1.{n}": s for n, s in enumerate(application, 1)}
         hosts = [*self.core, *self.application]
-        self.halls = {host: "abc"[index % 3] for index, host in enumerate(hosts)}
+        self.zones = {host: "abc"[index % 3] for index, host in enumerate(hosts)}
 
     def boot(self, role, host):
         facts = {
             "host": host,
-            "hall": self.halls[host],
+            "hall": self.zones[host],
             "seeds": [f"{h}:7411" for h in self.core[:3]],
             "fleet_key": KEY,
             "nodes_expected": max(1, len(self.application)),
@@ -296,7 +296,7 @@
     ):
         address = f"{host}:{port}"
         self.started += 1
-        made = kind(
+        endpoint = kind(
             None,
             service,
             address,
@@ -309,59 +309,59 @@
         )
 
         async def work(process, nursery):
-            made.net = process.net
-            await nursery.start(made.serve, trio.Event())
+            endpoint.net = process.net
+            await nursery.start(endpoint.serve, trio.Event())
             process.up.set()
-            nursery.start_soon(made.run)
+            nursery.start_soon(endpoint.run)
 
         process = self.launch(f"endpoint@{address}", host, work)
         await process.up.wait()
         if wait:
-            await made.enrolled.wait()
-        return made
+            await endpoint.enrolled.wait()
+        return endpoint
 
-    async def stand_in(self, host, service=None, port=8000, beats=True, **terms):
-        """An endpoint of raw bytes that beats at the proxy of its machine."""
+    async def stand_in(self, host, service=None, port=8000, sends_heartbeats=True, **terms):
+        """An endpoint of raw bytes that sends heartbeats to the proxy of its machine."""
         self.started += 1
         address = f"{host}:{port}"
         service = service or self.application[host]
-        made = StandIn(service, address, f"i{self.started}", DIALECT, **terms)
-        self.ledger.endpoints.append(made)
+        endpoint = StandIn(service, address, f"i{self.started}", DIALECT, **terms)
+        self.request_audit.endpoints.append(endpoint)
 
         async def work(process, nursery):
-            made.process = process
-            await nursery.start(made.serve, process.net, nursery)
+            endpoint.process = process
+            await nursery.start(endpoint.serve, process.net, nursery)
             process.up.set()
-            if beats:
-                await self.beat_loop(host, made)
+            if sends_heartbeats:
+                await self.heartbeat_loop(host, endpoint)
 
         process = self.launch(f"endpoint@{address}", host, work)
         await process.up.wait()
-        return made
+        return endpoint
 
-    async def beat_loop(self, host, made, every=500 * MILLISECOND):
+    async def heartbeat_loop(self, host, endpoint, every=500 * MILLISECOND):
         sequence = 0
-        while not made.left:
+        while not endpoint.left:
             sequence += 1
-            self.beat(host, made, sequence)
+            self.heartbeat(host, endpoint, sequence)
             await sleep_us(every)
 
-    def beat(self, host, made, sequence, **facts):
+    def heartbeat(self, host, endpoint, sequence, **facts):
         proxy = self.processes.get(f"mdproxy@{host}")
         if proxy is None or proxy.frozen is not None or proxy.node is None:
             return
-        told = {
-            "service": made.service,
-            "address": made.address,
-            "instance": made.instance.decode(),
-            "capacity": made.slots,
-            "draining": made.draining,
+        facts_sent = {
+            "service": endpoint.service,
+            "address": endpoint.address,
+            "instance": endpoint.instance.decode(),
+            "capacity": endpoint.slots,
+            "draining": endpoint.draining,
             "warm_us": 0,
             "sequence": sequence,
             **facts,
         }
         if proxy.node.daemon is not None:
-            proxy.enter(lambda: proxy.node.daemon.endpoint_heartbeat(told))
+            proxy.enter(lambda: proxy.node.daemon.endpoint_heartbeat(facts_sent))
 
     async def caller(self, host, address=None):
         """A caller's connection from this machine to its gate; failed is set if it came to none."""
@@ -369,17 +369,17 @@
         reactor = Reactor()
         wires = net.wires(self.nursery, reactor)
         self.nursery.start_soon(reactor.run)
-        made = StandInCaller(self.ledger, host, self.application.get(host))
-        self.ledger.callers.append(made)
-        wires.dial(address or f"{host}:{GATE_PORT}", monotonic_us() + SECOND, made)
-        await made.opened.wait()
-        return made
+        caller = StandInCaller(self.request_audit, host, self.application.get(host))
+        self.request_audit.callers.append(caller)
+        wires.dial(address or f"{host}:{GATE_PORT}", monotonic_us() + SECOND, caller)
+        await caller.opened.wait()
+        return caller
 
     async def set_items(self, items, core=0):
         """A change by items; gives its version."""
-        status, told = await self.operate("POST", "/items", {"items": items}, core)
-        assert status == 200, told
-        return told["version"]
+        status, answer = await self.operate("POST", "/items", {"items": items}, core)
+        assert status == 200, answer
+        return answer["version"]
 
     def client(self, host, token=None):
         net = SimNet(self.web, host)
@@ -396,16 +396,16 @@
 
     async def operate(self, method, path, facts=None, core=0):
         host = self.core[core]
-        status, _, told = await self.http(host, method, f"{host}:7420", path, facts)
-        return status, told
+        status, _, answer = await self.http(host, method, f"{host}:7420", path, facts)
+        return status, answer
 
     async def configure(self, manifest, core=0):
         """Plan and confirm; gives the version."""
         status, planned = await self.operate("POST", "/plan", manifest, core)
         assert status == 200, planned
-        status, told = await self.operate("POST", "/confirm", {"plan": planned["plan"]}, core)
-        assert status == 200, told
-        return told["version"]
+        status, answer = await self.operate("POST", "/confirm", {"plan": planned["plan"]}, core)
+        assert status == 200, answer
+        return answer["version"]
 
     async def eventually(self, check, within=10 * SECOND, every=20 * MILLISECOND):
         """Wait, in virtual time, until check() is true; gives how long that took."""
--- a/packages/soak/meadowdock/soak/soak.py
+++ b/packages/soak/meadowdock/soak/soak.py
@@ -152,12 +152,12 @@
     async def judge(self, calm_from: int) -> None:
         """Hold what was seen against what must hold."""
         result, traffic = self.result, self.traffic
-        result.broken += traffic.ledger.broken(lambda a: not a.target.startswith(b"/once/"))
+        result.broken += traffic.request_audit.broken(lambda a: not a.target.startswith(b"/once/"))
         result.broken += [f"event {event}" for event in self.fleet.events(105, 801, 802)]
         result.broken += self.fleet.tracebacks()
         for name, process in self.fleet.processes.items():
             self.found(process.handle.poll() is None, f"{name} ended by itself")
-        asked = traffic.ledger.asked
+        asked = traffic.request_audit.asked
         for call in asked:
             self.found(call.done.is_set(), f"{call.id} got no answer")
         calm = [call for call in asked if call.at >= calm_from]
--- a/packages/soak/meadowdock/soak/traffic.py
+++ b/packages/soak/meadowdock/soak/traffic.py
@@ -22,7 +22,7 @@
     monotonic_us,
     sleep_us,
 )
-from meadowdock.simulator.standin import Ledger, StandIn, StandInCaller
+from meadowdock.simulator.standin import RequestAudit, StandIn, StandInCaller
 from meadowdock.soak.daemon import DIALECT, HEARTBEATS_PORT
 from meadowdock.soak.fleet import GATE_PORT, SERVICE, SLOTS
 
@@ -85,13 +85,13 @@
 
 
 class Traffic:
-    """Invariant: ledger holds every request and every run; acknowledged is the highest version of
+    """Invariant: request_audit holds every request and every run; acknowledged is the highest version of
     the route that the operator was told is accepted."""
 
     def __init__(self, core: list[str], proxies: list[str], seed: int) -> None:
         self.core, self.proxies = core, proxies
         self.rng = random.Random(f"traffic{seed}")
-        self.ledger = Ledger(DIALECT)
+        self.request_audit = RequestAudit(DIALECT)
         self.endpoints: dict[str, StandIn] = {}
         self.losing: set[str] = set()  # hosts whose endpoint loses answers now
         self.version = self.acknowledged = 1
@@ -104,7 +104,7 @@
         """An endpoint beside the proxy of a host."""
         stand_in = StandIn(SERVICE, f"{host}:8000", f"i-{host}", DIALECT, SLOTS, 4 * SLOTS, WORK_US)
         self.endpoints[host] = stand_in
-        self.ledger.endpoints.append(stand_in)
+        self.request_audit.endpoints.append(stand_in)
         await nursery.start(stand_in.serve, RealNet(host), nursery)
         nursery.start_soon(self.heartbeats, host, stand_in)
         nursery.start_soon(self.lose_answers, host, stand_in)
@@ -141,12 +141,12 @@
         wires = SocketNetwork(host, nursery, reactor)
         with trio.CancelScope() as scope:
             nursery.start_soon(self.run_reactor, reactor, scope)
-            caller = StandInCaller(self.ledger, host, SERVICE)
-            self.ledger.callers.append(caller)
+            caller = StandInCaller(self.request_audit, host, SERVICE)
+            self.request_audit.callers.append(caller)
             wires.dial(f"{host}:{GATE_PORT}", monotonic_us() + SECOND, caller)
             await caller.opened.wait()
             if caller.failed is not None:
-                self.ledger.callers.remove(caller)
+                self.request_audit.callers.remove(caller)
                 return None
             asked = caller.ask(
                 b"/%s/%d" % (name.encode(), number), due_ms=DEADLINE_MS * MILLISECOND
--- a/tests/config_store/test_members_change.py
+++ b/tests/config_store/test_members_change.py
@@ -57,7 +57,7 @@
 
         async def swap():
             for index, host in enumerate(new):
-                world.halls[host] = "a"
+                world.zones[host] = "a"
                 await world.start("mdconf", host)
                 old = world.core[index]
                 facts = {"old": f"{old}:7421", "new": f"{host}:7421"}
@@ -88,7 +88,7 @@
 def test_a_member_change_that_was_broken_off_is_ended_by_the_same_call_or_by_a_member(by_hand):
     async def scenario(world):
         await configured(world)
-        world.halls["10.0.2.1"] = "a"
+        world.zones["10.0.2.1"] = "a"
         await world.start("mdconf", "10.0.2.1")
         await world.eventually(lambda: world.daemon("mdconf", "10.0.2.1").store.membership)
         daemon = world.daemon("mdconf", world.core[1])
--- a/tests/forwarding/test_endpoint_faults.py
+++ b/tests/forwarding/test_endpoint_faults.py
@@ -29,10 +29,10 @@
             await listed(world)
             for end in ends:  # whichever it comes to first
                 end.faults.clear()
-            id = world.ledger.new_id()
+            id = world.request_audit.new_id()
             fault_once(ends, id, fault)
             exchange = await asked(world, host, target=target, method=b"POST", id=id, due_ms=1500)
-            ran = len(world.ledger.runs(id))
+            ran = len(world.request_audit.runs(id))
             again = target == b"/p/x"
             if fault in WHOLE:
                 assert (exchange.status, ran) == (200, 1)
@@ -40,7 +40,7 @@
                 assert (exchange.status, ran) == ((200, 2) if again else (502, 1))
             elif fault in ("full", "other"):
                 assert (exchange.status, ran) == (200, 1)
-                assert world.ledger.arrivals(id) == 2
+                assert world.request_audit.arrivals(id) == 2
             elif fault == "silence":
                 assert (exchange.status, ran) == (504, 1) and exchange.took < 1700 * MILLISECOND
             else:
@@ -116,7 +116,7 @@
         for host in hosts(world):  # nothing went round and round
             counts = gate_of(world, host).counts
             assert sum(n for name, n in counts.items() if name.startswith("rule.")) < 4000
-        assert all(world.ledger.arrivals(exchange.id) <= 2 for exchange in calls)
+        assert all(world.request_audit.arrivals(exchange.id) <= 2 for exchange in calls)
 
     gated(scenario, seed, application=("desk", "desk", "paper", "paper", ""), tries=TRIES)
 
@@ -143,11 +143,11 @@
         first, second = hosts(world)
         world.processes.pop(f"endpoint@{first}:8000").kill()
         # nobody has told the gate yet, and it beats nowhere
-        taken = await world.stand_in(first, "paper", beats=False)
+        taken = await world.stand_in(first, "paper", sends_heartbeats=False)
         for target in (b"/p/x", b"/once/x"):
             exchange = await asked(world, first, target=target)
             assert exchange.status == 200
-            assert [r.service for r in world.ledger.runs(exchange.id)] == ["desk"]
+            assert [r.service for r in world.request_audit.runs(exchange.id)] == ["desk"]
         assert not taken.journal and taken.turned
 
     gated(scenario, seed, application=("desk", "desk"), tries=TRIES)
@@ -206,7 +206,7 @@
         end.work_us = 3 * SECOND
         exchange = await asked(world, host, due_ms=300)
         assert exchange.status == 504 and 290 * MILLISECOND < exchange.took < 330 * MILLISECOND
-        left = int(dict(world.ledger.runs(exchange.id)[0].lines)[b"md-due"])
+        left = int(dict(world.request_audit.runs(exchange.id)[0].lines)[b"md-due"])
         assert 290 <= left <= 300
         exchange = await asked(world, host, target=b"/short/x", due_ms=5000)
         assert exchange.status == 504 and exchange.took < 430 * MILLISECOND
@@ -283,7 +283,7 @@
                 assert exchange.at + exchange.took < began + 1200 * MILLISECOND
             else:
                 assert exchange.status == 200
-                last = max(ran.begun for ran in world.ledger.runs(exchange.id))
+                last = max(ran.begun for ran in world.request_audit.runs(exchange.id))
                 assert last - max(exchange.at, began) < SECOND
         await sleep_us(2 * SECOND)
         world.web.heal()
@@ -367,7 +367,7 @@
             end.fault_of = lambda id: "full"
         calls = [await asked(world, local) for _ in range(20)]
         assert {exchange.status for exchange in calls} == {503}
-        again = sum(world.ledger.arrivals(exchange.id) - 1 for exchange in calls)
+        again = sum(world.request_audit.arrivals(exchange.id) - 1 for exchange in calls)
         assert again == 0  # a ratio of nothing, and no reserve before a window has passed
 
     terms = {"ratio": 0.0, "window_us": 600 * SECOND, "reserve": 0}
--- a/tests/forwarding/test_gateway.py
+++ b/tests/forwarding/test_gateway.py
@@ -67,7 +67,7 @@
         ]
         for name, target, ran_by in wanted:
             exchange = await asked(world, host, host=name, target=target)
-            assert [r.service for r in world.ledger.runs(exchange.id)] == (
+            assert [r.service for r in world.request_audit.runs(exchange.id)] == (
                 [ran_by] if ran_by else []
             )
             assert exchange.status == (200 if ran_by else 404)
@@ -85,10 +85,10 @@
         calls = [caller.ask(b"/split/%d" % n) for n in range(40)]
         await all_done(calls)
         assert {exchange.status for exchange in calls} == {200}
-        ran = [r.service for r in world.ledger.runs()]
+        ran = [r.service for r in world.request_audit.runs()]
         assert (ran.count("desk"), ran.count("paper")) == (30, 10)
         # smooth: no service waits long for its turn
-        order = sorted(world.ledger.runs(), key=lambda r: int(r.target.rpartition(b"/")[2]))
+        order = sorted(world.request_audit.runs(), key=lambda r: int(r.target.rpartition(b"/")[2]))
         assert all("paper" in [r.service for r in order[n : n + 5]] for n in range(36))
 
     gated(
@@ -107,7 +107,7 @@
             for target in (b"/p/x", b"/paper/x"):  # one at home, one over a neighbour
                 exchange = await asked(world, host, target=target, lines=lie)
                 assert exchange.status == 200
-                (ran,) = world.ledger.runs(exchange.id)
+                (ran,) = world.request_audit.runs(exchange.id)
                 names = [n.lower() for n, _ in ran.lines]
                 assert ran.caller == name and names.count(b"md-caller") == 1
                 assert names.count(b"md-incarnation") == 1 and b"md-not-run" not in names
@@ -147,7 +147,7 @@
         world.ends[first].inner = inner
         exchange = await asked(world, first)
         assert exchange.status == 200 and [c.status for c in inner_calls] == [200]
-        assert len(world.ledger.runs(inner_calls[0].id)) == 1
+        assert len(world.request_audit.runs(inner_calls[0].id)) == 1
         world.ends[second].faults["*"] = ["close"] * 3
         exchange = await asked(world, first)
         assert exchange.status == 500  # the endpoint's own, with its id
@@ -178,7 +178,7 @@
     calls = [caller.ask(b"/p/%d" % n) for n in range(count)]
     await all_done(calls)
     assert {exchange.status for exchange in calls} == {200}
-    ran = {r.id: r.instance for r in world.ledger.runs()}
+    ran = {r.id: r.instance for r in world.request_audit.runs()}
     host_of = {e.instance: h for h, e in world.ends.items()}
     return [host_of[ran[exchange.id]] for exchange in calls]
 
@@ -239,7 +239,7 @@
         )
         # who would not be served in time is told at once, who waited as soon as that is certain
         assert max(m.took for m in calls if m.status == 503) < 450 * MILLISECOND
-        assert len(world.ledger.runs()) == 5
+        assert len(world.request_audit.runs()) == 5
         assert not world.ends[host].turned
 
     gated(
@@ -288,7 +288,7 @@
         waiting.hang_up()
         await all_done([first, last])
         assert (first.status, last.status) == (200, 200)
-        assert not world.ledger.runs(second.id)
+        assert not world.request_audit.runs(second.id)
 
     gated(
         scenario,
@@ -307,7 +307,7 @@
             await sleep_us(30 * MILLISECOND)
             caller.hang_up()
             await sleep_us(SECOND)
-            assert len(world.ledger.runs(exchange.id)) == 1
+            assert len(world.request_audit.runs(exchange.id)) == 1
 
     gated(scenario, application=("desk", "paper"), endpoint={"work_us": 200 * MILLISECOND})
 
@@ -324,7 +324,7 @@
         calls = [c.ask(b"/p/%d" % n) for n, c in enumerate(callers)]
         await sleep_us(30 * MILLISECOND)
         ends[local].draining = True
-        world.beat(local, ends[local], 1000)
+        world.heartbeat(local, ends[local], 1000)
         told_at = monotonic_us()
         calls += [c.ask(b"/p/late%d" % n) for n, c in enumerate(callers)]
         await all_done(calls)
@@ -349,7 +349,7 @@
         await sleep_us(70 * MILLISECOND)
         assert gate_of(world, local).dispatcher.calls and not world.ends[local].came_at
         world.ends[local].draining = True
-        world.beat(local, world.ends[local], 1000)
+        world.heartbeat(local, world.ends[local], 1000)
         await exchange.done.wait()
         assert exchange.status == 200 and not world.ends[local].came_at
 
@@ -410,9 +410,9 @@
         book.remove(book.by_address[f"{local}:8000"], "test")
         exchange = caller.ask()  # waits: nobody is there
         await sleep_us(20 * MILLISECOND)
-        world.beat(local, world.ends[local], 1000, draining=True)
+        world.heartbeat(local, world.ends[local], 1000, draining=True)
         await exchange.done.wait()
-        assert exchange.status == 503 and not world.ledger.runs()
+        assert exchange.status == 503 and not world.request_audit.runs()
 
     gated(scenario, application=("desk",))
 
@@ -422,10 +422,10 @@
         local = hosts(world)[0]
         old = world.ends[local]
         new_life = {"instance": "i-new"}
-        world.beat(local, old, 50, **new_life)
+        world.heartbeat(local, old, 50, **new_life)
         book = world.daemon("mdproxy", local).endpoints
         assert book.by_address[old.address].incarnation == "i-new"
-        world.beat(local, old, 60)
+        world.heartbeat(local, old, 60)
         assert book.by_address[old.address].incarnation == "i-new"
 
     gated(scenario, application=("desk",))
@@ -459,7 +459,7 @@
         assert {exchange.status for _, exchange in calls} <= {200, 0}
         # what came as the connection was closed was not read
         assert len(unread) <= 6 and all(exchange.done.is_set() for exchange in unread)
-        assert not any(world.ledger.runs(exchange.id) for exchange in unread)
+        assert not any(world.request_audit.runs(exchange.id) for exchange in unread)
 
     gated(scenario, seed, application=("desk", "desk"), endpoint={"slots": 8})
 
@@ -491,14 +491,16 @@
             if id in seen:
                 again.append(at)
             seen.add(id)
-        begun = [exchange.at for exchange in world.ledger.asked]
+        begun = [exchange.at for exchange in world.request_audit.asked]
         assert len(again) > 20
         for start in again:
             window = range(start, start + terms["window_us"])
             tries = sum(at in window for at in again)
             requests = sum(at in window for at in begun)
             assert tries <= terms["ratio"] * requests + terms["reserve"]
-        assert all(world.ledger.arrivals(exchange.id) <= 2 for exchange in world.ledger.asked)
+        assert all(
+            world.request_audit.arrivals(exchange.id) <= 2 for exchange in world.request_audit.asked
+        )
 
     gated(scenario, seed, tries=terms, endpoint={"slots": 8})
 
--- a/tests/forwarding/test_gateway_http.py
+++ b/tests/forwarding/test_gateway_http.py
@@ -42,7 +42,7 @@
         data = SMUGGLED[name] % HEAD
         status, closed, _ = await raw(world, data)
         assert (status, closed) == (400, True)
-        assert not world.ledger.runs()
+        assert not world.request_audit.runs()
 
     gated(scenario, application=("desk",))
 
@@ -60,7 +60,7 @@
             (b"Accept-Encoding", b"identity"),
         ]
         exchange = await asked(world, hosts(world)[0], lines=lines)
-        (ran,) = world.ledger.runs(exchange.id)
+        (ran,) = world.request_audit.runs(exchange.id)
         passed = [(n, v) for n, v in ran.lines if n.lower().startswith((b"x-", b"accept"))]
         assert passed == [
             (b"X-Other", b"a, b"),
@@ -79,9 +79,9 @@
             b"/p/x", b"POST", body=b"abc", in_chunks=True, send=False
         )
         data = exchange.data[:-2] + b"X-Trail: 1\r\nHost: evil\r\n\r\n"
-        world.ledger.callers[-1].wire.send(data)
+        world.request_audit.callers[-1].wire.send(data)
         await exchange.done.wait()
-        (ran,) = world.ledger.runs(exchange.id)
+        (ran,) = world.request_audit.runs(exchange.id)
         assert exchange.status == 200 and b"X-Trail" not in dict(ran.lines)
 
     gated(scenario, application=("desk",))
@@ -129,7 +129,7 @@
                 method=b"PUT",
             )
             assert exchange.status == 413
-        assert not world.ledger.runs()
+        assert not world.request_audit.runs()
         exchange = await asked(
             world, hosts(world)[0], body=b"x" * (1 << 20), method=b"PUT", due_ms=30_000
         )
@@ -213,7 +213,7 @@
         await all_done([whole, plain])
         assert [m.status for m in (first, exchange, whole, plain)] == [200] * 4
         assert caller.continues == 1
-        (ran,) = world.ledger.runs(exchange.id)
+        (ran,) = world.request_audit.runs(exchange.id)
         assert b"expect" not in {n.lower() for n, _ in ran.lines}
 
     gated(scenario, application=("desk",))
@@ -235,7 +235,7 @@
             if mine is not None:
                 most = max(most, mine.connection.unsent_size)
         assert 1 << 20 < most < 3 << 20
-        assert len(world.ledger.runs()) < 150
+        assert len(world.request_audit.runs()) < 150
         await sleep_us(15 * SECOND)
         assert not gate.connections  # nobody reads: it is let go
         caller.wire.resume()
--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -22,7 +22,7 @@
 
 def line_of(world, host, rho, **facts):
     end = world.ends[host]
-    return NodeLoad(address_of(host), rho, end.instance.decode(), False, world.halls[host], **facts)
+    return NodeLoad(address_of(host), rho, end.instance.decode(), False, world.zones[host], **facts)
 
 
 def tell(world, host, rhos):
@@ -44,7 +44,7 @@
 def ran_at(world, exchange):
     """The hosts that ran a call."""
     host_of = {end.instance: host for host, end in world.ends.items()}
-    return [host_of[ran.instance] for ran in world.ledger.runs(exchange.id)]
+    return [host_of[ran.instance] for ran in world.request_audit.runs(exchange.id)]
 
 
 async def batch(world, host, count):
@@ -69,8 +69,8 @@
     async def scenario(world):
         guest, *ends = hosts(world)
         told = gate_of(world, guest).loads.nodes["desk"]
-        assert {n.address: n.zone for n in told} == {address_of(h): world.halls[h] for h in ends}
-        near = [h for h in ends if world.halls[h] == world.halls[guest]]
+        assert {n.address: n.zone for n in told} == {address_of(h): world.zones[h] for h in ends}
+        near = [h for h in ends if world.zones[h] == world.zones[guest]]
         assert len(near) == 2 < len(ends)
         hold(world)
         tell(world, guest, dict.fromkeys(ends, 0.1))
@@ -91,7 +91,7 @@
 def test_a_call_with_a_local_endpoint_is_relocated_whatever_the_zone(seed):
     async def scenario(world):
         local, *others = hosts(world)
-        assert len({world.halls[h] for h in others}) == 3
+        assert len({world.zones[h] for h in others}) == 3
         hold(world)
         busy(world, local, gate_of(world, local).dispatcher.thresholds.omega)
         tell(world, local, dict.fromkeys(others, 0.1))
@@ -117,7 +117,7 @@
             at = monotonic_us()
             exchange = await asked(world, local, target=b"/once/x")
             assert exchange.status == 200 and ran_at(world, exchange) == [other]
-            assert world.ledger.runs(exchange.id)[0].begun - at < 20 * MILLISECOND
+            assert world.request_audit.runs(exchange.id)[0].begun - at < 20 * MILLISECOND
         assert gate.counts["rule.full-any-room"] == 2 and "desk" not in gate.admission.queues
         # below 1 no more: it waits at home
         tell(world, local, {other: 1.0})
@@ -176,7 +176,7 @@
         gate.slowness.fleet_hold_us["desk"] = fleet * MILLISECOND
         assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(index)
         world.ends[host].left = True  # no beats but the test's own
-        world.beat(host, world.ends[host], 1000, warm_us=300 * MILLISECOND)
+        world.heartbeat(host, world.ends[host], 1000, warm_us=300 * MILLISECOND)
         assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(max(1.5, index))
         await sleep_us(350 * MILLISECOND)
         assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(index)
@@ -198,7 +198,7 @@
     async def scenario(world):
         slow, *others = hosts(world)
         for end in world.ends.values():
-            end.load_told = False
+            end.reports_load = False
         told, over = [0.1], trio.Event()
         world.nursery.start_soon(level, world, told, over)
 
@@ -241,7 +241,7 @@
     async def scenario(world):
         cold, *others = hosts(world)
         for end in world.ends.values():
-            end.load_told = False
+            end.reports_load = False
         told, over = [0.6], trio.Event()
         world.nursery.start_soon(level, world, told, over)
         end, until_warm = world.ends[cold], monotonic_us() + 2 * SECOND
@@ -251,7 +251,7 @@
             sequence = 1000
             while not over.is_set():
                 sequence += 1
-                world.beat(cold, end, sequence, warm_us=max(0, until_warm - monotonic_us()))
+                world.heartbeat(cold, end, sequence, warm_us=max(0, until_warm - monotonic_us()))
                 await sleep_us(300 * MILLISECOND)
 
         world.nursery.start_soon(beats)
@@ -510,7 +510,7 @@
         pool = gate_of(world, host).dispatcher.local_calls.pools[id(endpoint)]
         await sleep_us(SECOND - (monotonic_us() - began))
         enrolled = len(world.trace.events(401))
-        world.beat(host, end, 1000, capacity=3)
+        world.heartbeat(host, end, 1000, capacity=3)
         assert daemon.endpoints.by_address[end.address] is endpoint and endpoint.capacity == 3
         assert len(world.trace.events(401)) == enrolled
         exchange = await asked(world, host, target=b"/once/y")
@@ -741,9 +741,9 @@
         assert all(exchange.done.is_set() for exchange in calls) and len(calls) > 300
         told = {status: [m for m in calls if m.status == status] for status in {200, 503, 0}}
         assert sum(map(len, told.values())) == len(calls), {m.status for m in calls}
-        assert not any(world.ledger.runs(m.id) for m in told[503] + told[0])
+        assert not any(world.request_audit.runs(m.id) for m in told[503] + told[0])
         assert len(told[503]) + len(told[0]) < len(calls) / 50
-        assert all(len(world.ledger.runs(m.id)) == 1 for m in told[200])
+        assert all(len(world.request_audit.runs(m.id)) == 1 for m in told[200])
 
     gated(
         scenario,
--- a/tests/forwarding/test_response_matching.py
+++ b/tests/forwarding/test_response_matching.py
@@ -87,7 +87,7 @@
         first, second = await once_each(await world.caller(hosts(world)[0]), 2)
         await sleep_us(SECOND)
         assert (first.status, second.status) == (200, 502)
-        assert world.ledger.arrivals(second.id) == 1
+        assert world.request_audit.arrivals(second.id) == 1
         assert (await asked(world, hosts(world)[0])).status == 200
 
     gated(scenario, application=("desk", "desk"), tries=TRIES)
@@ -107,7 +107,7 @@
         end.turn_away = lambda job, status: (end.nursery.start_soon(away, job), job)[1]
         end.faults["*"] = ["full"]
         exchange = await asked(world, first, target=b"/once/x", method=b"POST")
-        assert exchange.status == 200 and world.ledger.arrivals(exchange.id) == 2
+        assert exchange.status == 200 and world.request_audit.arrivals(exchange.id) == 2
 
     gated(scenario, application=("desk", "desk"), tries=TRIES)
 
@@ -177,7 +177,7 @@
         for end in world.ends.values():
             end.fault_of = lambda id: left.pop() if left else "full"
         exchange = await asked(world, hosts(world)[0])
-        assert exchange.status == 502 and len(world.ledger.runs(exchange.id)) == 1
+        assert exchange.status == 502 and len(world.request_audit.runs(exchange.id)) == 1
 
     gated(scenario, application=("desk", "desk"), tries=TRIES)
 
@@ -206,10 +206,10 @@
         proxy.wake()
         await sleep_us(3 * SECOND)
         for exchange in calls:
-            assert world.ledger.arrivals(exchange.id) <= 1
+            assert world.request_audit.arrivals(exchange.id) <= 1
             if exchange.status == 502:  # its time was over, or its link, before that gate went on
                 assert not [r for r in world.ends[good].journal if r.id == exchange.id]
-            for ran in world.ledger.runs(exchange.id):
+            for ran in world.request_audit.runs(exchange.id):
                 assert ran.begun <= exchange.at + due_ms * MILLISECOND
 
     gated(scenario, seed, application=("", "desk", "desk"), tries=TRIES, endpoint={"slots": 20})
@@ -222,7 +222,7 @@
         exchange = await asked(world, local, target=b"/once/x", method=b"POST", due_ms=250)
         assert exchange.status == 504
         await sleep_us(3 * SECOND)
-        assert not world.ledger.arrivals(exchange.id)
+        assert not world.request_audit.arrivals(exchange.id)
 
     gated(scenario, application=("", "desk"))
 
@@ -237,7 +237,7 @@
         world.web.heal()
         await all_done([exchange])
         await sleep_us(SECOND)
-        assert exchange.status == 504 and not world.ledger.arrivals(exchange.id)
+        assert exchange.status == 504 and not world.request_audit.arrivals(exchange.id)
 
     gated(scenario, application=("", "desk"))
 
@@ -309,7 +309,7 @@
         await sleep_us(2 * SECOND)
         exchange = await asked(world, local, target=b"/once/2", method=b"POST")
         assert exchange.status == 200
-        assert world.ledger.arrivals(lost.id) == 1
+        assert world.request_audit.arrivals(lost.id) == 1
 
     gated(
         scenario,
@@ -331,7 +331,7 @@
             lambda: gate.reactor.turn(call.peer_link.send, [CANCEL, *call.peer_handle])
         )
         await all_done([exchange])
-        assert exchange.status == 200 and world.ledger.arrivals(exchange.id) == 1
+        assert exchange.status == 200 and world.request_audit.arrivals(exchange.id) == 1
 
     gated(scenario, application=("", "desk", "desk"), endpoint={"work_us": 300 * MILLISECOND})
 
@@ -347,7 +347,7 @@
             exchange = await asked(world, local, target=b"/once/x", method=b"POST", due_ms=due_ms)
             assert exchange.status in (503, 504)
         await sleep_us(2 * SECOND)
-        assert not world.ledger.runs()
+        assert not world.request_audit.runs()
 
     gated(scenario, application=("", "desk"), tries=TRIES)
 
@@ -380,7 +380,7 @@
         caller.wire.abort()
         caller.on_end("reset")
         await sleep_us(2 * SECOND)
-        assert not world.ledger.arrivals(exchange.id)
+        assert not world.request_audit.arrivals(exchange.id)
 
     gated(scenario, application=("desk", "desk"))
 
@@ -402,7 +402,7 @@
         await all_done([first, second])
         assert first.status == 200 and not second.status
         await sleep_us(SECOND)
-        assert not world.ledger.arrivals(second.id)
+        assert not world.request_audit.arrivals(second.id)
 
     gated(scenario, application=("desk",))
 
@@ -416,7 +416,7 @@
         assert exchange.status == 408
         caller.wire.send(exchange.data[30:])
         await sleep_us(SECOND)
-        assert not world.ledger.arrivals(exchange.id)
+        assert not world.request_audit.arrivals(exchange.id)
 
     gated(scenario, application=("desk",))
 
@@ -438,7 +438,7 @@
         await all_done([*calls, late])
         await sleep_us(2 * SECOND)
         for exchange in calls:
-            assert world.ledger.arrivals(exchange.id) <= 1
+            assert world.request_audit.arrivals(exchange.id) <= 1
 
     terms = {"work_us": 100 * MILLISECOND}
     gated(scenario, seed, application=("desk", "desk", "desk"), tries=TRIES, endpoint=terms)
@@ -581,7 +581,7 @@
         assert statuses.count(200) > len(statuses) / 3
         assert {502, 503, 504} <= set(statuses)
         for exchange in calls:  # nobody was given more than its tries, however they ended
-            assert len(world.ledger.runs(exchange.id)) <= 2
+            assert len(world.request_audit.runs(exchange.id)) <= 2
 
     services = ("desk", "desk", "paper", "paper", "")
     gated(scenario, seed, application=services, tries=TRIES, endpoint={"slots": 8})
--- a/tests/simulator/test_day_digests.py
+++ b/tests/simulator/test_day_digests.py
@@ -34,9 +34,9 @@
 
     async def scenario(world):
         await offer(world, list(world.application), demands, GATED_SPAN, seed)
-        for call in world.ledger.asked:
+        for call in world.request_audit.asked:
             trace.row("call", call.id.decode(), call.at, call.took, call.status)
-        for ran in world.ledger.runs():
+        for ran in world.request_audit.runs():
             trace.row("execution", ran.id.decode(), ran.instance.decode(), ran.begun, ran.status)
         add_log(trace, world.trace.lines)
 
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -51,7 +51,7 @@
                 world.ends[host] = await world.stand_in(host, name, **terms.get("endpoint", {}))
         await listed(world)
         result = await scenario(world)
-        assert not world.ledger.broken(repeatable), world.ledger.broken(repeatable)
+        assert not world.request_audit.broken(repeatable), world.request_audit.broken(repeatable)
         assert not leaks(world), leaks(world)
         assert not violations(world), violations(world)
         return result
