--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -1,4 +1,9 @@
-"""The manifest at a proxy: what is wanted is the head; the loop works out what is missing."""
+"""Configuration delivery at a proxy.
+
+The proxy follows the current revision of the config stores: it stages a newer one (fetches its
+chunks and builds the routing table) and activates it, once that is said to be in force elsewhere or
+after a delay. Revisions are maps here, as they are on the wire.
+"""
 
 from __future__ import annotations
 
@@ -11,224 +16,265 @@
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us, sleep_us
 
-# Parts of apply_us, within which an acknowledged change is in force. Together, with the member that
+# Fractions of apply_us, within which an acknowledged change is in force. Together, with the member that
 # acknowledged gone and one more silent, they are less than half of it.
-CONFIRM_PART = 5  # how often the core is asked for the head
-RETRY_PART = 10  # and again, where the core did not answer or a staging failed
-ASK_PART = 5  # for an answer
-ASK_LAST_PART = 20  # for that of the member that answered last, before others are asked
-SWITCH_ALONE_PART = 10  # after staging, without word to switch
-FREEZE = (
-    250 * MILLISECOND
-)  # pulses further apart: the process stood still, others may have switched
-FIRST_CONFIRM_WAIT = 600 * MILLISECOND
+CONFIRM_INTERVAL_DIVISOR = 5  # how often the config stores are asked for the revision
+RETRY_INTERVAL_DIVISOR = 10  # and again, where they did not answer or a staging failed
+QUERY_TIMEOUT_DIVISOR = 5  # for an answer
+# For the answer of the member that answered last, before others are asked.
+PREFERRED_QUERY_TIMEOUT_DIVISOR = 20
+ACTIVATION_DELAY_DIVISOR = 10  # after staging, if nobody says that it is in force
+# Ticks further apart than this: the process was paused, and others may have activated a revision.
+PAUSE_THRESHOLD_US = 250 * MILLISECOND
+REVALIDATION_WAIT_US = 600 * MILLISECOND
 
 
 @dataclass(frozen=True)
-class Staged:
+class StagedRevision:
+    """A revision whose routing table is built."""
+
     routing_table: RoutingTable
-    head: dict
+    revision: dict
     since: int  # when a version newer than the one in force was first staged
 
 
-class Delivery:
-    """Invariants: the version in force never goes down; staged, if any, is newer than it;
-    doubtful means that this process stood still and has not confirmed its version since."""
+class ConfigurationDelivery:
+    """The configuration in force here, and the newer one that is staged.
+
+    Invariants: the version in force never goes down; staged, if any, is newer than it; revalidated
+    is an event iff this process was paused and has not confirmed its version since.
+    """
 
     handlers = Handlers()
 
-    def __init__(self, node, activate):
-        self.node, self.activate = node, activate
-        self.active = None  # Staged
+    def __init__(self, node, use_routing_table):
+        self.node, self.use_routing_table = node, use_routing_table
+        self.active = None  # the StagedRevision in force
         self.staged = None
-        self.stager = Stager(node, self.former, self.on_staged)
-        self.pulse_at = monotonic_us()
-        self.cut_off = self.late = False
-        self.told = 0  # the highest version that is said to be in force elsewhere
-        self.last_source = None
-        self.doubtful = None  # an event while in doubt
-        self.news = trio.Event()
-        self.failed = False  # the core did not answer last, or the last staging lacked chunks
+        self.stager = Stager(node, self.base_of_next, self.on_staged)
+        self.last_tick_at = monotonic_us()
+        self.cut_off = self.activate_at_once = False
+        self.highest_active_elsewhere = 0  # the highest version that peers have in force
+        self.preferred_source = None
+        self.revalidated = None  # set once the version is confirmed after a pause
+        self.update_available = trio.Event()
+        self.retry_soon = False  # the last query or staging failed
 
     @property
     def version(self):
+        """The version in force; 0 if there is none."""
         return self.active.routing_table.version if self.active else 0
 
     @property
     def newest(self):
+        """The newest version that is in force or staged."""
         return self.staged.routing_table.version if self.staged else self.version
 
     # ------------------------------------------------------------ for calls
 
-    async def current(self):
-        """Before a call: after a freeze the version is confirmed first, if the core answers."""
-        self.look_at_pulse()
-        if self.doubtful is not None:
-            with deadline_scope(monotonic_us() + FIRST_CONFIRM_WAIT):
-                await self.doubtful.wait()
+    async def ensure_current(self):
+        """Before a call: after a pause the version is confirmed first, if a config store answers."""
+        self.detect_pause()
+        if self.revalidated is not None:
+            with deadline_scope(monotonic_us() + REVALIDATION_WAIT_US):
+                await self.revalidated.wait()
 
-    def look_at_pulse(self):
-        if monotonic_us() - self.pulse_at > FREEZE and self.active and self.doubtful is None:
-            self.doubtful = trio.Event()
-            self.wake()
-        self.pulse_at = monotonic_us()
+    def detect_pause(self):
+        """Called at each tick: a long time since the last one means that the process was paused."""
+        if (
+            monotonic_us() - self.last_tick_at > PAUSE_THRESHOLD_US
+            and self.active
+            and self.revalidated is None
+        ):
+            self.revalidated = trio.Event()
+            self.request_update()
+        self.last_tick_at = monotonic_us()
 
-    def wake(self):
-        self.news.set()
+    def request_update(self):
+        """Look for a newer revision now."""
+        self.update_available.set()
 
-    def heard(self, version, in_force):
-        """News of a version; what is in force elsewhere, and staged here, is in force here too."""
+    def on_version_seen(self, version, in_force):
+        """A version exists; one in force elsewhere, and staged here, is activated here, too."""
         if in_force:
-            self.switch_told(version)
+            self.on_active_elsewhere(version)
         if version > self.newest:
-            self.wake()
+            self.request_update()
 
     # ------------------------------------------------------------ loops
 
     async def run(self):
+        """Confirm the version again and again, and whenever a newer one is heard of."""
         while True:
-            self.news = trio.Event()
+            self.update_available = trio.Event()
             await self.confirm()
-            with deadline_scope(self.next_confirm()):
-                await self.news.wait()
+            with deadline_scope(self.next_confirm_at()):
+                await self.update_available.wait()
                 await sleep_us(20 * MILLISECOND)
 
-    def next_confirm(self):
-        if self.failed:
-            return monotonic_us() + self.part_of_apply(RETRY_PART)
-        return self.node.view.schedule.next_wakeup(self.part_of_apply(CONFIRM_PART))
+    def next_confirm_at(self):
+        """When the version is confirmed next, unless a newer one is heard of."""
+        if self.retry_soon:
+            return monotonic_us() + self.fraction_of_apply_us(RETRY_INTERVAL_DIVISOR)
+        return self.node.view.schedule.next_wakeup(
+            self.fraction_of_apply_us(CONFIRM_INTERVAL_DIVISOR)
+        )
 
-    def part_of_apply(self, part):
-        return self.node.settings.apply_us // part
+    def fraction_of_apply_us(self, divisor):
+        """A fraction of the time within which an acknowledged change is in force."""
+        return self.node.settings.apply_us // divisor
 
     async def confirm(self):
-        """Ask the core for the head; fetch and stage what is newer. A doubt that arose after the
-        asking is not settled by its answer, which may have lain in a buffer all the while."""
-        doubt = self.doubtful
-        # others have switched while this process was away: it does so at once
-        self.late = self.cut_off or doubt is not None
-        head, source = await self.ask_core()
-        reached = head is not None
-        self.failed = not reached
+        """Ask the config stores for the current revision; fetch and stage what is newer.
+
+        A pause after the query is not settled by its answer, which may have lain in a buffer
+        meanwhile.
+        """
+        pending_revalidation = self.revalidated
+        # others may have activated a revision meanwhile: this process does so at once
+        self.activate_at_once = self.cut_off or pending_revalidation is not None
+        revision, source = await self.query_config_stores()
+        reached = revision is not None
+        self.retry_soon = not reached
         if not reached:
-            head, source = await self.ask_peers()
-        whole = True
-        if head is not None and head["version"] > self.newest:
-            whole = await self.stage_for_now(head, source)
-            if whole is None:
+            revision, source = await self.query_peers()
+        complete = True
+        if revision is not None and revision["version"] > self.newest:
+            complete = await self.stage_within_interval(revision, source)
+            if complete is None:
                 return  # still under way: nothing can be said yet
-        # a fresh start serves only what the core confirmed: this machine may have served a newer
-        # one than its neighbours have
-        if self.staged is not None and (reached and whole if self.active is None else self.late):
-            self.switch(self.staged.routing_table.version)
-        self.late = False
-        # cut off until the core's version is in force here, or staged in its ordinary turn
-        away = not (reached and whole)
-        if away and not self.cut_off:
+        # after a start only a confirmed revision is served: this machine may have served a newer
+        # one than its peers have
+        if self.staged is not None and (
+            reached and complete if self.active is None else self.activate_at_once
+        ):
+            self.activate_staged(self.staged.routing_table.version)
+        self.activate_at_once = False
+        # cut off until the stores' version is in force here, or staged in its ordinary turn
+        unconfirmed = not (reached and complete)
+        if unconfirmed and not self.cut_off:
             self.node.log(503, version=self.version)
-        elif not away and (self.cut_off or doubt is not None):
+        elif not unconfirmed and (self.cut_off or pending_revalidation is not None):
             self.node.log(504, version=self.version)
-        self.cut_off = away
-        if doubt is not None:
-            doubt.set()
-            self.doubtful = None
+        self.cut_off = unconfirmed
+        if pending_revalidation is not None:
+            pending_revalidation.set()
+            self.revalidated = None
 
-    async def ask_core(self):
+    async def query_config_stores(self):
         """The member that answered last; if it doesn't, three others at once."""
         members = self.node.view.core_members("mdconf")
-        if self.last_source in members:
-            told = await self.ask([self.last_source], self.part_of_apply(ASK_LAST_PART))
-            if told is not None:
-                return told
+        if self.preferred_source in members:
+            answer = await self.query_first(
+                [self.preferred_source], self.fraction_of_apply_us(PREFERRED_QUERY_TIMEOUT_DIVISOR)
+            )
+            if answer is not None:
+                return answer
         self.node.runtime.rng.shuffle(members)
-        return await self.ask(members[:3], self.part_of_apply(ASK_PART)) or (None, None)
+        return await self.query_first(
+            members[:3], self.fraction_of_apply_us(QUERY_TIMEOUT_DIVISOR)
+        ) or (None, None)
 
-    async def ask(self, addresses, wait):
-        """(head, address) of the first that answers, or None."""
+    async def query_first(self, addresses, wait):
+        """(revision, address) of the first that answers, or None."""
         found = []
 
-        async def one(address):
-            told = await self.ask_one(address, wait)
-            found.extend(told)
-            if told:
+        async def query_one(address):
+            answer = await self.query(address, wait)
+            found.extend(answer)
+            if answer:
                 nursery.cancel_scope.cancel()
 
         if len(addresses) == 1:  # the ordinary case: no tasks of its own
-            found = await self.ask_one(addresses[0], wait)
+            found = await self.query(addresses[0], wait)
         else:
             async with trio.open_nursery() as nursery:
                 for address in addresses:
-                    nursery.start_soon(one, address)
+                    nursery.start_soon(query_one, address)
         if not found:
             return None
-        self.last_source = found[0][1]
+        self.preferred_source = found[0][1]
         return found[0]
 
-    async def ask_one(self, address, wait):
-        """[(head, address)], or nothing."""
+    async def query(self, address, wait):
+        """[(revision, address)], or nothing."""
         try:
-            due = monotonic_us() + wait
-            return [(await self.node.rpc.call(address, "manifest.head", self.newest, due), address)]
+            deadline = monotonic_us() + wait
+            return [
+                (await self.node.rpc.call(address, "manifest.head", self.newest, deadline), address)
+            ]
         except (ConnectionFailed, Rejected):
             return []
 
-    async def ask_peers(self):
-        """Cut off from the core: a neighbour's version is better than an older one."""
+    async def query_peers(self):
+        """Cut off from the config stores: a peer's version is better than an older one."""
         peers = [
             (seen.entry.version, address)
             for address, seen in self.node.view.entries.items()
             if seen.entry.role == "mdproxy" and seen.entry.version > self.newest
         ]
         newest = [address for _, address in sorted(peers, reverse=True)[:2]]
-        return await self.ask(newest, self.part_of_apply(ASK_PART)) or (None, None)
-
-    async def stage(self, head, source):
-        if head["version"] <= self.newest:
+        return await self.query_first(newest, self.fraction_of_apply_us(QUERY_TIMEOUT_DIVISOR)) or (
+            None,
+            None,
+        )
+
+    async def stage(self, revision, source):
+        """Stage a revision unless it is old; False if its chunks were not to be had."""
+        if revision["version"] <= self.newest:
             return True
-        in_use = [held.head for held in (self.active, self.staged) if held]
-        self.stager.keep([head, *in_use])
-        complete = await self.stager.stage(head, source)
-        self.failed = not complete
+        in_use = [known.revision for known in (self.active, self.staged) if known]
+        self.stager.retain_chunks([revision, *in_use])
+        complete = await self.stager.stage(revision, source)
+        self.retry_soon = not complete
         return complete
 
-    async def stage_for_now(self, head, source):
-        """As stage, or None if that takes long: a newer head may be there by then."""
-        with deadline_scope(monotonic_us() + self.part_of_apply(CONFIRM_PART)):
-            return await self.stage(head, source)
+    async def stage_within_interval(self, revision, source):
+        """As stage, or None if that takes long: a newer revision may be there by then."""
+        with deadline_scope(monotonic_us() + self.fraction_of_apply_us(CONFIRM_INTERVAL_DIVISOR)):
+            return await self.stage(revision, source)
         return None
 
-    def former(self):
-        """What the next table is made from."""
-        former = self.staged or self.active
-        return former and (former.routing_table, former.head)
+    def base_of_next(self):
+        """(routing table, revision) that the next table is built from, if any."""
+        newest = self.staged or self.active
+        return newest and (newest.routing_table, newest.revision)
 
-    def on_staged(self, routing_table, head, fetched):
+    def on_staged(self, routing_table, revision, fetched):
+        """The stager built a table; so many chunks of it were fetched."""
         if routing_table.version <= self.newest:
             return
         fresh = self.staged is None
         since = monotonic_us() if fresh else self.staged.since
-        self.staged = Staged(routing_table, head, since)
+        self.staged = StagedRevision(routing_table, revision, since)
         self.node.log(501, version=routing_table.version, fetched=fetched)
-        if self.active is not None and (self.late or routing_table.version <= self.told):
-            self.switch(routing_table.version)
+        if self.active is not None and (
+            self.activate_at_once or routing_table.version <= self.highest_active_elsewhere
+        ):
+            self.activate_staged(routing_table.version)
         elif fresh and self.active is not None:
-            self.node.nursery.start_soon(self.switch_alone, since)
+            self.node.nursery.start_soon(self.activate_after_delay, since)
 
-    async def switch_alone(self, since):
-        """Without word to switch: whatever is staged by then. Changes that follow one another
-        quickly don't put it off."""
-        await sleep_us(self.part_of_apply(SWITCH_ALONE_PART))
+    async def activate_after_delay(self, since):
+        """Activate whatever is staged by then, if nobody says earlier that it is in force.
+
+        Changes that follow one another quickly don't put it off.
+        """
+        await sleep_us(self.fraction_of_apply_us(ACTIVATION_DELAY_DIVISOR))
         if self.staged is not None and self.staged.since == since:
-            self.switch(self.staged.routing_table.version)
+            self.activate_staged(self.staged.routing_table.version)
+
+    def on_active_elsewhere(self, version):
+        """Activate a version that is in force elsewhere, now or as soon as it is staged.
 
-    def switch_told(self, version):
-        """It is in force elsewhere; here too, now or as soon as it is staged. Not at a fresh start:
-        that waits for the core's own word."""
-        self.told = max(self.told, version)
+        Not after a start: that waits for the config stores' own answer.
+        """
+        self.highest_active_elsewhere = max(self.highest_active_elsewhere, version)
         if self.active is not None:
-            self.switch(version)
+            self.activate_staged(version)
 
-    def switch(self, version):
+    def activate_staged(self, version):
+        """Put the staged revision in force, if it is no newer than a version."""
         staged = self.staged
         if (
             staged is None
@@ -237,32 +283,36 @@
         ):
             return
         self.active, self.staged = staged, None
-        self.stager.keep([staged.head])
-        self.activate(staged.routing_table)
+        self.stager.retain_chunks([staged.revision])
+        self.use_routing_table(staged.routing_table)
         self.node.view.advance_heartbeat(version=staged.routing_table.version)
         self.node.log(502, version=staged.routing_table.version)
 
-    # ------------------------------------------------------------ answers
+    # ------------------------------------------------------------ RPC methods
 
     @handlers.on("manifest.stage")
-    async def on_stage(self, peer, head):
-        staged = await self.stage(head, peer.address)
+    async def on_stage_request(self, peer, revision):
+        """A config store asks to stage a revision before it acknowledges the change."""
+        staged = await self.stage(revision, peer.address)
         if not staged:
-            self.wake()
+            self.request_update()
         return {"staged": staged}
 
     @handlers.on("manifest.switch")
-    async def on_switch(self, peer, version):
-        self.switch_told(version)
+    async def on_activate_request(self, peer, version):
+        """A config store says that a version is in force."""
+        self.on_active_elsewhere(version)
         return {"version": self.version}
 
     @handlers.on("manifest.head")
-    async def on_head(self, peer, known):
+    async def on_revision_request(self, peer, known):
+        """A peer that is cut off from the config stores asks for the revision in force here."""
         if self.active is None:
             raise Rejected("no_manifest")
-        head = self.active.head
-        return head if head["version"] > known else {"version": head["version"]}
+        revision = self.active.revision
+        return revision if revision["version"] > known else {"version": revision["version"]}
 
     @handlers.on("chunk.get")
-    async def on_chunk(self, peer, request):
-        return await self.stager.answer(request)
+    async def on_chunk_request(self, peer, request):
+        """A peer asks for chunks."""
+        return await self.stager.answer_chunk_request(request)
--- a/packages/proxy/meadowdock/proxy/forwarder.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -6,19 +6,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, NamedTuple
 
 from meadowdock.configuration import RoutingTable
-from meadowdock.load_sharing import (
-    FORWARD,
-    LOCAL,
-    Choice,
-    LoadList,
-    LocalEndpointState,
-    RoundRobin,
-    choose,
-)
+from meadowdock.forwarding.placement import Placement, Thresholds, local_state
+from meadowdock.load_sharing import FORWARD, LOCAL, Choice, LoadList, NodeLoad
 from meadowdock.outcome import NOT_RUN, REJECTION_CODES
 from meadowdock.proxy.call import Call, EndpointResponse, Outcome, Step
 from meadowdock.proxy.endpoint_connections import EndpointConnections
@@ -68,11 +61,7 @@
         self.connections = EndpointConnections(node, endpoints)
         self.slab = Slab()
         self.routing_table: RoutingTable | None = None  # of the configuration in force
-        self.load_list = LoadList()
-        self.nodes_by_service: NodesByService = {}  # of the latest load list
-        # (service, address) of peers that were full, until the next load list
-        self.full_peers: set[tuple[str, str]] = set()
-        self.round_robins: dict[str, RoundRobin] = {}
+        self.placement = Placement(node.settings.link)
         self.slot_queues: dict[str, SlotQueue] = {}
         self.counts: dict[str, int] = {}
 
@@ -82,8 +71,17 @@
 
     def use_load_list(self, load_list: LoadList, nodes_by_service: NodesByService) -> None:
         """Decide by this load list from here on."""
-        self.load_list, self.nodes_by_service = load_list, nodes_by_service
-        self.full_peers = set()
+        self.placement.loads.update(load_list, nodes_by_service)
+
+    @property
+    def load_list(self) -> LoadList:
+        """The latest load list, without its nodes."""
+        return self.placement.loads.latest
+
+    @property
+    def nodes_by_service(self) -> Mapping[str, Sequence[NodeLoad]]:
+        """The nodes of the latest load list."""
+        return self.placement.loads.nodes
 
     async def remove_expired(self) -> None:
         """Remove endpoints without heartbeats, and close connections that nobody uses."""
@@ -139,35 +137,15 @@
 
     def decide(self, call: Call) -> Choice:
         """Where the policy places a call now."""
-        service = call.route.service
-        parameters, own_address = self.routing_table.load, self.node.settings.link
-        service_list = LoadList(
-            self.load_list.epoch,
-            self.load_list.seq,
-            self.load_list.received_at,
-            self.nodes_by_service.get(service, ()),
-        )
-        full = {address for of_service, address in self.full_peers if of_service == service}
-        return choose(
-            self.local_state(service),
-            service_list,
-            self.round_robins.setdefault(service, RoundRobin()),
+        service, parameters = call.route.service, self.routing_table.load
+        return self.placement.choose(
+            service,
+            local_state(
+                self.endpoints.local_endpoint(service), self.endpoints.service_loads.get(service)
+            ),
+            Thresholds(parameters["phi"], parameters["omega"], parameters["stale_us"]),
+            call.excluded_peers,
             monotonic_us(),
-            own_address,
-            parameters["phi"],
-            parameters["omega"],
-            parameters["stale_us"],
-            frozenset(call.excluded_peers) | full,
-        )
-
-    def local_state(self, service: str) -> LocalEndpointState:
-        """What the policy needs to know of the endpoint here."""
-        endpoint = self.endpoints.local_endpoint(service)
-        load = self.endpoints.service_loads.get(service)
-        return LocalEndpointState(
-            rho=load.rho if load is not None else 0.0,
-            has_capacity=endpoint is not None and endpoint.has_capacity,
-            available=endpoint is not None,
         )
 
     async def lookup_step(self, call: Call) -> Step | None:
@@ -273,7 +251,7 @@
         """The peer rejected the call."""
         call.excluded_peers.add(address)
         if code == "busy":
-            self.full_peers.add((call.route.service, address))
+            self.placement.loads.exclude(call.route.service, address)
         self.count(f"spill.shed.{code}")
         if certainly_not_run(code):
             return self.choose_step
--- a/packages/proxy/meadowdock/proxy/peer_requests.py
+++ b/packages/proxy/meadowdock/proxy/peer_requests.py
@@ -48,7 +48,7 @@
         route, code = routing_table.find_route(wire["caller"], wire["method"], wire["path"])
         if route is None or route.service != wire["service"]:
             raise Rejected(code or "way_forbidden")
-        server.delivery.heard(wire["version"], True)
+        server.delivery.on_version_seen(wire["version"], True)
         call = call_from_wire(wire, route, routing_table.version)
         server.forwarder.count("taken")
         return await self.answer(server.forwarder, call)
--- a/packages/proxy/meadowdock/proxy/request_handling.py
+++ b/packages/proxy/meadowdock/proxy/request_handling.py
@@ -70,7 +70,7 @@
         raise RequestRejected("no_manifest")
     if server.overloaded():
         raise RequestRejected("busy", "this proxy is behind with its own work")
-    await server.delivery.current()
+    await server.delivery.ensure_current()
     routing_table = server.forwarder.routing_table
     caller = authenticate(server, request)
     route, code = routing_table.find_route(caller, request.method, request.path)
--- a/packages/proxy/meadowdock/proxy/server.py
+++ b/packages/proxy/meadowdock/proxy/server.py
@@ -14,7 +14,7 @@
 from meadowdock.load_sharing import LoadList
 from meadowdock.membership import MemberEntry
 from meadowdock.proxy import registration, request_handling, status
-from meadowdock.proxy.delivery import Delivery
+from meadowdock.proxy.delivery import ConfigurationDelivery
 from meadowdock.proxy.endpoints import HEARTBEAT_INTERVAL_US, EndpointRegistry, ServiceReport
 from meadowdock.proxy.exceptions import RegistrationDenied
 from meadowdock.proxy.forwarder import Forwarder
@@ -57,7 +57,7 @@
         self.endpoints = EndpointRegistry(settings.host, settings.fleet_key, node.log)
         retry_budget = RetryBudget(settings.nodes_expected, monotonic_us())
         self.forwarder = Forwarder(node, self.endpoints, retry_budget)
-        self.delivery = Delivery(node, self.activate)
+        self.delivery = ConfigurationDelivery(node, self.activate)
         self.idempotency_keys = IdempotencyKeys()
         self.load_reporter = LoadReporter(self)
         self.heartbeats = HeartbeatSender(self)
@@ -73,7 +73,7 @@
         handlers: Handlers = (
             LoadReporter.handlers.bind(self.load_reporter)
             | PeerRequestHandler.handlers.bind(self.peer_requests)
-            | Delivery.handlers.bind(self.delivery)
+            | ConfigurationDelivery.handlers.bind(self.delivery)
         )
         return handlers
 
@@ -115,7 +115,7 @@
     async def maintenance_loop(self) -> None:
         """Look for pauses of the process, expire endpoints, and watch the process's own delay."""
         while True:
-            self.delivery.look_at_pulse()
+            self.delivery.detect_pause()
             await self.maintain()
             wakeup = self.node.view.schedule.next_wakeup(MAINTENANCE_INTERVAL_US)
             await sleep_us(wakeup - monotonic_us())
@@ -152,7 +152,7 @@
 
     def on_member(self, member: MemberEntry) -> None:
         """Gossip told of another process, or of its new version."""
-        self.delivery.heard(member.version, member.role == PROXY_ROLE)
+        self.delivery.on_version_seen(member.version, member.role == PROXY_ROLE)
         self.heartbeats.on_member(member)
 
     def next_call_id(self) -> str:
--- a/tests/configuration/test_configuration_changes.py
+++ b/tests/configuration/test_configuration_changes.py
@@ -6,7 +6,7 @@
 from facts import manifest, way
 from mesh import configured, hosts, serving
 
-from meadowdock.proxy.delivery import SWITCH_ALONE_PART
+from meadowdock.proxy.delivery import ACTIVATION_DELAY_DIVISOR
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
@@ -205,7 +205,7 @@
             [world.node("mdproxy", other).view.me], monotonic_us()
         )
         await world.eventually(lambda: daemon.delivery.version == 2, every=MILLISECOND)
-        alone = daemon.node.settings.apply_us // SWITCH_ALONE_PART
+        alone = daemon.node.settings.apply_us // ACTIVATION_DELAY_DIVISOR
         assert monotonic_us() - staged_at < alone // 2
 
     run(scenario, application=("desk", "desk"))
@@ -219,7 +219,7 @@
         for core in world.core:
             links = world.daemon("mdconf", core).node.rpc
             links.call_all = no_switch(links.call_all, f"{mine}:7401")
-        daemon.delivery.switch_told(2)
+        daemon.delivery.on_active_elsewhere(2)
         assert daemon.delivery.version == 1
         at = monotonic_us()
         assert await world.configure(manifest([way("x", "/balances")])) == 2
--- a/tests/load_sharing/test_policy.py
+++ b/tests/load_sharing/test_policy.py
@@ -17,7 +17,7 @@
     load_state,
     relocation_overhead,
 )
-from meadowdock.load_sharing.model import Setting, blocking
+from meadowdock.load_sharing.model import Setting, simulate
 
 PHI, OMEGA, STALE = 0.8, 0.9, 2_000_000
 
@@ -148,8 +148,8 @@
 def test_the_papers_curve_has_its_shape():
     """Sharing beats none; omega too high costs more than as much too low (section V-D)."""
     setting = {"capacity": 200_000, "load": 0.9, "calls": 30_000, "interval_us": 1_000_000}
-    lost = {w: blocking(Setting(**setting, omega=w, phi=w))[0] for w in (0.90, 0.95, 1.0)}
-    none = blocking(Setting(**setting, sharing="none"))[0]
+    lost = {w: simulate(Setting(**setting, omega=w, phi=w)).blocked for w in (0.90, 0.95, 1.0)}
+    none = simulate(Setting(**setting, sharing="none")).blocked
     assert max(lost.values()) < none
     assert lost[0.95] < lost[1.0]
     assert lost[1.0] - lost[0.95] > lost[0.90] - lost[0.95]
--- a/tests/load_sharing/test_ways.py
+++ b/tests/load_sharing/test_ways.py
@@ -70,7 +70,7 @@
         await world.endpoint(other, "desk", answers(10 * MILLISECOND, journal))
         await sleep_us(SECOND)
         assert forwarder.nodes_by_service["desk"][0].incarnation != old[0].incarnation
-        forwarder.nodes_by_service = {"desk": (NodeLoad(*old[0]),)}
+        forwarder.placement.loads.nodes = {"desk": (NodeLoad(*old[0]),)}
         client = world.client(host)
         found = (await client.call("GET", "/balances/1")).failure()
         assert (found.code, found.verdict.value) == ("home_gone", "not-run")
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -322,7 +322,7 @@
             await sleep_us(200 * MILLISECOND)
             reached.append(min(delivery.version for delivery in deliveries(world)))
             for delivery in deliveries(world):  # in force, staged, and two under way
-                assert len(delivery.stager.chunks) <= 4 * len(delivery.active.head["ranges"])
+                assert len(delivery.stager.chunks) <= 4 * len(delivery.active.revision["ranges"])
         assert len(set(reached)) > 3, reached
 
     run(scenario, application=("desk",) * 3)
