--- a/packages/config_store/meadowdock/config_store/delivery.py
+++ b/packages/config_store/meadowdock/config_store/delivery.py
@@ -52,7 +52,7 @@
 
     async def call_all(self, proxies: list[str], method: str, args: object) -> None:
         """Call these proxies at once, and wait a share of apply_us for their answers."""
-        part, whole = STAGE_SHARE
-        deadline = monotonic_us() + self.node.settings.apply_us * part // whole
+        numerator, denominator = STAGE_SHARE
+        deadline = monotonic_us() + self.node.settings.apply_us * numerator // denominator
         requests = {proxy: (proxy, method, args) for proxy in proxies}
         await self.node.rpc.call_all(requests, deadline)
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -164,7 +164,7 @@
         change: Callable[[MembershipConfiguration], MembershipConfiguration],
         deadline: int,
     ) -> MembershipConfiguration:
-        """Make one change of the membership configuration: it is committed, then told to a quorum
+        """Make one change of the membership configuration: it is committed, then sent to a quorum
         of the old and the new members.
 
         :raises NoQuorum: it was not made
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -135,7 +135,7 @@
         """Make a plan the current revision; the version that it became.
 
         :raises PlanUnknown: there is no such plan
-        :raises PlanExpired: it is too old, and was not committed or this can't be told any more
+        :raises PlanExpired: it is too old, and was not committed or this can't be determined any more
         :raises PlanOutdated: another change was committed on its base
         :raises NoQuorum: it was not committed by this call
         :raises OutcomeUnknown: it may be committed
@@ -221,7 +221,7 @@
 
         :raises PlanOutdated: it was not committed
         :raises PlanExpired: the audit log begins too late to tell
-        :raises OutcomeUnknown: this can't be told now
+        :raises OutcomeUnknown: this can't be determined now
         """
         try:
             version = await self.committed_version(current, plan_id, plan, self.deadline())
@@ -239,7 +239,7 @@
     async def committed_version(
         self, current: Revision, plan_id: str, plan: Plan, deadline: int
     ) -> int:
-        """The version that a plan became, or 0. Raises NoQuorum if this can't be told now."""
+        """The version that a plan became, or 0. Raises NoQuorum if this can't be determined now."""
         version = plan.base + 1
         if version > current.version:
             return 0
@@ -259,8 +259,8 @@
         """What became of a plan.
 
         :raises PlanUnknown: there is no such plan
-        :raises NoQuorum: this can't be told now
-        :raises OutcomeUnknown: this can't be told now
+        :raises NoQuorum: this can't be determined now
+        :raises OutcomeUnknown: this can't be determined now
         """
         plan = await self.find(plan_id) if is_plan_id(plan_id) else None
         if plan is None:
