--- a/packages/load_sharing/meadowdock/load_sharing/model.py
+++ b/packages/load_sharing/meadowdock/load_sharing/model.py
@@ -21,9 +21,9 @@
     choose,
 )
 
-# "paper": a call is placed once, and blocked if the node is full. "mesh": as the daemons do it,
-# where a full node forwards and a full peer rejects; nobody waits. "even": every call goes to the
-# next node in turn. "none": every call stays where it arrived.
+# How calls are shared. The paper's way places a call once, and blocks it if the node is full. In the
+# mesh, as the daemons do it, a full node forwards and a full peer rejects; nobody waits. With "even"
+# every call goes to the next node in turn; with "none" every call stays where it arrived.
 Sharing = Literal["paper", "mesh", "even", "none"]
 
 NEVER_STALE_US = 1 << 62
