--- a/packages/config_store/meadowdock/config_store/__main__.py
+++ b/packages/config_store/meadowdock/config_store/__main__.py
@@ -7,8 +7,8 @@
 import fire
 import trio
 
+from meadowdock.config_store.rescue import rescue as rescue_disk
 from meadowdock.config_store.server import ConfigStore
-from meadowdock.config_store.store import rescue as rescue_disk
 from meadowdock.process import start
 from meadowdock.runtime import Disk
 from meadowdock.settings import command, load
--- a/packages/config_store/meadowdock/config_store/audit_log_transfer.py
+++ b/packages/config_store/meadowdock/config_store/audit_log_transfer.py
@@ -71,7 +71,7 @@
         while True:
             try:
                 await self.audit_log.seal()
-                if self.store.voter:
+                if self.store.is_voter:
                     await self.compare()
             except OSError:
                 pass  # the disk can't be written: again in the next round
--- a/packages/config_store/meadowdock/config_store/broadcast.py
+++ b/packages/config_store/meadowdock/config_store/broadcast.py
@@ -34,7 +34,7 @@
     def peers(self) -> dict[str, str]:
         """{disk id: address} of all other members."""
         store = self.server.store
-        return {disk: address for disk, address in store.everybody.items() if disk != store.disk}
+        return {disk: address for disk, address in store.members.items() if disk != store.disk}
 
     async def ask_peers(self, method: str, args: object, deadline: int) -> dict[str, Any]:
         """{disk id: answer} of the other members that answer."""
@@ -96,7 +96,7 @@
 
         async def write_here() -> None:
             for body in bodies.values():
-                await self.server.store.put_blob(body)
+                await self.server.store.put_chunk(body)
 
         await self.write_to_quorum(write_here, write_at, deadline, is_enough)
 
--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -43,7 +43,7 @@
 
     async def read(self, name: str) -> bytes | None:
         """The body of a chunk from memory or disk; None if it is missing or damaged."""
-        return self.recent.get(name) or await self.store.blob(name)
+        return self.recent.get(name) or await self.store.read_chunk(name)
 
     def cache(self, bodies: Mapping[str, bytes]) -> None:
         """Keep these chunks in memory as the latest, within the bound."""
@@ -86,7 +86,10 @@
         """Give a fetch the chunks that this disk has."""
         try:
             for name in sorted(fetch.wanted):
-                if name not in fetch.found and (body := await self.store.blob(name)) is not None:
+                if (
+                    name not in fetch.found
+                    and (body := await self.store.read_chunk(name)) is not None
+                ):
                     fetch.add({name: body})
         except OSError:
             pass  # the other members have it
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -10,7 +10,7 @@
 import trio
 
 from meadowdock.config_store.revision import Revision
-from meadowdock.config_store.store import HEAD
+from meadowdock.config_store.store import CURRENT_REVISION_KEY
 from meadowdock.consensus import KeyStateLost, NoQuorum, OutcomeUnknown, VoterSets
 from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
@@ -41,21 +41,21 @@
         membership = server.store.membership
         if membership is not None and membership.is_joint:
             return True
-        target = server.target()
+        target = server.target_voters()
         return target is not None and server.node.settings.link not in target
 
     async def leave_membership(self, deadline: int) -> None:
         """Wait until another voter replaced this one, as long as one can. The others know by
         member.hello that this process is leaving, and change the membership."""
         store = self.server.store
-        while store.voter and self.replaceable() and monotonic_us() < deadline:
+        while store.is_voter and self.replaceable() and monotonic_us() < deadline:
             await sleep_us(CHECK_INTERVAL_US)
 
     async def secure_state(self, deadline: int) -> None:
         """Make sure that what this disk accepted is on a durable quorum without it. Gives up at the
         deadline, or at once if too few others answer."""
         store = self.server.store
-        if not store.voter:
+        if not store.is_voter:
             return
         others = store.voter_sets.without(store.disk)
         answering = {answer.disk for answer in self.server.reachable().values()}
@@ -95,7 +95,7 @@
 
     async def secure_chunks(self, is_durable: IsDurable, deadline: int) -> None:
         """Put the chunks of the current revision on a durable quorum without this member."""
-        record = self.server.store.acceptor.read(HEAD)[1]
+        record = self.server.store.acceptor.read(CURRENT_REVISION_KEY)[1]
         if record is None:
             return
         bodies = await self.server.chunks.fetch(sorted(set(Revision.from_record(record).chunks)))
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -17,7 +17,7 @@
 from meadowdock.config_store.exceptions import RevisionConflict
 from meadowdock.config_store.item_snapshot import Item, ItemsByKey
 from meadowdock.config_store.revision import Plan, Revision, plan_id_of
-from meadowdock.config_store.store import HEAD, disk_failures_rejected
+from meadowdock.config_store.store import CURRENT_REVISION_KEY, disk_failures_rejected
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration import split_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
@@ -206,7 +206,7 @@
         """Change the revision, and note whether a member may have accepted the new one."""
         before, self.may_be_accepted = self.may_be_accepted, True
         try:
-            record = await self.server.proposer.change(HEAD, transition, deadline)
+            record = await self.server.proposer.change(CURRENT_REVISION_KEY, transition, deadline)
         except NoQuorum:
             self.may_be_accepted = before  # this attempt surely wrote nothing
             raise
@@ -243,7 +243,7 @@
 
         async with trio.open_nursery() as nursery:
             for body in bodies:
-                nursery.start_soon(run_write, self.server.store.put_blob, body)
+                nursery.start_soon(run_write, self.server.store.put_chunk, body)
             nursery.start_soon(run_write, self.server.store.audit_log.put, records)
         if failures:
             raise failures[0]
--- a/packages/config_store/meadowdock/config_store/lease_messages.py
+++ b/packages/config_store/meadowdock/config_store/lease_messages.py
@@ -1,28 +1,31 @@
-"""Messages between a lease's holder and the register, and the register's value of a lease.
+"""Messages between a lease holder and the configuration store, and the stored record of a lease.
 
 All are encoded in this module alone, as maps of their fields.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import asdict, dataclass, fields
+from typing import Any, Self
 
 ACQUIRE, RENEW, RELEASE = "lease.acquire", "lease.renew", "lease.release"
 LEASE_HELD = "lease_held"  # another holder's lease may still be valid
 LEASE_LOST = "lease_lost"  # the lease to renew or release is no longer the requester's
 NO_MAJORITY = "no_majority"
-COLLECTOR_KEY = "duty/collector"  # of the register; its name is of the first version
+COLLECTOR_KEY = "duty/collector"  # the key of the load collector's lease; as stored since release 1
 
 
+@dataclass(frozen=True)
 class Message:
     """A frozen dataclass that travels as a map. Unknown fields are of a later version: ignored."""
 
-    def encode(self):
+    def encode(self) -> dict[str, Any]:
         """As sent on a link: the fields in order."""
         return asdict(self)
 
     @classmethod
-    def decode(cls, facts):
+    def decode(cls, facts: Mapping[str, Any]) -> Self:
         """From what came over a link."""
         known = {field.name for field in fields(cls)}
         return cls(**{name: value for name, value in facts.items() if name in known})
@@ -30,7 +33,7 @@
 
 @dataclass(frozen=True)
 class LeaseRecord(Message):
-    """What the register holds for a lease.
+    """The stored record of a lease.
 
     Invariants: epoch goes up with each acquisition; (holder, epoch, sequence) belongs to one
     request of the holder, so nobody saw it before the holder sent that request.
@@ -79,7 +82,7 @@
 
 @dataclass(frozen=True)
 class LeaseGranted(Message):
-    """The lease as it stands after a request. The request was granted iff sequence is its own."""
+    """The lease after a request. The request was granted iff sequence is its own."""
 
     epoch: int
     sequence: int
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -1,4 +1,9 @@
-"""Which mdconf processes answer, as what, and since when; and how the first record comes to be."""
+"""Which configuration stores answer, and since when; and the bootstrap of the first membership
+configuration.
+
+Every process polls every other one. Who answered nothing for a while counts as failed; the time that
+this process itself was suspended is not counted.
+"""
 
 from __future__ import annotations
 
@@ -11,35 +16,43 @@
 
 
 @dataclass(frozen=True)
-class Heard:
-    """An mdconf's last answer. It answered under this disk id since `since` without a silence."""
+class PeerStatus:
+    """The last answer of another process.
+
+    since: when it began to answer under this disk id without a gap; at: when it answered last (both
+    in microseconds of the monotonic clock).
+    """
 
     disk: str
     since: int
     at: int
-    well: bool  # its disk can be written
+    disk_writable: bool
     leaving: bool
-    place: FailureDomain
+    failure_domain: FailureDomain
 
 
 class Liveness:
-    """Of Part. Invariant: heard holds addresses of others only."""
+    """A base class of the server: polls the other processes and answers their polls.
+
+    Invariant: peer_statuses holds addresses of others only.
+    """
 
     handlers = Handlers()
 
-    async def hear_loop(self):
-        """Asks every mdconf known, directly. Wanted: all hold the newest record."""
+    async def poll_peers_loop(self):
+        """Poll every known process, so that all get to know the newest configuration."""
         while True:
-            await self.ask_all()
+            await self.poll_peers()
             await sleep_us(
                 self.timing.hello_interval_us
                 if self.store.membership
                 else self.timing.bootstrap_interval_us
             )
 
-    async def ask_all(self):
-        """Ask every other mdconf known; take newer records; bootstrap if this one may."""
-        self.excuse_pause(self.still.look(monotonic_us()))
+    async def poll_peers(self):
+        """Poll every other known process once; adopt a newer membership configuration, or bootstrap the
+        first one if this process may."""
+        self.discount_pause(self.pause_detector.look(monotonic_us()))
         asked = {
             a: (a, "member.hello", {"link": self.node.settings.link})
             for a in self.known_addresses()
@@ -47,118 +60,128 @@
         answers = await self.node.rpc.successful_responses(
             asked, monotonic_us() + self.timing.hello_timeout_us
         )
-        for address, told in answers.items():
-            self.note_hello(address, told)
-        records = [t["record"] for t in answers.values() if t["record"]]
-        newest = max(records, key=lambda r: r["version"], default=None)
+        for address, hello in answers.items():
+            self.record_hello(address, hello)
+        records = [hello["record"] for hello in answers.values() if hello["record"]]
+        newest = max(records, key=lambda record: record["version"], default=None)
         if newest is not None:
             await self.store.adopt(MembershipConfiguration.from_record(newest))
         elif self.may_bootstrap(answers):
             await self.bootstrap(answers)
         if self.store.membership is None:
-            self.known_at = monotonic_us()
+            self.membership_known_at = monotonic_us()
 
     def known_addresses(self):
-        """Addresses of all other mdconf that anybody told of, in order."""
-        self.met = {
-            a: at for a, at in self.met.items() if monotonic_us() - at < self.timing.contact_kept_us
+        """Addresses of all other known processes, in order."""
+        self.recent_askers = {
+            a: at
+            for a, at in self.recent_askers.items()
+            if monotonic_us() - at < self.timing.contact_kept_us
         }
         return sorted(
             {
-                *self.founders,
-                *self.store.everybody.values(),
+                *self.bootstrap_members,
+                *self.store.members.values(),
                 *self.node.view.core_members("mdconf"),
-                *self.met,
+                *self.recent_askers,
             }
             - {self.node.settings.link}
         )
 
-    def excuse_pause(self, stood):
-        """This process stood still: nobody was silent meanwhile."""
-        if stood:
-            self.begun += stood
-            self.heard = {a: replace(h, at=h.at + stood) for a, h in self.heard.items()}
+    def discount_pause(self, pause_us):
+        """This process was suspended for so long: the others' answers did not stop meanwhile."""
+        if pause_us:
+            self.started_at += pause_us
+            self.peer_statuses = {
+                a: replace(status, at=status.at + pause_us)
+                for a, status in self.peer_statuses.items()
+            }
 
-    def note_hello(self, address, told):
-        """Remember what another mdconf answered."""
-        old = self.heard.get(address)
-        goes_on = (
+    def record_hello(self, address, hello):
+        """Remember what another process answered."""
+        old = self.peer_statuses.get(address)
+        uninterrupted = (
             old
-            and old.disk == told["disk"]
+            and old.disk == hello["disk"]
             and monotonic_us() - old.at < self.timing.failed_after_us
         )
-        self.heard[address] = Heard(
-            told["disk"],
-            old.since if goes_on else monotonic_us(),
+        self.peer_statuses[address] = PeerStatus(
+            hello["disk"],
+            old.since if uninterrupted else monotonic_us(),
             monotonic_us(),
-            told["well"],
-            told["leaving"],
-            place_told(told),
+            hello["well"],
+            hello["leaving"],
+            failure_domain_of(hello),
         )
 
     def reachable(self):
-        """{address: Heard} of all that answer, this process among them."""
-        me = Heard(
+        """{address: PeerStatus} of all that answer, this process among them."""
+        me = PeerStatus(
             self.store.disk,
-            self.begun,
+            self.started_at,
             monotonic_us(),
-            self.store.files.wrong() is None,
+            self.store.files.failure() is None,
             self.node.stopping,
-            self.place,
+            self.failure_domain,
         )
         fresh = {
-            a: h
-            for a, h in self.heard.items()
-            if monotonic_us() - h.at < self.timing.failed_after_us
+            a: status
+            for a, status in self.peer_statuses.items()
+            if monotonic_us() - status.at < self.timing.failed_after_us
         }
         return {**fresh, self.node.settings.link: me}
 
-    def silence(self, address):
-        """How long an address has not answered."""
-        return monotonic_us() - (self.heard[address].at if address in self.heard else self.begun)
+    def unanswered_for_us(self, address):
+        """How long an address has not answered, in microseconds."""
+        return monotonic_us() - (
+            self.peer_statuses[address].at if address in self.peer_statuses else self.started_at
+        )
 
     @handlers.on("member.hello")
     async def on_hello(self, peer, asker):
-        """Who this member is, its record, and whether it is well, leaving and in touch with a quorum."""
+        """Answer a poll: the disk id and membership configuration here, and the state of the process."""
         if asker and asker["link"] != self.node.settings.link:
-            self.met[asker["link"]] = monotonic_us()
+            self.recent_askers[asker["link"]] = monotonic_us()
         return {
             "disk": self.store.disk,
             "record": self.store.membership.to_record() if self.store.membership else None,
-            "founders": self.founders if self.blank() else None,
-            "well": self.store.files.wrong() is None,
+            "founders": self.bootstrap_members if self.is_blank() else None,
+            "well": self.store.files.failure() is None,
             "leaving": self.node.stopping,
-            "zone": self.place.zone,
-            "region": self.place.region,
+            "zone": self.failure_domain.zone,
+            "region": self.failure_domain.region,
             "quorum": self.quorum_monitor.in_touch(),
             "doors": self.operator_doors(),
         }
 
-    # ------------------------------------------------------------ the first record
+    # ------------------------------------------------------------ bootstrap
 
-    def blank(self):
+    def is_blank(self):
         """Whether this process may take part in a bootstrap: nothing was ever stored here."""
-        return self.founding and self.store.blank
+        return self.bootstrap_allowed and self.store.is_blank
 
     def may_bootstrap(self, answers):
-        """The lowest founder, once all are blank and were told the same founders: so of two
-        differing lists none is founded, and a disk that was lost never stands for a blank one."""
-        others = set(self.founders) - {self.node.settings.link}
+        """Whether this is the first of the bootstrap members, and all of them are blank and were
+        configured with the same list. So of two differing lists none is bootstrapped, and a lost
+        disk is never taken for a blank one."""
+        others = set(self.bootstrap_members) - {self.node.settings.link}
         return (
-            self.blank()
-            and self.node.settings.link == self.founders[0]
+            self.is_blank()
+            and self.node.settings.link == self.bootstrap_members[0]
             and all(
-                a in answers and tuple(answers[a]["founders"] or ()) == self.founders
+                a in answers and tuple(answers[a]["founders"] or ()) == self.bootstrap_members
                 for a in others
             )
         )
 
     async def bootstrap(self, answers):
-        """Make the first membership record and send it to the others."""
-        voters = {answers[a]["disk"]: a for a in self.founders if a != self.node.settings.link}
+        """Make the first membership configuration and send it to the others."""
+        voters = {
+            answers[a]["disk"]: a for a in self.bootstrap_members if a != self.node.settings.link
+        }
         voters[self.store.disk] = self.node.settings.link
-        places = {t["disk"]: place_told(t) for t in answers.values()}
-        places[self.store.disk] = self.place
+        places = {hello["disk"]: failure_domain_of(hello) for hello in answers.values()}
+        places[self.store.disk] = self.failure_domain
         membership = MembershipConfiguration(1, voters).with_places(places)
         await self.store.adopt(membership)
         self.node.log(601, members=sorted(voters.values()))
@@ -166,6 +189,6 @@
         await self.node.rpc.call_all(asks, monotonic_us() + self.timing.hello_timeout_us)
 
 
-def place_told(hello):
-    """The FailureDomain in an answer to member.hello; former versions tell none."""
+def failure_domain_of(hello):
+    """The failure domain in an answer to member.hello; former releases send none."""
     return FailureDomain(hello.get("zone", ""), hello.get("region", ""))
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -26,7 +26,7 @@
 
 
 class MembershipChange:
-    """Mixed into `Members`.
+    """Mixed into `MembershipManager`.
 
     Invariant: a configuration is proposed only under the one that it follows, and a joint one is
     ended only after all keys were transferred under that same version.
@@ -42,7 +42,7 @@
         :raises NoQuorum: this step of the change was not made
         :raises OutcomeUnknown: the change may have been made
         """
-        self.changing += 1
+        self.changes_in_progress += 1
         try:
             disks = await self.disks_at(addresses, deadline)
             places = self.places_by_address(self.reachable())
@@ -56,19 +56,19 @@
                 raise MembershipConflict("another_change", next=membership.next_voters)
             return await self.complete_change(membership, deadline)
         finally:
-            self.changing -= 1
+            self.changes_in_progress -= 1
 
     async def resume_change(self, deadline: int) -> MembershipConfiguration:
         """Complete the change that is under way, whoever began it, with the disks it was begun for.
         Raises as change_members does."""
-        self.changing += 1
+        self.changes_in_progress += 1
         try:
             membership = await self.propose_membership(lambda current: current, deadline)
             if not membership.is_joint:
                 return membership
             return await self.complete_change(membership, deadline)
         finally:
-            self.changing -= 1
+            self.changes_in_progress -= 1
 
     async def complete_change(
         self, membership: MembershipConfiguration, deadline: int
@@ -95,15 +95,15 @@
         newcomers = membership.newcomers
         if not newcomers:
             return False
-        version, since = self.joint
+        version, since = self.joint_seen
         limit_us = ATTEMPTS_MAX * self.timing.change_us
         if version == membership.version and monotonic_us() - since > limit_us:
             return True
         reachable = self.reachable()
         return any(
-            self.silence(address) > self.timing.failed_after_us
+            self.unanswered_for_us(address) > self.timing.failed_after_us
             if address not in reachable
-            else reachable[address].disk != disk or not reachable[address].well
+            else reachable[address].disk != disk or not reachable[address].disk_writable
             for disk, address in newcomers.items()
             if address != self.node.settings.link
         )
@@ -146,7 +146,7 @@
         failed = {
             address
             for address in voters.values()
-            if self.silence(address) > self.timing.failed_after_us
+            if self.unanswered_for_us(address) > self.timing.failed_after_us
         }
         asked = [
             address for address in addresses if address != own_address and address not in failed
@@ -156,7 +156,7 @@
             min(deadline, monotonic_us() + self.timing.hello_timeout_us),
         )
         for address, answer in hello.items():
-            self.note_hello(address, answer)
+            self.record_hello(address, answer)
         return {answer["disk"]: address for address, answer in hello.items()}
 
     async def propose_membership(
@@ -170,7 +170,7 @@
         :raises NoQuorum: it was not made
         :raises OutcomeUnknown: it may have been made
         """
-        old_sets, members = self.store.voter_sets, self.store.everybody
+        old_sets, members = self.store.voter_sets, self.store.members
         # more members may be what durability lacks, so a quorum decides on members
         enough = VoterSets.is_quorum
 
--- a/packages/config_store/meadowdock/config_store/operator_api.py
+++ b/packages/config_store/meadowdock/config_store/operator_api.py
@@ -56,7 +56,7 @@
     """The answer while this member can't serve operators at all; None if it can."""
     if not server.store.membership:
         return Response(503, {"code": "not_founded"}, RETRY_AFTER)
-    if request.method == "POST" and server.too_few():
+    if request.method == "POST" and server.has_too_few_voters():
         return Response(503, {"code": "too_few_members"}, RETRY_AFTER)
     return None
 
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -22,7 +22,7 @@
     RevisionConflict,
 )
 from meadowdock.config_store.revision import Plan, Revision, is_plan_id, plan_id_of
-from meadowdock.config_store.store import HEAD
+from meadowdock.config_store.store import CURRENT_REVISION_KEY
 from meadowdock.configuration import (
     assemble,
     difference,
@@ -161,7 +161,7 @@
         """Write the current revision once more, under a new ballot. A read may have found it on
         fewer disks than an acknowledgement needs; and whatever change was under way is in it, or
         never will be."""
-        record = await self.server.proposer.change(HEAD, lambda old: old, deadline)
+        record = await self.server.proposer.change(CURRENT_REVISION_KEY, lambda old: old, deadline)
         return Revision.from_record(record)
 
     async def replicate_files(
@@ -182,7 +182,7 @@
         """Change the current revision to that of the plan; its version. Raises as commit does."""
         try:
             record = await self.server.proposer.change(
-                HEAD, self.transition(plan_id, plan), deadline
+                CURRENT_REVISION_KEY, self.transition(plan_id, plan), deadline
             )
         except RevisionConflict as conflict:
             return await self.version_after_conflict(plan_id, plan, conflict.current)
--- a/packages/config_store/meadowdock/config_store/quorum_monitor.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -1,6 +1,6 @@
 """Whether this member is in touch with a quorum, and which other member is.
 
-Every member asks every other a few times a second (`Liveness.ask_all`); only answers to its own
+Every member asks every other a few times a second (`Liveness.poll_peers`); only answers to its own
 questions count, so a partition of either direction ends the contact. The check spares an operator a
 wait that can't succeed. It is no proof: what is read or changed still needs a quorum's answers of
 its own.
@@ -76,7 +76,7 @@
         disks = [
             answer.disk
             for answer in self.server.reachable().values()
-            if monotonic_us() - answer.at < fresh_us and (answer.well or not writing)
+            if monotonic_us() - answer.at < fresh_us and (answer.disk_writable or not writing)
         ]
         return self.server.proposer.is_quorum(disks)
 
@@ -108,7 +108,7 @@
                 message = await node.rpc.call(address, "member.hello", sender, deadline)
             except (ConnectionFailed, Rejected):
                 return
-            self.server.note_hello(address, message)
+            self.server.record_hello(address, message)
             answers.append(HelloAnswer.from_message(message))
             if self.in_touch(writing):
                 nursery.cancel_scope.cancel()
--- a/packages/config_store/meadowdock/config_store/revision_reader.py
+++ b/packages/config_store/meadowdock/config_store/revision_reader.py
@@ -11,7 +11,7 @@
 import trio
 
 from meadowdock.config_store.revision import EMPTY_REVISION, Revision
-from meadowdock.config_store.store import HEAD
+from meadowdock.config_store.store import CURRENT_REVISION_KEY
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.runtime import SECOND, deadline_scope, monotonic_us, sleep_us
 
@@ -55,7 +55,7 @@
         :raises NoQuorum: too few members answered by the deadline
         """
         if not self.server.store.membership:
-            raise NoQuorum(HEAD)
+            raise NoQuorum(CURRENT_REVISION_KEY)
         if self.next_read is None:
             self.next_read = SharedRead()
             self.server.node.nursery.start_soon(self.run_shared_read, self.next_read)
@@ -63,7 +63,7 @@
         with deadline_scope(deadline):
             await shared.done.wait()
         if shared.outcome is None:
-            raise NoQuorum(HEAD)
+            raise NoQuorum(CURRENT_REVISION_KEY)
         if isinstance(shared.outcome, Exception):
             raise shared.outcome
         return shared.outcome
@@ -74,7 +74,7 @@
             self.next_read = None  # requests that come from here on share the next one
             deadline = monotonic_us() + self.server.operator_timing.quorum_read_us
             try:
-                record = await self.server.proposer.read(HEAD, deadline)
+                record = await self.server.proposer.read(CURRENT_REVISION_KEY, deadline)
                 revision = Revision.from_record(record)
                 self.learn(revision)
                 shared.outcome = revision
@@ -100,7 +100,7 @@
     async def run(self) -> None:
         """Keep the revision known and its chunks complete on this disk, and remove old chunks."""
         while True:
-            await self.server.store.files.look()
+            await self.server.store.files.retry_after_failure()
             if self.server.store.membership:
                 try:
                     revision = await self.read(monotonic_us() + REFRESH_TIMEOUT_US)
@@ -117,6 +117,6 @@
         if self.complete_version == revision.version:
             return
         names = [*revision.chunks, *([revision.plan_id] if revision.plan_id else [])]
-        missing = await self.server.store.missing(names)
+        missing = await self.server.store.missing_chunks(names)
         if not missing or await self.server.repairer.restore_chunks(missing):
             self.complete_version = revision.version
--- a/packages/config_store/meadowdock/config_store/rpc_handlers.py
+++ b/packages/config_store/meadowdock/config_store/rpc_handlers.py
@@ -48,7 +48,7 @@
     @handlers.on("blob.missing")
     async def on_missing_chunks(self, peer: object, names: list[str]) -> list[str]:
         """Which of these chunks this member lacks."""
-        missing: list[str] = await self.server.store.missing(names)
+        missing: list[str] = await self.server.store.missing_chunks(names)
         return missing
 
     @handlers.on("blob.put")
@@ -58,7 +58,7 @@
         :raises Rejected: "disk" if they can't be written
         """
         with disk_failures_rejected():
-            return [await self.server.store.put_blob(bytes(body)) for body in bodies]
+            return [await self.server.store.put_chunk(bytes(body)) for body in bodies]
 
     @handlers.on("audit.put")
     async def on_put_audit_records(self, peer: object, records: dict[int, str]) -> None:
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -20,14 +20,14 @@
 from meadowdock.config_store.item_changes import ItemChanges
 from meadowdock.config_store.item_snapshot import ItemSnapshot
 from meadowdock.config_store.lease import LeaseService
-from meadowdock.config_store.members import Members
+from meadowdock.config_store.members import MembershipManager
 from meadowdock.config_store.plans import Plans
 from meadowdock.config_store.quorum_monitor import QuorumMonitor
 from meadowdock.config_store.repair import Repairer
 from meadowdock.config_store.revision import Revision
 from meadowdock.config_store.revision_reader import RevisionReader
 from meadowdock.config_store.rpc_handlers import RevisionHandlers
-from meadowdock.config_store.store import HEAD, Store
+from meadowdock.config_store.store import CURRENT_REVISION_KEY, Store
 from meadowdock.config_store.timing import OperatorTiming
 from meadowdock.consensus import NoQuorum
 from meadowdock.runtime import SECOND, monotonic_us
@@ -41,7 +41,7 @@
 LAST_RESERVE_US = SECOND // 4  # of a stop, for what comes after this disk's state is on others
 
 
-class ConfigStore(Members, process.Daemon):
+class ConfigStore(MembershipManager, process.Daemon):
     """One member of the config store: a voter or a spare."""
 
     table = operator_api.table
@@ -54,7 +54,7 @@
         self.chunks = ChunkService(node, self.store, self.broadcast.peers)
         self.repairer = Repairer(node, self.store, self.broadcast.peers, self.chunks.fetch)
         self.audit_log_transfer = AuditLogTransfer(
-            node, self.store, self.broadcast.peers, self.repairer.mended
+            node, self.store, self.broadcast.peers, self.repairer.record_repair
         )
         self.revisions = RevisionReader(self)
         self.audit_signer = AuditSigner(node)
@@ -66,13 +66,13 @@
         self.quorum_monitor = QuorumMonitor(self)
         self.handover = Handover(self)
         self.revision_handlers = RevisionHandlers(self)
-        self.watch_members()
+        self.init_membership()
 
     def rpc_handlers(self) -> Handlers:
         """The rpc methods that this process answers."""
         return (
             RevisionHandlers.handlers.bind(self.revision_handlers)
-            | self.member_handlers()
+            | self.membership_handlers()
             | Repairer.handlers.bind(self.repairer)
             | ItemChanges.handlers.bind(self.item_changes)
             | AuditLogTransfer.handlers.bind(self.audit_log_transfer)
@@ -83,13 +83,13 @@
     async def prepare(self) -> None:
         """Read the disk before anything is served."""
         await self.store.load()
-        self.leases.begin()
+        self.leases.start()
         self.proposer = self.make_proposer()
 
     def background_tasks(self) -> dict[str, Any]:
         """The loops that the node keeps going, by the names that it logs."""
         return {
-            **self.member_loops(),
+            **self.membership_tasks(),
             "head": self.revisions.run,
             "roster": self.delivery.run,
             "repairer": self.repairer.run,
@@ -115,7 +115,7 @@
         :raises NoQuorum: nothing was changed
         :raises OutcomeUnknown: the change may be committed
         """
-        if not self.store.membership or self.too_few():
+        if not self.store.membership or self.has_too_few_voters():
             raise NoQuorum("members")
         return await self.item_changes.change(items)
 
@@ -134,12 +134,12 @@
         if self.store.membership is None:
             return ["the register isn't founded, or its members aren't known yet"]
         reasons = []
-        disk_fault = self.store.files.wrong()
+        disk_fault = self.store.files.failure()
         if disk_fault:
             reasons.append(disk_fault)
-        if not self.store.settled and not self.spare():
+        if not self.store.is_established_voter and not self.is_spare():
             reasons.append("this disk is no member, or not fully yet")
-        if self.too_few():
+        if self.has_too_few_voters():
             reasons.append("too few members for the losses to be borne")
         if self.revisions.no_quorum:
             reasons.append("no majority of the register answers")
@@ -165,7 +165,7 @@
         :raises NoQuorum: they are on too few members by the deadline
         """
         enough = enough or self.transferred(self.store.membership)
-        current = Revision.from_record(await self.proposer.read(HEAD, deadline))
+        current = Revision.from_record(await self.proposer.read(CURRENT_REVISION_KEY, deadline))
         await self.audit_log_transfer.transfer_to_quorum(
             partial(self.broadcast.write_to_quorum, is_enough=enough), deadline
         )
--- a/packages/config_store/meadowdock/config_store/votes.py
+++ b/packages/config_store/meadowdock/config_store/voting.py
@@ -1,4 +1,4 @@
-"""One member's vote: the register's requests, to the others and from them."""
+"""The consensus requests between members: sent to the others, and voted on as one of them."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from meadowdock.rpc import Handlers, Rejected
 
 
-class Votes:
-    """Of Part. Invariant: an answer is given only under the record that the asker goes by, or an
-    older one than this member's is refused with the newer."""
+class VotingMember:
+    """A base class of the server. Invariant: a vote is given only under the membership configuration
+    of the proposer; an older one than this member's is rejected, with the newer one."""
 
     handlers = Handlers()
 
     def make_proposer(self):
-        """Its name is never used again: a wall clock that goes back may give an incarnation twice."""
-        life = f"{self.node.incarnation}:{self.node.runtime.rng.getrandbits(64):016x}"
+        """A proposer with a name that is never used again: random bits are added, as a wall clock that
+        goes back may give an incarnation twice."""
+        incarnation = f"{self.node.incarnation}:{self.node.runtime.rng.getrandbits(64):016x}"
         return Proposer(
-            f"{self.store.disk}:{life}",
+            f"{self.store.disk}:{incarnation}",
             lambda: self.store.voter_sets,
             self.ask,
             self.node.runtime.rng,
@@ -27,18 +28,20 @@
         )
 
     async def ask(self, member, method, args, deadline, version):
-        """One member's answer, over its link or from this very process. version is that of the
-        record the whole round goes by."""
+        """The answer of one member, perhaps this one. version: of the membership configuration that the
+        ballot is bound to."""
         if member == self.store.disk:
             return await self.answer(version, member, method, args)
-        address = self.store.everybody[member]
+        address = self.store.members[member]
         try:
             return await self.node.rpc.call(
                 address, "register", [version, member, method, args], deadline
             )
-        except Rejected as shed:
-            if shed.code == "old_members":
-                await self.store.adopt(MembershipConfiguration.from_record(shed.details["record"]))
+        except Rejected as rejected:
+            if rejected.code == "old_members":
+                await self.store.adopt(
+                    MembershipConfiguration.from_record(rejected.details["record"])
+                )
             raise
 
     @handlers.on("register")
@@ -47,9 +50,13 @@
         return await self.answer(*args)
 
     async def answer(self, version, member, method, args):
-        """Vote as this disk, under that membership version. Raises Rejected."""
+        """Vote as this disk, under that membership version.
+
+        :raises Rejected: this is another disk or no voter, the version is old, the process is
+            leaving, or the key or the disk is damaged.
+        """
         store = self.store
-        if member != store.disk or not store.voter:
+        if member != store.disk or not store.is_voter:
             raise Rejected("other_member", disk=store.disk)
         if version < store.membership.version:
             raise Rejected("old_members", record=store.membership.to_record())
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -11,7 +11,7 @@
 import ormsgpack
 import trio
 
-from meadowdock.config_store.members import Members
+from meadowdock.config_store.members import MembershipManager
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import Proposer
@@ -22,7 +22,7 @@
     """Log events are of no interest here."""
 
 
-class ModelMembers(Members):
+class ModelMembers(MembershipManager):
     """Members as it is, without what looks for processes and without chunks of configuration.
     target_disks: {disk id: address} that the explored change of members leads to."""
 
@@ -35,7 +35,7 @@
         self.store = store
         self.target_disks = target_disks or {}
         self.handover = SimpleNamespace(retired=False)
-        self.watch_members()
+        self.init_membership()
 
     async def disks_at(self, addresses: Collection[str], deadline: int) -> dict[str, str]:
         """Without asking: those of the explored change."""
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -9,7 +9,7 @@
 from lease_checks import holders, isolate, one_holder
 from mesh import hosts, serving
 
-from meadowdock.config_store.lease import DRIFT, LeaseService
+from meadowdock.config_store.lease import CLOCK_DRIFT_DIVISOR, LeaseService
 from meadowdock.config_store.lease_messages import (
     COLLECTOR_KEY,
     LEASE_HELD,
@@ -393,7 +393,7 @@
 def test_a_record_must_stand_unchanged_for_its_duration_and_the_margin(value, epoch):
     async def work(register):
         old = LeaseRecord.decode(value)
-        margin = DURATION // DRIFT
+        margin = DURATION // CLOCK_DRIFT_DIVISOR
         with pytest.raises(Rejected) as refused:
             register.acquired(old, acquire("b/1"))
         assert refused.value.code == LEASE_HELD
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -296,7 +296,7 @@
         disk = MemoryDisk()
         store = Store(disk, random.Random(1), lambda *_, **__: None)
         await store.load()
-        assert store.blank
+        assert store.is_blank
         former = store.disk
         await store.adopt(MembershipConfiguration(1, {former: "a"}))
         await store.adopt(MembershipConfiguration(2, {"z": "b"}))
@@ -305,7 +305,7 @@
         await again.load()
         assert again.disk != former
         assert again.membership.version == 1
-        assert not again.blank
+        assert not again.is_blank
 
     run(work)
 
@@ -498,9 +498,11 @@
         membership = daemon.store.membership
         world.power_off("mdconf", host)
         world.lose_disk("mdconf", host)
-        world.daemon("mdconf", world.core[2]).changing = daemon.changing = 1  # they don't mend it
+        world.daemon("mdconf", world.core[2]).changes_in_progress = daemon.changes_in_progress = (
+            1  # they don't mend it
+        )
         await world.start("mdconf", host)
-        world.daemon("mdconf", host).changing = 1
+        world.daemon("mdconf", host).changes_in_progress = 1
         await world.eventually(lambda: world.daemon("mdconf", host).store.membership)
         told = await daemon.broadcast_to(
             membership.voters,
@@ -520,9 +522,9 @@
         await fleet.founded()
         daemon = world.daemon("mdconf", fleet.hosts[0])
         disks = dict(daemon.store.membership.voters)
-        daemon.changing = 1
+        daemon.changes_in_progress = 1
         for host in fleet.hosts[1:]:
-            world.daemon("mdconf", host).changing = 1
+            world.daemon("mdconf", host).changes_in_progress = 1
 
         def begin(current):
             return MembershipConfiguration(current.version + 1, current.voters, disks)
--- a/tests/config_store/test_members_change.py
+++ b/tests/config_store/test_members_change.py
@@ -7,7 +7,7 @@
 from facts import manifest, way
 from mesh import configured, first_with_a_blank_disk, hosts, serving
 
-from meadowdock.config_store.store import rescue
+from meadowdock.config_store.rescue import rescue
 from meadowdock.runtime import SECOND, HttpConnectionFailed, sleep_us
 from meadowdock.simulator import run
 
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -220,7 +220,7 @@
     )
 
 
-@pytest.mark.parametrize("slow", ["write", "put_blob", "put"])
+@pytest.mark.parametrize("slow", ["write", "put_chunk", "put"])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_replacement_ends_once_the_newcomer_itself_holds_everything(seed, slow):
     async def scenario(world):
@@ -232,7 +232,7 @@
         world.power_off("mdconf", gone)
         await world.start("mdconf", "10.0.3.1")
         store = fleet.store("10.0.3.1")
-        slowed = {"write": store.acceptor, "put_blob": store, "put": store.audit_log}[slow]
+        slowed = {"write": store.acceptor, "put_chunk": store, "put": store.audit_log}[slow]
         slow_down(slowed, slow)
         await world.eventually(
             lambda: store.disk in (fleet.store(fleet.hosts[0]).membership.voters),
@@ -442,7 +442,7 @@
         world.daemon("mdconf", behind).revisions.fetch_missing_chunks = forever
         for host in fleet.hosts:
             world.daemon("mdconf", host).repairer.compare = nothing
-        undo = [break_off(store.acceptor, "write"), break_off(store, "put_blob")]
+        undo = [break_off(store.acceptor, "write"), break_off(store, "put_chunk")]
         assert await configure(world, 2, stopped) == 2
         assert store.acceptor.read("manifest/head")[1]["version"] == 1
         for repaired in undo:
--- a/tests/config_store/test_repair.py
+++ b/tests/config_store/test_repair.py
@@ -37,7 +37,7 @@
         await world.start("mdconf", host)
         conf = world.node("mdconf", host)
         assert conf.daemon.store.disk != former
-        assert not conf.daemon.store.voter
+        assert not conf.daemon.store.is_voter
         assert files(world, host, "aside-" + conf.daemon.store.disk)  # nothing is thrown away
         await world.eventually(lambda: not conf.unready_reasons(), within=15 * SECOND)
         world.kill(f"mdconf@{world.core[1]}")
--- a/tests/consensus/test_register.py
+++ b/tests/consensus/test_register.py
@@ -52,7 +52,7 @@
         conf = world.node("mdconf", host)
         await world.eventually(lambda: conf.daemon.store.membership is not None)
         assert conf.unready_reasons() == ["this disk is no member, or not fully yet"]
-        assert not conf.daemon.store.voter
+        assert not conf.daemon.store.is_voter
         status, told = await world.operate("GET", "/manifest")  # it still serves operators
         assert (status, told["version"]) == (200, 1)
         assert await world.configure(manifest([way("new", "/balances")])) == 2
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -144,7 +144,7 @@
     store = new_store(disk)
     await store.load()
     await store.adopt(MembershipConfiguration.from_record(MEMBERSHIP))
-    await store.put_blob(CHUNK)
+    await store.put_chunk(CHUNK)
     await store.acceptor.prepare("configuration", (4, "00a1"))
     await store.acceptor.write("configuration", (4, "00a1"), ACCEPTED)
     await store.acceptor.write("lease", (5, "00a2"), LEASE.encode())
@@ -184,7 +184,7 @@
         ]
         for folder, state in store.acceptor.states.items()
     }
-    chunks = [await store.blob(name) for name in await store.names()]
+    chunks = [await store.read_chunk(name) for name in await store.chunk_names()]
     record = ExecutionRecord(disk_of(files, "endpoint/"))
 
     async def never(_):
@@ -195,7 +195,7 @@
         {
             "disk": store.disk,
             "membership": store.membership and store.membership.to_record(),
-            "voters": sorted(store.everybody),
+            "voters": sorted(store.members),
             "keys": states,
             "lost": store.acceptor.lost_keys(),
             "chunks": chunks,
