--- a/packages/client/meadowdock/client/execution_record.py
+++ b/packages/client/meadowdock/client/execution_record.py
@@ -24,7 +24,7 @@
 
 from meadowdock.admin_http import Response
 from meadowdock.client.messages import EndpointRequest
-from meadowdock.runtime import MemoryDisk, fingerprint, sealed, unsealed
+from meadowdock.runtime import MemoryDisk, add_checksum, fingerprint, verify_checksum
 
 DEFAULT_CAPACITY = 10_000
 FOLDER = "key"
@@ -49,7 +49,7 @@
 
     def to_record(self) -> bytes:
         """The bytes of the file."""
-        return sealed(ormsgpack.packb([self.request, self.number, self.status, self.body]))
+        return add_checksum(ormsgpack.packb([self.request, self.number, self.status, self.body]))
 
     @classmethod
     def from_record(cls, data: bytes | None) -> Execution:
@@ -57,7 +57,7 @@
 
         Of a file that fails its checks: something began under this key, and nobody can tell what.
         """
-        body = unsealed(data)
+        body = verify_checksum(data)
         return cls("", 0) if body is None else cls(*ormsgpack.unpackb(body))
 
 
--- a/packages/config_store/meadowdock/config_store/audit_log.py
+++ b/packages/config_store/meadowdock/config_store/audit_log.py
@@ -17,7 +17,7 @@
 
 from meadowdock import audit
 from meadowdock.consensus import for_each
-from meadowdock.runtime import Disk, fingerprint, sealed, unsealed
+from meadowdock.runtime import Disk, add_checksum, fingerprint, verify_checksum
 
 RECORDS_PER_SEGMENT = 64  # about 40 KB: one segment is also the most that one message carries
 MAX_SEGMENTS = 256  # 16,384 versions, about 10 MB
@@ -125,7 +125,7 @@
     async def load(self) -> None:
         """Reads the checkpoint and the single records; of segments only the names. All single files
         of the former layout (one for each version) are a long tail, which seal() shortens."""
-        body = unsealed(await self.files.read(CHECKPOINT_FILE))
+        body = verify_checksum(await self.files.read(CHECKPOINT_FILE))
         if body is not None:
             self.first_version, self.previous_hash = ormsgpack.unpackb(body)
         for name in await self.files.names(SEGMENT_FOLDER):
@@ -141,7 +141,7 @@
 
     async def load_record(self, version: int) -> None:
         """Read the single file of a version; a damaged one counts as missing."""
-        body = unsealed(await self.files.read(record_file(version)))
+        body = verify_checksum(await self.files.read(record_file(version)))
         if body is not None:  # a damaged one is pulled from another member
             self.tail[version] = body.decode()
 
@@ -189,7 +189,7 @@
         digest = self.segments.get(index)
         if digest is None:
             return {}
-        body = unsealed(await self.files.read(segment_file(index, digest)))
+        body = verify_checksum(await self.files.read(segment_file(index, digest)))
         if body is not None:
             records = ormsgpack.unpackb(body, option=ormsgpack.OPT_NON_STR_KEYS)
             if records and digest_of(records) == digest:
@@ -205,7 +205,7 @@
         for version, record in records.items():
             if version < self.first_version or self.holds(version):
                 continue
-            await self.files.write(record_file(version), sealed(record.encode()))
+            await self.files.write(record_file(version), add_checksum(record.encode()))
             if segment_of(version) in self.segments:  # sealed meanwhile
                 self.redundant_versions.append(version)
             else:
@@ -267,7 +267,7 @@
         """Write one sealed segment; its records leave the tail."""
         digest = digest_of(records)
         body = ormsgpack.packb(records, option=ormsgpack.OPT_NON_STR_KEYS)
-        await self.files.write(segment_file(index, digest), sealed(body))
+        await self.files.write(segment_file(index, digest), add_checksum(body))
         self.segments[index] = digest
         for version in records:
             if self.tail.pop(version, None) is not None:
@@ -312,7 +312,7 @@
     async def write_checkpoint(self, first_version: int, previous_hash: str) -> None:
         """Store where the kept chain begins."""
         checkpoint = ormsgpack.packb([first_version, previous_hash])
-        await self.files.write(CHECKPOINT_FILE, sealed(checkpoint))
+        await self.files.write(CHECKPOINT_FILE, add_checksum(checkpoint))
         self.first_version, self.previous_hash = first_version, previous_hash
 
 
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -15,7 +15,7 @@
 from meadowdock.config_store.monitored_disk import MonitoredDisk
 from meadowdock.consensus import NO_LOSSES, Acceptor, VoterSets
 from meadowdock.rpc import Rejected
-from meadowdock.runtime import Disk, fingerprint, monotonic_us, sealed, unsealed
+from meadowdock.runtime import Disk, add_checksum, fingerprint, monotonic_us, verify_checksum
 
 RETAINED_CONFIGURATIONS = 2  # the newest, and one to go on from should that be damaged
 
@@ -50,13 +50,13 @@
         versions = await self.files.names("members")
         # the newest that can be read; the others' addresses are good even of an older one
         for version in reversed(versions):
-            body = unsealed(await self.files.read(f"members/{version}"))
+            body = verify_checksum(await self.files.read(f"members/{version}"))
             if body is not None:
                 self.membership = MembershipConfiguration.from_record(ormsgpack.unpackb(body))
                 break
         lost_configuration = bool(versions) and (body is None or version != versions[-1])
         await self.audit_log.load()
-        disk_id = unsealed(await self.files.read("disk"))
+        disk_id = verify_checksum(await self.files.read("disk"))
         await self.acceptor.load()
         lost = self.acceptor.lost_keys()
         self.blank_at_start = not versions and not self.acceptor.states
@@ -65,7 +65,7 @@
             # configuration whose older file would let former voters vote: a lost disk. It goes on
             # as another; the configuration stays, to ask for the former one's place
             disk_id = f"{self.rng.getrandbits(64):016x}".encode()
-            await self.files.write("disk", sealed(disk_id))
+            await self.files.write("disk", add_checksum(disk_id))
         if lost:
             await self.files.move("key", f"aside-{disk_id.decode()}")
             self.acceptor = Acceptor(cast("Disk", self.files), self.log)
@@ -85,7 +85,7 @@
             if not self.is_newer(membership):
                 return
             name = f"members/{membership.version:08d}"
-            await self.files.write(name, sealed(ormsgpack.packb(membership.to_record())))
+            await self.files.write(name, add_checksum(ormsgpack.packb(membership.to_record())))
             self.membership = membership
             await self.remove_old_configurations()
 
--- a/packages/consensus/meadowdock/consensus/acceptor.py
+++ b/packages/consensus/meadowdock/consensus/acceptor.py
@@ -26,7 +26,7 @@
     Refusal,
     WriteRequest,
 )
-from meadowdock.runtime import fingerprint, sealed, unsealed
+from meadowdock.runtime import add_checksum, fingerprint, verify_checksum
 
 if TYPE_CHECKING:
     from meadowdock.runtime import Disk
@@ -151,7 +151,7 @@
         former = self.states.get(folder) or AcceptorState()
         state = AcceptorState(promised, accepted, value, former.file_version + 1)
         body = ormsgpack.packb(state.to_record(key))
-        await self.disk.write(file_name(folder, state.file_version), sealed(body))
+        await self.disk.write(file_name(folder, state.file_version), add_checksum(body))
         self.keys[folder] = key
         self.states[folder] = state
         if self.on_accepted:
@@ -172,7 +172,7 @@
         if not versions:
             return
         newest = max(versions)
-        body = unsealed(await self.disk.read(f"key/{folder}/{newest}"))
+        body = verify_checksum(await self.disk.read(f"key/{folder}/{newest}"))
         if body is None:
             self.log(602, folder=folder, file=newest)
             self.states[folder] = None
@@ -199,7 +199,7 @@
         async with self.lock(key):
             state = self.state_of(key)
             file = file_name(folder, state.file_version)
-            if unsealed(await self.disk.read(file)) is not None:
+            if verify_checksum(await self.disk.read(file)) is not None:
                 return False
             await self.store_state(key, state.promised, state.accepted, state.value)
             return True
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -15,7 +15,7 @@
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import Proposer
-from meadowdock.runtime import MemoryDisk, sealed
+from meadowdock.runtime import MemoryDisk, add_checksum
 
 
 def no_log(*_: object, **__: object) -> None:
@@ -104,7 +104,7 @@
 ) -> Store:
     """A store as a start of the process on this disk gives it."""
     disk = InstantDisk()
-    disk.files = files if files is not None else {"disk": sealed(disk_id.encode())}
+    disk.files = files if files is not None else {"disk": add_checksum(disk_id.encode())}
     store: Store = implementation.store(disk, random.Random(disk_id), no_log)
     await store.load()
     if record is not None:
--- a/packages/runtime/meadowdock/runtime/__init__.py
+++ b/packages/runtime/meadowdock/runtime/__init__.py
@@ -30,7 +30,7 @@
 )
 from meadowdock.runtime.disk import DataFolder, Disk, MemoryDisk, NoDisk
 from meadowdock.runtime.exceptions import HttpConnectionFailed
-from meadowdock.runtime.hashing import fingerprint, sealed, unsealed
+from meadowdock.runtime.hashing import add_checksum, fingerprint, verify_checksum
 from meadowdock.runtime.net import Net
 from meadowdock.runtime.pause_detector import PauseDetector
 
@@ -50,9 +50,9 @@
     "fingerprint",
     "monotonic_us",
     "run_in_thread",
-    "sealed",
+    "add_checksum",
     "sleep_us",
-    "unsealed",
+    "verify_checksum",
     "wall_clock_us",
 ]
 
--- a/packages/runtime/meadowdock/runtime/hashing.py
+++ b/packages/runtime/meadowdock/runtime/hashing.py
@@ -18,15 +18,16 @@
     return hashlib.blake2b(body, digest_size=CHECKSUM_SIZE).digest()
 
 
-def sealed(body: bytes) -> bytes:
+def add_checksum(body: bytes) -> bytes:
     """A file's body with its checksum before it."""
     return checksum(body) + body
 
 
-def unsealed(data: bytes | None) -> bytes | None:
+def verify_checksum(data: bytes | None) -> bytes | None:
     """The body of a file, or None if it is missing, torn or altered.
 
-    >>> unsealed(sealed(b"x")), unsealed(sealed(b"x")[:-1]), unsealed(b"")
+    >>> data = add_checksum(b"x")
+    >>> verify_checksum(data), verify_checksum(data[:-1]), verify_checksum(b"")
     (b'x', None, None)
     """
     if data is None or len(data) < CHECKSUM_SIZE:
--- a/tests/support/audit_log_facts.py
+++ b/tests/support/audit_log_facts.py
@@ -15,7 +15,7 @@
 from meadowdock import audit
 from meadowdock.config_store.audit_log import RECORD_FOLDER, AuditLogState, by_segment, record_file
 from meadowdock.config_store.store import Store
-from meadowdock.runtime import MemoryDisk, fingerprint, sealed
+from meadowdock.runtime import MemoryDisk, add_checksum, fingerprint
 
 SIGNING_KEY = audit.signing_key(b"k" * 32)
 LENGTHS = (300, 3_000, 30_000)
@@ -66,7 +66,7 @@
 def write_former_layout(disk, records):
     """One file for each change, as the former version kept them."""
     for version, text in records.items():
-        disk.files[record_file(version)] = sealed(text.encode())
+        disk.files[record_file(version)] = add_checksum(text.encode())
 
 
 async def opened(disk):
