--- a/packages/local_fleet/meadowdock/local_fleet/__main__.py
+++ b/packages/local_fleet/meadowdock/local_fleet/__main__.py
@@ -22,7 +22,7 @@
         """Start everything, configure it, and stay until interrupted; then end it all."""
         fleet = Fleet(load_topology(topology), os.path.abspath(folder))
         try:
-            version = fleet.whole()
+            version = fleet.start_all()
             print(
                 f"{topology} is up at version {version}; facts in {folder}/fleet.json", flush=True
             )
@@ -35,7 +35,7 @@
         """Start everything, serve the topology's load for a while, print what was seen."""
         fleet = Fleet(load_topology(topology), os.path.abspath(folder))
         try:
-            fleet.whole()
+            fleet.start_all()
             for handle in fleet.start_callers(seconds, rate_factor=rate):
                 handle.wait()
             print(table(summary(fleet.rows(), seconds)))
--- a/packages/local_fleet/meadowdock/local_fleet/fleet.py
+++ b/packages/local_fleet/meadowdock/local_fleet/fleet.py
@@ -210,7 +210,7 @@
                 raise TimeoutError(f"{host} has no {service} in its list")
             time.sleep(0.1)
 
-    def whole(self, manifest=None):
+    def start_all(self, manifest=None):
         """Everything up, configured and serving."""
         self.up()
         version = self.configure(manifest)
--- a/packages/local_fleet/meadowdock/local_fleet/measure.py
+++ b/packages/local_fleet/meadowdock/local_fleet/measure.py
@@ -47,7 +47,7 @@
 
 
 def measure(fleet, rate):
-    fleet.whole()
+    fleet.start_all()
     service = next(iter(fleet.application.values()))[1]
     slow, drained, restarted = fleet.hosts_of(service)[:3]
     mean_us, capacity = fleet.application[slow][3], fleet.application[slow][2]
@@ -156,7 +156,7 @@
 def overload(fleet, factors=(0.5, 1.0, 2.0, 3.0), seconds=8):
     """Endpoints so slow that the topology's load is all that they can do; then parts and multiples
     of that load, one after another in one run."""
-    fleet.whole()
+    fleet.start_all()
     for host, (_, service, capacity, _) in fleet.application.items():
         offered = sum(s["rate"] for s in fleet.topology["load"] if target(fleet, s) == service)
         slots = capacity * len(fleet.hosts_of(service))
@@ -193,7 +193,7 @@
 def large_change(fleet, ways=30_000, seconds=6):
     """A very large manifest is planned and confirmed under load; how soon it is in force
     everywhere, and the calls' p99 while that goes on over the p99 before, in one run."""
-    fleet.whole()
+    fleet.start_all()
     with open(os.path.join(HERE, fleet.topology["manifest"]), encoding="utf-8") as file:
         manifest = json.load(file)
     like = manifest["ways"][0]
--- a/packages/simulator/meadowdock/simulator/faults.py
+++ b/packages/simulator/meadowdock/simulator/faults.py
@@ -96,16 +96,16 @@
 
 @kind(1)
 async def lose_zone(day, place, span):
-    await day.down_and_up(day.on(day.hall(place)), span, day.power)
+    await day.down_and_up(day.on(day.zone(place)), span, day.power)
 
 
 @kind(1)
 async def lose_zones(day, place, span):
     """Two zones, the second a little later."""
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(day.down_and_up, day.on(day.hall(place)), span, day.power)
+        nursery.start_soon(day.down_and_up, day.on(day.zone(place)), span, day.power)
         await sleep_us(span // 3)
-        await day.down_and_up(day.on(day.hall(place + 1)), span // 2, day.power)
+        await day.down_and_up(day.on(day.zone(place + 1)), span // 2, day.power)
 
 
 @kind(2)
@@ -253,8 +253,8 @@
 # ---------------------------------------------------------------- the network
 
 
-def between(here, there):
-    return {p for a in here for b in there if a != b for p in ((a, b), (b, a))}
+def between(local, remote):
+    return {p for a in local for b in remote if a != b for p in ((a, b), (b, a))}
 
 
 async def cut(day, pairs, span):
@@ -295,7 +295,7 @@
 @kind(2)
 async def cut_zones(day, place, span):
     """Between the application machines of one zone and the others; all reach the core."""
-    inside = set(day.hall(place)) & set(day.world.application)
+    inside = set(day.zone(place)) & set(day.world.application)
     await cut(day, between(inside, set(day.world.application) - inside), span)
 
 
@@ -352,7 +352,7 @@
 @kind(1)
 async def freeze_zone(day, place, span):
     async with trio.open_nursery() as nursery:
-        for process in day.on(day.hall(place)):
+        for process in day.on(day.zone(place)):
             nursery.start_soon(day.freeze, [process], 0, span)
 
 
@@ -382,7 +382,7 @@
         disk.rot(names[place % len(names)])
         await sleep_us(span)
         if place % 2:  # and then it is started on it
-            await day.down_and_up([chosen], SECOND, day.kill, held=True)
+            await day.down_and_up([chosen], SECOND, day.kill, already_touched=True)
             await day.repaired(chosen[1])
 
 
--- a/packages/simulator/meadowdock/simulator/overload.py
+++ b/packages/simulator/meadowdock/simulator/overload.py
@@ -54,7 +54,7 @@
 
 async def offered(world, factor, shared, span):
     """Open loop at every machine alike; gives counts."""
-    await world.whole()
+    await world.start_all()
     await world.eventually(lambda: not world.node("mdconf", world.core[0]).unready_reasons())
     await world.configure(manifest("m"))
     for host in world.application:
--- a/packages/simulator/meadowdock/simulator/scale/faults.py
+++ b/packages/simulator/meadowdock/simulator/scale/faults.py
@@ -33,7 +33,7 @@
     for host in list(world.application)[: n // 10]:
         world.kill(f"mdproxy@{host}")
     took, _ = await fleet.change(CHANGED_WAIT_US)
-    await fleet.wanted(fleet.whole)
+    await fleet.wanted(fleet.all_listed)
     return {
         "hit": f"{n // 10} proxies killed at once",
         "change_s": took,
@@ -63,7 +63,7 @@
     healed = monotonic_us()
     world.web.heal()
     back = await fleet.wanted(partial(fleet.in_force, version))
-    await fleet.wanted(fleet.whole)
+    await fleet.wanted(fleet.all_listed)
     return {
         "hit": f"zones {','.join(zones)} ({len(away)} of {len(world.zones)} machines) "
         f"cut off for {lasting // SECOND} s",
@@ -86,7 +86,7 @@
             slowest, _ = await fleet.change(CHANGED_WAIT_US)
         await fleet.start_proxy(host)
     over = monotonic_us()
-    await fleet.wanted(fleet.whole)
+    await fleet.wanted(fleet.all_listed)
     return {
         "hit": f"{len(hosts)} proxies stopped and started, one after another",
         "change_s": slowest,
--- a/packages/simulator/meadowdock/simulator/scale/fleet.py
+++ b/packages/simulator/meadowdock/simulator/scale/fleet.py
@@ -101,14 +101,14 @@
                 nursery.start_soon(self.start_proxy, host)
         await self.wanted(lambda: not any(node.unready_reasons() for node in self.core("mdconf")))
         await world.configure(manifest(self.n))
-        await self.wanted(self.whole)
+        await self.wanted(self.all_listed)
         await sleep_us(SETTLING)
 
     async def wanted(self, check, within=60 * SECOND):
         """Wait until check() is true; gives how long that took."""
         return await self.world.eventually(check, within=within)
 
-    def whole(self):
+    def all_listed(self):
         """Whether every proxy lists every endpoint that runs."""
         proxies = self.proxies()
         return all(listed(proxy.daemon) == len(proxies) for proxy in proxies)
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -130,24 +130,24 @@
     async def place_endpoint(self, host, service, wait=True):
         address = f"{host}:8000"
         knobs = self.knobs.setdefault(address, dict(KNOBS))
-        made = None
+        endpoint = None
 
         async def handle(got):
             kind, uid = got.path.strip("/").split("/")[:2]
             self.history.ran.append(
-                Ran(uid, kind, got.caller, monotonic_us(), service, address, made.incarnation)
+                Ran(uid, kind, got.caller, monotonic_us(), service, address, endpoint.incarnation)
             )
             await sleep_us(int(knobs["took_us"] * self.rng.uniform(0.5, 1.5)))
             if self.rng.random() < knobs["garbage"]:
-                made.spoilt = self.rng.choice([*GARBAGE, made.last or GARBAGE[0]])
+                endpoint.spoilt = self.rng.choice([*GARBAGE, endpoint.last or GARBAGE[0]])
             return 200, {"uid": uid, "caller": got.caller, "whole": True}
 
         record = ExecutionRecord(self.records.setdefault((host, service), MemoryDisk()))
-        made = await self.world.endpoint(
+        endpoint = await self.world.endpoint(
             host, service, handle, capacity=6, wait=wait, kind=Odd, record=record
         )
-        self.endpoints[host] = made
-        return made
+        self.endpoints[host] = endpoint
+        return endpoint
 
     # ------------------------------------------------------------ callers
 
@@ -224,17 +224,19 @@
         done = Operated("confirm", start, start, "refused", mark=mark)
         try:
             with deadline_scope(monotonic_us() + 15 * SECOND):
-                status, told = await self.world.operate("POST", "/plan", manifest(mark, ways), core)
-                if status != 200 or not told["plan"]:
+                status, answer = await self.world.operate(
+                    "POST", "/plan", manifest(mark, ways), core
+                )
+                if status != 200 or not answer["plan"]:
                     return
-                base = told["base"]
+                base = answer["base"]
                 done.start, done.outcome, done.base = monotonic_us(), "unclear", base
                 self.history.operated.append(done)
-                status, told = await self.world.operate(
-                    "POST", "/confirm", {"plan": told["plan"]}, core
+                status, answer = await self.world.operate(
+                    "POST", "/confirm", {"plan": answer["plan"]}, core
                 )
                 if status == 200:
-                    done.outcome, done.version = "ok", told["version"]
+                    done.outcome, done.version = "ok", answer["version"]
                 elif status in (409, 503, 404):
                     done.outcome = "refused"
         except HttpConnectionFailed:
@@ -246,11 +248,11 @@
         done = Operated("read", monotonic_us(), 0, "refused")
         try:
             with deadline_scope(monotonic_us() + 8 * SECOND):
-                status, told = await self.world.operate("GET", "/manifest", core=core)
+                status, answer = await self.world.operate("GET", "/manifest", core=core)
                 if status == 200:
-                    done.outcome, done.version = "ok", told["version"]
+                    done.outcome, done.version = "ok", answer["version"]
                     marks = [
-                        w["name"] for w in told["manifest"]["ways"] if w["path"][:6] == "/mark/"
+                        w["name"] for w in answer["manifest"]["ways"] if w["path"][:6] == "/mark/"
                     ]
                     done.mark = marks[0] if marks else ""
         except HttpConnectionFailed:
@@ -263,7 +265,7 @@
         mark = f"broken{how}-{monotonic_us()}"
         try:
             with deadline_scope(monotonic_us() + 8 * SECOND):
-                status, told = await self.world.operate(
+                status, answer = await self.world.operate(
                     "POST", "/plan", broken(mark, how), how % len(self.world.core)
                 )
                 self.history.broken.append((mark, status))
@@ -279,10 +281,10 @@
             return False
 
     async def check_trail(self, core):
-        status, told = await self.world.operate("GET", "/audit", core=core)
+        status, answer = await self.world.operate("GET", "/audit", core=core)
         if status == 200:
             self.history.trail = audit.verify(
-                told["records"], told["key"], told["version"], told["anchor"]
+                answer["records"], answer["key"], answer["version"], answer["anchor"]
             )
 
     async def operators(self):
@@ -330,7 +332,7 @@
     def everybody(self):
         return [*self.world.core, *self.world.application]
 
-    def hall(self, place):
+    def zone(self, place):
         return [h for h in self.everybody() if self.world.zones[h] == "abc"[place % 3]]
 
     def on(self, hosts):
@@ -355,9 +357,9 @@
         else:
             await self.world.start(role, host)
 
-    async def down_and_up(self, roles_hosts, span, end, held=False):
+    async def down_and_up(self, roles_hosts, span, end, already_touched=False):
         """End processes, and start them again after a while."""
-        mine = [rh for rh in roles_hosts if held or rh not in self.touched]
+        mine = [rh for rh in roles_hosts if already_touched or rh not in self.touched]
         self.touched |= set(mine)
         for role, host in mine:
             end(role, host)
@@ -365,13 +367,13 @@
         async with trio.open_nursery() as nursery:
             for role, host in mine:
                 nursery.start_soon(self.start, role, host)
-        if not held:
+        if not already_touched:
             self.touched -= set(mine)
 
     async def one(self, options, place, span, end):
         with self.hold(options, place) as chosen:
             if chosen:
-                await self.down_and_up([chosen], span, end, held=True)
+                await self.down_and_up([chosen], span, end, already_touched=True)
 
     async def restart(self, options, place, span):
         with self.hold(options, place) as chosen:
@@ -434,8 +436,8 @@
 
     async def why_not(self, host):
         try:
-            _, _, told = await self.world.http(host, "GET", f"{host}:7420", "/ready")
-            return told["why"]
+            _, _, answer = await self.world.http(host, "GET", f"{host}:7420", "/ready")
+            return answer["why"]
         except HttpConnectionFailed:
             return None
 
@@ -486,7 +488,7 @@
 
     async def live(self):
         world = self.world
-        await world.whole()
+        await world.start_all()
         await world.eventually(lambda: not world.node("mdconf", world.core[0]).unready_reasons())
         start = monotonic_us()
         version = await world.configure(manifest("m0"))
--- a/packages/simulator/meadowdock/simulator/standin/caller.py
+++ b/packages/simulator/meadowdock/simulator/standin/caller.py
@@ -91,8 +91,8 @@
 
     def on_end(self, cause):
         self.closed_at = monotonic_us()
-        if self.reader.held:
-            self.cut_short = self.reader.held
+        if self.reader.buffered:
+            self.cut_short = self.reader.buffered
         while self.asked:
             sent = self.asked.popleft()
             sent.ended, sent.took = cause, monotonic_us() - sent.at
--- a/packages/simulator/meadowdock/simulator/standin/endpoint.py
+++ b/packages/simulator/meadowdock/simulator/standin/endpoint.py
@@ -190,7 +190,7 @@
         rows = b"".join(b"%s: %s\r\n" % line for line in header_lines)
         return b"HTTP/1.1 %d Status\r\n%s\r\n%s" % (status, rows, body)
 
-    def whole(self, ran, status):
+    def complete_response(self, ran, status):
         words = self.dialect
         body = b"%s ran %s %s as %s|" % (self.instance, ran.method, ran.target, ran.id)
         body += b"x" * self.size
@@ -203,7 +203,7 @@
         return self.answer(status, lines, body)
 
     def answer_of(self, job, ran, status):
-        data, conn = self.whole(ran, status), job.conn
+        data, conn = self.complete_response(ran, status), job.conn
         keep = not (self.last_words or self.draining)
         fault = getattr(self, f"fault_{(job.fault or 'none').replace(' ', '_')}", None)
         if fault is None or job.fault == "slow":
--- a/packages/simulator/meadowdock/simulator/standin/messages.py
+++ b/packages/simulator/meadowdock/simulator/standin/messages.py
@@ -14,12 +14,12 @@
     """Messages of a byte stream, strictly. Invariant: held are bytes of no whole message yet."""
 
     def __init__(self):
-        self.held = b""
+        self.buffered = b""
         self.bare = deque()  # of answers: is the next one to a HEAD
 
     def feed(self, data):
         """The whole messages: (first line, [(name, value)], body); raises Malformed."""
-        self.held += data
+        self.buffered += data
         found = []
         while (message := self.message()) is not None:
             found.append(message)
@@ -27,10 +27,13 @@
 
     def message(self):
         """The next message if all of it has come, else None."""
-        head, blank, rest_of = self.held.partition(b"\r\n\r\n")
+        head, blank, rest_of = self.buffered.partition(b"\r\n\r\n")
         if not blank:
-            if self.held and not self.held[:5].strip(b"ABCDEFGHIJKLMNOPQRSTUVWXYZ /") == b"":
-                raise Malformed(self.held[:40])
+            if (
+                self.buffered
+                and not self.buffered[:5].strip(b"ABCDEFGHIJKLMNOPQRSTUVWXYZ /") == b""
+            ):
+                raise Malformed(self.buffered[:40])
             return None
         first, lines = parse_head(head)
         facts = {name.lower(): value for name, value in lines}
@@ -49,7 +52,7 @@
             return None
         if answer and status >= 200 and self.bare:
             self.bare.popleft()
-        self.held = left
+        self.buffered = left
         return first, lines, body
 
 
--- a/packages/simulator/meadowdock/simulator/standin/request_audit.py
+++ b/packages/simulator/meadowdock/simulator/standin/request_audit.py
@@ -60,7 +60,9 @@
         for ran in runs:
             want = ran.answered if asked.method != b"HEAD" else b""
             proof = stamp_of(ran.instance, ran.id, ran.answered or b"")
-            whole = asked.answer == want and asked.status == ran.status
-            if whole and (not self.dialect.stamp or asked.line(self.dialect.stamp) == proof):
+            is_the_answer = asked.answer == want and asked.status == ran.status
+            if is_the_answer and (
+                not self.dialect.stamp or asked.line(self.dialect.stamp) == proof
+            ):
                 return []
         return [f"{asked.id}: {asked.status} {asked.answer[:60]} is no run's whole answer"]
--- a/packages/simulator/meadowdock/simulator/wires.py
+++ b/packages/simulator/meadowdock/simulator/wires.py
@@ -109,14 +109,14 @@
     def close(self):
         """As a socket's close: a reset, if bytes lie unread."""
         if not self.closed:
-            self.gone(RESET if self.unread or self.unsent else END)
+            self.end_with(RESET if self.unread or self.unsent else END)
 
     def abort(self):
         """A reset in order behind what was sent."""
         if not self.closed:
-            self.gone(RESET)
+            self.end_with(RESET)
 
-    def gone(self, how):
+    def end_with(self, how):
         self.closed = True
         self.unsent, self.unsent_size = [], 0
         self.resume()
@@ -280,7 +280,7 @@
             if not reset_peers:
                 wire.ended = True
                 wire.tell_end = lambda how: None
-            wire.gone(RESET)
+            wire.end_with(RESET)
         for address in [a for a, listener in self.web.listeners.items() if listener.wires is self]:
             del self.web.listeners[address]
 
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -153,8 +153,8 @@
             self.frozen = []
 
     def wake(self):
-        held, self.frozen = self.frozen or [], None
-        for task, outcome in held:
+        paused_tasks, self.frozen = self.frozen or [], None
+        for task, outcome in paused_tasks:
             trio.lowlevel.reschedule(task, *outcome)
 
 
@@ -266,7 +266,7 @@
     def lose_disk(self, role, host):
         del self.disks[role, host]
 
-    async def whole(self):
+    async def start_all(self):
         async with trio.open_nursery() as nursery:
             for host in self.core:
                 nursery.start_soon(self.start, "mdreg", host)
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_a_holder_cut_off_from_the_majority_stops_before_another_acquires(seed):
     async def scenario(world):
-        await world.whole()
+        await world.start_all()
         host, epoch = await one_holder(world)
         await watched(world)
         await sleep_us(world.rng.randrange(SECOND))
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_never_two_holders_whatever_happens(seed):
     async def scenario(world):
-        await world.whole()
+        await world.start_all()
         await one_holder(world)
         seen = await watched(world)
         rng = random.Random(seed)
@@ -182,7 +182,7 @@
 
 def test_steps_of_the_wall_clock_change_nothing():
     async def scenario(world):
-        await world.whole()
+        await world.start_all()
         host, epoch = await one_holder(world)
         seen = await watched(world)
         await sleep_us(SECOND)
@@ -199,7 +199,7 @@
 
 def test_one_mdconf_that_is_silent_or_whose_answers_are_lost_does_not_cost_the_lease():
     async def scenario(world):
-        await world.whole()
+        await world.start_all()
         host, epoch = await one_holder(world)
         await watched(world)
         await sleep_us(2 * SECOND)
@@ -229,7 +229,7 @@
 
 def test_a_holder_whose_renewals_are_done_but_never_answered_stops():
     async def scenario(world):
-        await world.whole()
+        await world.start_all()
         host, epoch = await one_holder(world)
         await watched(world)
         world.nursery.start_soon(cut_from_mdconfs, world, host, 20 * SECOND)
@@ -243,7 +243,7 @@
 
 def test_a_lease_counts_from_before_the_request_was_sent():
     async def scenario(world):
-        await world.whole()
+        await world.start_all()
         host, epoch = await one_holder(world)
         lease = world.daemon("mdreg", host).election.lease
         asked = {}
@@ -265,7 +265,7 @@
 
 def test_a_holder_that_stops_politely_is_followed_before_its_lease_would_have_ended():
     async def scenario(world):
-        await world.whole()
+        await world.start_all()
         host, epoch = await one_holder(world)
         await watched(world)
         lease = world.daemon("mdreg", host).election.lease
@@ -282,7 +282,7 @@
 
 def test_all_mdconf_restart_and_the_collector_is_one():
     async def scenario(world):
-        await world.whole()
+        await world.start_all()
         _, epoch = await one_holder(world)
         seen = await watched(world)
         for host in world.core:
@@ -322,7 +322,7 @@
 
 def test_a_killed_holder_is_followed_as_soon_as_its_silence_and_its_lease_allow():
     async def scenario(world):
-        await world.whole()
+        await world.start_all()
         host, epoch = await one_holder(world)
         await watched(world)
         await sleep_us(SECOND)
--- a/tests/forwarding/test_response_matching.py
+++ b/tests/forwarding/test_response_matching.py
@@ -20,7 +20,7 @@
 
 def answering(end, answer):
     """The endpoint's answers are sent by answer(job, ran, data)."""
-    end.answer_of = lambda job, ran, status: answer(job, ran, end.whole(ran, status))
+    end.answer_of = lambda job, ran, status: answer(job, ran, end.complete_response(ran, status))
 
 
 def link_of(world, local, peer):
@@ -470,7 +470,7 @@
             if rng.random() < 0.05 and earlier:
                 conn.again = rng.choice(earlier)
             if job.fault is None and ran.method != b"HEAD":
-                earlier.append(end.whole(ran, status))
+                earlier.append(end.complete_response(ran, status))
 
         end.answer_of = answer_of
 
--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -303,7 +303,7 @@
 
 async def max_holders(world):
     """Of the lease at one moment, while its first holder is cut off from all others."""
-    await world.whole()
+    await world.start_all()
     host, _ = await one_holder(world)
     isolate(world, host)
     most, cut_at = 0, monotonic_us()
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -46,7 +46,7 @@
 
 async def with_items(world, *items):
     """All processes up; these items in force on every proxy."""
-    await world.whole()
+    await world.start_all()
     for host in world.core:
         await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
     version = await world.set_items([service("desk"), *items])
--- a/tests/proxy/test_stop.py
+++ b/tests/proxy/test_stop.py
@@ -137,7 +137,7 @@
     )
 
     async def scenario(world):
-        await world.whole()
+        await world.start_all()
         host = world.core[0]
         door, found = f"{host}:7419", []
 
--- a/tests/support/fleets.py
+++ b/tests/support/fleets.py
@@ -53,7 +53,7 @@
     }
     made = Fleet(topology, str(folder / "run"))
     try:
-        made.whole(manifest)
+        made.start_all(manifest)
         yield made
     finally:
         made.down()
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -40,7 +40,7 @@
 
     async def whole(world):
         terms = places_terms
-        await world.whole()
+        await world.start_all()
         await world.eventually(lambda: not world.node("mdconf", world.core[0]).unready_reasons())
         await world.set_items(terms.get("items") or items())
         for host in world.application:
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -488,7 +488,7 @@
             disk.files = disk_of(files, f"{STORING_ROLE}-{host}/").files
             disk.lasting = dict(disk.files)
             world.disks[STORING_ROLE, host] = disk
-        await world.whole()
+        await world.start_all()
         for host in world.core:
             node = world.node(STORING_ROLE, host)
             await world.eventually(lambda node=node: not node.unready_reasons())
@@ -588,7 +588,7 @@
     """{"answers": raw answers of a gate's door, "statuses": with what was counted, "links": ...,
     "http": ...}"""
     made, conversations = {}, Conversations()
-    await world.whole()
+    await world.start_all()
     member = world.node(STORING_ROLE, world.core[0])
     await world.eventually(lambda: not member.unready_reasons())
     made["before any revision"] = await raw(world, GATE_REQUESTS["answered beside"] % (CALL % 0))
--- a/tests/support/item_changes.py
+++ b/tests/support/item_changes.py
@@ -23,6 +23,6 @@
 
 async def founded(world):
     """The core alone: no manifest was ever set."""
-    await world.whole()
+    await world.start_all()
     for host in world.core:
         await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
--- a/tests/support/mesh.py
+++ b/tests/support/mesh.py
@@ -19,7 +19,7 @@
 
 async def configured(world, facts=None):
     """All daemons up, a manifest in force on every proxy."""
-    await world.whole()
+    await world.start_all()
     for host in world.core:
         await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
     await world.configure(facts or manifest())
