--- a/packages/config_store/meadowdock/config_store/__init__.py
+++ b/packages/config_store/meadowdock/config_store/__init__.py
@@ -1,1 +1,1 @@
-"""Core: the manifest register on disk, and the operators' calls."""
+"""The config store: the configuration on a quorum of disks, its operators' API, its members."""
--- a/packages/registry/meadowdock/registry/election.py
+++ b/packages/registry/meadowdock/registry/election.py
@@ -89,7 +89,7 @@
         """Stop using a lease that could not be renewed in time."""
         granted = self.lease.granted
         if granted is not None and self.lease.expired:
-            self.node.log(705, duty=COLLECTOR, epoch=granted.epoch)
+            self.node.log(705, lease=COLLECTOR, epoch=granted.epoch)
             self.lease.drop()
             self.reclaiming = True
 
