--- a/tests/project/test_docs.py
+++ b/tests/project/test_docs.py
@@ -80,3 +80,30 @@
         )
     ]
     assert missing == []
+
+
+LOGGED = re.compile(r"log\((\d{3})\b")
+
+
+def modules_that_log():
+    """{event number: modules of the daemons that log it}."""
+    found = {}
+    for folder, _, names in os.walk(os.path.join(DOCS, "..", "packages")):
+        for name in names:
+            path = os.path.join(folder, name)
+            if not name.endswith(".py") or "simulator" in path or "soak" in path:
+                continue
+            with open(path, encoding="utf-8") as file:
+                for number in LOGGED.findall(file.read()):
+                    module = path.split("/meadowdock/")[1]
+                    found.setdefault(int(number), set()).add(module)
+    return found
+
+
+def test_the_on_call_page_names_each_module_that_logs_an_alarm():
+    logged = modules_that_log()
+    assert len(logged) > 25
+    for row in rows("oncall.md"):
+        if row[0][:1].isdigit():
+            unnamed = logged.get(int(row[0].split()[0]), set()) - set(MODULE.findall(row[2]))
+            assert not unnamed, row[0]
