--- a/tests/config_store/test_quorum_monitor.py
+++ b/tests/config_store/test_quorum_monitor.py
@@ -185,7 +185,7 @@
     async def scenario(world):
         await founded(world)
         daemon = world.daemon("mdconf", world.core[0])
-        daemon.heard = {}
+        daemon.peer_statuses = {}
         assert not daemon.quorum_monitor.in_touch()
         assert await accepted(world, [service("desk")]) == 1
 
