--- a/packages/proxy/meadowdock/proxy/__init__.py
+++ b/packages/proxy/meadowdock/proxy/__init__.py
@@ -1,4 +1,4 @@
-"""The proxy (program mdproxy) beside each endpoint."""
+"""The sidecar proxy (daemon mdproxy) that runs beside each endpoint."""
 
 from meadowdock.proxy.server import ProxyServer
 
--- a/packages/proxy/meadowdock/proxy/call.py
+++ b/packages/proxy/meadowdock/proxy/call.py
@@ -1,4 +1,4 @@
-"""A call: one request on its way through this proxy, and its outcome."""
+"""The state of one request while this proxy handles it, and its outcome."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True)
 class EndpointResponse:
-    """An endpoint's response. Invariant: it is complete and passed the checks."""
+    """An endpoint's response.
+
+    Invariant: it is complete and has passed the checks of endpoint_responses.
+    """
 
     status: int
     headers: Headers
@@ -45,42 +48,45 @@
     headers: Headers
     body: bytes
     route: Route
-    version: int  # of the configuration that the route is of
+    version: int  # of the configuration that the route was taken from
     deadline: int
     idempotency_key: str | None = None
-    lookup_only: bool = False  # the key may have been sent before, elsewhere: only looked up
-    cut_off: bool = False  # the config stores were out of reach when the route was chosen
+    lookup_only: bool = False  # a repeated key: only looked up in the endpoint's record
+    cut_off: bool = False  # the config stores were unreachable when the route was chosen
     arrived_here: bool = True
-    incarnation: str | None = None  # of the endpoint that the forwarding peer believes to be here
+    incarnation: str | None = None  # of the endpoint that the forwarding peer expects here
     started: bool = False
     disconnected: bool = False  # the caller has closed its connection
     outcome: Outcome | None = None
-    may_have_run: bool = False  # the fate of some attempt is unknown
-    excluded_peers: set[str] = field(default_factory=set)  # that rejected it, or failed
-    sends: int = 0  # to peers and endpoints
-    endpoint_sends: int = 0  # those that an endpoint may have seen
-    waits: int = 0  # in the queue for a slot
+    may_have_run: bool = False  # the outcome of at least one attempt is unknown
+    excluded_peers: set[str] = field(default_factory=set)  # peers that rejected it or failed
+    sends: int = 0  # attempts sent to peers and endpoints
+    endpoint_sends: int = 0  # attempts that an endpoint may have received
+    queue_waits: int = 0  # times that it waited in the slot queue in vain
     peer_attempts: int = 0
     endpoint_attempts: int = 0
-    endpoint: Endpoint | None = None  # whose slot it holds
+    endpoint: Endpoint | None = None  # the endpoint whose slot it holds
     target: NodeLoad | None = None  # the peer that it was last forwarded to
-    cancel_scope: trio.CancelScope | None = None  # ended by the deadline or an abort only
+    cancel_scope: trio.CancelScope | None = None  # cancelled by the deadline or an abort only
     next_step: Step | None = None
 
     @property
     def request_target(self) -> str:
-        """Path and query, as they go to the endpoint."""
+        """The request target (path and query) that the endpoint receives."""
         return self.path + ("?" + self.query if self.query else "")
 
     def reject(self, code: str, detail: str = "") -> None:
-        """Set the outcome. Once an attempt may have run, no rejection may claim not-run."""
+        """Set the outcome to a rejection.
+
+        Once an attempt may have run, a rejection whose verdict is not-run is replaced by "lost".
+        """
         rejected = rejection(code, detail)
         if self.may_have_run and rejected.verdict is NOT_RUN:
             rejected = rejection("lost", f"an earlier try may have run; then {code}")
         self.outcome = rejected
 
     def verdict(self) -> Verdict:
-        """Whether it ran, as far as is known now."""
+        """Return whether the call ran, as far as is known now."""
         if self.outcome is not None:
             return self.outcome.verdict
         sent = self.started or self.may_have_run or self.target is not None
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -1,8 +1,8 @@
 """Configuration delivery at a proxy.
 
-The proxy follows the current revision of the config stores: it stages a newer one (fetches its
-chunks and builds the routing table) and activates it, once that is said to be in force elsewhere or
-after a delay. Revisions are maps here, as they are on the wire.
+The proxy follows the current revision of the config stores. It stages a newer revision (fetches its
+chunks and builds the routing table) and activates it once the revision is known to be in force
+elsewhere, or after a delay. Revisions are maps here, as they are on the wire.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us, sleep_us
 
-# Fractions of apply_us, within which an acknowledged change is in force. Together, with the member that
-# acknowledged gone and one more silent, they are less than half of it.
-CONFIRM_INTERVAL_DIVISOR = 5  # how often the config stores are asked for the revision
-RETRY_INTERVAL_DIVISOR = 10  # and again, where they did not answer or a staging failed
-QUERY_TIMEOUT_DIVISOR = 5  # for an answer
-# For the answer of the member that answered last, before others are asked.
+# Divisors of apply_us, the time within which an acknowledged change must be in force. If the member
+# that acknowledged it has failed and one more is silent, the delays together stay below half of it.
+CONFIRM_INTERVAL_DIVISOR = 5  # between queries of the config stores for the current revision
+RETRY_INTERVAL_DIVISOR = 10  # between queries after one went unanswered or a staging failed
+QUERY_TIMEOUT_DIVISOR = 5  # for a reply
+# For a reply of the member that replied last, before other members are asked.
 PREFERRED_QUERY_TIMEOUT_DIVISOR = 20
-ACTIVATION_DELAY_DIVISOR = 10  # after staging, if nobody says that it is in force
-# Ticks further apart than this: the process was paused, and others may have activated a revision.
+ACTIVATION_DELAY_DIVISOR = 10  # from staging to activation, if no one reports it as in force
+# A longer gap between ticks means that the process was paused: peers may have activated a revision.
 PAUSE_THRESHOLD_US = 250 * MILLISECOND
 REVALIDATION_WAIT_US = 600 * MILLISECOND
 
@@ -42,7 +42,7 @@
     """The configuration in force here, and the newer one that is staged.
 
     Invariants: the version in force never goes down; staged, if any, is newer than it; revalidated
-    is an event iff this process was paused and has not confirmed its version since.
+    is an event if and only if this process was paused and has not confirmed its version since.
     """
 
     handlers = Handlers()
@@ -56,7 +56,7 @@
         self.cut_off = self.activate_at_once = False
         self.highest_active_elsewhere = 0  # the highest version that peers have in force
         self.preferred_source = None
-        self.revalidated = None  # set once the version is confirmed after a pause
+        self.revalidated = None  # the event that is set once the version is confirmed after a pause
         self.update_available = trio.Event()
         self.retry_soon = False  # the last query or staging failed
 
@@ -70,17 +70,21 @@
         """The newest version that is in force or staged."""
         return self.staged.routing_table.version if self.staged else self.version
 
-    # ------------------------------------------------------------ for calls
-
     async def ensure_current(self):
-        """Before a call: after a pause the version is confirmed first, if a config store answers."""
+        """Wait, after a pause of the process, until the version is confirmed or the wait times out.
+
+        Called before each call is routed.
+        """
         self.detect_pause()
         if self.revalidated is not None:
             with deadline_scope(monotonic_us() + REVALIDATION_WAIT_US):
                 await self.revalidated.wait()
 
     def detect_pause(self):
-        """Called at each tick: a long time since the last one means that the process was paused."""
+        """Start a revalidation if the process was paused since the last tick.
+
+        A long time between two ticks means that it was.
+        """
         if (
             monotonic_us() - self.last_tick_at > PAUSE_THRESHOLD_US
             and self.active
@@ -91,20 +95,21 @@
         self.last_tick_at = monotonic_us()
 
     def request_update(self):
-        """Look for a newer revision now."""
+        """Query for a newer revision now."""
         self.update_available.set()
 
     def on_version_seen(self, version, in_force):
-        """A version exists; one in force elsewhere, and staged here, is activated here, too."""
+        """Handle news that a version exists, and whether it is in force at a peer.
+
+        One that is in force elsewhere is activated here as soon as it is staged.
+        """
         if in_force:
             self.on_active_elsewhere(version)
         if version > self.newest:
             self.request_update()
 
-    # ------------------------------------------------------------ loops
-
     async def run(self):
-        """Confirm the version again and again, and whenever a newer one is heard of."""
+        """Confirm the version periodically, and whenever a newer one is heard of."""
         while True:
             self.update_available = trio.Event()
             await self.confirm()
@@ -113,7 +118,7 @@
                 await sleep_us(20 * MILLISECOND)
 
     def next_confirm_at(self):
-        """When the version is confirmed next, unless a newer one is heard of."""
+        """Return when to confirm the version next, unless a newer one is heard of."""
         if self.retry_soon:
             return monotonic_us() + self.fraction_of_apply_us(RETRY_INTERVAL_DIVISOR)
         return self.node.view.schedule.next_wakeup(
@@ -121,17 +126,17 @@
         )
 
     def fraction_of_apply_us(self, divisor):
-        """A fraction of the time within which an acknowledged change is in force."""
+        """Return a fraction of the time within which a change must be in force."""
         return self.node.settings.apply_us // divisor
 
     async def confirm(self):
-        """Ask the config stores for the current revision; fetch and stage what is newer.
+        """Query the config stores for the current revision; fetch and stage it if it is newer.
 
-        A pause after the query is not settled by its answer, which may have lain in a buffer
-        meanwhile.
+        A pause that happens after the query was sent still needs a revalidation: the reply may have
+        waited in a buffer meanwhile.
         """
         pending_revalidation = self.revalidated
-        # others may have activated a revision meanwhile: this process does so at once
+        # Peers may have activated a revision meanwhile: this process does so at once.
         self.activate_at_once = self.cut_off or pending_revalidation is not None
         revision, source = await self.query_config_stores()
         reached = revision is not None
@@ -142,15 +147,15 @@
         if revision is not None and revision["version"] > self.newest:
             complete = await self.stage_within_interval(revision, source)
             if complete is None:
-                return  # still under way: nothing can be said yet
-        # after a start only a confirmed revision is served: this machine may have served a newer
-        # one than its peers have
+                return  # the staging is still running: its result is not known yet
+        # After a start only a confirmed revision is activated: before it, this machine may have
+        # served a newer one than its peers have.
         if self.staged is not None and (
             reached and complete if self.active is None else self.activate_at_once
         ):
             self.activate_staged(self.staged.routing_table.version)
         self.activate_at_once = False
-        # cut off until the stores' version is in force here, or staged in its ordinary turn
+        # Cut off until the stores' version is in force here, or staged for its normal activation.
         unconfirmed = not (reached and complete)
         if unconfirmed and not self.cut_off:
             self.node.log(503, version=self.version)
@@ -162,44 +167,47 @@
             self.revalidated = None
 
     async def query_config_stores(self):
-        """The member that answered last; if it doesn't, three others at once."""
+        """Return (revision, address) of a config store's reply, or (None, None).
+
+        The member that replied last is asked first; if it doesn't reply, three are asked at once.
+        """
         members = self.node.view.core_members("mdconf")
         if self.preferred_source in members:
-            answer = await self.query_first(
+            reply = await self.query_first(
                 [self.preferred_source], self.fraction_of_apply_us(PREFERRED_QUERY_TIMEOUT_DIVISOR)
             )
-            if answer is not None:
-                return answer
+            if reply is not None:
+                return reply
         self.node.runtime.rng.shuffle(members)
         return await self.query_first(
             members[:3], self.fraction_of_apply_us(QUERY_TIMEOUT_DIVISOR)
         ) or (None, None)
 
-    async def query_first(self, addresses, wait):
-        """(revision, address) of the first that answers, or None."""
-        found = []
+    async def query_first(self, addresses, timeout_us):
+        """Return (revision, address) of the first member that replies, or None."""
+        replies = []
 
         async def query_one(address):
-            answer = await self.query(address, wait)
-            found.extend(answer)
-            if answer:
+            reply = await self.query(address, timeout_us)
+            replies.extend(reply)
+            if reply:
                 nursery.cancel_scope.cancel()
 
-        if len(addresses) == 1:  # the ordinary case: no tasks of its own
-            found = await self.query(addresses[0], wait)
+        if len(addresses) == 1:  # the usual case needs no tasks of its own
+            replies = await self.query(addresses[0], timeout_us)
         else:
             async with trio.open_nursery() as nursery:
                 for address in addresses:
                     nursery.start_soon(query_one, address)
-        if not found:
+        if not replies:
             return None
-        self.preferred_source = found[0][1]
-        return found[0]
+        self.preferred_source = replies[0][1]
+        return replies[0]
 
-    async def query(self, address, wait):
-        """[(revision, address)], or nothing."""
+    async def query(self, address, timeout_us):
+        """Return [(revision, address)], or an empty list if there is no reply."""
         try:
-            deadline = monotonic_us() + wait
+            deadline = monotonic_us() + timeout_us
             return [
                 (await self.node.rpc.call(address, "manifest.head", self.newest, deadline), address)
             ]
@@ -207,7 +215,11 @@
             return []
 
     async def query_peers(self):
-        """Cut off from the config stores: a peer's version is better than an older one."""
+        """Return (revision, address) of a peer with a newer version, or (None, None).
+
+        Used while no config store can be reached: a peer's newer version is better than an older
+        one.
+        """
         peers = [
             (seen.entry.version, address)
             for address, seen in self.node.view.entries.items()
@@ -220,7 +232,7 @@
         )
 
     async def stage(self, revision, source):
-        """Stage a revision unless it is old; False if its chunks were not to be had."""
+        """Stage a revision unless it is old; return False if its chunks could not be fetched."""
         if revision["version"] <= self.newest:
             return True
         in_use = [known.revision for known in (self.active, self.staged) if known]
@@ -230,35 +242,41 @@
         return complete
 
     async def stage_within_interval(self, revision, source):
-        """As stage, or None if that takes long: a newer revision may be there by then."""
+        """Stage a revision as `stage` does, but for at most one confirm interval.
+
+        Return None if that is too short: a newer revision may exist by then.
+        """
         with deadline_scope(monotonic_us() + self.fraction_of_apply_us(CONFIRM_INTERVAL_DIVISOR)):
             return await self.stage(revision, source)
         return None
 
     def base_of_next(self):
-        """(routing table, revision) that the next table is built from, if any."""
+        """Return the (routing table, revision) that the next table is built from, or None."""
         newest = self.staged or self.active
         return newest and (newest.routing_table, newest.revision)
 
     def on_staged(self, routing_table, revision, fetched):
-        """The stager built a table; so many chunks of it were fetched."""
+        """Take over a routing table that the stager built.
+
+        :param fetched: how many of its chunks had to be fetched.
+        """
         if routing_table.version <= self.newest:
             return
-        fresh = self.staged is None
-        since = monotonic_us() if fresh else self.staged.since
+        first_staged = self.staged is None
+        since = monotonic_us() if first_staged else self.staged.since
         self.staged = StagedRevision(routing_table, revision, since)
         self.node.log(501, version=routing_table.version, fetched=fetched)
         if self.active is not None and (
             self.activate_at_once or routing_table.version <= self.highest_active_elsewhere
         ):
             self.activate_staged(routing_table.version)
-        elif fresh and self.active is not None:
+        elif first_staged and self.active is not None:
             self.node.nursery.start_soon(self.activate_after_delay, since)
 
     async def activate_after_delay(self, since):
-        """Activate whatever is staged by then, if nobody says earlier that it is in force.
+        """Activate whatever is staged after the activation delay, unless that happened earlier.
 
-        Changes that follow one another quickly don't put it off.
+        The delay counts from the first staging, so that frequent changes don't postpone it.
         """
         await sleep_us(self.fraction_of_apply_us(ACTIVATION_DELAY_DIVISOR))
         if self.staged is not None and self.staged.since == since:
@@ -267,14 +285,14 @@
     def on_active_elsewhere(self, version):
         """Activate a version that is in force elsewhere, now or as soon as it is staged.
 
-        Not after a start: that waits for the config stores' own answer.
+        Not after a start: the first activation waits for the config stores' own reply.
         """
         self.highest_active_elsewhere = max(self.highest_active_elsewhere, version)
         if self.active is not None:
             self.activate_staged(version)
 
     def activate_staged(self, version):
-        """Put the staged revision in force, if it is no newer than a version."""
+        """Activate the staged revision if it is no newer than `version`."""
         staged = self.staged
         if (
             staged is None
@@ -288,11 +306,9 @@
         self.node.view.advance_heartbeat(version=staged.routing_table.version)
         self.node.log(502, version=staged.routing_table.version)
 
-    # ------------------------------------------------------------ RPC methods
-
     @handlers.on("manifest.stage")
     async def on_stage_request(self, peer, revision):
-        """A config store asks to stage a revision before it acknowledges the change."""
+        """Stage a revision for a config store, before that acknowledges the change."""
         staged = await self.stage(revision, peer.address)
         if not staged:
             self.request_update()
@@ -300,13 +316,16 @@
 
     @handlers.on("manifest.switch")
     async def on_activate_request(self, peer, version):
-        """A config store says that a version is in force."""
+        """Handle a config store's notice that a version is in force."""
         self.on_active_elsewhere(version)
         return {"version": self.version}
 
     @handlers.on("manifest.head")
     async def on_revision_request(self, peer, known):
-        """A peer that is cut off from the config stores asks for the revision in force here."""
+        """Return the revision in force here to a peer that is cut off from the config stores.
+
+        :raises Rejected: no_manifest, if no configuration is in force here.
+        """
         if self.active is None:
             raise Rejected("no_manifest")
         revision = self.active.revision
@@ -314,5 +333,5 @@
 
     @handlers.on("chunk.get")
     async def on_chunk_request(self, peer, request):
-        """A peer asks for chunks."""
+        """Return the chunks that a peer asks for."""
         return await self.stager.answer_chunk_request(request)
--- a/packages/proxy/meadowdock/proxy/endpoint_connections.py
+++ b/packages/proxy/meadowdock/proxy/endpoint_connections.py
@@ -22,9 +22,9 @@
         self.node, self.endpoints = node, endpoints
 
     async def acquire(self, endpoint: Endpoint, service: dict[str, Any]) -> HttpConnection:
-        """An idle connection, or a new one that proved service and incarnation first.
+        """Return an idle connection, or a new one whose endpoint has proved its identity.
 
-        :raises HttpConnectionFailed: with sent=False: no byte of a call left.
+        :raises HttpConnectionFailed: with sent=False, since no byte of a call was sent.
         """
         while endpoint.idle_connections:
             connection = endpoint.idle_connections.pop()
@@ -36,13 +36,13 @@
             await self.verify_identity(endpoint, connection)
         if endpoint.removed:
             await connection.close()
-            raise HttpConnectionFailed(False, "endpoint is gone")
+            raise HttpConnectionFailed(False, f"endpoint {endpoint.address} was removed")
         return connection
 
     async def verify_identity(self, endpoint: Endpoint, connection: HttpConnection) -> None:
-        """Ask who answers at the address; another process costs the endpoint its registration.
+        """Check which process answers at the address; if it is another one, remove the endpoint.
 
-        :raises HttpConnectionFailed: another process, or no answer.
+        :raises HttpConnectionFailed: another process answers, or none does.
         """
         try:
             status, _, body = await connection.request("GET", IDENTITY_PATH, [], b"")
@@ -53,10 +53,10 @@
             await connection.close()
             self.node.log(405, address=endpoint.address, why="identity")
             self.endpoints.remove(endpoint, "identity")
-            raise HttpConnectionFailed(False, "another process answers there")
+            raise HttpConnectionFailed(False, f"another process answers at {endpoint.address}")
 
     def release(self, endpoint: Endpoint, connection: HttpConnection) -> None:
-        """Keep a connection that carried a complete response, or have it closed."""
+        """Keep a connection that carried a complete response for reuse, or have it closed."""
         idle = endpoint.idle_connections
         if not endpoint.removed and not connection.stale() and len(idle) < endpoint.capacity:
             idle.append(connection)
@@ -64,14 +64,14 @@
             self.endpoints.connections_to_close.append(connection)
 
     async def close_unwanted(self) -> None:
-        """Close the connections that nobody uses any more."""
+        """Close the connections that are no longer wanted."""
         unwanted, self.endpoints.connections_to_close = self.endpoints.connections_to_close, []
         for connection in unwanted:
             await connection.close()
 
 
 def includes(body: bytes, expected: dict[str, str]) -> bool:
-    """Whether a body is a JSON object with all of these fields."""
+    """Return whether a body is a JSON object with all of these fields."""
     try:
         fields = json.loads(body)
     except ValueError:
--- a/packages/proxy/meadowdock/proxy/endpoints.py
+++ b/packages/proxy/meadowdock/proxy/endpoints.py
@@ -1,7 +1,7 @@
 """The endpoints on this machine: registration, heartbeats, departure, slots and load.
 
 The registry owns the state of every endpoint beside this proxy. It does no I/O: connections that
-are no longer wanted are left in `connections_to_close` for the loop that closes them.
+are no longer wanted are put into `connections_to_close` for the loop that closes them.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 HEARTBEAT_INTERVAL_US = 500 * MILLISECOND
 HEARTBEAT_TIMEOUT_US = 1_500 * MILLISECOND  # three heartbeats
 PAUSE_THRESHOLD_US = 250 * MILLISECOND
-DEPARTED_TOKEN_TTL_US = 5 * SECOND  # an endpoint that left may end its own calls under its name
+DEPARTED_TOKEN_TTL_US = 5 * SECOND  # so that an endpoint that left can finish its outgoing calls
 REPORTED_LOAD_TTL_US = 2 * SECOND
 
 
@@ -35,13 +35,13 @@
     service: str
     address: str
     incarnation: str
-    capacity: int  # calls at once
-    issued_at: int  # of its registration, see TokenClaims
+    capacity: int  # concurrent calls
+    issued_at: int  # TokenClaims.issued_at of its registration
     heartbeat_at: int
     in_flight: int = 0
     draining: bool = False
     removed: bool = False
-    unreachable: bool = False  # took no connection; until its next heartbeat
+    unreachable: bool = False  # accepted no connection since its last heartbeat
     reported_load: float | None = None  # in 0..1
     reported_load_at: int = 0
     slow_start_until: int = 0
@@ -49,7 +49,7 @@
 
     @property
     def identity(self) -> tuple[str, str, str]:
-        """What no other process shares with it."""
+        """Service, address and incarnation, which no other process shares."""
         return self.service, self.address, self.incarnation
 
     @property
@@ -59,7 +59,7 @@
 
     @property
     def has_capacity(self) -> bool:
-        """Whether it would take one more call now."""
+        """Whether it can accept one more call now."""
         return self.available and self.in_flight < self.capacity
 
 
@@ -68,7 +68,7 @@
 
     def __init__(self, at: int) -> None:
         self.in_flight, self.forwarded = Gauge(at), Gauge(at)
-        self.forwarded_now = 0  # calls that a peer is working on for this node
+        self.forwarded_now = 0  # calls of this node that are in flight at peers
         self.rho = 0.0
 
 
@@ -85,16 +85,16 @@
     slot_us: int | None = None
 
     def to_wire(self) -> list[object]:
-        """Encode it: fields without a value are left out."""
+        """Encode the report without the fields that have no value."""
         return [value for value in self if value is not None]
 
 
 class EndpointRegistry:
     """The endpoints beside this proxy, by address, and what their tokens prove.
 
-    Invariants: by_address holds at most one endpoint an address, never a removed one; a token is
-    good only for the process it was issued to: while that is registered, and for
-    DEPARTED_TOKEN_TTL_US after it left unless another one took its address.
+    Invariants: by_address holds at most one endpoint per address, never a removed one. A token is
+    valid only for the process that it was issued to: while that is registered, and for
+    DEPARTED_TOKEN_TTL_US after it left unless another process took its address.
     """
 
     def __init__(self, host: str, fleet_key: bytes, log: Callable[..., None]) -> None:
@@ -102,35 +102,33 @@
         self.tokens = TokenSigner(host, fleet_key)
         self.by_address: dict[str, Endpoint] = {}
         self.service_loads: dict[str, ServiceLoad] = {}
-        self.slot_waiters: dict[str, Callable[[], None]] = {}  # by service: starts waiting calls
+        self.slot_waiters: dict[str, Callable[[], None]] = {}  # service -> starts its waiting calls
         self.connections_to_close: list[HttpConnection] = []
         self.last_issued_at = 0
-        self.departed_tokens: dict[TokenClaims, int] = {}  # claims -> until when they are good
+        self.departed_tokens: dict[TokenClaims, int] = {}  # claims -> when they expire
         self.pause_detector = PauseDetector(PAUSE_THRESHOLD_US, monotonic_us())
         self.heartbeat_timeout_us = HEARTBEAT_TIMEOUT_US
 
-    # ------------------------------------------------------------ registration
-
     def authenticate(self, token: str, just_started: bool) -> str | None:
-        """The service that a token proves its bearer to be, or None.
+        """Return the service that a token proves its bearer to be, or None.
 
-        A process that has just started hasn't heard all heartbeats yet: it accepts a good signature
-        for an address that no other endpoint has.
+        A process that has just started may not have received all heartbeats yet: it accepts a valid
+        signature for an address that no registered endpoint has.
         """
         claims = self.tokens.verify(token)
         if claims is None:
             return None
         endpoint = self.by_address.get(claims.address)
         if endpoint is None:
-            good = just_started or self.departed_tokens.get(claims, 0) > monotonic_us()
-            return claims.service if good else None
-        # the same process may have registered again meanwhile: no other has its incarnation
+            valid = just_started or self.departed_tokens.get(claims, 0) > monotonic_us()
+            return claims.service if valid else None
+        # issued_at isn't compared: the same process may have registered again meanwhile.
         return claims.service if endpoint.identity == claims[:3] else None
 
     def register(
         self, service: str, address: str, incarnation: str, capacity: int, at: int, wall_us: int
     ) -> str:
-        """Register an endpoint, in place of another one at its address, and issue its token."""
+        """Register an endpoint, replacing any other at its address, and return its token."""
         self.last_issued_at = issued_at = max(self.last_issued_at + 1, wall_us)
         endpoint = self.by_address.get(address)
         if endpoint is not None and endpoint.identity == (service, address, incarnation):
@@ -141,13 +139,13 @@
         return self.tokens.issue(TokenClaims(service, address, incarnation, issued_at))
 
     def add(self, endpoint: Endpoint) -> None:
-        """Take in an endpoint; whoever had its address is removed."""
+        """Add an endpoint; the former one at its address is removed."""
         former = self.by_address.get(endpoint.address)
         if former is not None:
             self.remove(former, "address taken")
         self.departed_tokens = {
-            claims: good_until
-            for claims, good_until in self.departed_tokens.items()
+            claims: expires_at
+            for claims, expires_at in self.departed_tokens.items()
             if claims.address != endpoint.address
         }
         self.by_address[endpoint.address] = endpoint
@@ -163,7 +161,9 @@
     def heartbeat(
         self, token: str, capacity: int, draining: bool, load: float | None, at: int
     ) -> None:
-        """Take a heartbeat of the endpoint that a token was issued to; it may be unknown here.
+        """Process a heartbeat of the endpoint that a token was issued to.
+
+        An endpoint that isn't registered here is added.
 
         :raises RegistrationDenied: bad_token, or superseded by a later registration.
         """
@@ -185,14 +185,14 @@
         self.notify_waiters(claims.service)
 
     def start_draining(self, endpoint: Endpoint) -> None:
-        """No new call goes to the endpoint from here on."""
+        """Send no new calls to the endpoint from now on."""
         if not endpoint.draining:
             endpoint.draining = True
             self.log(402, service=endpoint.service, address=endpoint.address)
             self.notify_waiters(endpoint.service)
 
     def deregister(self, token: str) -> None:
-        """The endpoint that a token was issued to shuts down.
+        """Remove the endpoint that a token was issued to, because it shuts down.
 
         :raises RegistrationDenied: bad_token.
         """
@@ -202,36 +202,38 @@
         endpoint = self.by_address.get(claims.address)
         if endpoint is not None and (*endpoint.identity, endpoint.issued_at) == claims:
             self.departed_tokens = {
-                departed: good_until
-                for departed, good_until in self.departed_tokens.items()
-                if good_until > monotonic_us()
+                departed: expires_at
+                for departed, expires_at in self.departed_tokens.items()
+                if expires_at > monotonic_us()
             }
             self.departed_tokens[claims] = monotonic_us() + DEPARTED_TOKEN_TTL_US
             self.remove(endpoint, "left")
 
-    def remove(self, endpoint: Endpoint, why: str) -> None:
-        """Forget an endpoint; its idle connections are to be closed."""
+    def remove(self, endpoint: Endpoint, reason: str) -> None:
+        """Remove an endpoint, and hand over its idle connections to be closed."""
         if endpoint.removed:
             return
         endpoint.removed = True
         self.by_address.pop(endpoint.address, None)
         self.connections_to_close += endpoint.idle_connections
         endpoint.idle_connections = []
-        self.log(403, service=endpoint.service, address=endpoint.address, why=why)
+        self.log(403, service=endpoint.service, address=endpoint.address, why=reason)
         self.notify_waiters(endpoint.service)
 
     def mark_unreachable(self, endpoint: Endpoint) -> None:
-        """The endpoint took no connection: no call goes there until its next heartbeat."""
+        """Send no calls to the endpoint until its next heartbeat.
+
+        Called when it accepted no connection.
+        """
         if not endpoint.unreachable and not endpoint.removed:
             endpoint.unreachable = True
             self.log(404, service=endpoint.service, address=endpoint.address)
             self.notify_waiters(endpoint.service)
 
     def remove_expired(self, at: int) -> None:
-        """Remove the endpoints whose heartbeats failed to come for too long.
+        """Remove the endpoints whose last heartbeat is too old.
 
-        While this process was paused, heartbeats may have arrived that nobody has read yet: such a
-        pause is not counted.
+        A pause of this process doesn't count: heartbeats that arrived during it are still unread.
         """
         paused_us = self.pause_detector.look(at)
         for endpoint in self.by_address.values():
@@ -240,14 +242,12 @@
             if at - endpoint.heartbeat_at > self.heartbeat_timeout_us:
                 self.remove(endpoint, "no beat")
 
-    # ------------------------------------------------------------ slots
-
     def available_endpoints(self, service: str) -> list[Endpoint]:
-        """The endpoints of a service that calls may be sent to."""
+        """Return the endpoints of a service that calls may be sent to."""
         return [e for e in self.by_address.values() if e.service == service and e.available]
 
     def local_endpoint(self, service: str) -> Endpoint | None:
-        """The endpoint here that takes the next call: the least loaded of those available."""
+        """Return the least loaded available endpoint of a service, or None."""
         return min(
             self.available_endpoints(service), key=lambda e: e.in_flight / e.capacity, default=None
         )
@@ -258,27 +258,25 @@
         self.update_gauges(endpoint.service, at)
 
     def release_slot(self, endpoint: Endpoint, at: int) -> None:
-        """Count a call that ended at the endpoint; one that waits for the slot may start."""
+        """Count a call that ended at the endpoint, and let a waiting call take the slot."""
         endpoint.in_flight -= 1
         self.update_gauges(endpoint.service, at)
         self.notify_waiters(endpoint.service)
 
     def notify_waiters(self, service: str) -> None:
-        """There may be a slot of the service, or none any more: waiting calls look again."""
+        """Let the waiting calls of a service check again whether there is a slot."""
         notify = self.slot_waiters.get(service)
         if notify is not None:
             notify()
 
-    # ------------------------------------------------------------ load
-
     def adjust_forwarded(self, service: str, change: int, at: int) -> None:
-        """So many more calls of the service are with peers now."""
+        """Change the number of the service's calls that are in flight at peers."""
         load = self.service_loads.setdefault(service, ServiceLoad(at))
         load.forwarded_now += change
         self.update_gauges(service, at)
 
     def update_gauges(self, service: str, at: int) -> None:
-        """Record how many calls of the service are in flight, here and with peers."""
+        """Record how many calls of the service are in flight, here and at peers."""
         load = self.service_loads.get(service)
         if load is not None:
             in_flight = sum(e.in_flight for e in self.by_address.values() if e.service == service)
@@ -286,7 +284,10 @@
             load.forwarded.set(at, load.forwarded_now)
 
     def measure_load(self, at: int, forwarded_weight: float) -> dict[str, ServiceReport]:
-        """End the interval: a new rho for every service that has an endpoint here."""
+        """End the load interval and compute a new rho for every service.
+
+        Return the reports of the services that have an endpoint here.
+        """
         for service, load in self.service_loads.items():
             endpoints = [e for e in self.by_address.values() if e.service == service]
             load.rho = load_level(
@@ -302,7 +303,7 @@
         }
 
     def report(self, service: str, endpoints: list[Endpoint]) -> ServiceReport:
-        """What is reported of a service that has these endpoints here."""
+        """Return the report of a service that has these endpoints here."""
         next_endpoint = self.local_endpoint(service)
         return ServiceReport(
             rho=self.service_loads[service].rho,
@@ -311,7 +312,7 @@
         )
 
     def endpoints_by_service(self) -> dict[str, list[Endpoint]]:
-        """All endpoints, by service, in order of their registration."""
+        """Return all endpoints by service, in order of their registration."""
         found: dict[str, list[Endpoint]] = {}
         for endpoint in self.by_address.values():
             found.setdefault(endpoint.service, []).append(endpoint)
@@ -319,7 +320,7 @@
 
 
 def mean_reported_load(endpoints: list[Endpoint], at: int) -> float | None:
-    """The mean of the loads that the endpoints reported lately; None if none did."""
+    """Return the mean of the loads that the endpoints reported recently, or None."""
     loads = [
         endpoint.reported_load
         for endpoint in endpoints
--- a/packages/proxy/meadowdock/proxy/exceptions.py
+++ b/packages/proxy/meadowdock/proxy/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the proxy. None of them says that a request ran; each says what was wrong."""
+"""Errors of the proxy. None of them means that a request ran; each says what was wrong."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 class RegistrationDenied(Exception):
     """An endpoint's registration, heartbeat or departure was refused; nothing was changed.
 
-    `status` is the HTTP status of the answer, `code` one of the codes of docs/interfaces.md and
+    `status` is the HTTP status of the response, `code` one of the codes of docs/interfaces.md and
     `detail` a sentence for the operator.
     """
 
@@ -22,7 +22,7 @@
 
 
 class RequestRejected(Exception):
-    """A caller's request isn't forwarded; nothing of it left this process."""
+    """A caller's request is not forwarded; none of it was sent to a peer or an endpoint."""
 
     def __init__(self, code: str, detail: str = "") -> None:
         super().__init__(f"{code}: {detail}" if detail else code)
@@ -36,7 +36,7 @@
 class EndpointOutcomeUnknown(Exception):
     """A call was sent to an endpoint, and there is no valid response: it may have run.
 
-    `code` is a rejection code of meadowdock.outcome, `counter` the count for operators.
+    `code` is a rejection code of meadowdock.outcome, `counter` the counter that operators see.
     """
 
     def __init__(self, code: str, counter: str) -> None:
--- a/packages/proxy/meadowdock/proxy/forwarder.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -1,7 +1,7 @@
 """Forwarding of the calls that arrive on the proxy's own HTTP interface or from a peer.
 
-A call goes through steps: choose where it goes, wait for a slot, forward to a peer, send to the
-local endpoint. Each step gives the next one, or None once the call has its outcome.
+A call is driven by steps: choose where it goes, wait for a slot, forward it to a peer, send it to
+the local endpoint. Each step returns the next one, or None once the call has its outcome.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 if TYPE_CHECKING:
     from meadowdock.process import Node
 
-# Of an endpoint whose service the configuration no longer has.
+# Settings of a service that was removed from the configuration while its endpoint is here.
 UNKNOWN_SERVICE = {"echo": False, "identity": False}
 
-# What an endpoint answers instead of running the call: (status, md-verdict) -> rejection code.
+# How an endpoint declines to run a call: (status, md-verdict header) -> rejection code.
 ENDPOINT_REJECTIONS = {
     (503, b"not-run"): "busy",
     (409, b"may-have-run"): "key_may_have_run",
@@ -42,7 +42,7 @@
 
 
 class CheckedResponse(NamedTuple):
-    """A response of an endpoint that passed the checks; header names are in lower case."""
+    """An endpoint's response that passed the checks; header names are in lower case."""
 
     status: int
     headers: Headers
@@ -52,8 +52,8 @@
 class Forwarder:
     """Drives calls to their outcome.
 
-    Invariants: every call in flight is in the slab, with its continuation in call.next_step; a call
-    holds a slot of call.endpoint iff that is not None.
+    Invariants: every call in flight is in the slab, with its next step in call.next_step; a call
+    holds a slot of call.endpoint if and only if that is not None.
     """
 
     def __init__(self, node: Node, endpoints: EndpointRegistry, retry_budget: RetryBudget) -> None:
@@ -66,36 +66,34 @@
         self.counts: dict[str, int] = {}
 
     def count(self, name: str) -> None:
-        """Count an event, for operators."""
+        """Increment a counter of the status report."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def use_load_list(self, load_list: LoadList, nodes_by_service: NodesByService) -> None:
-        """Decide by this load list from here on."""
+        """Replace the load list that calls are placed by."""
         self.placement.loads.update(load_list, nodes_by_service)
 
     @property
     def load_list(self) -> LoadList:
-        """The latest load list, without its nodes."""
+        """The epoch, sequence number and age of the latest load list, without its nodes."""
         return self.placement.loads.latest
 
     @property
     def nodes_by_service(self) -> Mapping[str, Sequence[NodeLoad]]:
-        """The nodes of the latest load list."""
+        """The nodes of the latest load list, by service."""
         return self.placement.loads.nodes
 
     async def remove_expired(self) -> None:
-        """Remove endpoints without heartbeats, and close connections that nobody uses."""
+        """Remove endpoints whose heartbeats stopped, and close unwanted connections."""
         self.endpoints.remove_expired(monotonic_us())
         await self.connections.close_unwanted()
 
     def abort_requests(self) -> None:
-        """End the calls that are at an endpoint now, as may have run."""
+        """Cancel the calls that are at an endpoint now; their outcome is may-have-run."""
         for call in self.slab:
             if call.cancel_scope is not None:
                 call.cancel_scope.cancel()
 
-    # ------------------------------------------------------------ the steps
-
     async def run(self, call: Call) -> Outcome:
         """Drive a call to its outcome."""
         call.next_step = self.first_step(call)
@@ -112,31 +110,29 @@
             self.release_slot(call)
 
     def first_step(self, call: Call) -> Step:
-        """Where a call begins."""
+        """Return the step that a call begins with."""
         if call.lookup_only:
             return self.lookup_step
         return self.choose_step if call.arrived_here else self.peer_call_step
 
     def assign_slot(self, call: Call, endpoint: Endpoint) -> Step:
-        """Give the call a slot of the endpoint; the step to take with it."""
+        """Give the call a slot of the endpoint, and return the step that uses it."""
         call.endpoint = endpoint
         self.endpoints.acquire_slot(endpoint, monotonic_us())
         return self.endpoint_step
 
     def release_slot(self, call: Call) -> None:
-        """Give back the slot that the call holds, if any."""
+        """Release the slot that the call holds, if any."""
         if call.endpoint is not None:
             endpoint, call.endpoint = call.endpoint, None
             self.endpoints.release_slot(endpoint, monotonic_us())
 
     def reject(self, call: Call, code: str, detail: str = "") -> None:
-        """End a call with a rejection: there is no next step."""
+        """Set a rejection as the call's outcome; there is no next step."""
         call.reject(code, detail)
 
-    # ------------------------------------------------------------ arrival
-
     def decide(self, call: Call) -> Choice:
-        """Where the policy places a call now."""
+        """Return where the placement policy puts a call now."""
         service, parameters = call.route.service, self.routing_table.load
         return self.placement.choose(
             service,
@@ -149,7 +145,11 @@
         )
 
     async def lookup_step(self, call: Call) -> Step | None:
-        """A key that may have run elsewhere: only the record of the endpoint here can tell more."""
+        """Ask the local endpoint's execution record what became of a repeated key.
+
+        The request may have run elsewhere, so it isn't run anew. Without an endpoint that keeps a
+        record, the call is rejected.
+        """
         endpoint = self.endpoints.local_endpoint(call.route.service)
         service = self.routing_table.services[call.route.service]
         if endpoint is None or not service.get("record"):
@@ -159,7 +159,7 @@
         return self.assign_slot(call, endpoint)
 
     async def choose_step(self, call: Call) -> Step | None:
-        """Choose where the call goes."""
+        """Choose between the local endpoint, a peer, and waiting for a local slot."""
         choice = self.decide(call)
         self.count(f"rule.{choice.rule}")
         if choice.placement is LOCAL:
@@ -170,7 +170,10 @@
         return self.wait_step
 
     async def wait_step(self, call: Call) -> Step | None:
-        """No capacity anywhere: wait a little for a local slot, if that is likely to help."""
+        """Wait for a local slot, if one is likely to become free in time.
+
+        Reached when neither the local endpoint nor a peer has capacity.
+        """
         endpoint = self.endpoints.local_endpoint(call.route.service)
         if endpoint is None:
             return self.reject(call, "home_gone")
@@ -189,13 +192,13 @@
                 queue.waiting.remove(entry)
         if call.endpoint is not None:
             return self.endpoint_step
-        call.waits += 1
-        if entry.decided.is_set() and call.waits <= max_waits:
-            return self.choose_step  # the local endpoint was removed meanwhile
+        call.queue_waits += 1
+        if entry.decided.is_set() and call.queue_waits <= max_waits:
+            return self.choose_step  # the local endpoint was removed while it waited
         return self.reject(call, "busy")
 
     def slot_queue(self, service: str) -> SlotQueue:
-        """The queue of a service, which is told of free slots from its first use on."""
+        """Return the slot queue of a service; it is created and notified from its first use on."""
         queue = self.slot_queues.get(service)
         if queue is None:
             queue = SlotQueue(service, self.endpoints, self.assign_slot)
@@ -204,28 +207,29 @@
         return queue
 
     async def peer_call_step(self, call: Call) -> Step | None:
-        """A call that a peer forwarded: the endpoint here takes it now, or nobody does."""
+        """Give a peer's call a slot of the local endpoint, or reject it.
+
+        It neither waits here nor is forwarded again.
+        """
         service = call.route.service
         endpoint = self.endpoints.local_endpoint(service)
         if endpoint is None:
             return self.reject(call, "home_gone")
         if endpoint.incarnation != call.incarnation:
-            wanted = (
+            matching = (
                 other
                 for other in self.endpoints.available_endpoints(service)
                 if other.incarnation == call.incarnation
             )
-            endpoint = next(wanted, None)
+            endpoint = next(matching, None)
             if endpoint is None:
                 return self.reject(call, "home_gone", "another incarnation")
         if not endpoint.has_capacity:
             return self.reject(call, "busy")
         return self.assign_slot(call, endpoint)
 
-    # ------------------------------------------------------------ forwarding to a peer
-
     async def forward_step(self, call: Call) -> Step | None:
-        """Forward the call to the chosen peer."""
+        """Forward the call to the chosen peer; a second attempt needs the retry budget."""
         if call.sends and not self.retry_budget.try_withdraw(monotonic_us()):
             return self.wait_step
         call.sends += 1
@@ -248,7 +252,7 @@
         return None
 
     def after_peer_rejected(self, call: Call, address: str, code: str) -> Step | None:
-        """The peer rejected the call."""
+        """Return the next step after the peer rejected the call."""
         call.excluded_peers.add(address)
         if code == "busy":
             self.placement.loads.exclude(call.route.service, address)
@@ -260,7 +264,7 @@
         )
 
     def after_peer_failed(self, call: Call, address: str, sent: bool, deadline: int) -> Step | None:
-        """The connection to the peer failed, or it didn't answer by the deadline."""
+        """Return the next step after the connection failed or the deadline passed."""
         call.excluded_peers.add(address)
         self.count("spill.broke")
         if not sent:
@@ -273,32 +277,34 @@
         )
 
     def peer_attempts_left(self, call: Call) -> bool:
-        """Whether the route allows one more attempt at a peer."""
+        """Return whether the route allows one more attempt at a peer."""
         return call.peer_attempts <= call.route.relocation.retries
 
     def after_outcome_unknown(
         self, call: Call, code: str, retry: Step | None, attempts_left: bool
     ) -> Step | None:
-        """The fate of an attempt is unknown: retry only on a route that is safe to repeat."""
+        """Retry an attempt whose outcome is unknown, or reject the call.
+
+        Only a call of an idempotent route is retried.
+        """
         call.may_have_run = True
-        over = (
+        no_more_retries = (
             call.disconnected
             or self.node.shutdown.abort_requested.is_set()
             or monotonic_us() >= call.deadline
         )
-        if call.route.idempotent and attempts_left and not over:
+        if call.route.idempotent and attempts_left and not no_more_retries:
             return retry
         return self.reject(call, code)
 
-    # ------------------------------------------------------------ the local endpoint
-
     async def endpoint_step(self, call: Call) -> Step | None:
         """Send the call to the endpoint whose slot it holds."""
         endpoint = call.endpoint
         if not endpoint.available:
             self.release_slot(call)
             return self.after_not_run(call)
-        # a call that a peer rejected was at no endpoint yet: it stays here, as the paper's would
+        # A call that only peers rejected has reached no endpoint, so sending it here is no retry:
+        # in the policy of Koegel et al. (2009), too, such a call stays at its own node.
         if call.endpoint_sends and not self.retry_budget.try_withdraw(monotonic_us()):
             return self.reject(call, "busy", "no second tries left")
         call.sends += 1
@@ -319,12 +325,12 @@
         return self.after_response(call, response)
 
     async def exchange(self, call: Call, endpoint: Endpoint, begun_at: int) -> CheckedResponse:
-        """One request and its response.
+        """Send one request to the endpoint and return its response.
 
-        Until the first byte is sent, a caller that disconnects cancels it; from then on only the
-        deadline or an abort ends it.
+        Until the first byte is sent, a caller that disconnects cancels the request; from then on
+        only the deadline or an abort ends it.
 
-        :raises NotSent: no byte of the call left.
+        :raises NotSent: no byte of the call was sent.
         :raises EndpointOutcomeUnknown: it was sent, and there is no valid response.
         """
         deadline = min(call.deadline, begun_at + call.route.endpoint.wait_us)
@@ -374,7 +380,7 @@
         return CheckedResponse(status, headers, body)
 
     def after_response(self, call: Call, response: CheckedResponse) -> Step | None:
-        """The endpoint answered: with its response, or that it did not run the call."""
+        """Set the endpoint's response as the outcome, unless it declined to run the call."""
         verdict = dict(response.headers).get(b"md-verdict")
         code = ENDPOINT_REJECTIONS.get((response.status, verdict))
         if code is None:
@@ -386,7 +392,10 @@
         return self.after_not_run(call, code) if code == "busy" else self.reject(call, code)
 
     def after_not_sent(self, call: Call, endpoint: Endpoint) -> Step | None:
-        """No byte of the call left this process, so that what comes next is no retry."""
+        """Choose anew after no byte of the call could be sent to the endpoint.
+
+        The attempt doesn't count as sent, so the next one is no retry.
+        """
         call.sends -= 1
         call.endpoint_sends -= 1
         self.endpoints.mark_unreachable(endpoint)
@@ -394,14 +403,20 @@
         return self.after_not_run(call)
 
     def after_not_run(self, call: Call, code: str = "unreachable") -> Step | None:
-        """The endpoint certainly didn't run it: look again, or tell the peer that sent it."""
+        """Choose anew after the endpoint certainly did not run the call, or reject it.
+
+        A peer's call is always rejected, so that the forwarding peer chooses.
+        """
         may_retry = self.endpoint_attempts_left(call) and monotonic_us() < call.deadline
         if call.arrived_here and may_retry and code != "busy" and not call.lookup_only:
             return self.choose_step
         return self.reject(call, code)
 
     def after_endpoint_unknown(self, call: Call, code: str) -> Step | None:
-        """The endpoint may have run it: retry there, or elsewhere if it was removed."""
+        """Retry at the endpoint that may have run the call, or reject the call.
+
+        If that endpoint is no longer available, the retry chooses anew where it goes.
+        """
         retry: Step | None = None if call.lookup_only else self.endpoint_step
         if call.endpoint is None or not call.endpoint.available:
             self.release_slot(call)
@@ -410,12 +425,12 @@
         return self.after_outcome_unknown(call, code, retry, attempts_left)
 
     def endpoint_attempts_left(self, call: Call) -> bool:
-        """Whether the route allows one more attempt at an endpoint."""
+        """Return whether the route allows one more attempt at an endpoint."""
         return call.endpoint_attempts <= call.route.endpoint.retries
 
 
 def request_headers(call: Call, endpoint: Endpoint, deadline: int) -> Headers:
-    """The headers that an endpoint gets: the caller's, and the mesh's own."""
+    """Return the headers sent to the endpoint: the caller's and the mesh's own."""
     remaining_us = max(0, deadline - monotonic_us())
     key = call.idempotency_key
     return [
@@ -431,7 +446,10 @@
 
 
 def certainly_not_run(code: str) -> bool:
-    """Whether a peer's rejection says that the call did not run. An unknown code claims nothing."""
+    """Return whether a peer's rejection proves that the call did not run.
+
+    A code that is not known here proves nothing.
+    """
     if code == "no_such_method":
         return True
     return code in REJECTION_CODES and REJECTION_CODES[code].verdict is NOT_RUN
--- a/packages/proxy/meadowdock/proxy/gateway.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -1,6 +1,6 @@
-"""The proxy with a gateway: calls come by host and prefix, and are forwarded by a Gateway.
+"""The proxy with a gateway: a Gateway forwards the calls, routed by host and path prefix.
 
-The wiring of meadowdock.forwarding into the proxy daemon; platform adapters subclass it.
+This module connects meadowdock.forwarding to the proxy daemon; platform adapters subclass it.
 """
 
 from __future__ import annotations
@@ -22,22 +22,27 @@
 from meadowdock.proxy.server import ProxyServer
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
-MISSED_HEARTBEATS = 3  # so many missed, and a third of an interval, an endpoint is removed
-LISTENERS = 2  # for callers and for peers
-# Where no operator's configuration says otherwise: by measurement on calls by host and prefix.
+MAX_MISSED_HEARTBEATS = 3  # an endpoint is removed a third of an interval after missing these
+LISTENER_COUNT = 2  # one for callers, one for peers
+# Load parameters of gateways, unless the operators' configuration sets its own: gateways route by
+# host and prefix.
 GATEWAY_LOAD_PARAMETERS = {"omega": 0.8, "phi": 0.7, "interval_us": 250 * MILLISECOND}
-# Of the fleet's retries: the windows of nodes don't begin together, and callers retry, too.
+# The part of the configured retry budget that the gateways use. The nodes' windows don't begin
+# together, and callers retry as well, so the full budget would let the fleet exceed its limit.
 RETRY_BUDGET_SHARE = 0.6
 
-# A graceful shutdown closes the listeners once no call arrived for this long.
+# A graceful shutdown closes the listeners once no call has arrived for this long.
 QUIET_US = 200 * MILLISECOND
 DRAIN_POLL_US = 10 * MILLISECOND
-FLUSH_US = 50 * MILLISECOND  # for the last responses to leave
+FLUSH_US = 50 * MILLISECOND  # for the last responses to be sent
 STOP_MARGIN_US = SECOND
 
 
 class GatewayProxy(ProxyServer):
-    """One proxy process with a gateway. Invariant: gate.configuration is delivery's active items."""
+    """One proxy process with a gateway.
+
+    Invariant: gate.configuration is the items of delivery's active version.
+    """
 
     dialect: Dialect  # the platform's header names, set by a subclass
 
@@ -57,7 +62,7 @@
             self,
         )
         self.endpoints.heartbeat_timeout_us = (
-            MISSED_HEARTBEATS * settings.heartbeat_us + settings.heartbeat_us // 3
+            MAX_MISSED_HEARTBEATS * settings.heartbeat_us + settings.heartbeat_us // 3
         )
         self.gateway_endpoints = GatewayEndpoints(self, self.reactor.end_turn)
         self.closing = trio.Event()
@@ -65,17 +70,18 @@
         self.open_listeners = 0
 
     def make_sockets(self) -> SocketNetwork:
-        """The sockets: the runtime's own, if it has any (a simulated network does)."""
+        """Create the socket network.
+
+        A simulated network brings its own; otherwise it is one over real sockets.
+        """
         node = self.node
-        make = getattr(node.runtime.net, "wires", None)
-        if make is not None:
-            return make(node.nursery, self.reactor)
+        make_network = getattr(node.runtime.net, "wires", None)
+        if make_network is not None:
+            return make_network(node.nursery, self.reactor)
         return SocketNetwork(node.settings.host, node.nursery, self.reactor)
 
-    # ------------------------------------------------------------ the daemon's hooks
-
     def background_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """The loops that the node keeps running, by the names they have in the log."""
+        """Return the loops that the node keeps running, by their names in the log."""
         return super().background_tasks() | {
             "reactor": self.reactor.run,
             "arrivals": self.serve_callers,
@@ -84,7 +90,7 @@
         }
 
     async def serve_callers(self) -> None:
-        """Accept connections of callers on this machine, until the shutdown closes the listener."""
+        """Accept connections of callers on this machine, until a shutdown closes the listener."""
         self.open_listeners += 1
         await self.sockets.listen(self.node.settings.gate_address, self.gate.accept, self.closing)
 
@@ -95,9 +101,9 @@
         await self.sockets.listen(f"{settings.host}:{settings.gate_port}", self.gate.peers.accept)
 
     def unready_reasons(self) -> list[str]:
-        """Why this process is not ready; empty if it is."""
+        """Return why this process is not ready; empty if it is."""
         reasons = super().unready_reasons()
-        if self.open_listeners < LISTENERS:
+        if self.open_listeners < LISTENER_COUNT:
             reasons.append("the doors are not open yet")
         return reasons
 
@@ -106,7 +112,10 @@
         self.gate.closing = True
 
     async def drain(self) -> None:
-        """Leave the rotation, close the listeners once it is quiet, and end the calls in flight."""
+        """Leave the rotation, and wait until no call is in flight.
+
+        The listeners are closed once no calls arrive any more.
+        """
         self.closing_listeners = True
         await self.heartbeats.send()
         await self.wait_until_quiet()
@@ -120,77 +129,78 @@
         await super().drain()
 
     async def wait_until_quiet(self) -> None:
-        """Wait until no call arrived for QUIET_US, or the stop is near."""
-        latest = self.node.shutdown.deadline - STOP_MARGIN_US
-        while monotonic_us() - self.gate.last_arrival_at < QUIET_US and monotonic_us() < latest:
+        """Wait until no call has arrived for QUIET_US, or the stop is near."""
+        wait_end = self.node.shutdown.deadline - STOP_MARGIN_US
+        while monotonic_us() - self.gate.last_arrival_at < QUIET_US and monotonic_us() < wait_end:
             await sleep_us(QUIET_US // 4)
 
-    # ------------------------------------------------------------ hooks of the proxy
-
     @property
     def out_of_rotation(self) -> bool:
-        """While its listeners are open a stopping node serves, and its endpoint is not lost."""
+        """Whether peers must not forward calls to this node any more.
+
+        A stopping node still serves until its listeners close, so its endpoint stays in use until
+        then.
+        """
         return self.closing_listeners
 
     async def maintain(self) -> None:
-        """What is due at each turn."""
+        """Run the proxy's maintenance, and the gateway's."""
         await super().maintain()
         self.gate.tidy(monotonic_us())
 
     def activate(self, routing_table: RoutingTable) -> None:
-        """Route by this configuration from here on."""
-        if routing_table.load is DEFAULT_LOAD:  # no operator has said anything of it
+        """Route by this configuration from now on."""
+        if routing_table.load is DEFAULT_LOAD:  # the operators' configuration has no load section
             routing_table.load = {**DEFAULT_LOAD, **GATEWAY_LOAD_PARAMETERS}
         super().activate(routing_table)
         self.gate.apply_configuration(routing_table.items, routing_table.load)
 
     def use_load_list(self, load_list: LoadList, nodes_by_service: NodesByService) -> None:
-        """Decide by this load list from here on."""
+        """Replace the load list that calls are placed by."""
         super().use_load_list(load_list, nodes_by_service)
         self.gate.update_loads(load_list, nodes_by_service)
         self.reactor.end_turn()
 
     def measure_load(self, at: int) -> dict[str, ServiceReport]:
-        """As the paper's level, grown by how slow the endpoint here is; with zone and mean time."""
+        """Measure the load as the proxy does, scaled up by how slow the endpoint here is.
+
+        The reports also carry the zone and the mean slot time.
+        """
         return {
-            service: self.adjusted(service, report, at)
+            service: self.with_gateway_load(service, report, at)
             for service, report in super().measure_load(at).items()
         }
 
-    def adjusted(self, service: str, report: ServiceReport, at: int) -> ServiceReport:
-        """A service's report, with what the gateway knows of it."""
+    def with_gateway_load(self, service: str, report: ServiceReport, at: int) -> ServiceReport:
+        """Return a service's report, completed by what the gateway has measured."""
         load = self.endpoints.service_loads[service]
         load.rho = min(1.0, load.rho * self.gate.slowness.factor(service, at))
         return report._replace(
             rho=load.rho, zone=self.node.settings.zone, slot_us=self.gate.slowness.hold_us(service)
         )
 
-    # ------------------------------------------------------------ retry budgets
-
     def new_retry_budget(self, gate: Gateway) -> RetryBudget:
-        """The retry budget of a service."""
+        """Return a new retry budget for a service."""
         limits = self.node.settings.retry_budget
         ratio = RETRY_BUDGET_SHARE * limits.ratio
         reserve = int(RETRY_BUDGET_SHARE * limits.reserve)
         return RetryBudget(gate.peer_count(), self.started_at, ratio, reserve, limits.window_us)
 
     def settings_changed(self, settings: Any) -> None:
-        """Take new settings of a running process: the service beside, and the retry limits."""
+        """Apply changed settings to a running process: its service and the retry limits."""
         self.gate.caller_name = (settings.service or "guest").encode()
         self.gate.retries.budgets = {
             service: self.new_retry_budget(self.gate).carry_over(former)
             for service, former in self.gate.retries.budgets.items()
         }
 
-    # ------------------------------------------------------------ for adapters
-
     def endpoint_heartbeat(self, fields: Mapping[str, Any]) -> None:
-        """A heartbeat of the endpoint beside; its fields are those of EndpointHeartbeat.
+        """Process a heartbeat of the local endpoint; its fields are those of EndpointHeartbeat.
 
         :raises RegistrationDenied: the endpoint is of another machine.
         """
         self.gateway_endpoints.heartbeat(EndpointHeartbeat.from_fields(fields))
 
     def deregister_endpoint(self, instance: str) -> None:
-        """The endpoint beside shuts down."""
+        """Remove the local endpoint, because it shuts down."""
         self.gateway_endpoints.deregister(instance)
--- a/packages/proxy/meadowdock/proxy/gateway_endpoints.py
+++ b/packages/proxy/meadowdock/proxy/gateway_endpoints.py
@@ -1,7 +1,7 @@
 """The endpoint beside a gateway: its numbered heartbeats, its departure, and its discovery.
 
 Unlike the endpoints of the proxy's own HTTP API, these have no tokens: the platform's adapter reads
-their heartbeats. A heartbeat may be delivered late; its sequence number tells.
+their heartbeats. Sequence numbers show which heartbeats arrived late.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from meadowdock.proxy.gateway import GatewayProxy
 
-MAX_DEPARTED_INSTANCES = 1_000  # remembered, so that a late heartbeat can't bring them back
+MAX_DEPARTED_INSTANCES = 1_000  # remembered, so that a late heartbeat can't register them again
 DISCOVERY_INTERVAL_US = 60 * MILLISECOND
 DISCOVERY_TIMEOUT_US = 300 * MILLISECOND
 
@@ -36,14 +36,14 @@
     service: str
     address: str
     instance: str
-    capacity: int  # calls at once
+    capacity: int  # concurrent calls
     draining: bool
-    slow_start_us: int  # how much longer it is slow
-    sequence: int  # goes up with each heartbeat of an instance
+    slow_start_us: int  # remaining time of its slow start
+    sequence: int  # increases with each heartbeat of an instance
 
     @classmethod
     def from_fields(cls, fields: Mapping[str, Any]) -> EndpointHeartbeat:
-        """Decode the fields that adapters give.
+        """Decode the fields that an adapter passes.
 
         :raises KeyError: a field is missing.
         """
@@ -59,23 +59,21 @@
 
 
 class GatewayEndpoints:
-    """Takes heartbeats and departures.
+    """Handles heartbeats and departures of the local endpoint.
 
-    Invariants: last_sequence holds the highest heartbeat's number of each instance registered here;
+    Invariants: last_sequence holds the highest sequence number of each instance registered here;
     departed holds instances that left, the oldest first.
     """
 
     def __init__(self, server: GatewayProxy, on_change: Callable[[], None]) -> None:
         self.server = server
         self.node, self.registry = server.node, server.endpoints
-        self.on_change = on_change  # ends the reactor's turn, so that waiting calls start
+        self.on_change = on_change  # ends the reactor's turn, so that waiting calls start at once
         self.last_sequence: dict[str, int] = {}
         self.departed: OrderedDict[str, bool] = OrderedDict()
 
-    # ------------------------------------------------------------ heartbeats
-
     def heartbeat(self, heartbeat: EndpointHeartbeat) -> None:
-        """Take a heartbeat; one that is late changes nothing.
+        """Process a heartbeat; one that is late changes nothing.
 
         :raises RegistrationDenied: the endpoint is of another machine.
         """
@@ -95,15 +93,19 @@
         self.on_change()
 
     def is_late(self, heartbeat: EndpointHeartbeat) -> bool:
-        """Whether something newer is known of the instance."""
+        """Return whether something newer is known of the instance."""
         last = self.last_sequence.get(heartbeat.instance, -1)
         return heartbeat.instance in self.departed or heartbeat.sequence <= last
 
     def register(self, heartbeat: EndpointHeartbeat, former: Endpoint | None, at: int) -> Endpoint:
-        """Register the instance of a first heartbeat, in place of the former at its address."""
+        """Register the instance that sent its first heartbeat.
+
+        It replaces the former endpoint at its address, if any.
+        """
         self.server.require_local_address(heartbeat.address)
         if former is not None:
-            self.forget(former.incarnation)  # a late heartbeat doesn't take the address back
+            # Otherwise a late heartbeat of the former endpoint could take the address back.
+            self.forget(former.incarnation)
         endpoint = Endpoint(
             heartbeat.service,
             heartbeat.address,
@@ -111,13 +113,13 @@
             heartbeat.capacity,
             at,
             at,
-            draining=heartbeat.draining,  # so that no waiting call starts there meanwhile
+            draining=heartbeat.draining,  # set at once, so that no waiting call starts there
         )
         self.registry.add(endpoint)
         return endpoint
 
     def deregister(self, instance: str) -> None:
-        """The endpoint shuts down; nothing of it is used again."""
+        """Remove the endpoint, because it shuts down, and ignore its later heartbeats."""
         self.forget(instance)
         for endpoint in list(self.registry.by_address.values()):
             if endpoint.incarnation == instance:
@@ -125,16 +127,14 @@
         self.on_change()
 
     def forget(self, instance: str) -> None:
-        """Ignore the instance's heartbeats from here on."""
+        """Ignore the instance's heartbeats from now on."""
         self.departed[instance] = True
         while len(self.departed) > MAX_DEPARTED_INSTANCES:
             self.departed.popitem(last=False)
         self.last_sequence.pop(instance, None)
 
-    # ------------------------------------------------------------ discovery
-
     async def discover(self) -> None:
-        """After a start: ask the endpoint beside who it is.
+        """Ask the local endpoint for its instance after a start of this process.
 
         Its next heartbeat may be a whole interval away.
         """
@@ -146,25 +146,25 @@
                 continue
             try:
                 with deadline_scope(monotonic_us() + DISCOVERY_TIMEOUT_US):
-                    await self.ask(settings.app_address, health_path)
+                    await self.check_health(settings.app_address, health_path)
             except HttpConnectionFailed:
                 pass
 
     def in_first_interval(self) -> bool:
-        """Whether the endpoint's first heartbeat may still be on its way."""
+        """Return whether the endpoint's first heartbeat may still be on its way."""
         first_interval: int = self.node.settings.heartbeat_us
         return monotonic_us() - self.server.started_at < first_interval
 
     def health_path(self) -> str | None:
-        """The health check of the service beside, if the configuration names one."""
+        """Return the health check path of the local service, if it has one configured."""
         table = self.server.gate.table
         service = table.services.get(self.node.settings.service) if table else None
         return service.get("health") if service else None
 
-    async def ask(self, address: str, health_path: str) -> None:
-        """One health check; its headers name the instance and its slots.
+    async def check_health(self, address: str, health_path: str) -> None:
+        """Send one health check; the response's headers name the instance and its slots.
 
-        :raises HttpConnectionFailed: no complete answer.
+        :raises HttpConnectionFailed: no complete response arrived.
         """
         connection = self.node.runtime.net.http(address)
         status, headers, _ = await connection.request("GET", health_path, [], b"")
@@ -175,7 +175,7 @@
     def on_health_response(
         self, status: int, by_name: dict[bytes, bytes], dialect: Dialect
     ) -> None:
-        """Register the endpoint that answered, unless its own heartbeat came first."""
+        """Register the endpoint that responded, unless its own heartbeat came first."""
         instance = by_name.get(dialect.health_instance.lower(), b"").decode("latin-1")
         slots = by_name.get(dialect.load.lower(), b"").split(b",")[-1]
         healthy = status == 200 and instance and slots.isdigit() and int(slots)
--- a/packages/proxy/meadowdock/proxy/headers.py
+++ b/packages/proxy/meadowdock/proxy/headers.py
@@ -1,10 +1,10 @@
-"""Which headers go from one hop to the next."""
+"""Selection of the headers that are passed on from one hop to the next."""
 
 from __future__ import annotations
 
 Headers = list[tuple[bytes, bytes]]
 
-# Of one connection only (RFC 9110, section 7.6.1), or set anew by each hop.
+# Headers of one connection (RFC 9110, section 7.6.1), and headers that each hop sets anew.
 HOP_BY_HOP_HEADERS = {
     b"connection",
     b"keep-alive",
@@ -25,7 +25,7 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """End-to-end headers only; whatever claims one of the mesh's own names is dropped.
+    """Return the end-to-end headers, without those under the mesh's own names.
 
     >>> end_to_end_headers(
     ...     [(b"MD-Caller", b"x"), (b"connection", b"x-a"), (b"x-a", b"1"), (b"x-b", b"2")]
@@ -33,10 +33,10 @@
     [(b'x-b', b'2')]
     """
     named_by_connection = {
-        word.strip().lower()
+        token.strip().lower()
         for name, value in headers
         if name.lower() == b"connection"
-        for word in value.split(b",")
+        for token in value.split(b",")
     }
     return [
         (name, value)
--- a/packages/proxy/meadowdock/proxy/heartbeats.py
+++ b/packages/proxy/meadowdock/proxy/heartbeats.py
@@ -1,7 +1,7 @@
 """Heartbeats of this proxy to the registries.
 
-They say that the node is alive and what its endpoints are doing. The answers carry the highest
-epoch of the load collector, and before the first load list a provisional one.
+They report that the node is alive and the state of its endpoints. The replies carry the highest
+epoch of the load collector and, until the first load list arrives, a provisional one.
 """
 
 from __future__ import annotations
@@ -29,31 +29,31 @@
 
 HEARTBEAT_INTERVAL_US = 500 * MILLISECOND
 STARTUP_HEARTBEAT_INTERVAL_US = 150 * MILLISECOND  # until the first load list
-# The wait after a registry was discovered, before it gets a heartbeat: it is seldom the only one.
+# From the discovery of a registry to its first heartbeat: others are usually discovered with it.
 DISCOVERY_DELAY_US = 10 * MILLISECOND
 
 
 class HeartbeatSender:
-    """Sends heartbeats, and remembers what the registries answered.
+    """Sends heartbeats and keeps what the registries replied.
 
-    Invariant: epoch_floor never goes down; it is None until a registry answered. No load list of
-    an epoch below it is accepted.
+    Invariant: epoch_floor never goes down; it is None until a registry replied. No load list of an
+    epoch below it is accepted.
     """
 
     def __init__(self, server: ProxyServer) -> None:
         self.server = server
         self.node = server.node
         self.epoch_floor: int | None = None
-        self.known_registries: set[str] = set()  # that got the last heartbeat
+        self.known_registries: set[str] = set()  # those that the last heartbeat was sent to
         self.registry_discovered = trio.Event()
 
     def on_member(self, member: MemberEntry) -> None:
-        """A member that gossip told of: a registry that is new gets a heartbeat soon."""
+        """Schedule a heartbeat if gossip reported a registry that is new."""
         if member.role == REGISTRY_ROLE and member.address not in self.known_registries:
             self.registry_discovered.set()
 
     async def run(self) -> None:
-        """Send heartbeats; and end the load intervals, while no collector asks for the load."""
+        """Send heartbeats, and end the load intervals while no collector asks for the load."""
         while True:
             await self.send()
             self.server.load_reporter.check_collector()
@@ -69,7 +69,7 @@
         self.registry_discovered = trio.Event()
 
     async def send(self) -> None:
-        """One heartbeat to every registry that is known."""
+        """Send one heartbeat to every known registry."""
         heartbeat = self.heartbeat().to_wire()
         registries = self.node.view.core_members(REGISTRY_ROLE)
         self.known_registries = set(registries)
@@ -89,7 +89,7 @@
     async def send_to(
         self, registry: str, heartbeat: WireMap, deadline: int
     ) -> HeartbeatReply | None:
-        """One registry's answer; None if it didn't take the heartbeat."""
+        """Return one registry's reply; None if it didn't accept the heartbeat."""
         try:
             wire = await self.node.rpc.call(registry, HEARTBEAT_METHOD, heartbeat, deadline)
         except (ConnectionFailed, Rejected):
@@ -99,7 +99,7 @@
         return reply
 
     def heartbeat(self) -> ProxyHeartbeat:
-        """What there is to tell now."""
+        """Build a heartbeat from the current state."""
         server, me = self.server, self.node.view.me
         routing_table = server.forwarder.routing_table
         return ProxyHeartbeat(
@@ -118,15 +118,15 @@
         )
 
     def nodes_known(self) -> int:
-        """How many nodes the provisional list names."""
+        """Return how many nodes the provisional list names."""
         return count_addresses(self.server.forwarder.nodes_by_service.values())
 
     def use_provisional_list(self, lists: list[WireMap]) -> None:
-        """Before the first load list: the nodes that send heartbeats to the registries.
+        """Use a list of the nodes that send heartbeats to a registry, until the first load list.
 
         The list counts as stale from the beginning. Of several, the one with the most nodes is
-        used; it is asked for anew at each heartbeat, since registries that have just started
-        themselves hear of the proxies one by one.
+        used. Each heartbeat requests it anew, because registries that have just started learn of
+        the proxies one by one.
         """
         if lists and not self.server.forwarder.load_list.seq:
             self.server.use_load_list(LoadList(), nodes_from_wire(max(lists, key=len)))
--- a/packages/proxy/meadowdock/proxy/idempotency_keys.py
+++ b/packages/proxy/meadowdock/proxy/idempotency_keys.py
@@ -1,7 +1,7 @@
-"""Idempotency keys of at-most-once requests, as long as this process remembers them.
+"""Idempotency keys of at-most-once requests that this process has forwarded.
 
-A request with a key that ran gets the recorded response again; one whose fate is unknown is not
-sent again. The table is in memory only: the endpoint's own record outlives this process.
+A repeat of a request that ran gets the recorded response; one whose outcome is unknown is not sent
+again. The table is in memory only: the endpoint's own record outlives this process.
 
 >>> from meadowdock.outcome import MAY_HAVE_RUN
 >>> keys = IdempotencyKeys()
@@ -31,14 +31,18 @@
 
 @dataclass(frozen=True)
 class KeyRejected:
-    """A request that may not go on, because of its key; `code` is of meadowdock.outcome."""
+    """Why a request may not be forwarded: `code` is a rejection code of meadowdock.outcome."""
 
     code: str
 
 
 @dataclass(slots=True)
 class KeyRecord:
-    """One key. Invariant: response is set iff verdict is RAN; verdict is None while it runs."""
+    """The request that a key was used for.
+
+    Invariant: response is set if and only if verdict is RAN; verdict is None while the request
+    runs.
+    """
 
     fingerprint: str  # of method, path and body
     begun_at: int
@@ -47,7 +51,10 @@
 
 
 class IdempotencyKeys:
-    """The keys of this process. Invariant: in order of begin, so that the oldest expire first."""
+    """The keys that this process has seen.
+
+    Invariant: records are in the order of `begin`, so that the oldest expire first.
+    """
 
     def __init__(self) -> None:
         self.records: OrderedDict[tuple[str, str], KeyRecord] = OrderedDict()
@@ -55,7 +62,7 @@
     def begin(
         self, caller: str, key: str, fingerprint: str, at: int
     ) -> EndpointResponse | KeyRejected | None:
-        """None if the request may run; else the response of the request that ran, or why not.
+        """Return None if the request may run, or else the recorded response or why it may not run.
 
         `at` is the monotonic time in microseconds.
         """
@@ -73,14 +80,17 @@
         return record.response if record.verdict is RAN else KeyRejected("key_may_have_run")
 
     def remove_expired(self, at: int) -> None:
-        """Forget the keys that are older than the retention time."""
+        """Remove the keys that are older than the retention time."""
         while self.records and next(iter(self.records.values())).begun_at + RETENTION_US < at:
             self.records.popitem(last=False)
 
     def end(
         self, caller: str, key: str, verdict: Verdict, response: EndpointResponse | None
     ) -> None:
-        """Record what became of a request; a key that did not run may be used again at once."""
+        """Record the outcome of a request.
+
+        A key whose request did not run may be used again at once.
+        """
         if verdict is NOT_RUN:
             self.records.pop((caller, key), None)
             return
--- a/packages/proxy/meadowdock/proxy/load_reporting.py
+++ b/packages/proxy/meadowdock/proxy/load_reporting.py
@@ -1,8 +1,8 @@
-"""The load of this node for the load collector, and the load lists that come back.
+"""Load reports of this node to the load collector, and the load lists that it sends back.
 
-The collector (a singleton role among the registries) asks every proxy for its load at each
-interval, and sends the combined list to all. Without a collector, the proxy ends the intervals
-itself, so that its own rho stays current.
+The collector, one of the registries, asks every proxy for its load in each interval and sends the
+combined list to all. Without a collector, the proxy ends the intervals itself, so that its own rho
+stays current.
 """
 
 from __future__ import annotations
@@ -23,11 +23,14 @@
 if TYPE_CHECKING:
     from meadowdock.proxy.server import ProxyServer
 
-MISSED_INTERVALS = 2  # without a request of the collector, the proxy ends the interval itself
+MISSED_INTERVALS = 2  # this many intervals without a request: the proxy ends the interval itself
 
 
 class LoadReporter:
-    """Answers the collector. Invariant: load lists only go up in (epoch, seq)."""
+    """Answers the load collector.
+
+    Invariant: the (epoch, seq) of the accepted load lists only goes up.
+    """
 
     handlers = Handlers()
 
@@ -38,12 +41,12 @@
         self.stale_logged = False
 
     def measure(self) -> dict[str, ServiceReport]:
-        """End the interval: the load of each service that has an endpoint here."""
+        """End the load interval, and return the load of each service with an endpoint here."""
         self.measured_at = monotonic_us()
         return self.server.measure_load(self.measured_at)
 
     def check_collector(self) -> None:
-        """End the interval if the collector failed to, and log once that the list is stale."""
+        """End the interval if the collector did not, and log once that the list is stale."""
         routing_table = self.server.forwarder.routing_table
         if not routing_table:
             self.stale_logged = False
@@ -59,17 +62,20 @@
 
     @handlers.on(LOAD_REQUEST_METHOD)
     async def on_load_request(self, peer: Peer, _: object) -> WireMap:
-        """The collector asks for this node's load: {service: report}, empty out of rotation."""
+        """Return this node's load to the collector as {service: report}.
+
+        It is empty while the node is out of rotation.
+        """
         if self.server.forwarder.routing_table is None or self.server.out_of_rotation:
             return {}
         return {service: report.to_wire() for service, report in self.measure().items()}
 
     @handlers.on(LOAD_LIST_METHOD)
     async def on_load_list(self, peer: Peer, wire: WireMap) -> WireMap:
-        """The collector's combined list.
+        """Use the collector's combined list, if it is newer than the current one.
 
-        :raises Rejected: `epoch_unknown` until a registry told the highest epoch, since the list
-            may be of a former collector that was paused; `old_epoch` if it is.
+        :raises Rejected: `epoch_unknown` until a registry reported the highest epoch, since the
+            list may come from a former collector that was paused; `old_epoch` if it does.
         """
         epoch_floor = self.server.heartbeats.epoch_floor
         if epoch_floor is None:
--- a/packages/proxy/meadowdock/proxy/messages.py
+++ b/packages/proxy/meadowdock/proxy/messages.py
@@ -1,7 +1,7 @@
 """Messages between a proxy and the registries, and their form on the wire.
 
-Field names differ between code and wire in places (`zone` is "hall", `shutting_down` is "leaving");
-this module is the only one in the package that knows the names on the wire.
+Some fields have other names on the wire (`zone` is "hall", `shutting_down` is "leaving"); no other
+module of the package knows those names.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyHeartbeat:
-    """What a proxy tells every registry at each heartbeat."""
+    """What a proxy reports to every registry in each heartbeat."""
 
     address: str
     http_address: str
@@ -34,7 +34,7 @@
     incarnation: int
     version: int  # of the configuration in force
     newest_version: int  # in force or staged
-    cut_off: bool  # from the config stores
+    cut_off: bool  # whether the config stores are unreachable
     shutting_down: bool
     nodes_known: int | None  # None once there is a load list
     collection_interval_us: int | None  # None until there is a configuration
@@ -42,7 +42,7 @@
     counts: dict[str, int]
 
     def to_wire(self) -> WireMap:
-        """Encode it."""
+        """Encode the heartbeat."""
         return {
             "address": self.address,
             "http": self.http_address,
@@ -61,7 +61,7 @@
 
 
 def endpoint_to_wire(endpoint: Endpoint) -> WireMap:
-    """An endpoint as heartbeats give it."""
+    """Encode an endpoint as an entry of a heartbeat."""
     return {
         "service": endpoint.service,
         "address": endpoint.address,
@@ -74,14 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """A registry's answer to a heartbeat."""
+    """A registry's reply to a heartbeat."""
 
     epoch: int = 0  # the highest that the registry knows
     nodes: WireMap | None = None  # a provisional load list, decoded only if it is used
 
     @classmethod
     def from_wire(cls, wire: WireMap) -> HeartbeatReply:
-        """Decode it."""
+        """Decode the reply."""
         return cls(wire.get("epoch", 0), wire.get("nodes"))
 
 
@@ -95,26 +95,26 @@
 
     @classmethod
     def from_wire(cls, wire: WireMap) -> LoadListMessage:
-        """Decode it.
+        """Decode the message.
 
         :raises KeyError: a field is missing.
         """
         return cls(wire["epoch"], wire["seq"], wire["nodes"])
 
     def nodes_by_service(self) -> NodesByService:
-        """The list, by service."""
+        """Decode the nodes, by service."""
         return nodes_from_wire(self.nodes)
 
 
 def nodes_from_wire(nodes: WireMap) -> NodesByService:
-    """{address: {service: load}} as {service: loads}."""
-    found: dict[str, list[NodeLoad]] = {}
+    """Convert {address: {service: load}} to {service: loads}."""
+    nodes_by_service: dict[str, list[NodeLoad]] = {}
     for address, services in nodes.items():
         for service, load in services.items():
-            found.setdefault(service, []).append(NodeLoad(address, *load))
-    return {service: tuple(loads) for service, loads in found.items()}
+            nodes_by_service.setdefault(service, []).append(NodeLoad(address, *load))
+    return {service: tuple(loads) for service, loads in nodes_by_service.items()}
 
 
 def count_addresses(lists: Iterable[tuple[NodeLoad, ...]]) -> int:
-    """How many different nodes the lists name."""
+    """Return how many different nodes the lists name."""
     return len({node.address for nodes in lists for node in nodes})
--- a/packages/proxy/meadowdock/proxy/peer_requests.py
+++ b/packages/proxy/meadowdock/proxy/peer_requests.py
@@ -1,7 +1,7 @@
-"""Calls that a peer forwards to this proxy, for the endpoint here.
+"""Calls that a peer forwards to this proxy, for its local endpoint.
 
-Nothing of the peer's decision is taken on trust: route, service, incarnation, draining, capacity
-and deadline are checked again.
+The peer's decision is not trusted: route, service, incarnation, draining, capacity and deadline are
+checked again.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
     from meadowdock.proxy.server import ProxyServer
 
 FORWARD_METHOD = "call.run"
-DEADLINE_MARGIN_US = 20 * MILLISECOND  # this proxy ends its attempt so much before the peer's
+DEADLINE_MARGIN_US = 20 * MILLISECOND  # this proxy's attempt ends this long before the peer's
 
 WireMap = dict[str, Any]
 
 
 class PeerRequestHandler:
-    """Answers peers that forward calls."""
+    """Handles the calls that peers forward."""
 
     handlers = Handlers()
 
@@ -35,9 +35,9 @@
 
     @handlers.on(FORWARD_METHOD)
     async def on_forwarded_call(self, peer: Peer, wire: WireMap) -> WireMap:
-        """Run a peer's call at the endpoint here.
+        """Run a peer's call at the local endpoint.
 
-        :raises Rejected: with a code of meadowdock.outcome.
+        :raises Rejected: with a rejection code of meadowdock.outcome.
         """
         server = self.server
         routing_table = server.forwarder.routing_table
@@ -54,7 +54,7 @@
         return await self.answer(server.forwarder, call)
 
     async def answer(self, forwarder: Forwarder, call: Call) -> WireMap:
-        """The endpoint's response.
+        """Return the endpoint's response.
 
         :raises Rejected: there is none.
         """
@@ -65,7 +65,7 @@
 
 
 def call_from_wire(wire: WireMap, route: Any, version: int) -> Call:
-    """Decode a forwarded call; its deadline is that of the RPC."""
+    """Decode a forwarded call; its deadline is a little before that of the RPC."""
     remaining = trio.current_effective_deadline()
     if remaining < float("inf"):
         deadline = int(remaining * SECOND) - DEADLINE_MARGIN_US
@@ -89,7 +89,7 @@
 
 
 def call_to_wire(call: Call, incarnation: str) -> WireMap:
-    """Encode a call that is forwarded to the peer beside an endpoint of this incarnation."""
+    """Encode a call for the peer whose endpoint has this incarnation."""
     return {
         "id": call.id,
         "caller": call.caller,
--- a/packages/proxy/meadowdock/proxy/registration.py
+++ b/packages/proxy/meadowdock/proxy/registration.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldRule:
-    """What a field of a request's body must be."""
+    """The requirement that a field of a request's body must meet."""
 
     accepts: Callable[[Any], bool]
     requirement: str
@@ -42,27 +42,27 @@
 
 
 def is_token(value: object) -> bool:
-    """Whether a value may be a token."""
+    """Return whether a value has the form of a token."""
     return isinstance(value, str) and 0 < len(value) <= MAX_TOKEN_LENGTH
 
 
 def is_capacity(value: object) -> bool:
-    """Whether a value is a number of calls at once."""
+    """Return whether a value is a valid number of concurrent calls."""
     return isinstance(value, int) and not isinstance(value, bool) and 0 < value <= MAX_CAPACITY
 
 
 def is_load(value: object) -> bool:
-    """Whether a value is a load level."""
+    """Return whether a value is a load level in 0..1."""
     return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= 1
 
 
 def is_address(value: object) -> bool:
-    """Whether a value is an IP address with a port."""
+    """Return whether a value is an IP address with a port."""
     return isinstance(value, str) and IP_ADDRESS_AND_PORT.match(value) is not None
 
 
 def is_incarnation(value: object) -> bool:
-    """Whether a value may name an incarnation."""
+    """Return whether a value has the form of an incarnation's name."""
     return isinstance(value, str) and NAME.match(value) is not None
 
 
@@ -86,7 +86,7 @@
 
 
 def answering_denials(handler: RouteHandler) -> RouteHandler:
-    """Answer a RegistrationDenied of the handler with its status, code and detail."""
+    """Make a handler respond to a RegistrationDenied with its status, code and detail."""
 
     @functools.wraps(handler)
     async def answer(server: ProxyServer, request: Request) -> Response:
@@ -110,7 +110,7 @@
 
 
 async def read_fields(server: ProxyServer, request: Request, rules: dict[str, FieldRule]) -> Fields:
-    """The fields of a request's body, checked against the rules.
+    """Return the fields of a request's body, checked against the rules.
 
     :raises RegistrationDenied: not_local or malformed.
     """
@@ -121,7 +121,7 @@
         raise RegistrationDenied(400, "malformed", "body is no JSON") from None
     if not isinstance(fields, dict):
         raise RegistrationDenied(400, "malformed", "body is no object")
-    faults = [
+    errors = [
         *(
             f"{name}: {rule.requirement}"
             for name, rule in rules.items()
@@ -133,15 +133,18 @@
             if name not in fields and rule.required
         ),
     ]
-    if faults:
-        raise RegistrationDenied(400, "malformed", "; ".join(faults))
+    if errors:
+        raise RegistrationDenied(400, "malformed", "; ".join(errors))
     return fields
 
 
 @routes.on("POST", "/md/enrol")
 @answering_denials
 async def register(server: ProxyServer, request: Request) -> Response:
-    """Register an endpoint; the answer holds its token and the heartbeat times in microseconds."""
+    """Register an endpoint.
+
+    The response holds its token and the heartbeat times in microseconds.
+    """
     fields = await read_fields(server, request, REGISTRATION)
     routing_table = server.forwarder.routing_table
     if routing_table is None:
@@ -163,7 +166,7 @@
 @routes.on("POST", "/md/beat")
 @answering_denials
 async def heartbeat(server: ProxyServer, request: Request) -> Response:
-    """A heartbeat of a registered endpoint."""
+    """Process a heartbeat of a registered endpoint."""
     fields = await read_fields(server, request, HEARTBEAT)
     claims = server.endpoints.tokens.verify(fields["token"])
     routing_table = server.forwarder.routing_table
@@ -182,12 +185,12 @@
 @routes.on("POST", "/md/leave")
 @answering_denials
 async def deregister(server: ProxyServer, request: Request) -> Response:
-    """A registered endpoint shuts down."""
+    """Remove a registered endpoint that shuts down."""
     fields = await read_fields(server, request, DEPARTURE)
     server.endpoints.deregister(fields["token"])
     return Response(200, {})
 
 
 def heartbeat_times() -> dict[str, int]:
-    """How often an endpoint sends heartbeats, and after which silence it is removed."""
+    """Return the heartbeat interval, and the silence after which an endpoint is removed."""
     return {"beat_us": HEARTBEAT_INTERVAL_US, "window_us": HEARTBEAT_TIMEOUT_US}
--- a/packages/proxy/meadowdock/proxy/request_handling.py
+++ b/packages/proxy/meadowdock/proxy/request_handling.py
@@ -1,4 +1,4 @@
-"""Requests of callers on the proxy's own HTTP interface: admission, forwarding, and the response.
+"""Callers' requests on the proxy's own HTTP interface: admission, forwarding, and the response.
 
 docs/calls.md describes the interface.
 """
@@ -26,14 +26,14 @@
     from meadowdock.proxy.server import ProxyServer
 
 MAX_TIMEOUT_DIGITS = 15
-STOP_MARGIN_US = 100 * MILLISECOND  # a call of a stopping process ends this much before the stop
+STOP_MARGIN_US = 100 * MILLISECOND  # a stopping process ends its calls this long before it exits
 
 routes = RouteTable()
 
 
 @routes.otherwise
 async def handle_request(server: ProxyServer, request: Request) -> Response:
-    """Any path that is no other handler's is a call."""
+    """Handle a call: a request whose path no other handler has."""
     call: Call | None = None
     outcome: Outcome
     try:
@@ -51,18 +51,15 @@
         and isinstance(outcome, Rejection)
         and outcome.verdict is NOT_RUN
     ):
-        # what is rejected here may have run where it was sent before
+        # A repeat that is rejected here may have run where it was sent before.
         outcome = replace(outcome, verdict=MAY_HAVE_RUN)
     return response_of(server, outcome, call)
 
 
-# ------------------------------------------------------------ admission
-
-
 async def admit(server: ProxyServer, request: Request) -> Call:
-    """The call of a request that may be forwarded.
+    """Return the call of a request that may be forwarded.
 
-    :raises RequestRejected: why it may not.
+    :raises RequestRejected: why it may not be.
     :raises BodyTooLarge: the body is over the service's limit.
     :raises ClientDisconnected: the caller closed the connection.
     """
@@ -101,7 +98,7 @@
 
 
 def authenticate(server: ProxyServer, request: Request) -> str:
-    """The service that the caller is, by its token; ANONYMOUS_CALLER without one.
+    """Return the service that the caller's token proves; ANONYMOUS_CALLER without a token.
 
     :raises RequestRejected: bad_token.
     """
@@ -118,7 +115,7 @@
 
 
 def read_call_headers(request: Request) -> tuple[str | None, int | None, bool]:
-    """(idempotency key, time-out in microseconds, whether the key is only looked up).
+    """Return (idempotency key, time-out in microseconds, whether the key is only looked up).
 
     :raises RequestRejected: malformed.
     """
@@ -134,7 +131,7 @@
 
 
 def allowed_timeout_us(server: ProxyServer, route: Route, timeout_us: int | None) -> int:
-    """How long a call may take: by its caller, its route, and the stop of this process.
+    """Return how long a call may take: the least that caller, route and shutdown allow.
 
     :raises RequestRejected: stopping.
     """
@@ -150,7 +147,7 @@
 
 
 def is_json(body: bytes) -> bool:
-    """Whether a body is JSON."""
+    """Return whether a body is JSON."""
     try:
         json.loads(body)
         return True
@@ -158,9 +155,6 @@
         return False
 
 
-# ------------------------------------------------------------ the call
-
-
 async def run_once(server: ProxyServer, call: Call, request: Request) -> Outcome:
     """Forward a call, unless its idempotency key says that it ran or may have run.
 
@@ -184,9 +178,9 @@
 
 
 async def forward_while_connected(server: ProxyServer, call: Call, request: Request) -> Outcome:
-    """Forward a call; a caller that disconnects cancels what has not started.
+    """Forward a call; if the caller disconnects, cancel it unless it has started.
 
-    :raises ClientDisconnected: there is no outcome to answer with.
+    :raises ClientDisconnected: the caller disconnected before there was an outcome.
     """
     async with trio.open_nursery() as nursery:
 
@@ -204,11 +198,8 @@
     return call.outcome
 
 
-# ------------------------------------------------------------ the response
-
-
 def response_of(server: ProxyServer, outcome: Outcome, call: Call | None) -> Response:
-    """The HTTP response of an outcome; `call` is None for a request that was not admitted."""
+    """Return the HTTP response of an outcome; `call` is None if the request was not admitted."""
     headers = own_headers(server, outcome, call)
     if isinstance(outcome, EndpointResponse):
         server.forwarder.count(f"answer.{outcome.status // 100}xx")
@@ -223,7 +214,7 @@
 def own_headers(
     server: ProxyServer, outcome: Outcome, call: Call | None
 ) -> list[tuple[bytes, bytes]]:
-    """The headers by which the proxy says what it did."""
+    """Return the headers in which the proxy reports how it handled the request."""
     cut_off = call.cut_off if call else server.delivery.cut_off
     version = call.version if call else server.delivery.version
     return [
--- a/packages/proxy/meadowdock/proxy/retry_budget.py
+++ b/packages/proxy/meadowdock/proxy/retry_budget.py
@@ -1,8 +1,8 @@
-"""The retry budget of one node: a sliding window, and this node's part of the fleet's reserve.
+"""The retry budget of one node: a sliding window, and the node's share of the fleet's reserve.
 
-Retries may be at most a ratio of the requests of the last window (as Finagle's RetryBudget has
-it), so that they can't multiply the load of a fleet that is in trouble; the reserve lets a fleet
-with few requests retry at all.
+Retries are limited to a ratio of the requests in the last window, as in Finagle's RetryBudget, so
+that they can't multiply the load on a fleet that is already failing. The reserve lets a fleet with
+few requests retry at all.
 
 >>> budget = RetryBudget(nodes=8, created_at=0)
 >>> budget.try_withdraw(0)
@@ -25,12 +25,12 @@
 WINDOW_US = 10_000_000
 BUCKET_US = 100_000
 RETRY_RATIO = 0.15  # retries per request
-FLEET_RESERVE = 24  # retries in a window, over all nodes, however few requests there are
+FLEET_RESERVE = 24  # retries per window that all nodes together may always make
 
 
 @dataclass(slots=True)
 class Bucket:
-    """What was counted within BUCKET_US."""
+    """Requests and retries counted within BUCKET_US."""
 
     number: int  # time // BUCKET_US
     requests: int = 0
@@ -60,11 +60,11 @@
         self.share_between(nodes)
 
     def share_between(self, nodes: int) -> None:
-        """So many nodes share the fleet's reserve now."""
+        """Divide the fleet's reserve between this many nodes."""
         self.reserve = self.fleet_reserve / nodes
 
     def carry_over(self, former: RetryBudget) -> RetryBudget:
-        """Take over the counts of a budget with other limits."""
+        """Take over the counts of a former budget that had other limits."""
         self.buckets, self.created_at = former.buckets, former.created_at
         self.requests, self.retries = former.requests, former.retries
         return self
@@ -75,7 +75,7 @@
         self.requests += 1
 
     def try_withdraw(self, at: int) -> bool:
-        """Count a retry and return True, if the budget allows one."""
+        """Count a retry and return True if the budget allows one."""
         bucket = self.current_bucket(at)
         reserve = self.reserve if at - self.created_at >= self.window_us else 0
         if self.retries + 1 > max(reserve, self.ratio * self.requests):
@@ -85,7 +85,7 @@
         return True
 
     def current_bucket(self, at: int) -> Bucket:
-        """The bucket of a moment, after those that left the window are dropped."""
+        """Return the bucket of a moment, after dropping those that left the window."""
         while self.buckets and self.expired(self.buckets[0], at):
             dropped = self.buckets.popleft()
             self.requests -= dropped.requests
@@ -95,5 +95,5 @@
         return self.buckets[-1]
 
     def expired(self, bucket: Bucket, at: int) -> bool:
-        """Whether a bucket lies outside the window."""
+        """Return whether a bucket lies outside the window."""
         return bucket.number * BUCKET_US + self.window_us + BUCKET_US <= at
--- a/packages/proxy/meadowdock/proxy/server.py
+++ b/packages/proxy/meadowdock/proxy/server.py
@@ -1,7 +1,7 @@
 """The proxy daemon beside each endpoint (program mdproxy): the wiring of its parts.
 
 It owns the endpoints of its node, the configuration in force there, the latest load list, and the
-calls in flight. Everything is in memory: a proxy that restarts learns it anew.
+calls in flight. All state is in memory: a restarted proxy collects it anew.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
 MAINTENANCE_INTERVAL_US = 100 * MILLISECOND
-# The process is overloaded if its maintenance starts so late more than MAX_LATE_TURNS times in a
-# row: once is a pause of the process, more is too much work.
+# The process is overloaded if its maintenance starts this late more than MAX_LATE_TICKS times in a
+# row: a single late start means that the process was paused, several that it has too much work.
 LATE_AFTER_US = 100 * MILLISECOND
-MAX_LATE_TURNS = 1
+MAX_LATE_TICKS = 1
 FIRST_HEARTBEATS_MARGIN_US = 200 * MILLISECOND
-FIRST_LOAD_LIST_WAIT_US = 2 * SECOND  # after it, a proxy is ready without a load list
+FIRST_LOAD_LIST_WAIT_US = 2 * SECOND  # after this, a proxy is ready without a load list
 DRAIN_POLL_US = 10 * MILLISECOND
 
 
 def merged_routes() -> RouteTable:
-    """The proxy's HTTP interface: the endpoints' API, the status, and all else is a call."""
+    """Return the routes of the endpoints' API and the status; any other path is a call."""
     table = RouteTable()
     table.exact = {**registration.routes.exact, **status.routes.exact}
     table.fallback = request_handling.routes.fallback
@@ -46,7 +46,10 @@
 
 
 class ProxyServer(process.Daemon):
-    """One proxy process. Invariant: forwarder.routing_table is delivery's active version."""
+    """One proxy process.
+
+    Invariant: forwarder.routing_table is that of delivery's active version.
+    """
 
     table = merged_routes()
 
@@ -62,14 +65,12 @@
         self.load_reporter = LoadReporter(self)
         self.heartbeats = HeartbeatSender(self)
         self.peer_requests = PeerRequestHandler(self)
-        self.late_turns = 0
+        self.late_ticks = 0
         self.last_call_number = 0
         node.view.on_updated = self.on_member
 
-    # ------------------------------------------------------------ the daemon's hooks
-
     def rpc_handlers(self) -> Handlers:
-        """The RPC methods that this process answers."""
+        """Return the RPC methods that this process answers."""
         handlers: Handlers = (
             LoadReporter.handlers.bind(self.load_reporter)
             | PeerRequestHandler.handlers.bind(self.peer_requests)
@@ -78,7 +79,7 @@
         return handlers
 
     def background_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """The loops that the node keeps running, by the names they have in the log."""
+        """Return the loops that the node keeps running, by their names in the log."""
         return {
             "manifest": self.delivery.run,
             "pulse": self.maintenance_loop,
@@ -86,7 +87,7 @@
         }
 
     def unready_reasons(self) -> list[str]:
-        """Why this process is not ready; empty if it is."""
+        """Return why this process is not ready; empty if it is."""
         age_us = monotonic_us() - self.started_at
         reasons = []
         if not self.delivery.active:
@@ -110,27 +111,30 @@
         while len(self.forwarder.slab):
             await sleep_us(DRAIN_POLL_US)
 
-    # ------------------------------------------------------------ maintenance
-
     async def maintenance_loop(self) -> None:
-        """Look for pauses of the process, expire endpoints, and watch the process's own delay."""
+        """Run the maintenance at each tick.
+
+        It detects pauses of the process, removes expired endpoints, and records ticks that came
+        late.
+        """
         while True:
             self.delivery.detect_pause()
             await self.maintain()
             wakeup = self.node.view.schedule.next_wakeup(MAINTENANCE_INTERVAL_US)
             await sleep_us(wakeup - monotonic_us())
             late = monotonic_us() - wakeup > LATE_AFTER_US
-            self.late_turns = self.late_turns + 1 if late else 0
+            self.late_ticks = self.late_ticks + 1 if late else 0
 
     async def maintain(self) -> None:
-        """What is due at each turn."""
+        """Run the maintenance work of one tick."""
         await self.forwarder.remove_expired()
 
     def overloaded(self) -> bool:
-        """Whether this process is behind with its own work: new calls are rejected at once."""
-        return self.late_turns > MAX_LATE_TURNS
+        """Return whether this process falls behind with its own work.
 
-    # ------------------------------------------------------------ what its parts share
+        New calls are rejected at once while it does.
+        """
+        return self.late_ticks > MAX_LATE_TICKS
 
     @property
     def out_of_rotation(self) -> bool:
@@ -139,24 +143,24 @@
         return stopping
 
     def activate(self, routing_table: RoutingTable) -> None:
-        """Route by this configuration from here on."""
+        """Route by this configuration from now on."""
         self.forwarder.routing_table = routing_table
 
     def use_load_list(self, load_list: LoadList, nodes_by_service: NodesByService) -> None:
-        """Decide by this load list from here on."""
+        """Replace the load list that calls are placed by."""
         self.forwarder.use_load_list(load_list, nodes_by_service)
 
     def measure_load(self, at: int) -> dict[str, ServiceReport]:
-        """End the interval: the load of each service that has an endpoint here."""
+        """End the load interval, and report each service that has an endpoint here."""
         return self.endpoints.measure_load(at, self.forwarder.routing_table.load["share"])
 
     def on_member(self, member: MemberEntry) -> None:
-        """Gossip told of another process, or of its new version."""
+        """Handle gossip about another process, or about its new version."""
         self.delivery.on_version_seen(member.version, member.role == PROXY_ROLE)
         self.heartbeats.on_member(member)
 
     def next_call_id(self) -> str:
-        """A call id that no other process uses."""
+        """Return a call id that no other process uses."""
         self.last_call_number += 1
         return f"{self.node.incarnation:x}-{self.node.settings.host}-{self.last_call_number}"
 
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -1,4 +1,4 @@
-"""Staging a revision at a proxy: its chunks are fetched, and the routing table is built from it."""
+"""Staging of a revision at a proxy: fetches its chunks and builds the routing table."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from meadowdock.process import RECOVERABLE_ERRORS
 from meadowdock.runtime import monotonic_us
 
-HEDGE_DELAY_DIVISOR = 20  # of apply_us: the wait for a silent member before the next is asked
-FETCH_TIMEOUT_DIVISOR = 2  # of apply_us: one fetch; what it found is kept for the next
+HEDGE_DELAY_DIVISOR = 20  # of apply_us: the wait for a silent member before the next one is asked
+FETCH_TIMEOUT_DIVISOR = 2  # of apply_us: for one fetch; the next one keeps the chunks it received
 MAX_CONCURRENT = 2  # revisions that are staged at the same time
 
 
@@ -23,14 +23,14 @@
 class Staging:
     """One revision that is being staged.
 
-    Invariant: complete is set before done is; whoever waits for it goes on with its successor, if
-    any.
+    Invariant: complete is set before done is; whoever waits for a staging goes on to wait for its
+    successor, if it has one.
     """
 
     revision: dict
-    missing: list = field(default_factory=list)  # chunks that were not here when it began
+    missing: list = field(default_factory=list)  # chunks that had to be fetched
     complete: bool = False
-    successor: Staging | None = None  # a newer one, for which it was ended
+    successor: Staging | None = None  # the newer one that it was cancelled for
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     done: trio.Event = field(default_factory=trio.Event)
 
@@ -38,22 +38,25 @@
 class Stager:
     """Fetches chunks and builds routing tables.
 
-    Invariants: chunks holds packed chunks whose checksum was right; running are at most
-    MAX_CONCURRENT stagings, by their version. The oldest runs to its end, so that changes that
-    follow one another quickly starve none; between it and the newest, none is run.
+    Invariants: chunks holds packed chunks whose checksum was right; running holds at most
+    MAX_CONCURRENT stagings by version. The oldest runs to its end, so that frequent changes can't
+    starve it; of the newer ones only the newest is run.
     """
 
     def __init__(self, node, base_of_next, on_staged):
         self.node = node
-        # gives what the next table is built from: (routing table, revision) or None
+        # returns the (routing table, revision) that the next table is built from, or None
         self.base_of_next = base_of_next
-        self.on_staged = on_staged  # takes (routing table, revision, count of fetched chunks)
+        self.on_staged = on_staged  # called with (routing table, revision, count of fetched chunks)
         self.chunks, self.running = {}, {}
         hedge_us = node.settings.apply_us // HEDGE_DELAY_DIVISOR
         self.fetcher = ChunkFetcher(node.rpc, node.settings.link, hedge_us, ROUTING_FORM)
 
     async def stage(self, revision, source):
-        """True once it, or a newer one, is staged; False if its chunks were not to be had."""
+        """Stage a revision; return True once it or a newer one is staged.
+
+        Return False if its chunks could not be fetched.
+        """
         staging = self.running.get(revision["version"]) or self.begin(revision, source)
         await staging.done.wait()
         while staging.successor is not None:
@@ -62,7 +65,7 @@
         return staging.complete
 
     def begin(self, revision, source):
-        """The staging of a revision, or of a newer one that is running."""
+        """Start staging a revision; return it, or a newer one that is already running."""
         if revision["version"] < max(self.running, default=0):
             return self.running[max(self.running)]
         staging = Staging(revision)
@@ -74,7 +77,7 @@
         return staging
 
     async def run(self, staging, source):
-        """One staging, until it is complete, failed, or ended for a newer one."""
+        """Run one staging until it is complete, failed, or cancelled for a newer one."""
         try:
             with staging.scope:
                 if await self.fetch(staging, source):
@@ -84,10 +87,11 @@
             staging.done.set()
 
     async def finish(self, staging):
-        """Build the table once all chunks are here."""
+        """Build the routing table from the chunks, which are all here."""
         try:
             routing_table = await self.node.runtime.offload(self.build, staging.revision)
-        except RECOVERABLE_ERRORS as cause:  # a peer sent a malformed chunk: it is fetched again
+        except RECOVERABLE_ERRORS as cause:
+            # A peer sent a malformed chunk: the chunks that were fetched are dropped.
             self.node.log(105, task="staging", cause=repr(cause))
             for name in staging.missing:
                 self.chunks.pop(name, None)
@@ -96,13 +100,14 @@
         staging.complete = True
 
     async def fetch(self, staging, source):
-        """Fetch the missing chunks; True if all are here then."""
+        """Fetch the missing chunks; return whether all chunks are here then."""
         wanted = staging.revision["ranges"]
         missing = sorted({name for name in wanted if name not in self.chunks})
         staging.missing = missing
         if missing:
-            self.node.runtime.rng.shuffle(missing)  # two stagings fetch different ones first
-            # Kept as they come, also when this staging ends before it is complete.
+            # Shuffled so that two concurrent stagings fetch different chunks first. Chunks are
+            # stored as they arrive, so those of a staging that doesn't complete are kept, too.
+            self.node.runtime.rng.shuffle(missing)
             fetch = ChunkFetch(missing, self.sources(source), self.chunks)
             await self.fetcher.run(
                 fetch, monotonic_us() + self.node.settings.apply_us // FETCH_TIMEOUT_DIVISOR
@@ -110,26 +115,25 @@
         return all(name in self.chunks for name in wanted)
 
     def sources(self, source):
-        """The addresses to fetch from, in order."""
+        """Return the addresses to fetch from, in order."""
         members = self.node.view.core_members("mdconf")
         if source in members:
             return self.fetcher.spread(members)
-        return [source, *self.fetcher.spread(members)]  # a peer, while the stores are out of reach
+        # The source is a peer: the config stores are unreachable.
+        return [source, *self.fetcher.spread(members)]
 
     def retain_chunks(self, revisions):
-        """Drop the chunks that none of these revisions, and none under way, names."""
+        """Drop the chunks that neither these revisions nor the running stagings need."""
         revisions = [*revisions, *(staging.revision for staging in self.running.values())]
         names = {name for revision in revisions for name in revision["ranges"]}
         for name in self.chunks.keys() - names:
             del self.chunks[name]
 
-    # ------------------------------------------------------------ the table
-
     def build(self, revision):
-        """The routing table of a revision whose chunks are here.
+        """Build the routing table of a revision whose chunks are all here.
 
-        Only chunks that the former one has not are decoded. It runs in a thread: it changes
-        nothing.
+        Only chunks that the former table doesn't have are decoded. It runs in a thread, so it
+        changes no state.
         """
         former = self.base_of_next()
         own_chunks, items = split_names(revision)
@@ -144,17 +148,15 @@
         return routing_table.with_chunks(revision["version"], chunks)
 
     def parse(self, name):
-        """The items of a chunk."""
+        """Return the items of a chunk."""
         return config_items.parse_chunk(ormsgpack.unpackb(self.chunk_body(name))[1])
 
     def chunk_body(self, name):
-        """The unpacked form of a chunk that is here."""
+        """Return the unpacked form of a chunk that is here."""
         return unpack_chunk(name, self.chunks[name], ROUTING_FORM)
 
-    # ------------------------------------------------------------ for peers
-
     async def answer_chunk_request(self, request):
-        """The chunks that a peer asks for, as far as they are here."""
+        """Return those of the requested chunks that are here, for a peer."""
 
         async def packed(name, form):
             return self.chunks.get(name) if form == ROUTING_FORM else None
@@ -163,6 +165,9 @@
 
 
 def split_names(revision):
-    """(chunks of the operators' configuration, chunks of items) of a revision: items come last."""
+    """Split a revision's chunk names into those of the operators' configuration and those of items.
+
+    The items' chunks come last in a revision.
+    """
     own_count = len(revision["ranges"]) - revision.get("items", 0)
     return revision["ranges"][:own_count], revision["ranges"][own_count:]
--- a/packages/proxy/meadowdock/proxy/status.py
+++ b/packages/proxy/meadowdock/proxy/status.py
@@ -16,13 +16,13 @@
 @routes.on("GET", "/md/status")
 @answering_denials
 async def status(server: ProxyServer, request: Request) -> Response:
-    """What this proxy knows and does now."""
+    """Return the state of this proxy."""
     require_local(server, request)
     return Response(200, status_to_wire(server))
 
 
 def status_to_wire(server: ProxyServer) -> dict[str, Any]:
-    """The status, under the names that docs/operating.md gives."""
+    """Encode the status under the names that docs/operating.md gives."""
     forwarder = server.forwarder
     return {
         "version": server.delivery.version,
--- a/packages/proxy/meadowdock/proxy/tokens.py
+++ b/packages/proxy/meadowdock/proxy/tokens.py
@@ -1,7 +1,7 @@
 """Tokens that prove which endpoint a caller on this machine is.
 
-A token is issued at registration and carries its own facts under a keyed digest (HMAC-SHA-256, cut
-to 16 bytes), so that a proxy that was restarted still accepts the tokens of its predecessor.
+A token is issued at registration. It carries its claims and a keyed digest of them (HMAC-SHA-256,
+truncated to 16 bytes), so that a restarted proxy still accepts the tokens of its predecessor.
 """
 
 from __future__ import annotations
@@ -15,16 +15,19 @@
 
 from meadowdock.rpc import derive_key
 
-DIGEST_SIZE = 16
+DIGEST_BYTES = 16
 
 
 class TokenClaims(NamedTuple):
-    """What a token proves: an endpoint process and its registration. The order is the wire's."""
+    """What a token proves: an endpoint process and its registration.
+
+    The order of the fields is that on the wire.
+    """
 
     service: str
     address: str
     incarnation: str
-    issued_at: int  # us, wall clock; unique for each registration at a proxy
+    issued_at: int  # microseconds, wall clock; unique for each registration at a proxy
 
 
 class TokenSigner:
@@ -34,15 +37,15 @@
         self.key = derive_key(fleet_key, b"token", host.encode())
 
     def issue(self, claims: TokenClaims) -> str:
-        """The token of these claims, as URL-safe Base64."""
+        """Return the token of these claims, as URL-safe Base64."""
         body = ormsgpack.packb(list(claims))
         return base64.urlsafe_b64encode(self.digest(body) + body).decode()
 
     def verify(self, token: str) -> TokenClaims | None:
-        """The claims of a token, or None if it wasn't issued on this machine."""
+        """Return the claims of a token, or None if it wasn't issued on this machine."""
         try:
             raw = base64.b64decode(token.encode("ascii"), altchars=b"-_", validate=True)
-            digest, body = raw[:DIGEST_SIZE], raw[DIGEST_SIZE:]
+            digest, body = raw[:DIGEST_BYTES], raw[DIGEST_BYTES:]
             if not hmac.compare_digest(digest, self.digest(body)):
                 return None
             return TokenClaims(*ormsgpack.unpackb(body))
@@ -50,5 +53,5 @@
             return None
 
     def digest(self, body: bytes) -> bytes:
-        """The keyed digest of a token's body."""
-        return hmac.digest(self.key, body, "sha256")[:DIGEST_SIZE]
+        """Return the keyed digest of a token's body."""
+        return hmac.digest(self.key, body, "sha256")[:DIGEST_BYTES]
