--- a/packages/admin_http/meadowdock/admin_http/app.py
+++ b/packages/admin_http/meadowdock/admin_http/app.py
@@ -1,4 +1,4 @@
-"""The ASGI application that a listener serves: it finds the handler and encodes its response."""
+"""The ASGI application of a listener: it finds the handler and encodes its response."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 MAY_HAVE_RUN_HEADERS = [(b"md-verdict", b"may-have-run")]
 IDLE_POLL_S = 0.01
 
-Event = dict[str, Any]  # of ASGI
+Event = dict[str, Any]  # an ASGI event
 
 
 class App:
     """An ASGI 3.0 application over a table of routes.
 
-    owner: the first argument of each handler. log: takes event 801 when a handler fails.
-    Invariants: requests_in_flight counts requests that were received and not yet answered.
-    last_request_at: when the last request came that was no health check, in microseconds of the
+    owner: the first argument of each handler. log: receives event 801 when a handler fails.
+    Invariant: requests_in_flight counts the requests that were received and not yet answered.
+    last_request_at: when the last request other than a health check arrived, in microseconds of the
     monotonic clock. closing: each response asks the client to close the connection.
     """
 
@@ -40,10 +40,10 @@
         receive: Callable[[], Awaitable[Event]],
         send: Callable[[Event], Awaitable[None]],
     ) -> None:
-        """Serve one request, as ASGI asks for."""
+        """Serve one request, as the ASGI interface requires."""
         if scope["type"] != "http":
             return
-        request = request_of(scope, receive)
+        request = request_from_scope(scope, receive)
         self.requests_in_flight += 1
         if request.path not in HEALTH_CHECK_PATHS:
             self.last_request_at = monotonic_us()
@@ -60,23 +60,27 @@
             self.requests_in_flight -= 1
 
     async def respond(self, request: Request) -> tuple[int, bytes, Headers]:
-        """The status, body and headers of the response.
+        """Return the status, body and headers of the response.
 
-        :raises ClientDisconnected: there is nobody to answer.
+        :raises ClientDisconnected: the client closed the connection, so that no response can be
+            sent.
         """
         try:
             response = await self.handle(request)
             return response.status, *response.encoded()
         except ClientDisconnected:
             raise
-        except Exception as cause:  # a defect of the handler: what it did is unknown
+        except Exception as cause:  # a defect of the handler: it may have run in part
             if self.log:
                 self.log(801, path=request.path, cause=repr(cause))
             body = {"code": "broke", "verdict": "may-have-run"}
             return 500, *Response(500, body, MAY_HAVE_RUN_HEADERS).encoded()
 
     async def handle(self, request: Request) -> Response:
-        """The response of the request's handler, or that there is none."""
+        """Return the response of the request's handler.
+
+        Without a handler it is 404; if the body is too large, it is 413.
+        """
         handler = self.table.find(request.method, request.path)
         if handler is None:
             return Response(404, {"code": "not_found"})
@@ -86,13 +90,13 @@
             return Response(413, {"code": "too_large", "verdict": "not-run"})
 
     async def wait_idle(self) -> None:
-        """Return once no request is in flight."""
+        """Wait until no request is in flight."""
         while self.requests_in_flight:
             await trio.sleep(IDLE_POLL_S)
 
 
-def request_of(scope: dict[str, Any], receive: Callable[[], Awaitable[Event]]) -> Request:
-    """The request that an ASGI scope describes."""
+def request_from_scope(scope: dict[str, Any], receive: Callable[[], Awaitable[Event]]) -> Request:
+    """Return the request that an ASGI scope describes."""
     raw_path = scope.get("raw_path")
     path = raw_path.decode("latin-1") if raw_path else scope["path"]
     client_host = (scope.get("client") or ("", 0))[0]
--- a/packages/admin_http/meadowdock/admin_http/exceptions.py
+++ b/packages/admin_http/meadowdock/admin_http/exceptions.py
@@ -1,11 +1,14 @@
-"""Why the body of a request can't be read. Neither error is raised once the body is complete."""
+"""Errors of reading the body of a request.
+
+Neither is raised once the body is complete.
+"""
 
 from __future__ import annotations
 
 
 class BodyTooLarge(Exception):
-    """The body of a request is over its limit; the app answers 413."""
+    """The body of a request is over its limit; the app responds with 413."""
 
 
 class ClientDisconnected(Exception):
-    """The client closed its connection before the end of its request; nothing is answered."""
+    """The client closed its connection before the end of its request; there is no response."""
--- a/packages/admin_http/meadowdock/admin_http/messages.py
+++ b/packages/admin_http/meadowdock/admin_http/messages.py
@@ -19,7 +19,7 @@
 class Request:
     """A request whose body has not been read yet.
 
-    receive is ASGI's; body_max is the limit of the body in bytes.
+    receive is the ASGI function; body_max is the limit of the body in bytes.
     """
 
     method: str
@@ -31,11 +31,11 @@
     body_max: int = DEFAULT_BODY_MAX_BYTES
 
     def header(self, name: bytes) -> str | None:
-        """The value of the first header of a name in lower case, or None."""
+        """Return the value of the first header of a name in lower case, or None."""
         return next((v.decode("latin-1") for n, v in self.headers if n == name), None)
 
     async def body(self, limit: int | None = None) -> bytes:
-        """The complete body, of at most `limit` bytes.
+        """Return the complete body, of at most `limit` bytes.
 
         :raises BodyTooLarge: by its content-length, or as soon as more than the limit was read.
         :raises ClientDisconnected: the connection ended first.
@@ -67,7 +67,7 @@
     headers: Headers = field(default_factory=list)
 
     def encoded(self) -> tuple[bytes, Headers]:
-        """The body's bytes and all headers.
+        """Return the body's bytes and all headers.
 
         :raises TypeError: JSON can't represent the body.
         """
--- a/packages/admin_http/meadowdock/admin_http/routes.py
+++ b/packages/admin_http/meadowdock/admin_http/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which handler answers a request."""
+"""The table of routes: which handler responds to a request."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from meadowdock.admin_http.messages import Response
 
-Handler = Callable[..., Awaitable[Response]]  # of an app's owner and a Request
+Handler = Callable[..., Awaitable[Response]]  # takes the app's owner and a Request
 
 
 class RouteTable:
-    """Handlers by method and path; a path that ends in "*" takes all paths below it.
+    """Handlers by method and path; a path that ends in "*" matches all paths below it.
 
     exact: {(method, path): handler}. prefixes: (method, prefix, handler), the first match wins.
-    fallback: the handler of requests that no other one takes.
+    fallback: the handler of requests that match no other one.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         self.fallback: Handler | None = None
 
     def on(self, method: str, path: str) -> Callable[[Handler], Handler]:
-        """A decorator that registers a handler."""
+        """Return a decorator that registers a handler."""
 
         def register(handler: Handler) -> Handler:
             if path.endswith("*"):
@@ -34,16 +34,16 @@
         return register
 
     def otherwise(self, handler: Handler) -> Handler:
-        """A decorator that registers the fallback."""
+        """Register the fallback; usable as a decorator."""
         self.fallback = handler
         return handler
 
     def find(self, method: str, path: str) -> Handler | None:
-        """The handler of a request, if any."""
+        """Return the handler of a request, or None."""
         return self.exact.get((method, path)) or self.find_prefix(method, path) or self.fallback
 
     def find_prefix(self, method: str, path: str) -> Handler | None:
-        """The handler of the first prefix that matches, if any."""
+        """Return the handler of the first prefix that matches, or None."""
         for known_method, prefix, handler in self.prefixes:
             if known_method == method and path.startswith(prefix):
                 return handler
--- a/packages/client/meadowdock/client/__init__.py
+++ b/packages/client/meadowdock/client/__init__.py
@@ -1,4 +1,4 @@
-"""For users' programs: requests into the mesh, and an endpoint's side of the contract."""
+"""The client library for users' programs: sending requests into the mesh, and serving them."""
 
 from meadowdock.client.client import Client
 from meadowdock.client.endpoint import Endpoint
--- a/packages/client/meadowdock/client/client.py
+++ b/packages/client/meadowdock/client/client.py
@@ -1,4 +1,7 @@
-"""Requests through the proxy on this machine. Never retries by itself: the proxy has the budgets."""
+"""Requests through the proxy on this machine.
+
+The client never retries by itself: the proxy retries, within its retry budget.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from meadowdock.outcome import MAY_HAVE_RUN, NOT_RUN, RAN, Verdict
 from meadowdock.runtime import SECOND, HttpConnectionFailed, Net, deadline_scope, monotonic_us
 
-# The proxy answers by the request's deadline; this is for a proxy that doesn't.
+# How long after the request's deadline the client gives up on a proxy that has not responded.
 SLACK_US = SECOND
 DEFAULT_TIMEOUT_US = 4 * SECOND
 REMEMBERED_KEYS = 10_000
@@ -22,14 +25,14 @@
 
 
 class Client:
-    """A caller's side of the mesh.
+    """Sends requests into the mesh.
 
     net: the network of the runtime, made with this machine's own IP address. proxy: "ip:port" of
-    this machine's mdproxy. token: from the endpoint's enrolment, if the caller is one.
+    this machine's mdproxy. token: from the endpoint's enrolment, if the caller is an endpoint.
 
     Invariants: `idle` holds only connections whose last response was read completely. `sent` holds
-    the last REMEMBERED_KEYS idempotency keys that were sent and whose request may have run: sent
-    again, they are marked as repeats.
+    the last REMEMBERED_KEYS idempotency keys that were sent and whose request may have run: if one
+    is sent again, it is marked as a repeat.
     """
 
     def __init__(self, net: Net, proxy: str, token: str | None = None) -> None:
@@ -46,10 +49,11 @@
         key: str | None = None,
         repeat: bool = False,
     ) -> Outcome:
-        """One request, sent once; a Failure tells by its verdict whether it may have run.
+        """Send a request once; the verdict of a Failure says whether it may have run.
 
-        due_us: microseconds within which a response is of use. key: the idempotency key. repeat:
-        the key may have been sent before by another client; this one's own repeats it knows.
+        due_us: microseconds after which a response is of no use any more. key: the idempotency key.
+        repeat: the key may have been sent before by another client; repeats of its own keys this
+        client detects itself.
         """
         repeat = repeat or key in self.sent
         outcome = await self.send(method, path, body, due_us, key, repeat)
@@ -87,7 +91,7 @@
         return Failure(Rejected("proxy_lost", MAY_HAVE_RUN if sent else NOT_RUN, str(cause)))
 
     def headers(self, body: Any, due_us: int | None, key: str | None, repeat: bool) -> Headers:
-        """The headers of a request."""
+        """Return the headers of a request."""
         headers: Headers = []
         if body is not None:
             headers.append((b"content-type", b"application/json"))
@@ -102,7 +106,7 @@
         return headers
 
     async def connection(self) -> Any:
-        """An idle connection that the proxy hasn't closed, or a new one."""
+        """Return an idle connection that the proxy hasn't closed, or a new one."""
         while self.idle:
             connection = self.idle.pop()
             if not connection.stale():
@@ -111,7 +115,7 @@
         return self.net.http(self.proxy)
 
     def remember(self, key: str) -> None:
-        """Note that a key was sent, and forget the oldest if there are too many."""
+        """Remember that a key was sent, and forget the oldest if there are too many."""
         self.sent[key] = True
         while len(self.sent) > REMEMBERED_KEYS:
             self.sent.popitem(last=False)
@@ -124,14 +128,17 @@
 
 
 def may_have_run(outcome: Outcome) -> bool:
-    """Whether an endpoint may have executed the request."""
+    """Return whether an endpoint may have executed the request."""
     if isinstance(outcome, Success):
         return True
     return outcome.failure().verdict is not NOT_RUN
 
 
 def parse_response(status: int, headers: Headers, body: bytes) -> Outcome:
-    """The outcome that a proxy's response describes; what can't be read may have run."""
+    """Return the outcome that a proxy's response describes.
+
+    If the response can't be parsed, the request may have run.
+    """
     values = {name.lower(): value for name, value in headers}
     try:
         content: Any = json.loads(body) if body else None
--- a/packages/client/meadowdock/client/endpoint.py
+++ b/packages/client/meadowdock/client/endpoint.py
@@ -21,21 +21,21 @@
     sleep_us,
 )
 
-DEFAULT_HEARTBEAT_US = 500 * MILLISECOND  # until the proxy says another interval
+DEFAULT_HEARTBEAT_US = 500 * MILLISECOND  # until the proxy sets the interval
 PROXY_TIMEOUT_US = SECOND
 SHUTDOWN_GRACE_US = 4 * SECOND
 DRAIN_POLL_US = 10 * MILLISECOND
-ENROLMENT_LOST = (401, 404, 409)  # statuses of a heartbeat after which an endpoint enrols again
+ENROLMENT_LOST = (401, 404, 409)  # heartbeat statuses after which an endpoint enrols again
 
 
 class Endpoint:
     """One process that serves a service.
 
-    Its loop, `run`, keeps it enrolled at the proxy of this machine, with fresh heartbeats.
+    Its loop, `run`, keeps it enrolled at the proxy of this machine by regular heartbeats.
 
-    address, proxy: "ip:port". handler: of an EndpointRequest; gives a status and a body. load: the
-    endpoint's own view of its load, 0 to 1, or None if it has none. record: with one, a request
-    with an idempotency key runs at most once here.
+    address, proxy: "ip:port". handler: takes an EndpointRequest and returns a status and a body.
+    load: returns the endpoint's own measure of its load, 0 to 1, or None if it has none. record: if
+    given, a request with an idempotency key runs at most once here.
 
     Invariant: token is None exactly while this endpoint must enrol (again).
     """
@@ -69,16 +69,17 @@
         stopping: trio.Event,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve requests at the endpoint's address until `stopping`."""
+        """Serve requests at the endpoint's address until `stopping` is set."""
         await self.net.serve_http(
             self.app, self.address, stopping, SHUTDOWN_GRACE_US, task_status=task_status
         )
 
-    # ------------------------------------------------------------ requests
-
     @table.on("GET", "/md/identity")
     async def identity(self, request: Request) -> Response:
-        """Who serves at this address: the proxy asks before it sends requests."""
+        """Return which process serves at this address.
+
+        The proxy asks before it sends requests on a new connection.
+        """
         return Response(200, {"service": self.service, "incarnation": self.incarnation})
 
     @table.otherwise
@@ -86,7 +87,7 @@
         """Run the handler on a request that is meant for this incarnation."""
         incarnation = request.header(b"md-incarnation")
         if incarnation is not None and incarnation != self.incarnation:
-            # meant for a former owner of this address: surely not run
+            # Meant for a former process at this address: it certainly has not run.
             return Response(503, {"code": "other_incarnation"}, [(b"md-verdict", b"not-run")])
         data = await request.body()
         try:
@@ -103,13 +104,13 @@
         return response
 
     async def execute(self, request: EndpointRequest) -> Response:
-        """The handler's response; through the record, if the request has a key."""
+        """Return the handler's response; through the record, if the request has a key."""
         if request.key and self.record is not None:
             return await self.record.run_once(request, self.handler)
         return Response(*await self.handler(request))
 
     def response_headers(self, request: EndpointRequest) -> Headers:
-        """The headers by which the proxy verifies a response."""
+        """Return the headers by which the proxy verifies a response."""
         headers = [
             (b"md-call", request.call_id.encode()),
             (b"md-incarnation", self.incarnation.encode()),
@@ -119,8 +120,6 @@
             headers.append((b"md-load", f"{load:.3f}".encode()))
         return headers
 
-    # ------------------------------------------------------------ the proxy on this machine
-
     async def run(self) -> None:
         """Enrol, and send heartbeats while enrolled; never returns."""
         while True:
@@ -131,7 +130,7 @@
             await sleep_us(self.heartbeat_us if self.token else self.heartbeat_us // 2)
 
     async def enrol(self) -> None:
-        """Ask the proxy for a token, once."""
+        """Request a token from the proxy, once."""
         enrolment = {
             "service": self.service,
             "address": self.address,
@@ -144,7 +143,10 @@
             self.enrolled.set()
 
     async def send_heartbeat(self) -> None:
-        """Report capacity, load and whether this endpoint drains; the token may turn out lost."""
+        """Report capacity, load and whether this endpoint drains.
+
+        If the proxy doesn't accept the token any more, drop it, so that `run` enrols again.
+        """
         heartbeat: dict[str, Any] = {
             "token": self.token,
             "capacity": self.capacity,
@@ -158,7 +160,7 @@
             self.token = None
 
     async def drain(self, wait_us: int = 4 * SECOND) -> None:
-        """Take no new requests; returns once those in flight are done, or after wait_us."""
+        """Accept no new requests; return once those in flight are done, or after wait_us."""
         self.draining = True
         if self.token:
             await self.send_heartbeat()
@@ -167,13 +169,13 @@
                 await sleep_us(DRAIN_POLL_US)
 
     async def deregister(self) -> None:
-        """Tell the proxy that this endpoint ends."""
+        """Tell the proxy that this endpoint shuts down."""
         if self.token:
             await self.post_to_proxy("/md/leave", {"token": self.token})
             self.token = None
 
     async def post_to_proxy(self, path: str, content: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """The status and content of the proxy's response; (0, {}) if there is none."""
+        """Return the status and content of the proxy's response; (0, {}) if there is none."""
         connection = self.net.http(self.proxy)
         try:
             with deadline_scope(monotonic_us() + PROXY_TIMEOUT_US):
@@ -189,7 +191,7 @@
 
 
 def endpoint_request(request: Request, body: Any) -> EndpointRequest:
-    """The request that the proxy's headers describe."""
+    """Return the request that the proxy's headers describe."""
     return EndpointRequest(
         method=request.method,
         path=request.path,
--- a/packages/client/meadowdock/client/execution_record.py
+++ b/packages/client/meadowdock/client/execution_record.py
@@ -1,5 +1,6 @@
-"""An endpoint's record of the requests with an idempotency key: each runs once, and a repeat is
-answered from the record.
+"""An endpoint's record of the requests with an idempotency key.
+
+Each runs once, and a repeat gets the recorded response.
 
 >>> import trio
 >>> from meadowdock.runtime import MemoryDisk
@@ -29,17 +30,18 @@
 DEFAULT_CAPACITY = 10_000
 FOLDER = "key"
 
-# A handler's status and body; a body that isn't bytes is sent as JSON.
+# Returns a status and a body; a body that isn't bytes is sent as JSON.
 Handler = Callable[[EndpointRequest], Awaitable[tuple[int, Any]]]
 
 
 @dataclass(frozen=True)
 class Execution:
-    """One key's request, as it is stored.
+    """The request of one key, as it is stored.
 
     request: fingerprint of the request's content; empty if the file was unreadable. number: the
     order in which requests began. Invariant: status is None from before the work begins until its
-    response is on the disk; what a former process left so may have run, and is never run again.
+    response is on the disk. An execution that a former process left in this state may have run, and
+    is never run again.
     """
 
     request: str
@@ -48,14 +50,15 @@
     body: bytes = b""
 
     def to_record(self) -> bytes:
-        """The bytes of the file."""
+        """Return the bytes of the file."""
         return add_checksum(ormsgpack.packb([self.request, self.number, self.status, self.body]))
 
     @classmethod
     def from_record(cls, data: bytes | None) -> Execution:
-        """The execution that a file describes.
+        """Return the execution that a file describes.
 
-        Of a file that fails its checks: something began under this key, and nobody can tell what.
+        If the file fails its checks, a request with this key has begun, but it is unknown which
+        one.
         """
         body = verify_checksum(data)
         return cls("", 0) if body is None else cls(*ormsgpack.unpackb(body))
@@ -64,9 +67,9 @@
 class ExecutionRecord:
     """The executions of one endpoint, on a disk.
 
-    Invariants: an execution is on the disk before its work begins; entries is in order of number,
-    holds what the disk holds, and at most `capacity` keys: the oldest finished ones go first. The
-    disk is read at the first request.
+    Invariants: an execution is on the disk before its work begins; entries is in order of number
+    and holds what the disk holds; when it has more than `capacity` keys, the oldest finished ones
+    are evicted. The disk is read at the first request.
     """
 
     def __init__(self, disk: Any = None, capacity: int = DEFAULT_CAPACITY) -> None:
@@ -86,10 +89,10 @@
         self.loaded = True
 
     async def run_once(self, request: EndpointRequest, work: Handler) -> Response:
-        """The response to a request with a key.
+        """Return the response to a request with a key.
 
-        It is that of `work`, which runs now; the recorded one, if it ran before; or a rejection: the
-        key was used for another request, or its request may have run.
+        It is that of `work`, which runs now; the recorded one, if it ran before; or a rejection:
+        the key was used for another request, or its request may have run.
         """
         if not self.loaded:
             await self.load()
@@ -128,13 +131,16 @@
 
 
 def content_fingerprint(request: EndpointRequest) -> str:
-    """What tells a repeat of a request from another request under the same key."""
+    """Return the fingerprint of a request's content.
+
+    It tells a repeat from another request under the same key.
+    """
     content = [request.method, request.path, request.query, request.body]
     return fingerprint(json.dumps(content, sort_keys=True).encode())
 
 
 def recorded_response(known: Execution, content: str) -> Response:
-    """The response to a request whose key is known."""
+    """Return the response to a request whose key is recorded."""
     if known.request and known.request != content:
         return rejected(422, "key_mismatch", "not-run")
     if known.status is None:
@@ -143,5 +149,5 @@
 
 
 def rejected(status: int, code: str, verdict: str) -> Response:
-    """The response to a request that is not run now."""
+    """Return the response to a request that is not run now."""
     return Response(status, {"code": code, "verdict": verdict}, [(b"md-verdict", verdict.encode())])
--- a/packages/client/meadowdock/client/messages.py
+++ b/packages/client/meadowdock/client/messages.py
@@ -1,4 +1,4 @@
-"""What passes between a program and the mesh: requests to an endpoint, responses to a client."""
+"""The messages between a program and the mesh: requests to an endpoint, responses to a client."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True)
 class EndpointRequest:
-    """A request as an endpoint's handler gets it.
+    """A request as an endpoint's handler receives it.
 
-    caller: the name that the mesh vouches for. key: the idempotency key, if any. repeat: whether
-    the caller may have sent this key before. call_id: the mesh's name of this call. due_us: the
-    microseconds that the caller had left when the proxy sent the request; 0 if it set no limit.
-    body: the JSON value.
+    caller: the name of the caller, which the proxy has authenticated. key: the idempotency key, if
+    any. repeat: whether the caller may have sent this key before. call_id: the mesh's id of this
+    call. due_us: the microseconds that the caller had left when the proxy sent the request; 0 if it
+    set no limit. body: the JSON value.
     """
 
     method: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Rejected:
-    """The mesh has no response of an endpoint; the verdict says whether the request may have run.
+    """The mesh has no endpoint's response; the verdict says whether the request may have run.
 
     retry_after_us: microseconds after which a retry makes sense; 0 if none is advised.
     """
--- a/packages/outcome/meadowdock/outcome/__init__.py
+++ b/packages/outcome/meadowdock/outcome/__init__.py
@@ -1,4 +1,4 @@
-"""The outcome of a request as its caller is told it: a verdict, and the code of a rejection."""
+"""The outcome of a request as reported to its caller: a verdict, and the code of a rejection."""
 
 from meadowdock.outcome.rejection import (
     REJECTION_CODES,
--- a/packages/outcome/meadowdock/outcome/rejection.py
+++ b/packages/outcome/meadowdock/outcome/rejection.py
@@ -1,7 +1,7 @@
-"""Rejections: how the mesh answers a request for which it has no endpoint's response.
+"""Rejections: the mesh's responses to requests for which it has no endpoint's response.
 
-REJECTION_CODES is the one place where codes, HTTP statuses and verdicts are paired; docs/calls.md
-shows it. Codes and bodies are part of the wire format.
+REJECTION_CODES alone assigns HTTP statuses and verdicts to the codes; docs/calls.md lists it. Codes
+and bodies are part of the wire format.
 
 >>> busy = rejection("busy")
 >>> busy.status, busy.verdict.value, busy.retry_after_us
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True)
 class RejectionCode:
-    """What a rejection code stands for.
+    """The properties of a rejection code.
 
     retry_after_us: microseconds after which a retry makes sense; 0 if the response advises none.
-    meaning: the detail that is sent if the rejection gives none of its own.
+    meaning: the detail that is sent if the rejection has none of its own.
     """
 
     status: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Rejection:
-    """A request that is answered without an endpoint's response.
+    """The outcome of a request that is answered without an endpoint's response.
 
     Invariant: a rejection with the verdict NOT_RUN is made only while no byte of the request has
     reached an endpoint.
@@ -47,7 +47,7 @@
     retry_after_us: int = 0
 
     def body(self) -> dict[str, str | int]:
-        """The JSON body of the response."""
+        """Return the JSON body of the response."""
         fields: dict[str, str | int] = {
             "code": self.code,
             "verdict": self.verdict.value,
@@ -88,12 +88,16 @@
 
 
 def rejection(code: str, detail: str = "", **changes: Any) -> Rejection:
-    """A rejection with a code of REJECTION_CODES; `changes` replace fields of the Rejection.
+    """Return a rejection with a code of REJECTION_CODES; `changes` replace fields of the Rejection.
 
     :raises KeyError: the code is not in REJECTION_CODES.
     """
-    kind = REJECTION_CODES[code]
+    properties = REJECTION_CODES[code]
     rejected = Rejection(
-        code, kind.status, kind.verdict, detail or kind.meaning, kind.retry_after_us
+        code,
+        properties.status,
+        properties.verdict,
+        detail or properties.meaning,
+        properties.retry_after_us,
     )
     return replace(rejected, **changes) if changes else rejected
--- a/packages/outcome/meadowdock/outcome/verdict.py
+++ b/packages/outcome/meadowdock/outcome/verdict.py
@@ -9,7 +9,7 @@
     """Whether an endpoint executed a request. The values are sent in the md-verdict header."""
 
     NOT_RUN = "not-run"  # no byte of the request reached an endpoint, and none will
-    MAY_HAVE_RUN = "may-have-run"  # bytes were sent, and no response proves what became of them
+    MAY_HAVE_RUN = "may-have-run"  # bytes were sent, and no response proves whether it ran
     RAN = "ran"  # the endpoint's complete and verified response was received
 
 
