--- a/tests/platform/test_platform_control.py
+++ b/tests/platform/test_platform_control.py
@@ -1,4 +1,4 @@
-"""The platform's operators' listener: where a member without a quorum sends an operator."""
+"""The platform's operator API at a member without a quorum: redirects, 503 and 504 responses."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Request:
-    """As much of a request as the handlers read."""
+    """The part of a request that the handlers read."""
 
     def __init__(self, path):
         self.path = path
@@ -28,7 +28,7 @@
 
 
 class FailingConfigStore:
-    """A config store whose changes and reads end with one error."""
+    """A config store whose changes and reads fail with one error."""
 
     def __init__(self, error):
         self.error = error
@@ -40,30 +40,30 @@
         raise self.error
 
 
-def answer(path, error):
+def status_and_headers(path, error):
     handler = operator_api.modify if path == MODIFY else operator_api.fetch
-    reply = trio.run(handler, FailingConfigStore(error), Request(path))
-    return reply.status, {name.lower(): value for name, value in reply.headers}
+    response = trio.run(handler, FailingConfigStore(error), Request(path))
+    return response.status, {name.lower(): value for name, value in response.headers}
 
 
 @pytest.mark.parametrize("path", [MODIFY, FETCH])
-def test_a_member_without_a_quorum_names_the_control_address_of_one_that_has_it(path):
+def test_a_member_without_a_quorum_redirects_to_one_that_has_it(path):
     error = QuorumUnreachable({operator_api.CONTROL: "10.0.0.2:8146", "operators": "10.0.0.2:7664"})
-    status, headers = answer(path, error)
+    status, headers = status_and_headers(path, error)
     assert status == 307
     assert headers[b"location"] == f"http://10.0.0.2:8146{path}".encode()
 
 
 @pytest.mark.parametrize("path", [MODIFY, FETCH])
-@pytest.mark.parametrize("doors", [{}, {"operators": "10.0.0.2:7664"}])
-def test_without_a_known_control_address_it_is_refused_and_told_when_to_come_back(path, doors):
-    status, headers = answer(path, QuorumUnreachable(doors))
+@pytest.mark.parametrize("listeners", [{}, {"operators": "10.0.0.2:7664"}])
+def test_without_a_known_control_address_the_response_is_503_with_retry_after(path, listeners):
+    status, headers = status_and_headers(path, QuorumUnreachable(listeners))
     assert status == 503
     assert float(headers[b"retry-after"]) > 0
     assert b"location" not in headers
 
 
 @pytest.mark.parametrize("path", [MODIFY, FETCH])
-def test_what_may_hold_is_never_told_as_refused(path):
-    assert answer(path, OutcomeUnknown("items"))[0] == 504
-    assert answer(path, NoQuorum("items"))[0] == 503
+def test_an_unknown_outcome_is_never_reported_as_refused(path):
+    assert status_and_headers(path, OutcomeUnknown("items"))[0] == 504
+    assert status_and_headers(path, NoQuorum("items"))[0] == 503
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -1,4 +1,4 @@
-"""The operator's calls and the endpoints' heartbeats, translated; the listeners that take them."""
+"""Translation of the operator's calls and the endpoints' heartbeats, and the listeners for them."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 sys.path.insert(0, str(Path(__file__).parents[2] / "platform"))
 
 from platform_adapter import items  # noqa: E402
-from platform_adapter.endpoint_api import HEARTBEAT_MAX_BYTES, endpoint_calls, readiness  # noqa: E402
+from platform_adapter.endpoint_api import HEARTBEAT_MAX_BYTES, endpoint_routes, readiness_routes  # noqa: E402
 from platform_adapter.listeners import tables_by_address  # noqa: E402
-from platform_adapter.operator_api import control  # noqa: E402
+from platform_adapter.operator_api import control_routes  # noqa: E402
 
 
 def entry(kind, name, version, **spec):
@@ -29,7 +29,7 @@
 
 
 def route(name="grind", version=3, **spec):
-    plain = {
+    defaults = {
         "host": "Mill.example",
         "pathPrefix": "/grain/",
         "routeType": "non_idempotent",
@@ -39,8 +39,8 @@
         "retryCount": 2,
         "trafficSplit": [{"service": "mill", "weight": 3}, {"service": "forge", "weight": 0}],
     }
-    plain |= spec
-    return entry("routeTable", name, version, **{k: v for k, v in plain.items() if v is not ...})
+    defaults |= spec
+    return entry("routeTable", name, version, **{k: v for k, v in defaults.items() if v is not ...})
 
 
 SERVICES = [
@@ -63,11 +63,13 @@
 
 
 def test_a_change_becomes_items():
-    read = items.read(change(route(), *SERVICES, LIMITS, routeTable=[drop("old", 12)]))
-    assert validate_items(read) == []
-    first, mill, _, limits, dropped = read
-    assert (first["kind"], first["version"]) == ("route", 3)
-    assert first["spec"] == {
+    translated = items.items_from_change(
+        change(route(), *SERVICES, LIMITS, routeTable=[removal("old", 12)])
+    )
+    assert validate_items(translated) == []
+    grind, mill, _, limits, removed = translated
+    assert (grind["kind"], grind["version"]) == ("route", 3)
+    assert grind["spec"] == {
         "host": "Mill.example",
         "prefix": "/grain/",
         "repeat": "once",
@@ -80,32 +82,32 @@
     assert mill["spec"] == {"health": "/well", "connections": 20}
     assert (limits["kind"], limits["name"]) == ("limits", "")
     assert limits["spec"]["idle_us"] == 10_000_000
-    assert dropped == {"kind": "route", "name": "old", "version": 12, "spec": None, "source": ""}
+    assert removed == {"kind": "route", "name": "old", "version": 12, "spec": None, "source": ""}
 
 
-def drop(name, version):
+def removal(name, version):
     return {"name": name, "configVersion": f"r{version}"}
 
 
 def test_one_service_is_a_split_of_one():
-    (read,) = items.read(change(route(trafficSplit=..., service="mill")))
-    assert read["spec"]["split"] == [["mill", 1]]
+    (item,) = items.items_from_change(change(route(trafficSplit=..., service="mill")))
+    assert item["spec"]["split"] == [["mill", 1]]
 
 
-def test_the_read_back_gives_what_was_sent():
+def test_a_fetch_returns_the_entries_that_were_sent():
     sent = [LIMITS, route(), *SERVICES]
-    held, _ = merge({}, items.read(change(*sent)))
-    back = items.written(current_items(held))
-    assert sorted(json.loads(back)["resourceList"], key=str) == sorted(sent, key=str)
-    assert json.loads(items.written([])) == {"resourceList": []}
+    stored, _ = merge({}, items.items_from_change(change(*sent)))
+    body = items.items_to_body(current_items(stored))
+    assert sorted(json.loads(body)["resourceList"], key=str) == sorted(sent, key=str)
+    assert json.loads(items.items_to_body([])) == {"resourceList": []}
 
 
-def test_an_item_of_the_products_own_door_reads_back_as_the_like():
+def test_an_item_of_the_products_own_api_is_fetched_as_an_equivalent_entry():
     sent = [route(timeout="1500ms"), LIMITS]
-    plain = [{**item, "source": ""} for item in items.read(change(*sent))]
-    told = json.loads(items.written(plain))["resourceList"]
-    again = items.read(change(*told))
-    assert [{**item, "source": ""} for item in again] == plain
+    without_source = [{**item, "source": ""} for item in items.items_from_change(change(*sent))]
+    entries = json.loads(items.items_to_body(without_source))["resourceList"]
+    translated = items.items_from_change(change(*entries))
+    assert [{**item, "source": ""} for item in translated] == without_source
 
 
 @pytest.mark.parametrize(
@@ -132,13 +134,13 @@
         change({**route(), "resourceType": ["routeTable"]}),
     ],
 )
-def test_a_call_that_cant_be_read_whole_is_malformed(body):
+def test_a_call_whose_shape_cant_be_read_is_malformed(body):
     with pytest.raises(items.Malformed):
-        items.read(body)
+        items.items_from_change(body)
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid_entry",
     [
         route(host=""),
         route(host=...),
@@ -170,47 +172,44 @@
         {**LIMITS, "specification": {**LIMITS["specification"], "idleTimeout": "soon"}},
     ],
 )
-def test_what_has_no_counterpart_is_refused_by_the_products_check(wrong):
-    assert validate_items(items.read(change(wrong, *SERVICES)))
-    assert not validate_items(items.read(change(route(), *SERVICES, LIMITS)))
+def test_a_value_without_a_counterpart_is_rejected_by_the_products_check(invalid_entry):
+    assert validate_items(items.items_from_change(change(invalid_entry, *SERVICES)))
+    assert not validate_items(items.items_from_change(change(route(), *SERVICES, LIMITS)))
 
 
-# ---------------------------------------------------------------- the listeners
+class ConfigStoreStub:
+    """A config store whose register is a dict of this process."""
 
-
-class Kept:
-    """An mdconf's part, its register a dict of this process."""
-
-    def __init__(self, fails=None):
+    def __init__(self, error_type=None):
         self.store = SimpleNamespace(membership=object())
-        self.node = SimpleNamespace(runtime=SimpleNamespace(offload=self.apart))
-        self.held, self.fails, self.beside = {}, fails, 0
+        self.node = SimpleNamespace(runtime=SimpleNamespace(offload=self.offload))
+        self.stored, self.error_type, self.offloaded = {}, error_type, 0
 
-    async def apart(self, work, *args):
-        self.beside += 1
+    async def offload(self, work, *args):
+        self.offloaded += 1
         return work(*args)
 
-    def check(self):
+    def raise_error(self):
         if self.store.membership is None:
             raise NoQuorum("members")
-        if self.fails:
-            raise self.fails("x")
+        if self.error_type:
+            raise self.error_type("x")
 
     async def change_items(self, change):
-        self.check()
+        self.raise_error()
         errors = validate_items(change)
         if errors:
             raise InvalidItems(errors)
-        self.held, _ = merge(self.held, change)
+        self.stored, _ = merge(self.stored, change)
         return 1
 
     async def read_items(self):
-        self.check()
-        return current_items(self.held)
+        self.raise_error()
+        return current_items(self.stored)
 
 
-def asked(table, owner, method, path, body=b""):
-    """(status, headers, JSON) of one request."""
+def response_to(table, owner, method, path, body=b""):
+    """Return (status, headers, JSON body) of the response to one request."""
     sent = []
 
     async def receive():
@@ -219,91 +218,93 @@
     async def send(event):
         sent.append(event)
 
-    async def ask():
+    async def serve():
         headers = [(b"content-length", str(len(body)).encode())]
         scope = {"type": "http", "method": method, "path": path, "query_string": b""}
         await App(table, owner, None)({**scope, "headers": headers}, receive, send)
 
-    trio.run(ask)
+    trio.run(serve)
     return sent[0]["status"], dict(sent[0]["headers"]), json.loads(sent[1]["body"])
 
 
 def modify(daemon, body):
-    return asked(control, daemon, "POST", "/api/config/modify", body)
+    return response_to(control_routes, daemon, "POST", "/api/config/modify", body)
 
 
-def test_a_change_is_taken_and_read_back_and_an_invalid_one_changes_nothing():
-    daemon = Kept()
+def test_a_change_is_stored_and_fetched_and_an_invalid_one_changes_nothing():
+    daemon = ConfigStoreStub()
     assert modify(daemon, change(route(), *SERVICES))[::2] == (200, {})
-    status, _, told = asked(control, daemon, "GET", "/api/config/fetch")
-    assert (status, len(told["resourceList"])) == (200, 3)
-    for body, word in (
+    status, _, fetched = response_to(control_routes, daemon, "GET", "/api/config/fetch")
+    assert (status, len(fetched["resourceList"])) == (200, 3)
+    for body, expected_word in (
         (change(route(version=9, service="none", trafficSplit=...)), "none"),
-        (change(serviceTable=[drop("mill", 9)]), "mill"),
+        (change(serviceTable=[removal("mill", 9)]), "mill"),
         (change(route(version=9, retryCount=0)), "tries"),
         (b"{", "JSON"),
     ):
-        status, _, why = modify(daemon, body)
+        status, _, error = modify(daemon, body)
         assert status == 400
-        assert word in why["errorMessage"]
-    assert asked(control, daemon, "GET", "/api/config/fetch")[2] == told
+        assert expected_word in error["errorMessage"]
+    assert response_to(control_routes, daemon, "GET", "/api/config/fetch")[2] == fetched
 
 
 def test_another_content_under_a_known_version_is_a_conflict():
-    daemon = Kept()
+    daemon = ConfigStoreStub()
     assert modify(daemon, change(route(), *SERVICES))[0] == 200
     assert modify(daemon, change(route(), *SERVICES))[::2] == (200, {})
-    status, _, why = modify(daemon, change(entry("serviceTable", "new", 1), route(retryCount=3)))
+    status, _, error = modify(daemon, change(entry("serviceTable", "new", 1), route(retryCount=3)))
     assert status == 409
-    assert "routeTable grind r3" in why["errorMessage"]
-    assert modify(daemon, change(routeTable=[drop("grind", 3)]))[0] == 409
-    told = asked(control, daemon, "GET", "/api/config/fetch")[2]["resourceList"]
-    assert route() in told
-    assert "new" not in [given["metadata"].get("name") for given in told]
+    assert "routeTable grind r3" in error["errorMessage"]
+    assert modify(daemon, change(routeTable=[removal("grind", 3)]))[0] == 409
+    fetched = response_to(control_routes, daemon, "GET", "/api/config/fetch")[2]["resourceList"]
+    assert route() in fetched
+    assert "new" not in [listed["metadata"].get("name") for listed in fetched]
     assert modify(daemon, change(route(version=5)))[0] == 200
     assert modify(daemon, change(route()))[0] == 200  # sent again after a newer version
     assert modify(daemon, change(route(retryCount=3)))[0] == 409
 
 
-def test_a_large_change_is_read_beside_the_loop():
-    daemon = Kept()
+def test_a_large_change_is_parsed_in_a_thread():
+    daemon = ConfigStoreStub()
     large = [entry("serviceTable", f"s{n}", 1, note="x" * 500) for n in range(100)]
     assert modify(daemon, change(*large))[0] == 200
-    assert daemon.beside == 1
-    assert len(daemon.held) == 100
+    assert daemon.offloaded == 1
+    assert len(daemon.stored) == 100
 
 
-@pytest.mark.parametrize(("fails", "status"), [(NoQuorum, 503), (OutcomeUnknown, 504)])
-def test_a_register_that_doesnt_answer(fails, status):
-    daemon = Kept(fails)
-    got, headers, why = modify(daemon, change(*SERVICES))
-    assert got == status
-    assert why["errorMessage"]
+@pytest.mark.parametrize(("error_type", "status"), [(NoQuorum, 503), (OutcomeUnknown, 504)])
+def test_consensus_errors_become_the_platforms_statuses(error_type, status):
+    daemon = ConfigStoreStub(error_type)
+    actual_status, headers, error = modify(daemon, change(*SERVICES))
+    assert actual_status == status
+    assert error["errorMessage"]
     assert (b"retry-after" in headers) is (status == 503)
-    assert asked(control, daemon, "GET", "/api/config/fetch")[0] == status
+    assert response_to(control_routes, daemon, "GET", "/api/config/fetch")[0] == status
     daemon.store.membership = None
     assert modify(daemon, change(*SERVICES))[0] == 503
 
 
-class Beside:
-    def __init__(self, why=()):
+class ProxyStub:
+    """A proxy that records heartbeats and deregistrations."""
+
+    def __init__(self, reasons=()):
         self.logged = []
         self.node = SimpleNamespace(
-            unready_reasons=lambda: list(why),
-            log=lambda number, **facts: self.logged.append(number),
+            unready_reasons=lambda: list(reasons),
+            log=lambda number, **fields: self.logged.append(number),
         )
-        self.told = []
+        self.received = []
 
-    def endpoint_heartbeat(self, facts):
-        if facts["service"] == "stranger":
+    def endpoint_heartbeat(self, fields):
+        if fields["service"] == "stranger":
             raise RegistrationDenied(403, "stranger")
-        self.told.append(facts)
+        self.received.append(fields)
 
     def deregister_endpoint(self, instance):
-        self.told.append(instance)
+        self.received.append(instance)
 
 
-BEAT = {
+HEARTBEAT = {
     "service": "mill",
     "address": "127.0.9.1:80",
     "zone": "hill-a",
@@ -315,18 +316,18 @@
 }
 
 
-def beat(daemon, facts, verb="heartbeat"):
-    body = facts if isinstance(facts, bytes) else json.dumps(facts).encode()
-    return asked(endpoint_calls, daemon, "POST", f"/api/instances/i-1/{verb}", body)[0]
+def status_of_call(daemon, content, action="heartbeat"):
+    body = content if isinstance(content, bytes) else json.dumps(content).encode()
+    return response_to(endpoint_routes, daemon, "POST", f"/api/instances/i-1/{action}", body)[0]
 
 
 def test_heartbeats_and_the_deregistration_of_an_endpoint():
-    daemon = Beside()
-    assert beat(daemon, BEAT) == 200
-    assert beat(daemon, {**BEAT, "state": "draining"}) == 200
-    assert beat(daemon, b"", "deregister") == 200
-    first, second, last = daemon.told
-    assert first == {
+    daemon = ProxyStub()
+    assert status_of_call(daemon, HEARTBEAT) == 200
+    assert status_of_call(daemon, {**HEARTBEAT, "state": "draining"}) == 200
+    assert status_of_call(daemon, b"", "deregister") == 200
+    heartbeat, draining_heartbeat, deregistered = daemon.received
+    assert heartbeat == {
         "service": "mill",
         "address": "127.0.9.1:80",
         "instance": "i-1",
@@ -335,43 +336,45 @@
         "warm_us": 1_200_000,
         "sequence": 7,
     }
-    assert second == {**first, "draining": True}
-    assert last == "i-1"
+    assert draining_heartbeat == {**heartbeat, "draining": True}
+    assert deregistered == "i-1"
 
 
 @pytest.mark.parametrize(
-    ("facts", "status"),
+    ("content", "status"),
     [
         (b"{", 400),
         ([], 400),
-        ({**BEAT, "state": "well"}, 400),
-        ({**BEAT, "capacitySlots": -1}, 400),
-        ({**BEAT, "callSequence": True}, 400),
-        ({**BEAT, "warmupLeft": "soon"}, 400),
-        ({**BEAT, "service": ""}, 400),
-        ({**BEAT, "service": "stranger"}, 400),
-        ({**BEAT, "more": "x" * HEARTBEAT_MAX_BYTES}, 413),
+        ({**HEARTBEAT, "state": "well"}, 400),
+        ({**HEARTBEAT, "capacitySlots": -1}, 400),
+        ({**HEARTBEAT, "callSequence": True}, 400),
+        ({**HEARTBEAT, "warmupLeft": "soon"}, 400),
+        ({**HEARTBEAT, "service": ""}, 400),
+        ({**HEARTBEAT, "service": "stranger"}, 400),
+        ({**HEARTBEAT, "more": "x" * HEARTBEAT_MAX_BYTES}, 413),
     ],
 )
-def test_a_wrong_beat_is_refused(facts, status):
-    daemon = Beside()
-    assert beat(daemon, facts) == status
-    assert daemon.told == []
+def test_an_invalid_heartbeat_is_rejected(content, status):
+    daemon = ProxyStub()
+    assert status_of_call(daemon, content) == status
+    assert daemon.received == []
 
 
 def test_readiness_and_listeners_that_share_an_address():
-    assert asked(readiness, Beside(), "GET", "/api/readiness")[0] == 200
-    status, _, why = asked(readiness, Beside(["stopping"]), "GET", "/api/readiness")
-    assert (status, why["errorMessage"]) == (503, "stopping")
-    both = SimpleNamespace(listeners={"controlPlane": "a:1", "readiness": "a:1"})
+    assert response_to(readiness_routes, ProxyStub(), "GET", "/api/readiness")[0] == 200
+    status, _, error = response_to(
+        readiness_routes, ProxyStub(["stopping"]), "GET", "/api/readiness"
+    )
+    assert (status, error["errorMessage"]) == (503, "stopping")
+    settings = SimpleNamespace(listeners={"controlPlane": "a:1", "readiness": "a:1"})
     (shared,) = tables_by_address(
-        both, {"controlPlane": endpoint_calls, "readiness": readiness}
+        settings, {"controlPlane": endpoint_routes, "readiness": readiness_routes}
     ).values()
-    assert asked(shared, Beside(), "GET", "/api/readiness")[0] == 200
-    assert beat_at(shared) == 200
-    assert readiness.prefixes == []
+    assert response_to(shared, ProxyStub(), "GET", "/api/readiness")[0] == 200
+    assert status_of_heartbeat_at(shared) == 200
+    assert readiness_routes.prefixes == []
 
 
-def beat_at(table):
-    body = json.dumps(BEAT).encode()
-    return asked(table, Beside(), "POST", "/api/instances/i-1/heartbeat", body)[0]
+def status_of_heartbeat_at(table):
+    body = json.dumps(HEARTBEAT).encode()
+    return response_to(table, ProxyStub(), "POST", "/api/instances/i-1/heartbeat", body)[0]
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file as a boot; the boot's own new fields."""
+"""The platform's settings file as the settings of a process, and the checks of those settings."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     schema_errors,
 )
 
-FOLDER = Path(__file__).parents[2] / "platform"
-sys.path.insert(0, str(FOLDER))
+ADAPTER_FOLDER = Path(__file__).parents[2] / "platform"
+sys.path.insert(0, str(ADAPTER_FOLDER))
 
 from platform_adapter.main import apply_settings  # noqa: E402
-from platform_adapter.settings import Settings, load  # noqa: E402
-from platform_adapter.times import as_us  # noqa: E402
+from platform_adapter.settings import Settings, load_settings  # noqa: E402
+from platform_adapter.times import parse_time  # noqa: E402
 
-EXAMPLE = """
+EXAMPLE_FILE = """
 [localNode]
 ipAddress = "127.0.9.1"
 zone = "hill-a"
@@ -55,7 +55,7 @@
 retryWindow = "8s"
 retryBudgetSlack = 30
 """
-GOOD = {
+VALID = {
     "host": "127.0.0.1",
     "hall": "a",
     "seeds": ["127.0.0.1:7411"],
@@ -66,103 +66,109 @@
 @pytest.fixture
 def file(tmp_path):
     path = tmp_path / "local.toml"
-    path.write_text(EXAMPLE)
+    path.write_text(EXAMPLE_FILE)
     return path
 
 
 def test_platform_is_still_the_standard_library():
-    found = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", "import platform; print(platform.python_version())"],
-        env={**os.environ, "PYTHONPATH": str(FOLDER)},
+        env={**os.environ, "PYTHONPATH": str(ADAPTER_FOLDER)},
         capture_output=True,
         text=True,
         check=True,
     )
-    assert found.stdout.startswith("3.")
-    assert not (FOLDER / "__init__.py").exists()
+    assert completed.stdout.startswith("3.")
+    assert not (ADAPTER_FOLDER / "__init__.py").exists()
     import platform
 
     assert Path(platform.__file__).parent == Path(os.__file__).parent
 
 
-def test_a_proxy_is_told_its_place_and_the_bounds(file):
+def test_a_proxy_gets_its_addresses_zone_and_bounds(file):
     settings = Settings("mdproxy", file)
-    boot = settings.boot
-    assert (boot.host, boot.zone, boot.service) == ("127.0.9.1", "hill-a", "mill")
-    assert boot.seeds == ("127.0.9.1:9100", "127.0.9.2:9100")
-    assert (boot.link_port, boot.http_port, boot.gate_port) == (9102, 9106, 9103)
-    assert boot.gate_address == "127.0.9.1:9091"
-    assert (boot.heartbeat_us, boot.catch_up_us, boot.drain_us) == (700_000, 2_500_000, 1_500_000)
-    assert (boot.linger_us, boot.stop_us) == (2_300_000, 5_000_000)
-    assert boot.retry_budget == RetryBudgetSettings(ratio=0.25, window_us=8_000_000, reserve=30)
-    assert boot.may_bootstrap is True
-    assert boot.losses == 2
-    assert boot.data is None
+    process = settings.process_settings
+    assert (process.host, process.zone, process.service) == ("127.0.9.1", "hill-a", "mill")
+    assert process.seeds == ("127.0.9.1:9100", "127.0.9.2:9100")
+    assert (process.link_port, process.http_port, process.gate_port) == (9102, 9106, 9103)
+    assert process.gate_address == "127.0.9.1:9091"
+    assert (process.heartbeat_us, process.catch_up_us, process.drain_us) == (
+        700_000,
+        2_500_000,
+        1_500_000,
+    )
+    assert (process.linger_us, process.stop_us) == (2_300_000, 5_000_000)
+    assert process.retry_budget == RetryBudgetSettings(ratio=0.25, window_us=8_000_000, reserve=30)
+    assert process.may_bootstrap is True
+    assert process.losses == 2
+    assert process.data is None
     assert settings.listeners == {"readiness": "127.0.9.1:9092", "controlPlane": "127.0.9.1:9090"}
 
 
 def test_the_core_roles_have_ports_of_their_own(file):
-    conf, reg = Settings("mdconf", file).boot, Settings("mdreg", file).boot
+    conf, reg = Settings("mdconf", file).process_settings, Settings("mdreg", file).process_settings
     assert (conf.link_port, conf.http_port) == (9100, 9104)
     assert (reg.link_port, reg.http_port) == (9101, 9105)
     assert (conf.data, conf.members, reg.data) == ("DATA", (), None)
     assert conf.link in conf.seeds
 
 
-def test_one_key_for_a_deployment_and_another_for_another(file):
-    key = Settings("mdreg", file).boot.fleet_key
-    file.write_text(EXAMPLE.replace('zone = "hill-a"', 'zone = "vale-b"'))
-    assert Settings("mdconf", file).boot.fleet_key == key
-    file.write_text(EXAMPLE.replace("vale-b", "vale-c"))
-    assert Settings("mdreg", file).boot.fleet_key != key
+def test_each_deployment_has_a_fleet_key_of_its_own(file):
+    key = Settings("mdreg", file).process_settings.fleet_key
+    file.write_text(EXAMPLE_FILE.replace('zone = "hill-a"', 'zone = "vale-b"'))
+    assert Settings("mdconf", file).process_settings.fleet_key == key
+    file.write_text(EXAMPLE_FILE.replace("vale-b", "vale-c"))
+    assert Settings("mdreg", file).process_settings.fleet_key != key
 
 
 def test_every_error_is_named_and_ends_with_status_2(file, monkeypatch, capsys):
-    bad = EXAMPLE.replace('"6s"', '"6 hours"').replace("[9100, 9115]", "[9100, 9102]")
-    file.write_text(bad.replace('zone = "hill-a"', "zone = 7").replace("outboundProxy", "other"))
+    invalid_file = EXAMPLE_FILE.replace('"6s"', '"6 hours"').replace("[9100, 9115]", "[9100, 9102]")
+    file.write_text(
+        invalid_file.replace('zone = "hill-a"', "zone = 7").replace("outboundProxy", "other")
+    )
     monkeypatch.setenv("MEADOWDOCK_CONFIG", str(file))
-    with pytest.raises(SystemExit) as ended:
-        load("mdproxy")
-    assert ended.value.code == 2
-    told = capsys.readouterr().err
+    with pytest.raises(SystemExit) as exit_info:
+        load_settings("mdproxy")
+    assert exit_info.value.code == 2
+    reported = capsys.readouterr().err
     for path in (
         "localNode.zone:",
         "network.internalPortRange:",
         "ruleBounds.gracePeriod:",
         "listenAddresses.outboundProxy: is missing",
     ):
-        assert path in told
-    assert len(told.splitlines()) == 4
+        assert path in reported
+    assert len(reported.splitlines()) == 4
 
 
 @pytest.mark.parametrize("content", [b"[localNode", b"\xff", b""])
-def test_a_file_that_cant_be_read_is_refused(file, content):
+def test_a_file_that_cant_be_parsed_or_is_empty_is_rejected(file, content):
     file.write_bytes(content)
     with pytest.raises(InvalidSettings):
         Settings("mdreg", file)
 
 
-def test_a_changed_file_is_noticed_and_a_bad_one_changes_nothing(file, capsys):
+def test_a_changed_file_is_reread_and_an_invalid_one_changes_nothing(file, capsys):
     settings = Settings("mdproxy", file)
     assert settings.reread() is None
-    file.write_text(EXAMPLE.replace('service = "mill"', 'service = "forge-house"'))
+    file.write_text(EXAMPLE_FILE.replace('service = "mill"', 'service = "forge-house"'))
     assert settings.reread().service == "forge-house"
-    assert settings.reread(asked=True) is None
+    assert settings.reread(forced=True) is None
     file.write_text("nonsense")
     assert settings.reread() is None
     assert "no TOML" in capsys.readouterr().err
-    assert settings.boot.service == "forge-house"
-    file.write_text(EXAMPLE)
+    assert settings.process_settings.service == "forge-house"
+    file.write_text(EXAMPLE_FILE)
     assert settings.reread().service == "mill"
 
 
 @pytest.mark.parametrize("text", ["", "5", "5m", "-1s", "1e3ms", "1.s", " 1s", "٣s", 5, None])
 def test_times_are_a_number_and_a_unit(text):
     with pytest.raises(ValueError, match="is no time"):
-        as_us(text)
+        parse_time(text)
 
 
-WRONG = {
+INVALID_VALUES = {
     "host": ["x", 7],
     "hall": ["A", ""],
     "seeds": [[], ["x"], ["127.0.0.1:1"] * 2, "127.0.0.1:1"],
@@ -178,64 +184,66 @@
 }
 
 
-@pytest.mark.parametrize(("name", "value"), [(n, v) for n, vs in WRONG.items() for v in vs])
-def test_a_wrong_field_of_a_boot_is_refused_by_its_path(name, value):
+@pytest.mark.parametrize(
+    ("name", "value"), [(n, v) for n, vs in INVALID_VALUES.items() for v in vs]
+)
+def test_an_invalid_setting_is_rejected_with_its_path(name, value):
     with pytest.raises(InvalidSettings, match=f"boot.{name}"):
-        checked("mdreg", {**GOOD, name: value})
+        checked("mdreg", {**VALID, name: value})
 
 
 @pytest.mark.parametrize(
-    ("name", "value"), [(n, v) for n, vs in WRONG.items() for v in vs] + [("other", 1)]
+    ("name", "value"), [(n, v) for n, vs in INVALID_VALUES.items() for v in vs] + [("other", 1)]
 )
 def test_the_checks_pass_nothing_that_the_schema_rejects(name, value):
-    facts = {**GOOD, name: value}
-    assert not (passes_checks(facts) and schema_errors(facts))
+    fields = {**VALID, name: value}
+    assert not (passes_checks(fields) and schema_errors(fields))
 
 
-def test_defaults_and_members_founded_by_the_seeds():
-    boot = checked("mdconf", {**GOOD, "data": "x", "members": []})
-    assert boot.members == ()
-    assert (boot.may_bootstrap, boot.losses, boot.gate_address, boot.service) == (
+def test_defaults_and_a_config_store_without_listed_members():
+    process = checked("mdconf", {**VALID, "data": "x", "members": []})
+    assert process.members == ()
+    assert (process.may_bootstrap, process.losses, process.gate_address, process.service) == (
         True,
         1,
         None,
         None,
     )
-    assert boot.linger_us < boot.stop_us
-    assert boot.retry_budget.reserve == 24
-    assert passes_checks(GOOD)
+    assert process.linger_us < process.stop_us
+    assert process.retry_budget.reserve == 24
+    assert passes_checks(VALID)
     with pytest.raises(InvalidSettings, match="'members' is needed"):
-        checked("mdconf", {**GOOD, "data": "x"})
+        checked("mdconf", {**VALID, "data": "x"})
 
 
-def test_a_good_boot_needs_no_schema_checker(file):
+def test_valid_settings_dont_import_the_schema_checker(file):
     program = (
         "import sys; from platform_adapter.settings import Settings;"
         f"Settings('mdproxy', {str(file)!r});"
         "print([m for m in ('jsonschema', 'fire', 'mdconf', 'mdreg') if m in sys.modules])"
     )
-    found = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program],
-        env={**os.environ, "PYTHONPATH": str(FOLDER)},
+        env={**os.environ, "PYTHONPATH": str(ADAPTER_FOLDER)},
         capture_output=True,
         text=True,
         check=True,
     )
-    assert found.stdout == "[]\n"
+    assert completed.stdout == "[]\n"
 
 
-def test_a_running_node_takes_over_seeds_service_and_tries_and_keeps_its_place(file):
+def test_a_running_node_applies_seeds_service_and_retry_budget_but_not_addresses(file):
     settings = Settings("mdproxy", file)
-    heard = []
+    notified = []
     node = SimpleNamespace(
-        settings=settings.boot,
-        view=SimpleNamespace(seeds=settings.boot.seeds),
-        daemon=SimpleNamespace(settings_changed=heard.append),
+        settings=settings.process_settings,
+        view=SimpleNamespace(seeds=settings.process_settings.seeds),
+        daemon=SimpleNamespace(settings_changed=notified.append),
     )
-    changed = EXAMPLE.replace("127.0.9.2:9090", "127.0.9.3:9090").replace("9091", "9099")
+    changed = EXAMPLE_FILE.replace("127.0.9.2:9090", "127.0.9.3:9090").replace("9091", "9099")
     file.write_text(changed.replace('"mill"', '"forge"').replace("0.25", "0.5"))
     apply_settings(node, settings.reread())
     assert node.settings.seeds == node.view.seeds == ("127.0.9.1:9100", "127.0.9.3:9100")
     assert (node.settings.service, node.settings.retry_budget.ratio) == ("forge", 0.5)
     assert node.settings.gate_address == "127.0.9.1:9091"
-    assert heard == [node.settings]
+    assert notified == [node.settings]
