--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -1,4 +1,7 @@
-"""Refusals and verdicts: each code caused, each verdict compared with the endpoints' journals."""
+"""Rejections and verdicts of calls.
+
+Each rejection code is provoked, and each verdict is compared with what the endpoints executed.
+"""
 
 from __future__ import annotations
 
@@ -16,16 +19,24 @@
 from meadowdock.simulator.history import Asked, History
 
 
-async def raw(world, method, path, body=None, headers=()):
+async def request_first_proxy(world, method, path, body=None, headers=()):
+    """Return (status, verdict, retry-after, body) of the first proxy's response."""
     host = hosts(world)[0]
-    status, lines, told = await world.http(host, method, f"{host}:7400", path, body, headers)
-    return status, lines.get(b"md-verdict", b"").decode(), lines.get(b"retry-after"), told
-
-
-def test_refusals_before_any_endpoint():
+    status, response_headers, content = await world.http(
+        host, method, f"{host}:7400", path, body, headers
+    )
+    return (
+        status,
+        response_headers.get(b"md-verdict", b"").decode(),
+        response_headers.get(b"retry-after"),
+        content,
+    )
+
+
+def test_requests_rejected_before_they_reach_an_endpoint():
     async def scenario(world):
-        journal = []
-        await serving(world, journal)
+        executed = []
+        await serving(world, executed)
         cases = [
             ("GET", "/nowhere", None, (), "way_unknown"),
             ("POST", "/balances/1", {"a": 1}, (), "way_forbidden"),
@@ -38,55 +49,57 @@
             ("GET", "/balances/1", None, [(b"md-token", b"zz")], "bad_token"),
         ]
         for method, path, body, headers, code in cases:
-            status, verdict, again, told = await raw(world, method, path, body, headers)
-            assert (told["code"], status, verdict) == (
+            status, verdict, retry_after, content = await request_first_proxy(
+                world, method, path, body, headers
+            )
+            assert (content["code"], status, verdict) == (
                 code,
                 REJECTION_CODES[code].status,
                 "not-run",
             ), (
                 path,
-                told,
+                content,
             )
-            assert (again is not None) == bool(REJECTION_CODES[code].retry_after_us)
-        assert journal == []
+            assert (retry_after is not None) == bool(REJECTION_CODES[code].retry_after_us)
+        assert executed == []
 
     run(scenario, application=("desk",))
 
 
-def unfaithful(**reply):
-    """An endpoint that does the work, then answers wrongly."""
-    ran = []
+def faulty_endpoint(**response):
+    """Return an endpoint class that runs a request and responds wrongly, and the paths that ran."""
+    executed_paths = []
 
-    async def handle(got):
-        ran.append(got.path)
+    async def handle(request):
+        executed_paths.append(request.path)
         raise RuntimeError
 
-    class Odd(Endpoint):
+    class FaultyEndpoint(Endpoint):
         pass
 
-    Odd.table = type(Endpoint.table)()
-    Odd.table.exact = dict(Endpoint.table.exact)
+    FaultyEndpoint.table = type(Endpoint.table)()
+    FaultyEndpoint.table.exact = dict(Endpoint.table.exact)
 
-    @Odd.table.otherwise
+    @FaultyEndpoint.table.otherwise
     async def handle_request(self, request):
-        ran.append(request.path)
-        call = request.header(b"md-call").encode()
-        lines = [(b"md-call", reply.get("call", call))]
-        if "incarnation" in reply:
-            lines.append((b"md-incarnation", reply["incarnation"]))
-        return Response(reply.get("status", 200), reply.get("body", {"ok": True}), lines)
+        executed_paths.append(request.path)
+        call_id = request.header(b"md-call").encode()
+        headers = [(b"md-call", response.get("call", call_id))]
+        if "incarnation" in response:
+            headers.append((b"md-incarnation", response["incarnation"]))
+        return Response(response.get("status", 200), response.get("body", {"ok": True}), headers)
 
-    return Odd, ran, handle
+    return FaultyEndpoint, executed_paths, handle
 
 
-async def odd_endpoint(world, kind, handle):
+async def start_faulty_endpoint(world, endpoint_class, handle):
     host = hosts(world)[0]
-    made = await world.endpoint(host, "desk", handle, wait=False)
-    made.app.table = kind.table
-    await made.enrolled.wait()
+    endpoint = await world.endpoint(host, "desk", handle, wait=False)
+    endpoint.app.table = endpoint_class.table
+    await endpoint.enrolled.wait()
 
 
-GARBAGE = [
+INVALID_RESPONSES = [
     {"body": b'{"half": '},
     {"body": b""},
     {"body": b'{"a": NaN}'},
@@ -96,107 +109,121 @@
 ]
 
 
-def test_bad_answers_are_never_passed_on():
-    for reply in GARBAGE:
+def test_invalid_responses_are_never_passed_on():
+    for response in INVALID_RESPONSES:
 
-        async def scenario(world, reply=reply):
+        async def scenario(world, response=response):
             await configured(world)
-            kind, ran, handle = unfaithful(**reply)
-            await odd_endpoint(world, kind, handle)
-            status, verdict, _, told = await raw(world, "POST", "/withdrawals", {"a": 1})
-            assert (status, told["code"], verdict) == (502, "bad_answer", "may-have-run"), reply
-            assert len(ran) == 1  # run-once: never sent again
+            endpoint_class, executed_paths, handle = faulty_endpoint(**response)
+            await start_faulty_endpoint(world, endpoint_class, handle)
+            status, verdict, _, content = await request_first_proxy(
+                world, "POST", "/withdrawals", {"a": 1}
+            )
+            assert (status, content["code"], verdict) == (502, "bad_answer", "may-have-run"), (
+                response
+            )
+            assert len(executed_paths) == 1  # not retried, because the route is not idempotent
 
         run(scenario, application=("desk",))
 
 
-def test_a_lost_answer_is_may_have_run_and_only_safe_ways_are_tried_again():
+def test_a_lost_response_is_may_have_run_and_only_idempotent_routes_are_retried():
     async def scenario(world):
-        ran = []
+        lost_paths = []
 
-        async def lose(got):
-            ran.append(got.path)
+        async def kill_endpoint(request):
+            lost_paths.append(request.path)
             await sleep_us(10 * MILLISECOND)
             world.kill(f"endpoint@{hosts(world)[0]}:8000")
             await sleep_us(SECOND)
 
         await configured(world)
-        await world.endpoint(hosts(world)[0], "desk", lose)
-        journal = []
-        await world.endpoint(hosts(world)[1], "desk", answers(journal=journal))
+        await world.endpoint(hosts(world)[0], "desk", kill_endpoint)
+        executed = []
+        await world.endpoint(hosts(world)[1], "desk", answers(journal=executed))
         await sleep_us(2 * SECOND)
-        status, verdict, _, told = await raw(world, "POST", "/withdrawals", {"a": 1})
-        assert (status, told["code"], verdict) == (502, "lost", "may-have-run")
-        assert (len(ran), len(journal)) == (1, 0)
+        status, verdict, _, content = await request_first_proxy(
+            world, "POST", "/withdrawals", {"a": 1}
+        )
+        assert (status, content["code"], verdict) == (502, "lost", "may-have-run")
+        assert (len(lost_paths), len(executed)) == (1, 0)
 
     run(scenario, application=("desk", "desk"))
 
 
-def test_a_late_answer_is_may_have_run_by_the_endpoints_wait():
+def test_a_late_response_is_may_have_run_after_the_endpoint_timeout():
     async def scenario(world):
-        facts = manifest(
+        configuration = manifest(
             [way("w", "/withdrawals", methods=("POST",), repeat="once", budget="short")]
         )
-        facts["budgets"].append(budget("short", endpoint=200_000))
-        journal = []
-        await configured(world, facts)
-        await world.endpoint(hosts(world)[0], "desk", answers(SECOND, journal))
-        at = monotonic_us()
-        status, verdict, _, told = await raw(world, "POST", "/withdrawals", {"a": 1})
-        assert (status, told["code"], verdict) == (504, "no_answer", "may-have-run")
-        assert monotonic_us() - at < 250 * MILLISECOND
-        # the connection of the late answer is not used again: the next caller gets its own
-        status, verdict, _, told = await raw(world, "POST", "/withdrawals/2", {"a": 1})
-        assert told["code"] == "no_answer"
+        configuration["budgets"].append(budget("short", endpoint=200_000))
+        executed = []
+        await configured(world, configuration)
+        await world.endpoint(hosts(world)[0], "desk", answers(SECOND, executed))
+        started_at = monotonic_us()
+        status, verdict, _, content = await request_first_proxy(
+            world, "POST", "/withdrawals", {"a": 1}
+        )
+        assert (status, content["code"], verdict) == (504, "no_answer", "may-have-run")
+        assert monotonic_us() - started_at < 250 * MILLISECOND
+        # The connection of the late response isn't reused: the next caller can't get that response.
+        status, verdict, _, content = await request_first_proxy(
+            world, "POST", "/withdrawals/2", {"a": 1}
+        )
+        assert content["code"] == "no_answer"
 
     run(scenario, application=("desk",))
 
 
-def test_a_shorter_due_is_kept():
+def test_a_shorter_deadline_of_the_caller_is_kept():
     async def scenario(world):
         await configured(world)
         await world.endpoint(hosts(world)[0], "desk", answers(SECOND))
-        at = monotonic_us()
-        _, verdict, _, told = await raw(
+        started_at = monotonic_us()
+        _, verdict, _, content = await request_first_proxy(
             world, "GET", "/balances/1", headers=[(b"md-due", b"100000")]
         )
-        assert (told["code"], verdict) == ("no_answer", "may-have-run")
-        assert monotonic_us() - at < 150 * MILLISECOND
+        assert (content["code"], verdict) == ("no_answer", "may-have-run")
+        assert monotonic_us() - started_at < 150 * MILLISECOND
 
     run(scenario, application=("desk",))
 
 
-def test_an_endpoint_that_says_not_run_is_taken_at_its_word():
+def test_an_endpoint_that_declines_a_call_makes_it_not_run():
     async def scenario(world):
         await configured(world)
 
-        async def busy(got):
+        async def busy(request):
             return 503, {"code": "busy"}
 
-        made = await world.endpoint(hosts(world)[0], "desk", busy)
-        original = made.handle_request.__func__
+        endpoint = await world.endpoint(hosts(world)[0], "desk", busy)
+        original = endpoint.handle_request.__func__
 
-        async def called(self, request):
-            reply = await original(self, request)
-            return Response(reply.status, reply.body, [*reply.headers, (b"md-verdict", b"not-run")])
+        async def declined(self, request):
+            response = await original(self, request)
+            return Response(
+                response.status, response.body, [*response.headers, (b"md-verdict", b"not-run")]
+            )
 
-        made.app.table = type(Endpoint.table)()
-        made.app.table.exact, made.app.table.fallback = Endpoint.table.exact, called
-        status, verdict, again, told = await raw(world, "POST", "/withdrawals", {"a": 1})
-        assert (status, told["code"], verdict, again) == (503, "busy", "not-run", b"1")
+        endpoint.app.table = type(Endpoint.table)()
+        endpoint.app.table.exact, endpoint.app.table.fallback = Endpoint.table.exact, declined
+        status, verdict, retry_after, content = await request_first_proxy(
+            world, "POST", "/withdrawals", {"a": 1}
+        )
+        assert (status, content["code"], verdict, retry_after) == (503, "busy", "not-run", b"1")
 
     run(scenario, application=("desk",))
 
 
-def test_keys_run_once_at_one_proxy():
+def test_a_key_runs_once_at_one_proxy():
     async def scenario(world):
-        journal = []
-        await serving(world, journal, took_us=50 * MILLISECOND)
+        executed = []
+        await serving(world, executed, took_us=50 * MILLISECOND)
         client = world.client(hosts(world)[0])
-        found = {}
+        outcomes = {}
 
         async def send(name, body, key="k1"):
-            found[name] = await client.call("POST", "/withdrawals", body, key=key)
+            outcomes[name] = await client.call("POST", "/withdrawals", body, key=key)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send, "first", {"amount": 1})
@@ -204,48 +231,50 @@
             nursery.start_soon(send, "meanwhile", {"amount": 1})
         await send("after", {"amount": 1})
         await send("other body", {"amount": 2})
-        assert found["meanwhile"].failure().code == "key_in_progress"
-        assert found["after"].unwrap().body == found["first"].unwrap().body
-        assert found["other body"].failure().code == "key_mismatch"
-        assert len(journal) == 1
+        assert outcomes["meanwhile"].failure().code == "key_in_progress"
+        assert outcomes["after"].unwrap().body == outcomes["first"].unwrap().body
+        assert outcomes["other body"].failure().code == "key_mismatch"
+        assert len(executed) == 1
 
     run(scenario, application=("desk",))
 
 
-def test_a_caller_that_hangs_up_cancels_only_what_has_not_started():
+def test_a_caller_that_disconnects_cancels_only_what_has_not_started():
     async def scenario(world):
-        journal = []
-        await serving(world, journal, took_us=200 * MILLISECOND, capacity=1)
+        executed = []
+        await serving(world, executed, took_us=200 * MILLISECOND, capacity=1)
         client = world.client(hosts(world)[0])
 
-        async def give_up(after_us):
+        async def call_and_disconnect(after_us):
             with trio.move_on_after(after_us / SECOND):
                 await client.call("GET", "/balances/1")
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(give_up, 50 * MILLISECOND)  # has started: runs to its end
+            # The first call has started when its caller disconnects, so it runs to its end.
+            nursery.start_soon(call_and_disconnect, 50 * MILLISECOND)
             await sleep_us(20 * MILLISECOND)
-            nursery.start_soon(give_up, 50 * MILLISECOND)  # waits for the slot: is dropped
+            # The second still waits for the slot, so it is cancelled.
+            nursery.start_soon(call_and_disconnect, 50 * MILLISECOND)
         await sleep_us(SECOND)
         daemon = world.daemon("mdproxy", hosts(world)[0])
-        assert len(journal) == 1
+        assert len(executed) == 1
         assert len(daemon.forwarder.slab) == 0
         assert [e.in_flight for e in daemon.endpoints.by_address.values()] == [0]
 
     run(scenario, application=("desk",))
 
 
-def test_second_tries_stay_below_one_in_five_while_a_whole_service_fails():
+def test_retries_stay_below_a_fifth_of_the_calls_while_all_endpoints_fail():
     async def scenario(world):
-        ran = []
+        attempt_times = []
 
-        async def garbage(got):
-            ran.append(monotonic_us())
+        async def respond_invalidly(request):
+            attempt_times.append(monotonic_us())
             return 200, b"garbage"
 
         await configured(world)
         for host in hosts(world):
-            await world.endpoint(host, "desk", garbage)
+            await world.endpoint(host, "desk", respond_invalidly)
         calls = 0
         clients = [world.client(h) for h in hosts(world)]
         for _ in range(400):
@@ -254,17 +283,20 @@
                 calls += 1
             await sleep_us(30 * MILLISECOND)
         await sleep_us(2 * SECOND)
-        assert len(ran) > calls
-        starts = range(0, 2 * SECOND, 100 * MILLISECOND)
-        windows = [sum(s <= at - ran[0] < s + 10 * SECOND for at in ran) for s in starts]
-        firsts = 10 * SECOND * 3 // (30 * MILLISECOND)
-        assert max(windows) > 1.1 * firsts  # second tries did happen
-        assert max(windows) - firsts <= 0.2 * firsts + 36
+        assert len(attempt_times) > calls
+        window_starts = range(0, 2 * SECOND, 100 * MILLISECOND)
+        attempts_per_window = [
+            sum(start <= at - attempt_times[0] < start + 10 * SECOND for at in attempt_times)
+            for start in window_starts
+        ]
+        calls_per_window = 10 * SECOND * 3 // (30 * MILLISECOND)
+        assert max(attempts_per_window) > 1.1 * calls_per_window  # retries did happen
+        assert max(attempts_per_window) - calls_per_window <= 0.2 * calls_per_window + 36
 
     run(scenario, application=("desk", "desk", "desk"))
 
 
-def test_a_spilled_call_is_never_spilled_again():
+def test_a_forwarded_call_is_never_forwarded_again():
     async def scenario(world):
         await serving(world, took_us=300 * MILLISECOND, capacity=1)
         clients = [world.client(h) for h in hosts(world)]
@@ -277,112 +309,118 @@
                 for client in clients:
                     nursery.start_soon(call, client)
                 await sleep_us(50 * MILLISECOND)
-        total = {h: counts(world, h) for h in hosts(world)}
-        assert sum(c.get("taken", 0) for c in total.values()) <= sum(
-            c["spilled"] for c in total.values()
+        counts_by_host = {h: counts(world, h) for h in hosts(world)}
+        assert sum(c.get("taken", 0) for c in counts_by_host.values()) <= sum(
+            c["spilled"] for c in counts_by_host.values()
         )
-        # a neighbour decides nothing: rules are counted only for calls that arrived there
+        # A peer makes no placement decision: rules are counted only for calls that arrived there.
         assert all(
             sum(v for k, v in c.items() if k.startswith("rule.")) <= 3 * c["calls"]
-            for c in total.values()
+            for c in counts_by_host.values()
         )
-        assert sum(c["spilled"] for c in total.values()) > 0
+        assert sum(c["spilled"] for c in counts_by_host.values()) > 0
 
     run(scenario, application=("desk", "desk", "desk"))
 
 
-def test_a_neighbour_that_vanishes_with_a_call_leaves_it_may_have_run():
+def test_a_call_at_a_peer_that_is_killed_is_may_have_run():
     async def scenario(world):
         await serving(world, took_us=SECOND)
-        host, other = hosts(world)[0], hosts(world)[1]
-        found = []
+        host, peer = hosts(world)[0], hosts(world)[1]
+        responses = []
 
         async def call():
-            found.append(await raw(world, "POST", "/withdrawals", {"a": 1}))
+            responses.append(await request_first_proxy(world, "POST", "/withdrawals", {"a": 1}))
 
         world.nursery.start_soon(call)
         await sleep_us(100 * MILLISECOND)
-        assert counts(world, other)["taken"] == 1
-        world.kill(f"mdproxy@{other}")
+        assert counts(world, peer)["taken"] == 1
+        world.kill(f"mdproxy@{peer}")
         await sleep_us(SECOND)
-        status, verdict, _, told = found[0]
-        assert (status, told["code"], verdict) == (502, "lost", "may-have-run")
+        status, verdict, _, content = responses[0]
+        assert (status, content["code"], verdict) == (502, "lost", "may-have-run")
         assert host
 
     run(scenario, application=("paper", "desk"))
 
 
-def test_a_silent_neighbour_is_left_by_the_due_and_the_call_is_may_have_run():
+def test_a_call_at_a_silent_peer_is_may_have_run_at_its_deadline():
     async def scenario(world):
         await serving(world)
-        host, other = hosts(world)
+        host, peer = hosts(world)
         assert is_successful(await world.client(host).call("GET", "/balances/1"))
-        world.web.cut(host, other)
-        status, verdict, _, told = await raw(world, "POST", "/withdrawals", {"a": 1})
-        assert (status, told["code"], verdict) == (504, "no_answer", "may-have-run")
+        world.web.cut(host, peer)
+        status, verdict, _, content = await request_first_proxy(
+            world, "POST", "/withdrawals", {"a": 1}
+        )
+        assert (status, content["code"], verdict) == (504, "no_answer", "may-have-run")
 
     run(scenario, application=("paper", "desk"))
 
 
-def test_a_call_that_lay_in_a_buffer_past_its_due_does_not_run():
-    """The neighbour stood still with the call in its socket buffer and goes on later."""
+def test_a_call_that_stayed_in_a_buffer_past_its_deadline_does_not_run():
+    """The peer was unreachable while the call was in the socket buffer, and receives it later."""
 
     async def scenario(world):
-        journal = []
-        await serving(world, journal)
-        host, other = hosts(world)
-        await raw(world, "GET", "/balances/0")  # the link is open
-        world.web.cut(host, other)
-        _, verdict, _, told = await raw(world, "POST", "/withdrawals", {"a": 1})
-        assert (told["code"], verdict) == ("no_answer", "may-have-run")
-        # the silent link was left, and another can't be opened: this one was surely not sent
-        _, verdict, _, told = await raw(world, "POST", "/withdrawals", {"a": 1})
-        assert (told["code"], verdict) == ("home_gone", "not-run")
+        executed = []
+        await serving(world, executed)
+        host, peer = hosts(world)
+        await request_first_proxy(world, "GET", "/balances/0")  # opens the connection to the peer
+        world.web.cut(host, peer)
+        _, verdict, _, content = await request_first_proxy(world, "POST", "/withdrawals", {"a": 1})
+        assert (content["code"], verdict) == ("no_answer", "may-have-run")
+        # The silent connection was closed, and no other can be opened: this call was not sent.
+        _, verdict, _, content = await request_first_proxy(world, "POST", "/withdrawals", {"a": 1})
+        assert (content["code"], verdict) == ("home_gone", "not-run")
         world.web.heal()
         await sleep_us(3 * SECOND)
-        assert [got.path for got in journal] == ["/balances/0"]
+        assert [request.path for request in executed] == ["/balances/0"]
 
     run(scenario, application=("paper", "desk"))
 
 
-def test_a_cancel_that_comes_with_its_call_is_heard():
+def test_a_cancel_that_arrives_together_with_its_call_takes_effect():
     async def scenario(world):
-        journal = []
-        await serving(world, journal)
-        host, other = hosts(world)
-        await raw(world, "GET", "/balances/0")
-        world.web.cut(host, other)
+        executed = []
+        await serving(world, executed)
+        host, peer = hosts(world)
+        await request_first_proxy(world, "GET", "/balances/0")
+        world.web.cut(host, peer)
         with trio.move_on_after(0.1):
-            await raw(world, "POST", "/withdrawals", {"a": 1})
-        await sleep_us(50 * MILLISECOND)  # long before the due
+            await request_first_proxy(world, "POST", "/withdrawals", {"a": 1})
+        await sleep_us(50 * MILLISECOND)  # long before the deadline
         world.web.heal()
         await sleep_us(SECOND)
-        assert [got.path for got in journal] == ["/balances/0"]
+        assert [request.path for request in executed] == ["/balances/0"]
 
     run(scenario, application=("paper", "desk"))
 
 
-def test_second_tries_stay_bounded_while_proxies_are_killed_and_started_again_and_again():
-    """A start brings no fresh reserve. Counted where messages leave, by the days' own check."""
+def test_retries_stay_bounded_while_proxies_are_killed_and_restarted():
+    """A restarted proxy has no fresh reserve of retries.
+
+    The attempts are counted where messages leave the processes, by the checker of the simulated
+    days.
+    """
 
     async def scenario(world):
         await configured(world)
 
-        async def garbage(got):
+        async def respond_invalidly(request):
             return 200, b"garbage"
 
         for host in hosts(world):
-            await world.endpoint(host, "desk", garbage, wait=False)
+            await world.endpoint(host, "desk", respond_invalidly, wait=False)
         await sleep_us(SECOND)
         history = History(sendings=world.web.sendings)
         restarts = 0
-        for turn in range(100):
+        for round_index in range(100):
             for host in hosts(world):
                 uid = f"u{len(history.asked)}"
                 history.asked.append(Asked(uid, host, "balances", "guest", monotonic_us()))
                 world.nursery.start_soon(world.client(host).call, "GET", f"/balances/{uid}")
             await sleep_us(100 * MILLISECOND)
-            if turn % 8 == 7:
+            if round_index % 8 == 7:
                 host = hosts(world)[restarts % 3]
                 world.kill(f"mdproxy@{host}")
                 world.nursery.start_soon(world.start, "mdproxy", host)
@@ -395,4 +433,4 @@
 
     sent = run(scenario, application=("desk", "desk", "desk"))
     calls = [call for _, kind, call in sent if kind == "endpoint"]
-    assert len(calls) > len(set(calls))  # second tries did happen
+    assert len(calls) > len(set(calls))  # retries did happen
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -1,4 +1,7 @@
-"""Delivery of a change to the proxies while members are gone, silent, slow or wrong, over slow links."""
+"""Delivery of a configuration change to the proxies while members are down, silent, slow or faulty.
+
+Many of the tests run over slow links.
+"""
 
 from __future__ import annotations
 
@@ -28,13 +31,13 @@
 from meadowdock.runtime import MILLISECOND, SECOND, fingerprint, monotonic_us, sleep_us
 from meadowdock.simulator import run
 
-APPLY = 2 * SECOND
-SLOW_LINK = 3_250_000 // 8  # bytes a second
-CORE_LINK = 120_000_000 // 8
+APPLY_US = 2 * SECOND
+SLOW_LINK_BYTES_PER_S = 3_250_000 // 8  # 3.25 Mbit/s
+CORE_LINK_BYTES_PER_S = 120_000_000 // 8  # 120 Mbit/s
 
 
-def many(count, version=1):
-    """Routes with texts as operators write them."""
+def many_routes(count, version=1):
+    """Return routes with source texts like those that operators write."""
     return [
         {
             **route(f"route-{n}", version, host=f"h{n % 7}.example", prefix=f"/area{n}/"),
@@ -44,13 +47,13 @@
     ]
 
 
-async def with_items(world, *items):
-    """All processes up; these items in force on every proxy."""
+async def start_with_items(world, *items):
+    """Start all processes and put these items in force on every proxy."""
     await world.start_all()
     for host in world.core:
         await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
     version = await world.set_items([service("desk"), *items])
-    await in_force(world, version, 10 * SECOND)
+    await wait_until_in_force(world, version, 10 * SECOND)
     await sleep_us(3 * SECOND)
 
 
@@ -58,215 +61,223 @@
     return [world.daemon("mdproxy", host).delivery for host in world.application]
 
 
-async def in_force(world, version, within=APPLY // 2):
-    """How long until it, or a newer one, is in force on every proxy."""
+async def wait_until_in_force(world, version, timeout_us=APPLY_US // 2):
+    """Return how long it takes until this or a newer version is in force on every proxy."""
 
     def everywhere():
         return all(delivery.version >= version for delivery in deliveries(world))
 
-    return await world.eventually(everywhere, within, every=MILLISECOND)
+    return await world.eventually(everywhere, timeout_us, every=MILLISECOND)
 
 
-def make_dark(world, host):
-    """A machine without power: what is sent to it is lost, and nobody is told."""
+def isolate(world, host):
+    """Cut all links of a machine without closing its connections, as a power failure does."""
     for other in [*world.core, *world.application]:
         if other != host:
             world.web.cut(host, other)
 
 
-PROXIES = ("desk",) * 6
+SIX_PROXIES = ("desk",) * 6
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_member_that_lost_power_right_after_the_acknowledgement(seed):
-    """And one more that is silent."""
+def test_a_change_is_delivered_although_the_acknowledging_member_lost_power(seed):
+    """One more member is silent."""
 
     async def scenario(world):
-        await with_items(world, *many(300))
+        await start_with_items(world, *many_routes(300))
         world.processes[f"mdconf@{world.core[1]}"].freeze()
         await sleep_us(world.rng.randrange(400) * MILLISECOND)
-        version = await world.set_items(many(300, 2))
-        make_dark(world, world.core[0])
-        await in_force(world, version)
+        version = await world.set_items(many_routes(300, 2))
+        isolate(world, world.core[0])
+        await wait_until_in_force(world, version)
 
-    run(scenario, seed, core=5, application=PROXIES)
+    run(scenario, seed, core=5, application=SIX_PROXIES)
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_one_silent_member(seed):
+def test_a_change_is_delivered_past_a_silent_member(seed):
     async def scenario(world):
-        await with_items(world, *many(300))
-        for turn, host in enumerate(world.core):
+        await start_with_items(world, *many_routes(300))
+        for round_index, host in enumerate(world.core):
             others = [c for c in world.core if c != host]
-            version = await world.set_items(many(300, 2 + turn), world.core.index(others[0]))
+            version = await world.set_items(
+                many_routes(300, 2 + round_index), world.core.index(others[0])
+            )
             world.processes[f"mdconf@{host}"].freeze()
-            await in_force(world, version)
+            await wait_until_in_force(world, version)
             world.processes[f"mdconf@{host}"].wake()
             await sleep_us(2 * SECOND)
 
-    run(scenario, seed, core=3, application=PROXIES)
+    run(scenario, seed, core=3, application=SIX_PROXIES)
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_a_member_whose_answers_come_late(seed):
+def test_a_change_is_delivered_past_a_slow_member(seed):
     async def scenario(world):
-        await with_items(world, *many(300))
-        for turn, host in enumerate(world.core):
-            version = await world.set_items(many(300, 2 + turn), turn)
-            world.web.slow[host] = (900 * MILLISECOND, SECOND)  # also the one that acknowledged
-            await in_force(world, version)
+        await start_with_items(world, *many_routes(300))
+        for round_index, host in enumerate(world.core):
+            version = await world.set_items(many_routes(300, 2 + round_index), round_index)
+            world.web.slow[host] = (900 * MILLISECOND, SECOND)  # also the member that acknowledged
+            await wait_until_in_force(world, version)
             del world.web.slow[host]
             await sleep_us(3 * SECOND)
 
-    run(scenario, seed, application=PROXIES)
+    run(scenario, seed, application=SIX_PROXIES)
 
 
-def corrupt(packed):
+def flip_bit(packed):
     return packed[:-3] + bytes([packed[-3] ^ 1]) + packed[-2:]
 
 
-@pytest.mark.parametrize("wrong", [corrupt, lambda packed: packed[:-9], lambda packed: None])
-def test_a_member_with_corrupt_or_missing_chunks_is_passed_by(wrong):
+@pytest.mark.parametrize("damage", [flip_bit, lambda packed: packed[:-9], lambda packed: None])
+def test_a_member_with_corrupt_or_missing_chunks_is_skipped(damage):
     async def scenario(world):
-        await with_items(world, *many(300))
-        for turn, host in enumerate(world.core):
+        await start_with_items(world, *many_routes(300))
+        for round_index, host in enumerate(world.core):
             cache = world.daemon("mdconf", host).chunks.packed
             original = cache.get
 
             async def get(name, form, original=original):
                 packed = await original(name, form)
-                return packed and wrong(packed)
+                return packed and damage(packed)
 
             cache.get = get
-            took = await in_force(world, await world.set_items(many(300, 2 + turn), turn))
-            assert took < 100 * MILLISECOND  # no wait for a silent one
+            elapsed_us = await wait_until_in_force(
+                world, await world.set_items(many_routes(300, 2 + round_index), round_index)
+            )
+            assert elapsed_us < 100 * MILLISECOND  # no timeout of a silent member was waited for
             cache.get = original
             for delivery in deliveries(world):
-                found = delivery.active.routing_table.items.find(b"h3.example", b"/area10/x")
-                assert found.version == 2 + turn
+                changed = delivery.active.routing_table.items.find(b"h3.example", b"/area10/x")
+                assert changed.version == 2 + round_index
 
-    run(scenario, application=PROXIES)
+    run(scenario, application=SIX_PROXIES)
 
 
-def test_a_newer_head_does_not_wait_for_the_fetch_of_an_older_one():
+def test_a_newer_revision_does_not_wait_for_the_fetch_of_an_older_one():
     async def scenario(world):
-        await with_items(world, *many(300))
-        held = {name for delivery in deliveries(world) for name in delivery.stager.chunks}
-        hanging, asked = True, set()
+        await start_with_items(world, *many_routes(300))
+        known_chunks = {name for delivery in deliveries(world) for name in delivery.stager.chunks}
+        hanging, requested = True, set()
         for host in world.core:
             cache = world.daemon("mdconf", host).chunks.packed
 
             async def get(name, form, original=cache.get):
-                if form == ROUTING_FORM and hanging and name not in held:
-                    asked.add(name)
-                if name in asked:
+                if form == ROUTING_FORM and hanging and name not in known_chunks:
+                    requested.add(name)
+                if name in requested:
                     await trio.sleep_forever()
                 return await original(name, form)
 
             cache.get = get
-        await world.set_items(many(300, 2), 0)
-        await world.eventually(lambda: asked, every=MILLISECOND)
+        await world.set_items(many_routes(300, 2), 0)
+        await world.eventually(lambda: requested, every=MILLISECOND)
         hanging = False
-        version = await world.set_items(many(300, 3), 1)
-        took = await in_force(world, version)
-        assert took < APPLY // 10
+        version = await world.set_items(many_routes(300, 3), 1)
+        elapsed_us = await wait_until_in_force(world, version)
+        assert elapsed_us < APPLY_US // 10
         assert all(len(delivery.stager.running) <= 2 for delivery in deliveries(world))
 
-    run(scenario, application=PROXIES)
+    run(scenario, application=SIX_PROXIES)
 
 
-def test_a_staging_that_is_tried_again_fetches_only_what_it_lacks():
+def test_a_retried_staging_fetches_only_the_missing_chunks():
     async def scenario(world):
-        await with_items(world, *many(1400))
+        await start_with_items(world, *many_routes(1400))
         delivery = deliveries(world)[0]
-        held, hanging, received = set(delivery.stager.chunks), set(), Counter()
-        hanging_until = monotonic_us() + 3 * SECOND
+        known_chunks, blocked, received = set(delivery.stager.chunks), set(), Counter()
+        blocked_until = monotonic_us() + 3 * SECOND
         for host in world.core:
             cache = world.daemon("mdconf", host).chunks.packed
 
             async def get(name, form, original=cache.get):
-                if form == ROUTING_FORM and name not in held and not hanging:
-                    hanging.add(name)
-                if name in hanging and monotonic_us() < hanging_until:
+                if form == ROUTING_FORM and name not in known_chunks and not blocked:
+                    blocked.add(name)
+                if name in blocked and monotonic_us() < blocked_until:
                     await trio.sleep_forever()
                 return await original(name, form)
 
             cache.get = get
         accept = delivery.stager.fetcher.accept
 
-        def counted(name, packed, chunks):
+        def count_and_accept(name, packed, chunks):
             received[name] += 1
             return accept(name, packed, chunks)
 
-        delivery.stager.fetcher.accept = counted
-        version = await world.set_items(many(1400, 2))
-        await world.eventually(lambda: monotonic_us() > hanging_until)
-        await in_force(world, version)
+        delivery.stager.fetcher.accept = count_and_accept
+        version = await world.set_items(many_routes(1400, 2))
+        await world.eventually(lambda: monotonic_us() > blocked_until)
+        await wait_until_in_force(world, version)
         assert len(received) > 15
-        assert max(received.values()) <= 2, received  # two, where a hedge came
+        assert max(received.values()) <= 2, received  # two if a hedged request was sent
 
     run(scenario, application=("desk",))
 
 
-def test_a_chunk_that_cannot_be_decoded_is_fetched_again_and_ends_no_process():
-    """Its checksum is right: the member that packed it was wrong."""
+def test_a_chunk_that_cannot_be_decoded_is_fetched_again_and_crashes_no_process():
+    """Its checksum is right, because the member that packed it made the error."""
 
     async def scenario(world):
-        await with_items(world, *many(300))
-        wrong = 0
+        await start_with_items(world, *many_routes(300))
+        malformed_count = 0
         for host in world.core:
             cache = world.daemon("mdconf", host).chunks.packed
 
             async def get(name, form, original=cache.get):
-                nonlocal wrong
-                if wrong == 8 or form == COMPLETE_FORM:
+                nonlocal malformed_count
+                if malformed_count == 8 or form == COMPLETE_FORM:
                     return await original(name, form)
-                wrong += 1
+                malformed_count += 1
                 return checksum(name, b"\xc1", form) + zlib.compress(b"\xc1")
 
             cache.get = get
-        await in_force(world, await world.set_items(many(300, 2)))
-        assert wrong == 8
+        await wait_until_in_force(world, await world.set_items(many_routes(300, 2)))
+        assert malformed_count == 8
 
     run(scenario, application=("desk",))
 
 
-def test_1400_routes_over_slow_links():
+def test_a_change_of_1400_routes_is_delivered_over_slow_links():
     async def scenario(world):
-        await with_items(world, *many(440))
+        await start_with_items(world, *many_routes(440))
         for host in [*world.core, *world.application]:
-            world.web.rates[host] = CORE_LINK if host in world.core else SLOW_LINK
-        before = dict(world.web.received)
-        largest = 0
+            world.web.rates[host] = (
+                CORE_LINK_BYTES_PER_S if host in world.core else SLOW_LINK_BYTES_PER_S
+            )
+        received_before = dict(world.web.received)
+        largest_bytes = 0
         for host in world.core:
             daemon = world.daemon("mdconf", host)
             original = daemon.chunks.packed.get
 
             async def get(name, form, original=original):
-                nonlocal largest
+                nonlocal largest_bytes
                 packed = await original(name, form)
-                largest = max(largest, len(packed or b""))
+                largest_bytes = max(largest_bytes, len(packed or b""))
                 return packed
 
             daemon.chunks.packed.get = get
-        version = await world.set_items(many(1400)[440:])
-        took = await in_force(world, version)
-        received = max(world.web.received[h] - before[h] for h in world.application)
-        items = {config_items.item_key(item): item for item in [service("desk"), *many(1400)]}
-        whole = sum(len(body) for _, body in split_items(items))
-        assert 0 < largest < MAX_FRAME_BYTES
-        assert received < whole // 5, (received, whole, took)
+        version = await world.set_items(many_routes(1400)[440:])
+        elapsed_us = await wait_until_in_force(world, version)
+        received = max(world.web.received[h] - received_before[h] for h in world.application)
+        items = {
+            config_items.item_key(item): item for item in [service("desk"), *many_routes(1400)]
+        }
+        unpacked_bytes = sum(len(body) for _, body in split_items(items))
+        assert 0 < largest_bytes < MAX_FRAME_BYTES
+        assert received < unpacked_bytes // 5, (received, unpacked_bytes, elapsed_us)
         for delivery in deliveries(world):
             table = delivery.active.routing_table.items
             assert sum(len(prefixes) for prefixes in table.routes.values()) == 1400
 
-    run(scenario, core=5, application=PROXIES)
+    run(scenario, core=5, application=SIX_PROXIES)
 
 
-def test_proxies_spread_over_the_members_and_ask_two_at_a_time():
+def test_proxies_spread_their_requests_over_the_members_with_two_in_flight():
     async def scenario(world):
-        await with_items(world, *many(1400))
-        served, under_way, most = Counter(), Counter(), 0
+        await start_with_items(world, *many_routes(1400))
+        served, in_flight, max_in_flight = Counter(), Counter(), 0
         for host in world.core:
             chunks = world.daemon("mdconf", host).chunks
 
@@ -279,51 +290,54 @@
             fetcher = delivery.stager.fetcher
 
             async def request(*args, fetcher=fetcher, original=fetcher.request):
-                nonlocal most
-                under_way[fetcher] += 1
-                most = max(most, under_way[fetcher])
-                answer = await original(*args)
-                under_way[fetcher] -= 1
-                return answer
+                nonlocal max_in_flight
+                in_flight[fetcher] += 1
+                max_in_flight = max(max_in_flight, in_flight[fetcher])
+                reply = await original(*args)
+                in_flight[fetcher] -= 1
+                return reply
 
             fetcher.request = request
-        await in_force(world, await world.set_items(many(1400, 2)))
+        await wait_until_in_force(world, await world.set_items(many_routes(1400, 2)))
         assert len(served) >= 4
         assert max(served.values()) < sum(served.values()) // 2, served
-        assert most == 2
+        assert max_in_flight == 2
 
     run(scenario, core=5, application=("desk",) * 12)
 
 
-def test_a_change_each_300_ms_over_slow_links():
+def test_a_change_every_300_ms_is_delivered_over_slow_links():
     async def scenario(world):
-        await with_items(world, *many(1400))
+        await start_with_items(world, *many_routes(1400))
         for host in world.application:
-            world.web.rates[host] = SLOW_LINK
-        for turn in range(12):
-            version = await world.set_items([many(1400, 2 + turn)[turn * 90]], turn % 3)
-            begun = monotonic_us()
-            await in_force(world, version)
-            await sleep_us(300 * MILLISECOND - (monotonic_us() - begun))
+            world.web.rates[host] = SLOW_LINK_BYTES_PER_S
+        for round_index in range(12):
+            version = await world.set_items(
+                [many_routes(1400, 2 + round_index)[round_index * 90]], round_index % 3
+            )
+            started_at = monotonic_us()
+            await wait_until_in_force(world, version)
+            await sleep_us(300 * MILLISECOND - (monotonic_us() - started_at))
 
-    run(scenario, application=PROXIES)
+    run(scenario, application=SIX_PROXIES)
 
 
 def test_changes_faster_than_they_can_be_fetched_starve_no_proxy():
-    """Each touches all chunks, and a proxy needs longer for them than until the next change."""
+    """Each change touches all chunks; the next one comes before a proxy has fetched them."""
 
     async def scenario(world):
-        await with_items(world, *many(1400))
+        await start_with_items(world, *many_routes(1400))
         for host in world.application:
-            world.web.rates[host] = SLOW_LINK // 6
-        reached = []
-        for turn in range(12):
-            await world.set_items(many(1400, 2 + turn)[::3], turn % 3)
+            world.web.rates[host] = SLOW_LINK_BYTES_PER_S // 6
+        lowest_versions = []
+        for round_index in range(12):
+            await world.set_items(many_routes(1400, 2 + round_index)[::3], round_index % 3)
             await sleep_us(200 * MILLISECOND)
-            reached.append(min(delivery.version for delivery in deliveries(world)))
-            for delivery in deliveries(world):  # in force, staged, and two under way
+            lowest_versions.append(min(delivery.version for delivery in deliveries(world)))
+            # A proxy has the chunks in force, the staged ones, and those of two running stagings.
+            for delivery in deliveries(world):
                 assert len(delivery.stager.chunks) <= 4 * len(delivery.active.revision["ranges"])
-        assert len(set(reached)) > 3, reached
+        assert len(set(lowest_versions)) > 3, lowest_versions
 
     run(scenario, application=("desk",) * 3)
 
@@ -336,112 +350,115 @@
     )
 
     async def scenario(world):
-        await with_items(world, *many(1400))
+        await start_with_items(world, *many_routes(1400))
         assert len(parsed) > 15
         parsed.clear()
-        former = deliveries(world)[0].active.routing_table.items
-        await in_force(world, await world.set_items([many(1400, 2)[77]]))
+        former_table = deliveries(world)[0].active.routing_table.items
+        await wait_until_in_force(world, await world.set_items([many_routes(1400, 2)[77]]))
         assert len(parsed) == 1
         table = deliveries(world)[0].active.routing_table.items
         assert table.find(b"h0.example", b"/area77/").version == 2
-        assert table.routes[b"h1.example"] is former.routes[b"h1.example"]
-        assert former.find(b"h0.example", b"/area77/").version == 1
+        assert table.routes[b"h1.example"] is former_table.routes[b"h1.example"]
+        assert former_table.find(b"h0.example", b"/area77/").version == 1
         fetched = [line["fetched"] for _, line in world.trace.events(501)]
         assert fetched[-1] == 1
 
     run(scenario, application=("desk",))
 
 
-def test_a_proxy_stages_from_members_of_the_former_version(monkeypatch):
+def test_a_proxy_stages_from_members_without_the_chunk_get_method(monkeypatch):
     monkeypatch.delitem(ChunkService.handlers.table, "chunk.get")
 
     async def scenario(world):
-        await with_items(world, *many(300))
-        await in_force(world, await world.set_items(many(300, 2)))
+        await start_with_items(world, *many_routes(300))
+        await wait_until_in_force(world, await world.set_items(many_routes(300, 2)))
         chunks = world.daemon("mdconf", world.core[2]).chunks
         assert len(await chunks.fetch([fingerprint(b"no chunk")])) == 0
 
-    run(scenario, application=PROXIES)
+    run(scenario, application=SIX_PROXIES)
 
 
-def test_a_proxy_of_the_former_version_gets_whole_chunks():
+def test_a_proxy_of_the_former_version_gets_complete_chunks_by_blob_get():
     async def scenario(world):
-        await with_items(world, *many(100))
+        await start_with_items(world, *many_routes(100))
         names = world.daemon("mdconf", world.core[0]).revisions.latest.chunks
-        links = world.node("mdproxy", "10.0.1.1").rpc
-        told = await links.call(f"{world.core[0]}:7421", "blob.get", names, monotonic_us() + SECOND)
-        assert {fingerprint(bytes(body)) for body in told.values()} == set(names)
+        rpc = world.node("mdproxy", "10.0.1.1").rpc
+        bodies = await rpc.call(f"{world.core[0]}:7421", "blob.get", names, monotonic_us() + SECOND)
+        assert {fingerprint(bytes(body)) for body in bodies.values()} == set(names)
 
     run(scenario, application=("desk",))
 
 
-@pytest.mark.parametrize("fault", ["frozen", "dark"])
-def test_a_member_that_lacks_chunks_gets_them_past_a_silent_one(fault):
+@pytest.mark.parametrize("fault", ["frozen", "isolated"])
+def test_a_member_fetches_missing_chunks_past_a_silent_one(fault):
     async def scenario(world):
-        await with_items(world, *many(300))
-        mine = world.daemon("mdconf", world.core[0])
-        names = mine.revisions.latest.chunks
-        mine.chunks.recent.clear()
+        await start_with_items(world, *many_routes(300))
+        config_store = world.daemon("mdconf", world.core[0])
+        names = config_store.revisions.latest.chunks
+        config_store.chunks.recent.clear()
         disk = world.disks["mdconf", world.core[0]]
         for name in [n for n in disk.files if n.startswith("blob/")]:
             del disk.files[name]
-        first = mine.chunks.fetcher.spread(mine.broadcast.peers().values())[0].partition(":")[0]
+        first_source = config_store.chunks.fetcher.spread(config_store.broadcast.peers().values())[
+            0
+        ].partition(":")[0]
         if fault == "frozen":
-            world.processes[f"mdconf@{first}"].freeze()
+            world.processes[f"mdconf@{first_source}"].freeze()
         else:
-            make_dark(world, first)
-        begun = monotonic_us()
-        assert len(await mine.chunks.fetch(names)) == len(names)
-        assert monotonic_us() - begun < APPLY // 4
+            isolate(world, first_source)
+        started_at = monotonic_us()
+        assert len(await config_store.chunks.fetch(names)) == len(names)
+        assert monotonic_us() - started_at < APPLY_US // 4
 
     run(scenario, application=("desk",))
 
 
-def test_a_disk_that_cannot_be_read_ends_no_process():
+def test_an_unreadable_disk_crashes_no_process():
     async def scenario(world):
-        await with_items(world, *many(300))
-        mine = world.daemon("mdconf", world.core[0])
-        names = mine.revisions.latest.chunks
-        mine.chunks.recent.clear()
+        await start_with_items(world, *many_routes(300))
+        config_store = world.daemon("mdconf", world.core[0])
+        names = config_store.revisions.latest.chunks
+        config_store.chunks.recent.clear()
 
         async def read(name):
             raise OSError("input/output error")
 
         world.disks["mdconf", world.core[0]].read = read
-        assert len(await mine.chunks.fetch(names)) == len(names)
+        assert len(await config_store.chunks.fetch(names)) == len(names)
 
     run(scenario, application=("desk",))
 
 
-# ---------------------------------------------------------------- by themselves
-
-
-def chunk_of(count, size=0):
-    items = [{**item, "source": item["source"] + "x" * size} for item in many(count)]
+def largest_chunk(count, extra_source_length=0):
+    """Return (name, body) of the largest chunk of so many routes."""
+    items = [
+        {**item, "source": item["source"] + "x" * extra_source_length}
+        for item in many_routes(count)
+    ]
     return max(
-        split_items({config_items.item_key(i): i for i in items}), key=lambda made: len(made[1])
+        split_items({config_items.item_key(i): i for i in items}), key=lambda chunk: len(chunk[1])
     )
 
 
-def test_a_packed_chunk_is_small_the_same_everywhere_and_refused_when_altered():
-    name, body = chunk_of(500)
+def test_a_packed_chunk_is_small_deterministic_and_rejected_when_altered():
+    name, body = largest_chunk(500)
     packed = pack_chunk(name, body, ROUTING_FORM)
     assert packed == pack_chunk(name, body, ROUTING_FORM)
     assert len(packed) < len(body) // 5
-    for wrong in (corrupt(packed), packed[:-1], b"", packed[:20]):
+    for altered in (flip_bit(packed), packed[:-1], b"", packed[:20]):
         with pytest.raises(CorruptChunk):
-            unpack_chunk(name, wrong, ROUTING_FORM)
-    with pytest.raises(CorruptChunk):  # another chunk than was asked for
+            unpack_chunk(name, altered, ROUTING_FORM)
+    with pytest.raises(CorruptChunk):  # not the chunk that was requested
         unpack_chunk(fingerprint(b"other"), packed, ROUTING_FORM)
     with pytest.raises(CorruptChunk):
         unpack_chunk(name, packed, COMPLETE_FORM)
 
 
-def test_what_no_proxy_needs_does_not_travel():
+def test_the_routing_form_omits_sources_and_removed_items():
     items = [route("kept", 2), route("gone", 2)]
-    held, _ = config_items.merge({}, [service("desk"), *items])
-    held, _ = config_items.merge(held, [route("kept", 3), dropped(items[1], 3)])
-    ((name, body),) = split_items(held)
+    stored, _ = config_items.merge({}, [service("desk"), *items])
+    stored, _ = config_items.merge(stored, [route("kept", 3), dropped(items[1], 3)])
+    ((name, body),) = split_items(stored)
     assert b"superseded" in body
     sent = ormsgpack.unpackb(
         unpack_chunk(name, pack_chunk(name, body, ROUTING_FORM), ROUTING_FORM)
@@ -450,63 +467,63 @@
     assert all(item.keys() == {"kind", "name", "spec", "version"} for item in sent)
 
 
-class Member:
-    """Stands for links to one member that answers from these packed chunks."""
+class MemberStub:
+    """RPC connections to one member that serves these packed chunks."""
 
     def __init__(self, chunks):
-        self.chunks, self.sizes = chunks, []
+        self.chunks, self.reply_sizes = chunks, []
 
     async def call(self, address, method, args, deadline):
         async def packed(name, form):
             return self.chunks.get(name)
 
-        answer = await serve_chunks(args, packed)
-        self.sizes.append(sum(len(piece) for _, _, piece in answer["pieces"]))
+        reply = await serve_chunks(args, packed)
+        self.reply_sizes.append(sum(len(piece) for _, _, piece in reply["pieces"]))
         await trio.lowlevel.checkpoint()
-        return answer
+        return reply
 
 
-def test_a_chunk_larger_than_a_frame_comes_in_pieces_and_small_ones_share_frames():
-    big = fingerprint(b"big")
-    noise = b"".join(fingerprint(b"%d" % n).encode() for n in range(4000))
+def test_a_chunk_larger_than_a_frame_is_split_and_small_ones_share_frames():
+    unknown_name = fingerprint(b"big")
+    incompressible = b"".join(fingerprint(b"%d" % n).encode() for n in range(4000))
     chunks = {fingerprint(body): body for body in (b"%d" % n * 50 for n in range(40))}
-    chunks[fingerprint(noise)] = noise
+    chunks[fingerprint(incompressible)] = incompressible
     packed = {name: pack_chunk(name, body, COMPLETE_FORM) for name, body in chunks.items()}
-    member = Member(packed)
+    member = MemberStub(packed)
 
     async def main():
-        fetch = ChunkFetch([*chunks, big], ["m"], {})
+        fetch = ChunkFetch([*chunks, unknown_name], ["m"], {})
         await ChunkFetcher(member, "me", 100 * MILLISECOND, COMPLETE_FORM).run(
             fetch, monotonic_us() + SECOND
         )
         return fetch
 
     fetch = trio.run(main)
-    assert fetch.found == chunks  # all but the one that nobody has
-    assert max(member.sizes) <= MAX_FRAME_BYTES
-    assert len(member.sizes) < 20
+    assert fetch.found == chunks  # all but the chunk that no member has
+    assert max(member.reply_sizes) <= MAX_FRAME_BYTES
+    assert len(member.reply_sizes) < 20
 
 
-def test_a_member_that_answers_beside_the_question_is_asked_once():
-    class Liar:
-        asked = 0
+def test_a_member_that_returns_other_chunks_is_asked_once():
+    class OtherChunksStub:
+        calls = 0
 
         async def call(self, address, method, args, deadline):
-            self.asked += 1
+            self.calls += 1
             await trio.lowlevel.checkpoint()
             return {"pieces": [["other", 3, b"abc"]], "missing": ["another"]}
 
     async def main():
         fetch = ChunkFetch([fingerprint(b"wanted")], ["m"], {})
         with trio.move_on_after(1):
-            await ChunkFetcher(liar, "me", 100 * MILLISECOND, ROUTING_FORM).run(
+            await ChunkFetcher(member, "me", 100 * MILLISECOND, ROUTING_FORM).run(
                 fetch, monotonic_us() + SECOND
             )
         return fetch.found
 
-    liar = Liar()
+    member = OtherChunksStub()
     assert trio.run(main) == {}
-    assert liar.asked == 1
+    assert member.calls == 1
 
 
 def test_the_cache_of_packed_chunks_is_bounded_by_bytes():
@@ -532,11 +549,11 @@
     assert 0 < trio.run(main) < 200
 
 
-def test_a_table_made_from_a_former_one_is_the_same_as_one_made_anew():
-    clash = [route("a", 3, prefix="/same/"), route("b", 5, prefix="/same/")]
+def test_a_table_derived_from_a_former_one_equals_a_rebuilt_one():
+    conflicting = [route("a", 3, prefix="/same/"), route("b", 5, prefix="/same/")]
     chunks = {
-        "one": config_items.parse_chunk([clash[0], service("desk")]),
-        "two": config_items.parse_chunk([clash[1], route("c", host="other")]),
+        "one": config_items.parse_chunk([conflicting[0], service("desk")]),
+        "two": config_items.parse_chunk([conflicting[1], route("c", host="other")]),
     }
     first = config_items.ItemTable(1, []).with_chunks(2, chunks)
     assert first.find(b"h.example", b"/same/").name == "b"
@@ -544,10 +561,10 @@
     assert second.find(b"h.example", b"/same/").name == "a"
     assert second.find(b"other", b"/p/") is None
     assert (second.version, second.services) == (3, {"desk": {}})
-    anew = config_items.ItemTable(3, [clash[0], service("desk")])
+    rebuilt = config_items.ItemTable(3, [conflicting[0], service("desk")])
     assert (second.routes, second.services, second.limits) == (
-        anew.routes,
-        anew.services,
-        anew.limits,
+        rebuilt.routes,
+        rebuilt.services,
+        rebuilt.limits,
     )
     assert first.find(b"other", b"/p/").name == "c"
--- a/tests/proxy/test_slot_queue.py
+++ b/tests/proxy/test_slot_queue.py
@@ -1,4 +1,4 @@
-"""The queue for a local slot: who joins, by how long calls of each route hold a slot."""
+"""The queue for a local slot: who may join, judged by how long calls of each route hold a slot."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 def queue_with(*waiting):
+    """Return a queue in which calls of these routes wait; long and short calls were measured."""
     queue = SlotQueue("desk", None, None)
-    for route, took_ms, times in (("long", 150, 100), ("short", 15, 1000)):
-        for _ in range(times):
-            queue.record_slot_time(call(route), took_ms * MILLISECOND)
+    for route, slot_time_ms, count in (("long", 150, 100), ("short", 15, 1000)):
+        for _ in range(count):
+            queue.record_slot_time(call(route), slot_time_ms * MILLISECOND)
     queue.waiting.extend(WaitingCall(call(route), None) for route in waiting)
     return queue
 
--- a/tests/proxy/test_stop.py
+++ b/tests/proxy/test_stop.py
@@ -1,4 +1,7 @@
-"""The polite stop: within 5 s, nothing in flight lost, nobody told to come to a closed door."""
+"""Graceful shutdown of the daemons.
+
+It takes at most 5 s, loses no call in flight, and sends no caller to a closed listener.
+"""
 
 from __future__ import annotations
 
@@ -13,33 +16,35 @@
 from meadowdock.simulator import run
 
 
-def test_a_proxy_restarted_under_load_loses_no_call():
+def test_a_proxy_stopped_under_load_loses_no_call():
     async def scenario(world):
-        journal, found = [], []
-        await serving(world, journal, took_us=300 * MILLISECOND, capacity=8)
+        executed, outcomes = [], []
+        await serving(world, executed, took_us=300 * MILLISECOND, capacity=8)
         host, other = hosts(world)[:2]
-        stopped = []
+        stop_durations_us = []
 
         async def stop():
             await sleep_us(SECOND)
-            stopped.append(await world.stop(f"mdproxy@{host}"))
+            stop_durations_us.append(await world.stop(f"mdproxy@{host}"))
 
         async def call(client):
-            found.append(await client.call("GET", "/balances/1"))
+            outcomes.append(await client.call("GET", "/balances/1"))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stop)
-            while not stopped:
-                # callers go where the probe says ready, as the platform would send them
+            while not stop_durations_us:
+                # Calls go to a proxy whose readiness probe succeeds, as the platform's would.
                 status = 0
                 if f"mdproxy@{host}" in world.processes:
                     status, _, _ = await world.http(host, "GET", f"{host}:7400", "/ready")
                 nursery.start_soon(call, world.client(host if status == 200 else other))
                 await sleep_us(20 * MILLISECOND)
-        assert stopped[0] < 5 * SECOND
-        assert len(found) > 80
-        assert all(is_successful(f) for f in found), [f for f in found if not is_successful(f)][:3]
-        assert len(journal) == len(found)
+        assert stop_durations_us[0] < 5 * SECOND
+        assert len(outcomes) > 80
+        assert all(is_successful(outcome) for outcome in outcomes), [
+            outcome for outcome in outcomes if not is_successful(outcome)
+        ][:3]
+        assert len(executed) == len(outcomes)
 
     run(scenario, application=("desk", "desk", "desk"))
 
@@ -47,39 +52,40 @@
 def test_a_stop_waits_for_a_long_call_and_a_second_signal_does_not():
     async def scenario(world):
         await serving(world, took_us=1_900 * MILLISECOND)
-        found = []
-        for host, hurry in zip(hosts(world), (False, True), strict=True):
+        outcomes = []
+        for host, abort in zip(hosts(world), (False, True), strict=True):
 
             async def call(host=host):
-                found.append(await world.client(host).call("GET", "/balances/1"))
+                outcomes.append(await world.client(host).call("GET", "/balances/1"))
 
             world.nursery.start_soon(call)
             await sleep_us(100 * MILLISECOND)
-            begun = monotonic_us()
-            if hurry:
+            started_at = monotonic_us()
+            if abort:
                 world.node("mdproxy", host).shutdown.abort_requested.set()
-            took = await world.stop(f"mdproxy@{host}")
-            assert took == monotonic_us() - begun
-            assert (took < 500 * MILLISECOND) == hurry
-            if not hurry:  # its answer left before the process ended: it may still be on its way
-                await world.eventually(lambda: found, within=5 * MILLISECOND, every=MILLISECOND)
-                assert is_successful(found[0])
+            elapsed_us = await world.stop(f"mdproxy@{host}")
+            assert elapsed_us == monotonic_us() - started_at
+            assert (elapsed_us < 500 * MILLISECOND) == abort
+            if not abort:
+                # The response was sent before the process ended, but may not have arrived yet.
+                await world.eventually(lambda: outcomes, within=5 * MILLISECOND, every=MILLISECOND)
+                assert is_successful(outcomes[0])
 
     run(scenario)
 
 
-def test_core_processes_restarted_one_after_another_are_not_felt():
+def test_no_call_fails_while_core_processes_are_restarted_one_after_another():
     async def scenario(world):
         await serving(world)
-        found = []
+        outcomes = []
 
-        async def load():
+        async def call_continuously():
             client = world.client(hosts(world)[0])
             while True:
-                found.append(await client.call("GET", "/balances/1"))
+                outcomes.append(await client.call("GET", "/balances/1"))
                 await sleep_us(20 * MILLISECOND)
 
-        world.nursery.start_soon(load)
+        world.nursery.start_soon(call_continuously)
         for host in world.core:
             for role in ("mdreg", "mdconf"):
                 assert await world.stop(f"{role}@{host}") < 5 * SECOND
@@ -88,32 +94,32 @@
                     lambda r=role, h=host: not world.node(r, h).unready_reasons()
                 )
         await sleep_us(5 * SECOND)
-        assert len(found) > 100
-        assert all(is_successful(f) for f in found)
+        assert len(outcomes) > 100
+        assert all(is_successful(outcome) for outcome in outcomes)
         assert (await world.operate("GET", "/manifest"))[1]["version"] == 1
 
     run(scenario)
 
 
-def test_a_confirm_under_way_is_answered_when_its_mdconf_is_stopped():
+def test_a_confirm_in_flight_is_answered_when_its_mdconf_is_stopped():
     async def scenario(world):
         await configured(world)
-        for number, wait in enumerate((1, 3, 5, 8)):
-            facts = manifest([way(f"w{number}", "/balances")])
-            _, planned = await world.operate("POST", "/plan", facts)
-            told = []
+        for round_index, stop_after_ms in enumerate((1, 3, 5, 8)):
+            configuration = manifest([way(f"w{round_index}", "/balances")])
+            _, planned = await world.operate("POST", "/plan", configuration)
+            responses = []
 
-            async def confirm(plan=planned["plan"], told=told):
-                told.append(await world.operate("POST", "/confirm", {"plan": plan}))
+            async def confirm(plan=planned["plan"], responses=responses):
+                responses.append(await world.operate("POST", "/confirm", {"plan": plan}))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(confirm)
-                await sleep_us(wait * MILLISECOND)
+                await sleep_us(stop_after_ms * MILLISECOND)
                 await world.stop(f"mdconf@{world.core[0]}")
-            status, answer = told[0]
-            assert (status, answer["version"]) == (200, number + 2)
-            read = (await world.operate("GET", "/manifest", core=1))[1]
-            assert read["version"] == number + 2
+            status, content = responses[0]
+            assert (status, content["version"]) == (200, round_index + 2)
+            stored = (await world.operate("GET", "/manifest", core=1))[1]
+            assert stored["version"] == round_index + 2
             await world.start("mdconf", world.core[0])
             await world.eventually(
                 lambda: not world.node("mdconf", world.core[0]).unready_reasons()
@@ -122,10 +128,10 @@
     run(scenario, application=("desk",))
 
 
-def test_a_further_door_is_served_and_stopped_with_the_first(monkeypatch):
-    further = RouteTable()
+def test_a_second_listener_is_served_and_stopped_with_the_first(monkeypatch):
+    second_table = RouteTable()
 
-    @further.on("POST", "/slow")
+    @second_table.on("POST", "/slow")
     async def slow(daemon, request):
         await sleep_us(700 * MILLISECOND)
         return Response(
@@ -133,33 +139,36 @@
         )
 
     monkeypatch.setattr(
-        RegistryServer, "listeners", lambda daemon: {f"{daemon.node.settings.host}:7419": further}
+        RegistryServer,
+        "listeners",
+        lambda daemon: {f"{daemon.node.settings.host}:7419": second_table},
     )
 
     async def scenario(world):
         await world.start_all()
         host = world.core[0]
-        door, found = f"{host}:7419", []
+        second_address, responses = f"{host}:7419", []
 
         async def call():
-            found.append(await world.http(host, "POST", door, "/slow", {"a": 1}))
+            responses.append(await world.http(host, "POST", second_address, "/slow", {"a": 1}))
 
-        status, lines, _ = await world.http(host, "POST", door, "/slow", {})
-        assert status == 200 and b"connection" not in lines
-        assert (await world.http(host, "GET", door, "/ready"))[0] == 404  # its own table alone
+        status, headers, _ = await world.http(host, "POST", second_address, "/slow", {})
+        assert status == 200 and b"connection" not in headers
+        # It serves only the routes of its own table.
+        assert (await world.http(host, "GET", second_address, "/ready"))[0] == 404
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call)
             await sleep_us(10 * MILLISECOND)
             assert await world.stop(f"mdreg@{host}") < 5 * SECOND
-        status, lines, told = found[0]
-        assert (status, told) == (200, {"of": f"mdreg@{host}", "got": '{"a": 1}'})
-        assert lines[b"connection"] == b"close"
-        for address in (door, f"{host}:7410"):
+        status, headers, content = responses[0]
+        assert (status, content) == (200, {"of": f"mdreg@{host}", "got": '{"a": 1}'})
+        assert headers[b"connection"] == b"close"
+        for address in (second_address, f"{host}:7410"):
             try:
                 await world.http(world.core[1], "GET", address, "/live")
-            except HttpConnectionFailed as broken:
-                assert not broken.sent
+            except HttpConnectionFailed as failure:
+                assert not failure.sent
             else:
-                raise AssertionError("a door is open still")
+                raise AssertionError(f"{address} still accepts connections")
 
     run(scenario)
