--- a/packages/client/meadowdock/client/client.py
+++ b/packages/client/meadowdock/client/client.py
@@ -16,7 +16,7 @@
 from meadowdock.runtime import SECOND, HttpConnectionFailed, Net, deadline_scope, monotonic_us
 
 # How long after the request's deadline the client gives up on a proxy that has not responded.
-SLACK_US = SECOND
+RESPONSE_MARGIN_US = SECOND
 DEFAULT_TIMEOUT_US = 4 * SECOND
 REMEMBERED_KEYS = 10_000
 
@@ -75,15 +75,15 @@
         data = json.dumps(body).encode() if body is not None else b""
         sent = False
 
-        def started() -> None:
+        def on_first_byte() -> None:
             nonlocal sent
             sent = True
 
         cause: object = "no answer from the proxy"
-        with deadline_scope(monotonic_us() + (due_us or DEFAULT_TIMEOUT_US) + SLACK_US):
+        with deadline_scope(monotonic_us() + (due_us or DEFAULT_TIMEOUT_US) + RESPONSE_MARGIN_US):
             connection = await self.connection()
             try:
-                response = await connection.request(method, path, headers, data, started)
+                response = await connection.request(method, path, headers, data, on_first_byte)
                 self.idle.append(connection)
                 return parse_response(*response)
             except HttpConnectionFailed as failure:
--- a/packages/client/meadowdock/client/execution_record.py
+++ b/packages/client/meadowdock/client/execution_record.py
@@ -80,11 +80,11 @@
 
     async def load(self) -> None:
         """Read all executions from the disk."""
-        found = []
+        named_executions = []
         for name in await self.disk.names(FOLDER):
             data = await self.disk.read(f"{FOLDER}/{name}")
-            found.append((name, Execution.from_record(data)))
-        self.entries = OrderedDict(sorted(found, key=lambda pair: pair[1].number))
+            named_executions.append((name, Execution.from_record(data)))
+        self.entries = OrderedDict(sorted(named_executions, key=lambda pair: pair[1].number))
         self.number = max((execution.number for execution in self.entries.values()), default=0)
         self.loaded = True
 
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -39,7 +39,7 @@
 
 
 class ConfigurationDelivery:
-    """The configuration in force here, and the newer one that is staged.
+    """The configuration in force at this proxy, and the newer one that is staged.
 
     Invariants: the version in force never goes down; staged, if any, is newer than it; revalidated
     is an event if and only if this process was paused and has not confirmed its version since.
@@ -101,7 +101,7 @@
     def on_version_seen(self, version, in_force):
         """Handle news that a version exists, and whether it is in force at a peer.
 
-        One that is in force elsewhere is activated here as soon as it is staged.
+        A version that is in force at a peer is activated as soon as it is staged.
         """
         if in_force:
             self.on_active_elsewhere(version)
--- a/packages/proxy/meadowdock/proxy/endpoint_connections.py
+++ b/packages/proxy/meadowdock/proxy/endpoint_connections.py
@@ -49,7 +49,7 @@
         except HttpConnectionFailed as failed:
             raise HttpConnectionFailed(False, failed) from failed  # no byte of the call was sent
         expected = {"service": endpoint.service, "incarnation": endpoint.incarnation}
-        if status != 200 or not includes(body, expected):
+        if status != 200 or not has_fields(body, expected):
             await connection.close()
             self.node.log(405, address=endpoint.address, why="identity")
             self.endpoints.remove(endpoint, "identity")
@@ -70,7 +70,7 @@
             await connection.close()
 
 
-def includes(body: bytes, expected: dict[str, str]) -> bool:
+def has_fields(body: bytes, expected: dict[str, str]) -> bool:
     """Return whether a body is a JSON object with all of these fields."""
     try:
         fields = json.loads(body)
--- a/packages/proxy/meadowdock/proxy/endpoint_responses.py
+++ b/packages/proxy/meadowdock/proxy/endpoint_responses.py
@@ -28,8 +28,8 @@
 
     :raises InvalidEndpointResponse: the first check that failed.
     """
-    lines = [(name.lower(), value) for name, value in headers]
-    by_name = dict(lines)
+    lowercase_headers = [(name.lower(), value) for name, value in headers]
+    by_name = dict(lowercase_headers)
     check_framing(by_name, status)
     check_body(status, body)
     call_in_response = by_name.get(b"md-call")
@@ -41,7 +41,7 @@
         raise InvalidEndpointResponse(
             f"md-incarnation is {incarnation!r}, not {endpoint.incarnation}"
         )
-    return lines
+    return lowercase_headers
 
 
 def check_framing(by_name: dict[bytes, bytes], status: int) -> None:
@@ -82,9 +82,9 @@
     raise ValueError(constant)
 
 
-def reported_load(lines: Headers) -> float | None:
+def reported_load(headers: Headers) -> float | None:
     """Return the load in 0..1 that an endpoint reports in its response, or None."""
-    value = dict(lines).get(b"md-load")
+    value = dict(headers).get(b"md-load")
     try:
         load = float(value) if value is not None else None
     except ValueError:
--- a/packages/proxy/meadowdock/proxy/endpoints.py
+++ b/packages/proxy/meadowdock/proxy/endpoints.py
@@ -122,7 +122,8 @@
         if endpoint is None:
             valid = just_started or self.departed_tokens.get(claims, 0) > monotonic_us()
             return claims.service if valid else None
-        # issued_at isn't compared: the same process may have registered again meanwhile.
+        # issued_at isn't compared: the same process may have registered again meanwhile. No other
+        # process has its incarnation.
         return claims.service if endpoint.identity == claims[:3] else None
 
     def register(
@@ -209,7 +210,7 @@
             self.departed_tokens[claims] = monotonic_us() + DEPARTED_TOKEN_TTL_US
             self.remove(endpoint, "left")
 
-    def remove(self, endpoint: Endpoint, reason: str) -> None:
+    def remove(self, endpoint: Endpoint, why: str) -> None:
         """Remove an endpoint, and hand over its idle connections to be closed."""
         if endpoint.removed:
             return
@@ -217,7 +218,7 @@
         self.by_address.pop(endpoint.address, None)
         self.connections_to_close += endpoint.idle_connections
         endpoint.idle_connections = []
-        self.log(403, service=endpoint.service, address=endpoint.address, why=reason)
+        self.log(403, service=endpoint.service, address=endpoint.address, why=why)
         self.notify_waiters(endpoint.service)
 
     def mark_unreachable(self, endpoint: Endpoint) -> None:
@@ -313,10 +314,10 @@
 
     def endpoints_by_service(self) -> dict[str, list[Endpoint]]:
         """Return all endpoints by service, in order of their registration."""
-        found: dict[str, list[Endpoint]] = {}
+        by_service: dict[str, list[Endpoint]] = {}
         for endpoint in self.by_address.values():
-            found.setdefault(endpoint.service, []).append(endpoint)
-        return found
+            by_service.setdefault(endpoint.service, []).append(endpoint)
+        return by_service
 
 
 def mean_reported_load(endpoints: list[Endpoint], at: int) -> float | None:
--- a/packages/proxy/meadowdock/proxy/forwarder.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -131,7 +131,7 @@
         """Set a rejection as the call's outcome; there is no next step."""
         call.reject(code, detail)
 
-    def decide(self, call: Call) -> Choice:
+    def choose_placement(self, call: Call) -> Choice:
         """Return where the placement policy puts a call now."""
         service, parameters = call.route.service, self.routing_table.load
         return self.placement.choose(
@@ -160,7 +160,7 @@
 
     async def choose_step(self, call: Call) -> Step | None:
         """Choose between the local endpoint, a peer, and waiting for a local slot."""
-        choice = self.decide(call)
+        choice = self.choose_placement(call)
         self.count(f"rule.{choice.rule}")
         if choice.placement is LOCAL:
             return self.assign_slot(call, self.endpoints.local_endpoint(call.route.service))
@@ -236,10 +236,10 @@
         call.peer_attempts += 1
         self.count("spilled")
         route, target = call.route, call.target
-        at = monotonic_us()
-        deadline = min(call.deadline, at + route.relocation.wait_us + route.endpoint.wait_us)
+        now_us = monotonic_us()
+        deadline = min(call.deadline, now_us + route.relocation.wait_us + route.endpoint.wait_us)
         message = call_to_wire(call, target.incarnation)
-        self.endpoints.adjust_forwarded(route.service, 1, at)
+        self.endpoints.adjust_forwarded(route.service, 1, now_us)
         try:
             response = await self.node.rpc.call(target.address, FORWARD_METHOD, message, deadline)
         except Rejected as rejected:
--- a/packages/proxy/meadowdock/proxy/gateway_endpoints.py
+++ b/packages/proxy/meadowdock/proxy/gateway_endpoints.py
@@ -77,16 +77,16 @@
 
         :raises RegistrationDenied: the endpoint is of another machine.
         """
-        at = monotonic_us()
+        now_us = monotonic_us()
         if self.is_late(heartbeat):
             return
         endpoint = self.registry.by_address.get(heartbeat.address)
         if endpoint is None or endpoint.incarnation != heartbeat.instance:
-            endpoint = self.register(heartbeat, endpoint, at)
+            endpoint = self.register(heartbeat, endpoint, now_us)
         self.last_sequence[heartbeat.instance] = heartbeat.sequence
-        endpoint.heartbeat_at = at
+        endpoint.heartbeat_at = now_us
         endpoint.capacity, endpoint.unreachable = heartbeat.capacity, False
-        endpoint.slow_start_until = at + heartbeat.slow_start_us
+        endpoint.slow_start_until = now_us + heartbeat.slow_start_us
         if heartbeat.draining:
             self.registry.start_draining(endpoint)
         self.registry.notify_waiters(endpoint.service)
@@ -97,7 +97,9 @@
         last = self.last_sequence.get(heartbeat.instance, -1)
         return heartbeat.instance in self.departed or heartbeat.sequence <= last
 
-    def register(self, heartbeat: EndpointHeartbeat, former: Endpoint | None, at: int) -> Endpoint:
+    def register(
+        self, heartbeat: EndpointHeartbeat, former: Endpoint | None, now_us: int
+    ) -> Endpoint:
         """Register the instance that sent its first heartbeat.
 
         It replaces the former endpoint at its address, if any.
@@ -111,8 +113,8 @@
             heartbeat.address,
             heartbeat.instance,
             heartbeat.capacity,
-            at,
-            at,
+            now_us,
+            now_us,
             draining=heartbeat.draining,  # set at once, so that no waiting call starts there
         )
         self.registry.add(endpoint)
@@ -181,8 +183,8 @@
         healthy = status == 200 and instance and slots.isdigit() and int(slots)
         if not healthy or self.registry.by_address or instance in self.departed:
             return
-        settings, at = self.node.settings, monotonic_us()
+        settings, now_us = self.node.settings, monotonic_us()
         self.registry.add(
-            Endpoint(settings.service, settings.app_address, instance, int(slots), at, at)
+            Endpoint(settings.service, settings.app_address, instance, int(slots), now_us, now_us)
         )
         self.on_change()
--- a/packages/proxy/meadowdock/proxy/heartbeats.py
+++ b/packages/proxy/meadowdock/proxy/heartbeats.py
@@ -100,13 +100,13 @@
 
     def heartbeat(self) -> ProxyHeartbeat:
         """Build a heartbeat from the current state."""
-        server, me = self.server, self.node.view.me
+        server, own_entry = self.server, self.node.view.me
         routing_table = server.forwarder.routing_table
         return ProxyHeartbeat(
-            address=me.address,
+            address=own_entry.address,
             http_address=self.node.settings.http,
-            zone=me.zone,
-            incarnation=me.incarnation,
+            zone=own_entry.zone,
+            incarnation=own_entry.incarnation,
             version=server.delivery.version,
             newest_version=server.delivery.newest,
             cut_off=server.delivery.cut_off,
--- a/packages/proxy/meadowdock/proxy/idempotency_keys.py
+++ b/packages/proxy/meadowdock/proxy/idempotency_keys.py
@@ -60,18 +60,18 @@
         self.records: OrderedDict[tuple[str, str], KeyRecord] = OrderedDict()
 
     def begin(
-        self, caller: str, key: str, fingerprint: str, at: int
+        self, caller: str, key: str, fingerprint: str, now_us: int
     ) -> EndpointResponse | KeyRejected | None:
         """Return None if the request may run, or else the recorded response or why it may not run.
 
-        `at` is the monotonic time in microseconds.
+        `now_us` is the monotonic time.
         """
-        self.remove_expired(at)
+        self.remove_expired(now_us)
         record = self.records.get((caller, key))
         if record is None:
             if len(self.records) >= MAX_KEYS:
                 return KeyRejected("busy")
-            self.records[caller, key] = KeyRecord(fingerprint, at)
+            self.records[caller, key] = KeyRecord(fingerprint, now_us)
             return None
         if record.fingerprint != fingerprint:
             return KeyRejected("key_mismatch")
@@ -79,9 +79,9 @@
             return KeyRejected("key_in_progress")
         return record.response if record.verdict is RAN else KeyRejected("key_may_have_run")
 
-    def remove_expired(self, at: int) -> None:
+    def remove_expired(self, now_us: int) -> None:
         """Remove the keys that are older than the retention time."""
-        while self.records and next(iter(self.records.values())).begun_at + RETENTION_US < at:
+        while self.records and next(iter(self.records.values())).begun_at + RETENTION_US < now_us:
             self.records.popitem(last=False)
 
     def end(
--- a/packages/proxy/meadowdock/proxy/registration.py
+++ b/packages/proxy/meadowdock/proxy/registration.py
@@ -20,10 +20,10 @@
 if TYPE_CHECKING:
     from meadowdock.proxy.server import ProxyServer
 
-MAX_BODY_SIZE = 65536
+MAX_BODY_BYTES = 65536
 MAX_TOKEN_LENGTH = 1023
 MAX_CAPACITY = 100_000
-NAME = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
+NAME_FORMAT = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
 IP_ADDRESS_AND_PORT = re.compile(r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
 
 Fields = dict[str, Any]
@@ -63,7 +63,7 @@
 
 def is_incarnation(value: object) -> bool:
     """Return whether a value has the form of an incarnation's name."""
-    return isinstance(value, str) and NAME.match(value) is not None
+    return isinstance(value, str) and NAME_FORMAT.match(value) is not None
 
 
 TOKEN = FieldRule(is_token, "must be the token of enrolment")
@@ -85,7 +85,7 @@
 DEPARTURE = {"token": TOKEN}
 
 
-def answering_denials(handler: RouteHandler) -> RouteHandler:
+def with_denial_responses(handler: RouteHandler) -> RouteHandler:
     """Make a handler respond to a RegistrationDenied with its status, code and detail."""
 
     @functools.wraps(handler)
@@ -116,7 +116,7 @@
     """
     require_local(server, request)
     try:
-        fields = json.loads(await request.body(MAX_BODY_SIZE))
+        fields = json.loads(await request.body(MAX_BODY_BYTES))
     except ValueError:
         raise RegistrationDenied(400, "malformed", "body is no JSON") from None
     if not isinstance(fields, dict):
@@ -139,7 +139,7 @@
 
 
 @routes.on("POST", "/md/enrol")
-@answering_denials
+@with_denial_responses
 async def register(server: ProxyServer, request: Request) -> Response:
     """Register an endpoint.
 
@@ -164,7 +164,7 @@
 
 
 @routes.on("POST", "/md/beat")
-@answering_denials
+@with_denial_responses
 async def heartbeat(server: ProxyServer, request: Request) -> Response:
     """Process a heartbeat of a registered endpoint."""
     fields = await read_fields(server, request, HEARTBEAT)
@@ -183,7 +183,7 @@
 
 
 @routes.on("POST", "/md/leave")
-@answering_denials
+@with_denial_responses
 async def deregister(server: ProxyServer, request: Request) -> Response:
     """Remove a registered endpoint that shuts down."""
     fields = await read_fields(server, request, DEPARTURE)
--- a/packages/proxy/meadowdock/proxy/request_handling.py
+++ b/packages/proxy/meadowdock/proxy/request_handling.py
@@ -19,7 +19,7 @@
 from meadowdock.proxy.exceptions import RequestRejected
 from meadowdock.proxy.headers import end_to_end_headers
 from meadowdock.proxy.idempotency_keys import KeyRejected
-from meadowdock.proxy.registration import NAME
+from meadowdock.proxy.registration import NAME_FORMAT
 from meadowdock.runtime import MILLISECOND, SECOND, fingerprint, monotonic_us
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
     ):
         # A repeat that is rejected here may have run where it was sent before.
         outcome = replace(outcome, verdict=MAY_HAVE_RUN)
-    return response_of(server, outcome, call)
+    return response_from_outcome(server, outcome, call)
 
 
 async def admit(server: ProxyServer, request: Request) -> Call:
@@ -120,7 +120,7 @@
     :raises RequestRejected: malformed.
     """
     key, timeout = request.header(b"md-key"), request.header(b"md-due")
-    if key is not None and not NAME.match(key):
+    if key is not None and not NAME_FORMAT.match(key):
         raise RequestRejected("malformed", "md-key must be 1 to 128 of A-Z a-z 0-9 . _ : -")
     if timeout is not None and not (timeout.isdigit() and len(timeout) <= MAX_TIMEOUT_DIGITS):
         raise RequestRejected("malformed", "md-due must be whole microseconds")
@@ -198,9 +198,9 @@
     return call.outcome
 
 
-def response_of(server: ProxyServer, outcome: Outcome, call: Call | None) -> Response:
+def response_from_outcome(server: ProxyServer, outcome: Outcome, call: Call | None) -> Response:
     """Return the HTTP response of an outcome; `call` is None if the request was not admitted."""
-    headers = own_headers(server, outcome, call)
+    headers = proxy_headers(server, outcome, call)
     if isinstance(outcome, EndpointResponse):
         server.forwarder.count(f"answer.{outcome.status // 100}xx")
         return Response(outcome.status, outcome.body, [*outcome.headers, *headers])
@@ -211,7 +211,7 @@
     return Response(outcome.status, outcome.body(), headers)
 
 
-def own_headers(
+def proxy_headers(
     server: ProxyServer, outcome: Outcome, call: Call | None
 ) -> list[tuple[bytes, bytes]]:
     """Return the headers in which the proxy reports how it handled the request."""
--- a/packages/proxy/meadowdock/proxy/slot_queue.py
+++ b/packages/proxy/meadowdock/proxy/slot_queue.py
@@ -13,7 +13,7 @@
 from meadowdock.runtime import MILLISECOND
 
 DEFAULT_SLOT_TIME_US = 50 * MILLISECOND  # assumed until a call of the route was measured
-SMOOTHING = 8  # each measurement moves the mean by 1/8 of the difference
+SMOOTHING_DIVISOR = 8  # each measurement moves the mean by 1/8 of the difference
 MAX_ROUTES = 1_000  # routes of one service whose slot times are remembered
 
 
@@ -82,6 +82,6 @@
         """
         route = call.route.name
         mean_us = self.slot_time_us.pop(route, DEFAULT_SLOT_TIME_US)
-        self.slot_time_us[route] = mean_us + (took_us - mean_us) // SMOOTHING
+        self.slot_time_us[route] = mean_us + (took_us - mean_us) // SMOOTHING_DIVISOR
         if len(self.slot_time_us) > MAX_ROUTES:
             del self.slot_time_us[next(iter(self.slot_time_us))]
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -87,7 +87,7 @@
             staging.done.set()
 
     async def finish(self, staging):
-        """Build the routing table from the chunks, which are all here."""
+        """Build the routing table, once all chunks have been fetched."""
         try:
             routing_table = await self.node.runtime.offload(self.build, staging.revision)
         except RECOVERABLE_ERRORS as cause:
@@ -100,9 +100,9 @@
         staging.complete = True
 
     async def fetch(self, staging, source):
-        """Fetch the missing chunks; return whether all chunks are here then."""
-        wanted = staging.revision["ranges"]
-        missing = sorted({name for name in wanted if name not in self.chunks})
+        """Fetch the missing chunks; return whether this proxy has all of them then."""
+        chunk_names = staging.revision["ranges"]
+        missing = sorted({name for name in chunk_names if name not in self.chunks})
         staging.missing = missing
         if missing:
             # Shuffled so that two concurrent stagings fetch different chunks first. Chunks are
@@ -112,7 +112,7 @@
             await self.fetcher.run(
                 fetch, monotonic_us() + self.node.settings.apply_us // FETCH_TIMEOUT_DIVISOR
             )
-        return all(name in self.chunks for name in wanted)
+        return all(name in self.chunks for name in chunk_names)
 
     def sources(self, source):
         """Return the addresses to fetch from, in order."""
@@ -130,21 +130,22 @@
             del self.chunks[name]
 
     def build(self, revision):
-        """Build the routing table of a revision whose chunks are all here.
+        """Build the routing table of a revision whose chunks have all been fetched.
 
         Only chunks that the former table doesn't have are decoded. It runs in a thread, so it
         changes no state.
         """
         former = self.base_of_next()
-        own_chunks, items = split_names(revision)
-        if former is None or own_chunks != split_names(former[1])[0]:
+        configuration_chunks, item_chunks = split_chunk_names(revision)
+        if former is None or configuration_chunks != split_chunk_names(former[1])[0]:
             routing_table = RoutingTable(
-                revision["version"], assemble(self.chunk_body(name) for name in own_chunks)
+                revision["version"],
+                assemble(self.chunk_body(name) for name in configuration_chunks),
             )
         else:
             routing_table = former[0]
-        parsed = former[0].items.chunks if former else {}
-        chunks = {name: parsed.get(name) or self.parse(name) for name in items}
+        parsed_chunks = former[0].items.chunks if former else {}
+        chunks = {name: parsed_chunks.get(name) or self.parse(name) for name in item_chunks}
         return routing_table.with_chunks(revision["version"], chunks)
 
     def parse(self, name):
@@ -152,11 +153,11 @@
         return config_items.parse_chunk(ormsgpack.unpackb(self.chunk_body(name))[1])
 
     def chunk_body(self, name):
-        """Return the unpacked form of a chunk that is here."""
+        """Return the unpacked form of a chunk that this proxy has."""
         return unpack_chunk(name, self.chunks[name], ROUTING_FORM)
 
     async def answer_chunk_request(self, request):
-        """Return those of the requested chunks that are here, for a peer."""
+        """Return those of the chunks requested by a peer that this proxy has."""
 
         async def packed(name, form):
             return self.chunks.get(name) if form == ROUTING_FORM else None
@@ -164,10 +165,10 @@
         return await serve_chunks(request, packed)
 
 
-def split_names(revision):
+def split_chunk_names(revision):
     """Split a revision's chunk names into those of the operators' configuration and those of items.
 
     The items' chunks come last in a revision.
     """
-    own_count = len(revision["ranges"]) - revision.get("items", 0)
-    return revision["ranges"][:own_count], revision["ranges"][own_count:]
+    configuration_count = len(revision["ranges"]) - revision.get("items", 0)
+    return revision["ranges"][:configuration_count], revision["ranges"][configuration_count:]
--- a/packages/proxy/meadowdock/proxy/status.py
+++ b/packages/proxy/meadowdock/proxy/status.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from meadowdock.admin_http import Request, Response, RouteTable
-from meadowdock.proxy.registration import answering_denials, require_local
+from meadowdock.proxy.registration import require_local, with_denial_responses
 
 if TYPE_CHECKING:
     from meadowdock.proxy.server import ProxyServer
@@ -14,7 +14,7 @@
 
 
 @routes.on("GET", "/md/status")
-@answering_denials
+@with_denial_responses
 async def status(server: ProxyServer, request: Request) -> Response:
     """Return the state of this proxy."""
     require_local(server, request)
--- a/tests/platform/test_platform_control.py
+++ b/tests/platform/test_platform_control.py
@@ -48,7 +48,9 @@
 
 @pytest.mark.parametrize("path", [MODIFY, FETCH])
 def test_a_member_without_a_quorum_redirects_to_one_that_has_it(path):
-    error = QuorumUnreachable({operator_api.CONTROL: "10.0.0.2:8146", "operators": "10.0.0.2:7664"})
+    error = QuorumUnreachable(
+        {operator_api.CONTROL_LISTENER: "10.0.0.2:8146", "operators": "10.0.0.2:7664"}
+    )
     status, headers = status_and_headers(path, error)
     assert status == 307
     assert headers[b"location"] == f"http://10.0.0.2:8146{path}".encode()
