--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -322,9 +322,9 @@
 
     @handlers.on("manifest.head")
     async def on_revision_request(self, peer, known):
-        """Return the revision in force here to a peer that is cut off from the config stores.
+        """Return the revision in force to a peer that is cut off from the config stores.
 
-        :raises Rejected: no_manifest, if no configuration is in force here.
+        :raises Rejected: no_manifest, if no configuration is in force.
         """
         if self.active is None:
             raise Rejected("no_manifest")
--- a/packages/proxy/meadowdock/proxy/forwarder.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -310,9 +310,9 @@
         call.sends += 1
         call.endpoint_sends += 1
         call.endpoint_attempts += 1
-        begun_at = monotonic_us()
+        started_at = monotonic_us()
         try:
-            response = await self.exchange(call, endpoint, begun_at)
+            response = await self.exchange(call, endpoint, started_at)
         except NotSent:
             return self.after_not_sent(call, endpoint)
         except EndpointOutcomeUnknown as unknown:
@@ -321,10 +321,10 @@
         load = reported_load(response.headers)
         if load is not None:
             endpoint.reported_load, endpoint.reported_load_at = load, monotonic_us()
-        self.slot_queue(call.route.service).record_slot_time(call, monotonic_us() - begun_at)
+        self.slot_queue(call.route.service).record_slot_time(call, monotonic_us() - started_at)
         return self.after_response(call, response)
 
-    async def exchange(self, call: Call, endpoint: Endpoint, begun_at: int) -> CheckedResponse:
+    async def exchange(self, call: Call, endpoint: Endpoint, started_at: int) -> CheckedResponse:
         """Send one request to the endpoint and return its response.
 
         Until the first byte is sent, a caller that disconnects cancels the request; from then on
@@ -333,7 +333,7 @@
         :raises NotSent: no byte of the call was sent.
         :raises EndpointOutcomeUnknown: it was sent, and there is no valid response.
         """
-        deadline = min(call.deadline, begun_at + call.route.endpoint.wait_us)
+        deadline = min(call.deadline, started_at + call.route.endpoint.wait_us)
         sent = False
 
         def on_first_byte() -> None:
--- a/packages/proxy/meadowdock/proxy/load_reporting.py
+++ b/packages/proxy/meadowdock/proxy/load_reporting.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from meadowdock.proxy.server import ProxyServer
 
-MISSED_INTERVALS = 2  # this many intervals without a request: the proxy ends the interval itself
+MISSED_INTERVALS = 2  # intervals without a request, after which the proxy ends the interval itself
 
 
 class LoadReporter:
--- a/packages/proxy/meadowdock/proxy/retry_budget.py
+++ b/packages/proxy/meadowdock/proxy/retry_budget.py
@@ -85,7 +85,7 @@
         return True
 
     def current_bucket(self, at: int) -> Bucket:
-        """Return the bucket of a moment, after dropping those that left the window."""
+        """Return the bucket that contains a time, after dropping those that left the window."""
         while self.buckets and self.expired(self.buckets[0], at):
             dropped = self.buckets.popleft()
             self.requests -= dropped.requests
