--- a/packages/configuration/meadowdock/configuration/__init__.py
+++ b/packages/configuration/meadowdock/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configurations: validated, split into chunks, compared, sent between processes, and looked up."""
+"""Configurations: validation, chunks and their transfer, comparison, and route lookup."""
 
 from meadowdock.configuration.chunk_codec import (
     COMPLETE_FORM,
--- a/packages/configuration/meadowdock/configuration/chunk_fetch.py
+++ b/packages/configuration/meadowdock/configuration/chunk_fetch.py
@@ -1,8 +1,9 @@
-"""The side that needs chunks: fetches them with hedged requests.
+"""Fetching chunks from other members with hedged requests.
 
-A fetch asks one member; if nothing came from it for `hedge_us`, the next is asked beside it, and
-one that answers without a chunk, or with a corrupt one, is passed by at once. So no single member
-that is silent, slow or wrong delays a fetch by more than `hedge_us`.
+A fetch sends each request to one member. If that member sends nothing for `hedge_delay_us`, the
+same request is also sent to the next member. A member that answers without the chunk, or with a
+corrupt one, is skipped at once. A single silent, slow or faulty member therefore delays a fetch by
+at most `hedge_delay_us`.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 from meadowdock.configuration.chunk_codec import COMPLETE_FORM, pack_chunk, unpack_chunk
 from meadowdock.configuration.chunk_messages import (
     CHUNK_METHOD,
-    FORMER_CHUNK_METHOD,
-    MAX_FORMER_NAMES,
+    LEGACY_CHUNK_METHOD,
     MAX_FRAME_BYTES,
+    MAX_LEGACY_NAMES,
     MAX_NAMES,
     MIN_FRAME_BYTES,
     NO_SUCH_METHOD,
@@ -30,28 +31,38 @@
 from meadowdock.runtime import SECOND, deadline_scope, fingerprint, monotonic_us
 
 INITIAL_FRAME_BYTES = 4096
-WORKERS = 2  # requests in flight of one fetch, hedges apart
-SLOW_HEDGES = 50  # a member that was slow is asked last for so many times hedge_us
-FINAL_HEDGES = 4  # an answer is waited for so many times hedge_us once all members were asked
+WORKERS = 2  # concurrent batches of one fetch, not counting hedged requests
+# After a slow response, a member is tried last for this many times hedge_delay_us.
+SLOW_MEMBER_HEDGES = 50
+# Once a request was sent to all members, wait this many times hedge_delay_us for a response.
+FINAL_WAIT_HEDGES = 4
 
-Bodies = dict[str, bytes]  # chunks by name: packed for proxies, bodies where they are stored
+Bodies = dict[str, bytes]  # chunks by name: packed at proxies, unpacked at members that store them
 
 
 @dataclass
 class Attempt:
-    """A member asked for one batch. Invariant: over is set once nothing more comes of it."""
+    """The request for one batch to one member.
 
-    heard_at: int  # when something last came from the member, us
-    over: trio.Event = field(default_factory=trio.Event)
+    Invariant: done is set once the request has succeeded or failed.
+    """
+
+    last_received_us: int  # when the member last sent something, or when the attempt began
+    done: trio.Event = field(default_factory=trio.Event)
 
 
 class ChunkFetch:
-    """One fetch. Invariants: found holds verified chunks alone; complete is set once it holds every
-    wanted name; a member in failed, or in missing[name], is asked no more."""
+    """The state of one fetch.
+
+    Invariants: found contains only verified chunks; complete is set once found has every wanted
+    name; no request goes to a member in failed, nor for a name to a member in missing[name].
+    """
 
     def __init__(self, names: Iterable[str], members: list[str], found: Bodies) -> None:
-        """:param members: addresses, in the order in which they are asked.
-        :param found: takes the chunks; others may add to it too.
+        """Begin a fetch of these chunks.
+
+        :param members: addresses, in the order in which they are tried.
+        :param found: receives the chunks; others may add to it too.
         """
         self.queue = list(names)
         self.wanted = set(self.queue)
@@ -59,27 +70,27 @@
         self.found = found
         self.complete, self.disk_read = trio.Event(), trio.Event()
         self.failed: set[str] = set()
-        self.missing: defaultdict[str, set[str]] = defaultdict(set)  # members that lack a name
+        self.missing: defaultdict[str, set[str]] = defaultdict(set)  # members without it, by name
         self.add({})
 
     def add(self, chunks: Bodies) -> None:
-        """Take verified chunks in."""
+        """Add verified chunks."""
         self.found.update(chunks)
         if self.wanted <= self.found.keys():
             self.complete.set()
 
     def next_batch(self) -> list[str]:
-        """Take the names of the next request from the queue."""
+        """Remove the names of the next request from the queue and return them."""
         batch = [name for name in self.queue if name not in self.found][:MAX_NAMES]
         self.queue = [name for name in self.queue if name not in self.found and name not in batch]
         return batch
 
     def requeue(self, names: list[str]) -> None:
-        """Put names back that a request didn't bring."""
+        """Put names back into the queue that a request didn't return."""
         self.queue += [name for name in names if name not in self.found]
 
     def members_for(self, name: str) -> list[str]:
-        """The members that may have a chunk."""
+        """Return the members that may have a chunk."""
         return [
             member
             for member in self.members
@@ -88,64 +99,71 @@
 
 
 class ChunkFetcher:
-    """Fetches of one process.
+    """Runs the fetches of one process.
 
-    Invariants: slow_at says when a member last let a request wait for `hedge_us`; frame_bytes, the
-    most that a response may have, is adapted so that responses come well within `hedge_us` over
-    this process's link, else each would be asked for again of another member.
+    Invariants: slow_at_us has the time at which a member last exceeded `hedge_delay_us`;
+    frame_bytes, the requested limit of a response, is adapted so that responses arrive well within
+    `hedge_delay_us` over this process's link. Larger responses would trigger a hedged request each
+    time.
     """
 
-    def __init__(self, rpc: ConnectionPool, address: str, hedge_us: int, form: str) -> None:
+    def __init__(self, rpc: ConnectionPool, address: str, hedge_delay_us: int, form: str) -> None:
         self.rpc = rpc
         self.address = address
-        self.hedge_us = hedge_us
+        self.hedge_delay_us = hedge_delay_us
         self.form = form
-        self.slow_at: dict[str, int] = {}
+        self.slow_at_us: dict[str, int] = {}
         self.frame_bytes = INITIAL_FRAME_BYTES
 
     def spread(self, members: Iterable[str]) -> list[str]:
-        """The members in an order of this process's own, so that not all ask the same one."""
+        """Return the members in an order that differs between processes, to spread their load."""
         return sorted(members, key=lambda member: fingerprint(f"{self.address} {member}".encode()))
 
     async def run(self, fetch: ChunkFetch, deadline: int) -> None:
-        """Fetch until all is found, no member has more of it, or the deadline."""
+        """Fetch until every chunk is found, no member has another one, or the deadline passes."""
         self.frame_bytes = min(self.frame_bytes, INITIAL_FRAME_BYTES)
         with deadline_scope(deadline):
-            async with trio.open_nursery() as outer:
-                outer.start_soon(cancel_when, fetch.complete, outer.cancel_scope)
-                async with trio.open_nursery() as workers:
-                    for number in range(WORKERS):
-                        workers.start_soon(self.work, fetch, number, deadline)
-                outer.cancel_scope.cancel()
-
-    async def work(self, fetch: ChunkFetch, number: int, deadline: int) -> None:
-        """Fetch batch after batch. Each worker begins with another member."""
+            async with trio.open_nursery() as fetch_nursery:
+                fetch_nursery.start_soon(cancel_when, fetch.complete, fetch_nursery.cancel_scope)
+                async with trio.open_nursery() as worker_nursery:
+                    for worker in range(WORKERS):
+                        worker_nursery.start_soon(self.work, fetch, worker, deadline)
+                fetch_nursery.cancel_scope.cancel()
+
+    async def work(self, fetch: ChunkFetch, worker: int, deadline: int) -> None:
+        """Fetch batch after batch.
+
+        :param worker: the number of this worker; each begins with a different member.
+        """
         while batch := fetch.next_batch():
             members = fetch.members_for(batch[0])
             if not members:
-                fetch.queue += batch[1:]  # nobody has the first
+                fetch.queue += batch[1:]  # no member has the first chunk
                 continue
-            await self.hedge(fetch, batch, self.in_order(members, number), deadline)
+            await self.hedge(fetch, batch, self.order_members(members, worker), deadline)
             fetch.requeue(batch)
 
-    def in_order(self, members: list[str], number: int) -> list[str]:
-        """The members from that number on, those that were slow lately last."""
-        first = number % len(members)
+    def order_members(self, members: list[str], worker: int) -> list[str]:
+        """Return the members rotated by the worker's number, with recently slow ones last."""
+        first = worker % len(members)
         rotated = members[first:] + members[:first]
-        return sorted(rotated, key=self.lately_slow)
+        return sorted(rotated, key=self.is_recently_slow)
 
-    def lately_slow(self, member: str) -> bool:
-        """Whether a member let a request wait not long ago."""
+    def is_recently_slow(self, member: str) -> bool:
+        """Return whether a member exceeded the hedge delay not long ago."""
         return (
-            member in self.slow_at
-            and monotonic_us() - self.slow_at[member] < SLOW_HEDGES * self.hedge_us
+            member in self.slow_at_us
+            and monotonic_us() - self.slow_at_us[member] < SLOW_MEMBER_HEDGES * self.hedge_delay_us
         )
 
     async def hedge(
         self, fetch: ChunkFetch, batch: list[str], members: list[str], deadline: int
     ) -> None:
-        """Ask one member after the other, the next as soon as the last is silent, until one of them
-        gave something. Those that stay silent once all were asked are given up."""
+        """Request a batch from one member after the other until one returns a chunk.
+
+        The request goes to the next member when the current one is silent for hedge_delay_us.
+        Members that are still silent after the final wait count as failed for this fetch.
+        """
         attempts: dict[str, Attempt] = {}
         async with trio.open_nursery() as nursery:
             for member in members:
@@ -153,23 +171,25 @@
                 nursery.start_soon(
                     self.attempt, fetch, batch, member, attempt, deadline, nursery.cancel_scope
                 )
-                await self.until_silent(member, attempt)
-            last_wait_us = FINAL_HEDGES * self.hedge_us
-            nursery.cancel_scope.deadline = trio.current_time() + last_wait_us / SECOND
+                await self.wait_until_silent(member, attempt)
+            final_wait_us = FINAL_WAIT_HEDGES * self.hedge_delay_us
+            nursery.cancel_scope.deadline = trio.current_time() + final_wait_us / SECOND
         if nursery.cancel_scope.cancelled_caught and fetch.found.keys().isdisjoint(batch):
-            fetch.failed |= {m for m, attempt in attempts.items() if not attempt.over.is_set()}
-
-    async def until_silent(self, member: str, attempt: Attempt) -> None:
-        """Wait until an attempt is over, or nothing came of it for a while."""
-        while not attempt.over.is_set():
-            silent_at = attempt.heard_at + self.hedge_us
-            with deadline_scope(silent_at):
-                await attempt.over.wait()
-            if monotonic_us() >= attempt.heard_at + self.hedge_us:
+            fetch.failed |= {
+                member for member, attempt in attempts.items() if not attempt.done.is_set()
+            }
+
+    async def wait_until_silent(self, member: str, attempt: Attempt) -> None:
+        """Wait until an attempt is done, or its member was silent for hedge_delay_us."""
+        while not attempt.done.is_set():
+            silent_at_us = attempt.last_received_us + self.hedge_delay_us
+            with deadline_scope(silent_at_us):
+                await attempt.done.wait()
+            if monotonic_us() >= attempt.last_received_us + self.hedge_delay_us:
                 break
-        if not attempt.over.is_set():
-            self.slow_at[member] = monotonic_us()
-            # it may be this process's own link that is slow
+        if not attempt.done.is_set():
+            self.slow_at_us[member] = monotonic_us()
+            # The cause may be this process's own slow link: ask for smaller responses.
             self.frame_bytes = max(MIN_FRAME_BYTES, self.frame_bytes // 4)
 
     async def attempt(
@@ -181,12 +201,12 @@
         deadline: int,
         all_attempts: trio.CancelScope,
     ) -> None:
-        """Ask one member. The first that gives something cancels all attempts."""
+        """Request a batch from one member, and cancel all attempts if it returns a chunk."""
         names = [
             name for name in batch if name not in fetch.found and member not in fetch.missing[name]
         ]
-        if not names:  # found meanwhile
-            attempt.over.set()
+        if not names:  # found by another attempt in the meantime
+            attempt.done.set()
             return
         try:
             chunks, missing = await self.transfer(member, names, deadline, attempt)
@@ -198,22 +218,22 @@
             fetch.add(chunks)
             if chunks:
                 all_attempts.cancel()
-        attempt.over.set()
+        attempt.done.set()
 
     async def transfer(
         self, member: str, names: list[str], deadline: int, attempt: Attempt
     ) -> tuple[Bodies, set[str]]:
-        """One request, and those for the rest of a chunk that is larger than a response.
+        """Request chunks from a member, with further requests for a chunk sent in parts.
 
-        :returns: the chunks that came, and the names that the member has not, or not intact.
-        :raises EmptyResponse: it said nothing about what was asked for.
+        :returns: the chunks received, and the names that are missing or corrupt at the member.
+        :raises EmptyResponse: the response mentions none of the requested names.
         """
         try:
             response = await self.request(member, names, 0, deadline, attempt)
         except Rejected as rejection:
             if rejection.code != NO_SUCH_METHOD:
                 raise
-            return await self.transfer_formerly(member, names[:MAX_FORMER_NAMES], deadline)
+            return await self.transfer_legacy(member, names[:MAX_LEGACY_NAMES], deadline)
         chunks: Bodies = {}
         missing = set(response.missing)
         for name, size, data in response.pieces:
@@ -227,30 +247,32 @@
                 missing.add(name)
         missing &= set(names)
         if not chunks and not missing:
-            raise EmptyResponse(member)
+            raise EmptyResponse(f"response of {member} mentions none of the chunks {names}")
         return chunks, missing
 
     async def request(
         self, member: str, names: list[str], offset: int, deadline: int, attempt: Attempt
     ) -> ChunkResponse:
-        """Send one request, and note how long its response took."""
-        asked_at = monotonic_us()
+        """Send one request, and adapt the frame size to its latency."""
+        sent_us = monotonic_us()
         request = ChunkRequest(self.form, names, offset, self.frame_bytes)
         wire = await self.rpc.call(member, CHUNK_METHOD, request.to_wire(), deadline)
-        attempt.heard_at = monotonic_us()
-        self.adapt_frame(attempt.heard_at - asked_at)
+        attempt.last_received_us = monotonic_us()
+        self.adapt_frame(attempt.last_received_us - sent_us)
         return ChunkResponse.from_wire(wire)
 
-    def adapt_frame(self, took_us: int) -> None:
-        """Take larger responses when they come fast, smaller ones when they come slowly."""
-        if took_us < self.hedge_us // 4:
+    def adapt_frame(self, latency_us: int) -> None:
+        """Raise the limit of a response after a fast one, and lower it after a slow one."""
+        if latency_us < self.hedge_delay_us // 4:
             self.frame_bytes = min(MAX_FRAME_BYTES, self.frame_bytes * 2)
-        elif took_us > self.hedge_us // 2:
+        elif latency_us > self.hedge_delay_us // 2:
             self.frame_bytes = max(MIN_FRAME_BYTES, self.frame_bytes // 2)
 
     def accept(self, name: str, packed: bytes, chunks: Bodies) -> bool:
-        """Keep a chunk if it is intact: packed for proxies, which pass it on; its body where it is
-        stored."""
+        """Add a chunk to `chunks` if it is intact, and return whether it is.
+
+        Proxies keep it packed, as they serve it to others; members that store it keep its body.
+        """
         try:
             body = unpack_chunk(name, packed, self.form)
         except CorruptChunk:
@@ -258,17 +280,20 @@
         chunks[name] = body if self.form == COMPLETE_FORM else packed
         return True
 
-    async def transfer_formerly(
+    async def transfer_legacy(
         self, member: str, names: list[str], deadline: int
     ) -> tuple[Bodies, set[str]]:
-        """As `transfer`, from a member of the former release, which sends complete bodies."""
-        response = await self.rpc.call(member, FORMER_CHUNK_METHOD, names, deadline)
+        """Request chunks as `transfer` does, from a member of the previous release.
+
+        Its responses contain unpacked chunks.
+        """
+        response = await self.rpc.call(member, LEGACY_CHUNK_METHOD, names, deadline)
         received = {name: bytes(body) for name, body in response.items()}
         bodies = {name: body for name, body in received.items() if fingerprint(body) == name}
         missing = {name for name in names if name not in bodies}
         if self.form == COMPLETE_FORM:
             return bodies, missing
-        return {n: pack_chunk(n, body, self.form) for n, body in bodies.items()}, missing
+        return {name: pack_chunk(name, body, self.form) for name, body in bodies.items()}, missing
 
 
 async def cancel_when(event: trio.Event, scope: trio.CancelScope) -> None:
--- a/packages/configuration/meadowdock/configuration/chunk_messages.py
+++ b/packages/configuration/meadowdock/configuration/chunk_messages.py
@@ -1,7 +1,7 @@
-"""Messages by which processes fetch chunks from one another, and their form on the wire.
+"""Request and response messages for fetching chunks from another process, and their wire format.
 
-Chunks travel packed (`chunk_codec.py`), in responses of bounded size, so that heartbeats on the same
-connection come between them.
+Chunks are sent packed (`chunk_codec.py`). Responses are limited in size, so that heartbeats on the
+same connection are not delayed behind a large transfer.
 """
 
 from __future__ import annotations
@@ -12,27 +12,29 @@
 WireMap = dict[str, Any]
 
 CHUNK_METHOD = "chunk.get"
-FORMER_CHUNK_METHOD = "blob.get"  # of the former release: complete bodies, by name
-NO_SUCH_METHOD = "no_such_method"  # code of a rejection by a process that doesn't know a method
+LEGACY_CHUNK_METHOD = "blob.get"  # of the previous release: responds with unpacked chunks by name
+NO_SUCH_METHOD = "no_such_method"  # rejection code of a process that doesn't implement a method
 
-MAX_FRAME_BYTES = 16_384  # of packed chunks in one response
+MAX_FRAME_BYTES = 16_384  # packed chunk data in one response
 MIN_FRAME_BYTES = 1024
-MAX_NAMES = 16  # in one request
-MAX_FORMER_NAMES = 4  # complete chunks in one response of a member of the former release
+MAX_NAMES = 16  # names in one request
+MAX_LEGACY_NAMES = 4  # names in one request to a member of the previous release
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkRequest:
-    """Asks for packed chunks in one of their forms."""
+    """A request for packed chunks, all in the same form."""
 
     form: str
     names: list[str]
-    offset: int  # bytes of the first chunk that the requester has already
-    frame_bytes: int  # most that it takes in one response
+    offset: int  # bytes of the first chunk that the requester has already received
+    frame_bytes: int  # maximum of chunk data that the requester accepts in one response
 
     @classmethod
     def from_wire(cls, wire: WireMap) -> ChunkRequest:
-        """Decode it. Limits are enforced here: only the first MAX_NAMES names count.
+        """Decode a request and enforce its limits.
+
+        Names beyond the first MAX_NAMES are ignored, and the frame size is clamped.
 
         :raises KeyError: a field is missing.
         """
@@ -40,7 +42,7 @@
         return cls(wire["form"], wire["names"][:MAX_NAMES], wire["offset"], frame_bytes)
 
     def to_wire(self) -> WireMap:
-        """Encode it."""
+        """Encode the request."""
         return {
             "form": self.form,
             "names": self.names,
@@ -50,29 +52,32 @@
 
 
 class ChunkPiece(NamedTuple):
-    """A packed chunk, or a piece of one that is larger than a response may be."""
+    """A packed chunk, or a part of one that doesn't fit into one response."""
 
     name: str
-    size: int  # bytes of the entire packed chunk
+    size: int  # bytes of the complete packed chunk
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkResponse:
-    """Pieces for some of the requested names. Those that didn't fit are in neither list."""
+    """The chunks found for a request.
+
+    Requested names that did not fit into the response are in neither list.
+    """
 
     pieces: list[ChunkPiece]
-    missing: list[str]  # names that the member doesn't have
+    missing: list[str]  # names of chunks that the member doesn't have
 
     @classmethod
     def from_wire(cls, wire: WireMap) -> ChunkResponse:
-        """Decode it.
+        """Decode a response.
 
-        :raises KeyError, ValueError, TypeError: it is malformed.
+        :raises KeyError, ValueError, TypeError: the response is malformed.
         """
         pieces = [ChunkPiece(name, size, bytes(data)) for name, size, data in wire["pieces"]]
         return cls(pieces, wire["missing"])
 
     def to_wire(self) -> WireMap:
-        """Encode it."""
+        """Encode the response."""
         return {"pieces": [list(piece) for piece in self.pieces], "missing": self.missing}
--- a/packages/configuration/meadowdock/configuration/chunks.py
+++ b/packages/configuration/meadowdock/configuration/chunks.py
@@ -1,9 +1,9 @@
-"""A configuration as a list of immutable chunks, each named by the hash of its content.
+"""Splitting a configuration into immutable chunks, each named by the hash of its content.
 
-Where chunks begin and end depends on the names of the entries alone (content-defined chunking), so
-a change touches only the chunks that hold it, and equal configurations give equal chunks. The
-section "items" (configuration by items, `meadowdock.configuration.items`) is split by itself and
-comes after the operators' configuration.
+Chunk boundaries depend only on the names of the entries (content-defined chunking). A change thus
+affects only the chunks that contain it, and equal configurations yield equal chunks. The section
+"items" (configuration by items, `meadowdock.configuration.items`) is split separately, and its
+chunks come after those of the operators' configuration.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 ITEMS_SECTION = "items"
 SECTIONS = ("services", "budgets", LOAD_SECTION, "ways")
 MEAN_CHUNK_LENGTH = 64  # entries
-DIGEST_BYTES = 2
+BOUNDARY_DIGEST_BYTES = 2
 
 Entry = Mapping[str, Any]
 
@@ -34,13 +34,16 @@
 
 
 def encode_chunk(section: str, entries: list[Any]) -> Chunk:
-    """The chunk of these entries."""
+    """Encode entries of one section as a chunk."""
     body = ormsgpack.packb([section, entries], option=ormsgpack.OPT_SORT_KEYS)
     return Chunk(fingerprint(body), body)
 
 
 def split_configuration(configuration: ConfigurationMap) -> list[Chunk]:
-    """The chunks of an operators' configuration, in order. Entries are sorted by name already."""
+    """Split an operators' configuration into chunks, in the order of SECTIONS.
+
+    :param configuration: its entries are already sorted by name.
+    """
     chunks = []
     for section in SECTIONS:
         if section == LOAD_SECTION:
@@ -51,20 +54,23 @@
 
 
 def split_items(items: Mapping[tuple[str, str], Entry]) -> list[Chunk]:
-    """The chunks of {(kind, name): item}, dropped ones included."""
-    in_order = [items[key] for key in sorted(items)]
-    return split_section(ITEMS_SECTION, in_order, lambda item: f"{item['kind']}/{item['name']}")
+    """Split items into chunks.
+
+    :param items: by kind and name; dropped items are included.
+    """
+    sorted_items = [items[key] for key in sorted(items)]
+    return split_section(ITEMS_SECTION, sorted_items, lambda item: f"{item['kind']}/{item['name']}")
 
 
 def split_section(
     section: str, entries: Iterable[Entry], name_of: Callable[[Entry], str]
 ) -> list[Chunk]:
-    """The chunks of one section."""
+    """Split one section into chunks."""
     chunks = []
     pending: list[Entry] = []
     for entry in entries:
         pending.append(entry)
-        if ends_chunk(name_of(entry)):
+        if is_chunk_boundary(name_of(entry)):
             chunks.append(encode_chunk(section, pending))
             pending = []
     if pending:
@@ -72,14 +78,16 @@
     return chunks
 
 
-def ends_chunk(name: str) -> bool:
-    """Whether a chunk ends after the entry of this name."""
-    digest = hashlib.blake2b(name.encode(), digest_size=DIGEST_BYTES).digest()
+def is_chunk_boundary(name: str) -> bool:
+    """Return whether a chunk ends after the entry with this name."""
+    digest = hashlib.blake2b(name.encode(), digest_size=BOUNDARY_DIGEST_BYTES).digest()
     return digest[0] % MEAN_CHUNK_LENGTH == 0
 
 
 def assemble(bodies: Iterable[bytes]) -> ConfigurationMap:
-    """The configuration of these chunks; with its "items" if it has any.
+    """Return the configuration that these chunks contain.
+
+    It has the section "items" only if one of the chunks belongs to that section.
 
     >>> configuration = {
     ...     "services": [{"name": "a"}], "budgets": [], "load": {"omega": 0.9}, "ways": []
--- a/packages/configuration/meadowdock/configuration/difference.py
+++ b/packages/configuration/meadowdock/configuration/difference.py
@@ -1,4 +1,4 @@
-"""What an operator is shown of a planned change: names by section, and values of load sharing."""
+"""The difference between two configurations, as shown to an operator who plans a change."""
 
 from __future__ import annotations
 
@@ -10,8 +10,10 @@
 
 
 def difference(old: ConfigurationMap, new: ConfigurationMap) -> dict[str, Any]:
-    """What changes: per section the added, removed and changed names; of "load" the changed values
-    as {setting: [old, new]}.
+    """Return what differs between two configurations.
+
+    Each section has the names of its added, removed and changed entries; "load" has the changed
+    settings as {setting: [old, new]}.
 
     >>> difference({"ways": [{"name": "a"}]}, {"ways": [{"name": "b"}]})["ways"]
     {'added': ['b'], 'removed': ['a'], 'changed': []}
@@ -25,8 +27,8 @@
 def section_difference(
     old: ConfigurationMap, new: ConfigurationMap, section: str
 ) -> dict[str, list[str]]:
-    """The added, removed and changed names of a section."""
-    before, after = by_name(old, section), by_name(new, section)
+    """Return the names of the added, removed and changed entries of a section."""
+    before, after = entries_by_name(old, section), entries_by_name(new, section)
     common = before.keys() & after.keys()
     return {
         "added": sorted(after.keys() - before.keys()),
@@ -35,11 +37,11 @@
     }
 
 
-def by_name(configuration: ConfigurationMap, section: str) -> dict[str, Any]:
-    """{name: entry} of a section."""
+def entries_by_name(configuration: ConfigurationMap, section: str) -> dict[str, Any]:
+    """Return the entries of a section by name."""
     return {entry["name"]: entry for entry in configuration.get(section, [])}
 
 
 def load_difference(old: dict[str, Any], new: dict[str, Any]) -> dict[str, list[Any]]:
-    """{setting: [old, new]} of the settings that change."""
+    """Return the changed settings of load sharing as {setting: [old, new]}."""
     return {key: [old.get(key), value] for key, value in new.items() if old.get(key) != value}
--- a/packages/configuration/meadowdock/configuration/exceptions.py
+++ b/packages/configuration/meadowdock/configuration/exceptions.py
@@ -1,12 +1,12 @@
-"""Errors of this package; those of configuration by items are in `items/exceptions.py`."""
+"""Exceptions of this package; those of configuration by items are in `items/exceptions.py`."""
 
 from __future__ import annotations
 
 
 class InvalidJson(Exception):
-    """Text that is JSON for Python's parser, but not for ours.
+    """JSON that Python's parser accepts and this package doesn't: duplicate keys, NaN, infinity.
 
-    :ivar errors: what is wrong, one text each.
+    :ivar errors: one message for each error.
     """
 
     def __init__(self, errors: list[str]) -> None:
@@ -15,8 +15,8 @@
 
 
 class CorruptChunk(ValueError):
-    """A chunk is not what its name and checksum say."""
+    """A chunk's content doesn't match its name or checksum."""
 
 
 class EmptyResponse(ValueError):
-    """A member answered a request for chunks with nothing that was asked for."""
+    """A member's response mentions none of the requested chunks."""
--- a/packages/configuration/meadowdock/configuration/items/__init__.py
+++ b/packages/configuration/meadowdock/configuration/items/__init__.py
@@ -1,8 +1,9 @@
-"""Configuration by items: each item has a version of its own, and its highest version is current.
+"""Configuration by items: each item has its own version, and the highest version is current.
 
 An item is {"kind": "route" | "service" | "limits", "name": str, "version": int, "spec": dict or
-None when dropped, "source": str}. The source is the text it came as, kept verbatim and never read.
-Stored items also have "superseded", what is remembered of former versions (`merge.py`).
+None if dropped, "source": str}. The source is the text in which the operator submitted the item; it
+is stored verbatim and never parsed. Stored items also have the field "superseded", with digests of
+earlier versions (`merge.py`).
 """
 
 from meadowdock.configuration.items.exceptions import InvalidItems, ItemVersion, VersionConflict
@@ -15,7 +16,7 @@
     parse_chunk,
 )
 from meadowdock.configuration.items.merge import (
-    Merged,
+    MergeResult,
     current_items,
     item_key,
     merge,
@@ -30,7 +31,7 @@
     "ItemTable",
     "ItemVersion",
     "Limits",
-    "Merged",
+    "MergeResult",
     "ParsedChunk",
     "VersionConflict",
     "current_items",
--- a/packages/configuration/meadowdock/configuration/items/exceptions.py
+++ b/packages/configuration/meadowdock/configuration/items/exceptions.py
@@ -1,4 +1,4 @@
-"""Why a change by items is refused. Nothing of a refused change takes effect."""
+"""Reasons for which a change of items is rejected; no part of a rejected change takes effect."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class InvalidItems(Exception):
-    """Items are malformed, or name services that don't exist.
+    """Items are malformed, or refer to services that don't exist.
 
-    :ivar errors: texts, each with its path.
+    :ivar errors: one message for each error, with its path.
     """
 
     def __init__(self, errors: list[str]) -> None:
@@ -25,9 +25,9 @@
 
 
 class VersionConflict(Exception):
-    """A change gives another content to versions that already have one.
+    """A change has versions that already exist with a different content.
 
-    :ivar conflicts: every such version of the change.
+    :ivar conflicts: all such versions of the change.
     """
 
     def __init__(self, conflicts: list[ItemVersion]) -> None:
--- a/packages/configuration/meadowdock/configuration/items/item_table.py
+++ b/packages/configuration/meadowdock/configuration/items/item_table.py
@@ -1,5 +1,4 @@
-"""The items of one version in the form in which calls look them up: routes by host and prefix,
-services, and limits."""
+"""Lookup tables of the items of one version: routes by host and prefix, services, and limits."""
 
 from __future__ import annotations
 
@@ -11,27 +10,27 @@
 
 
 class ItemRoute(NamedTuple):
-    """Where calls to a host and prefix go."""
+    """The services that calls to a host and path prefix are routed to, and how."""
 
     name: str
     version: int
     host: bytes  # lower case
     prefix: bytes  # begins and ends with "/"
-    repeatable: bool  # idempotent: may be retried after its outcome was unknown
+    repeatable: bool  # idempotent: may be retried after an unknown outcome
     timeout_us: int
-    aim_us: int  # the latency target; 0: none
+    aim_us: int  # latency target; 0 for none
     priority: int  # 0 is the highest
-    tries: int  # endpoints that one call may be sent to
-    split: tuple[tuple[str, float], ...]  # services and their weights
+    tries: int  # maximum of attempts of one call, each at another endpoint
+    split: tuple[tuple[str, float], ...]  # services with their weights
 
 
 class Limits(NamedTuple):
-    """Limits of the connections and requests of callers."""
+    """Limits for the connections and requests of callers."""
 
     header_bytes: int
     body_bytes: int
-    header_us: int  # until the head of a request is complete
-    idle_us: int  # between two requests
+    header_us: int  # time-out for receiving the head of a request
+    idle_us: int  # time-out between two requests on a connection
 
 
 DEFAULT_LIMITS = Limits(
@@ -40,7 +39,7 @@
 
 
 def parse_route(item: Item) -> ItemRoute:
-    """The route that an item sets."""
+    """Build the route that an item defines."""
     spec = item["spec"]
     return ItemRoute(
         name=item["name"],
@@ -57,7 +56,7 @@
 
 
 class ParsedChunk(NamedTuple):
-    """The items of one chunk, parsed. Never changed once made."""
+    """The parsed items of one chunk; immutable."""
 
     routes: tuple[ItemRoute, ...]
     services: dict[str, dict[str, Any]]  # specs by name
@@ -65,7 +64,7 @@
 
 
 def parse_chunk(items: Iterable[Item]) -> ParsedChunk:
-    """Parse the items of a chunk; dropped ones are left out."""
+    """Parse the items of a chunk, without the dropped ones."""
     routes: list[ItemRoute] = []
     services: dict[str, dict[str, Any]] = {}
     limits = None
@@ -83,9 +82,12 @@
 
 
 class ItemTable:
-    """The items of one version. Invariants: never changed once made; it is what its chunks say.
-    Dropped items are left out; of two routes with one host and prefix the one with the higher
-    version is found."""
+    """The items of one version, indexed for lookup.
+
+    Invariants: a table is immutable and contains exactly the items of its chunks, without the
+    dropped ones. Of two routes with the same host and prefix, the one with the higher version is
+    found.
+    """
 
     def __init__(self, version: int, items: Iterable[Item]) -> None:
         self.version = 0
@@ -96,17 +98,21 @@
         self._fill(version, {None: parse_chunk(items)})
 
     def with_chunks(self, version: int, chunks: Mapping[str | None, ParsedChunk]) -> ItemTable:
-        """The table of these chunks, by name and in order. Only hosts whose routes changed are
-        indexed again."""
+        """Return the table of another version; only hosts with changed routes are indexed anew.
+
+        :param chunks: by name, in the order of the configuration.
+        """
         table = copy(self)
         table._fill(version, chunks)
         return table
 
     def _fill(self, version: int, chunks: Mapping[str | None, ParsedChunk]) -> None:
-        changed_hosts = hosts_of_changes(self.chunks, chunks)
+        changed_hosts = hosts_of_changed_routes(self.chunks, chunks)
         self.version, self.chunks = version, chunks
         self.routes = {
-            host: prefixes for host, prefixes in self.routes.items() if host not in changed_hosts
+            host: routes_by_prefix
+            for host, routes_by_prefix in self.routes.items()
+            if host not in changed_hosts
         }
         routes = [
             route
@@ -116,14 +122,18 @@
         ]
         for route in sorted(routes, key=lambda route: (route.version, route.name)):
             self.routes.setdefault(route.host, {})[route.prefix] = route
-        self.services = {n: s for chunk in chunks.values() for n, s in chunk.services.items()}
-        self.limits = next((c.limits for c in chunks.values() if c.limits), DEFAULT_LIMITS)
+        self.services = {
+            name: spec for chunk in chunks.values() for name, spec in chunk.services.items()
+        }
+        self.limits = next(
+            (chunk.limits for chunk in chunks.values() if chunk.limits), DEFAULT_LIMITS
+        )
 
     def find(self, host: bytes, path: bytes) -> ItemRoute | None:
-        """The route with the longest prefix that begins the path, or None.
+        """Return the route with the longest prefix of the path, or None.
 
-        :param host: without port, lower case.
-        :param path: may carry its query.
+        :param host: in lower case, without a port.
+        :param path: may include the query string.
 
         >>> split = [["a", 1]]
         >>> spec = {"host": "H", "repeat": "safe", "timeout_us": 1, "tries": 1, "split": split}
@@ -134,23 +144,32 @@
         ['/', '/a/b/', '/a/b/', '/']
         >>> table.find(b"other", b"/")
         """
-        prefixes = self.routes.get(host)
-        if prefixes is None:
+        routes_by_prefix = self.routes.get(host)
+        if routes_by_prefix is None:
             return None
-        query = path.find(b"?")
-        slash = path.rfind(b"/") if query < 0 else path.rfind(b"/", 0, query)
-        while slash >= 0:
-            route = prefixes.get(path[: slash + 1])
+        query_start = path.find(b"?")
+        end = path.rfind(b"/") if query_start < 0 else path.rfind(b"/", 0, query_start)
+        while end >= 0:
+            route = routes_by_prefix.get(path[: end + 1])
             if route is not None:
                 return route
-            slash = path.rfind(b"/", 0, slash)
+            end = path.rfind(b"/", 0, end)
         return None
 
 
-def hosts_of_changes(
-    former: Mapping[str | None, ParsedChunk], chunks: Mapping[str | None, ParsedChunk]
+def hosts_of_changed_routes(
+    previous_chunks: Mapping[str | None, ParsedChunk], chunks: Mapping[str | None, ParsedChunk]
 ) -> set[bytes]:
-    """The hosts of routes that are in one of two versions alone. Chunks with one name are equal."""
-    removed = {route for name in former.keys() - chunks.keys() for route in former[name].routes}
-    added = {route for name in chunks.keys() - former.keys() for route in chunks[name].routes}
+    """Return the hosts of all routes that only one of two versions has.
+
+    Chunks with the same name are equal, so only the others are compared.
+    """
+    removed = {
+        route
+        for name in previous_chunks.keys() - chunks.keys()
+        for route in previous_chunks[name].routes
+    }
+    added = {
+        route for name in chunks.keys() - previous_chunks.keys() for route in chunks[name].routes
+    }
     return {route.host for route in removed ^ added}
--- a/packages/configuration/meadowdock/configuration/items/validation.py
+++ b/packages/configuration/meadowdock/configuration/items/validation.py
@@ -1,68 +1,70 @@
-"""Validation of the items of one change by themselves. All errors are given at once, each with its
-path."""
+"""Validation of the items of one change, regardless of the stored items.
+
+All errors are reported at once, each with its path.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-Item = dict[str, Any]  # as it is sent and stored; see the package's docstring
-Check = Callable[[Any], str | None]  # gives what is wrong with a value, or None
+Item = dict[str, Any]  # as sent and stored; see the package's docstring
+Check = Callable[[Any], str | None]  # returns what is wrong with a value, or None
 FieldError = tuple[str, str]  # the path within an item, and what is wrong there
 
 MAX_TIMEOUT_US = 600_000_000
 MAX_ERRORS = 200
-INTEGER_END = 1 << 63  # chunks hold integers below it
-NAMELESS_KIND = "limits"
-
-
-# ---------------------------------------------------------------- checks of single values
+INTEGER_LIMIT = 1 << 63  # integers in chunks are below this
+UNNAMED_KIND = "limits"
 
 
-def integer(least: int, end: int = INTEGER_END) -> Check:
-    """A check that a value is an integer from `least`, below `end`."""
+def integer_check(minimum: int, end: int = INTEGER_LIMIT) -> Check:
+    """Return a check that accepts integers from `minimum` up to, but not including, `end`."""
 
     def check(value: Any) -> str | None:
         is_integer = isinstance(value, int) and not isinstance(value, bool)
-        if is_integer and least <= value < end:
+        if is_integer and minimum <= value < end:
             return None
-        limit = f" to {end - 1}" if end < INTEGER_END else ""
-        return f"{value!r:.80} is no whole number from {least}{limit}"
+        limit = f" to {end - 1}" if end < INTEGER_LIMIT else ""
+        return f"{value!r:.80} is no whole number from {minimum}{limit}"
 
     return check
 
 
-def text(value: Any) -> str | None:
-    """A check that a value is a text, and not empty."""
+def check_text(value: Any) -> str | None:
+    """Check that a value is a text and not empty."""
     return None if value and is_encodable(value) else f"{value!r:.80} is no text, or empty"
 
 
 def is_encodable(value: Any) -> bool:
-    """Whether a value is a text that UTF-8 can carry: JSON also knows halves of surrogate pairs."""
+    """Return whether a value is text that UTF-8 can encode.
+
+    A JSON string may also contain unpaired surrogates, which UTF-8 can't.
+    """
     try:
         return isinstance(value, str) and (value.isascii() or bool(value.encode()))
     except UnicodeEncodeError:
         return False
 
 
-def prefix(value: Any) -> str | None:
-    """A check that a value is the prefix of paths."""
+def check_prefix(value: Any) -> str | None:
+    """Check that a value is a path prefix."""
     if is_encodable(value) and value[:1] == "/" == value[-1:]:
         return None
     return f"{value!r:.80} does not begin and end with '/'"
 
 
-def repeat(value: Any) -> str | None:
-    """A check that a value says whether a route's calls are idempotent."""
+def check_repeat(value: Any) -> str | None:
+    """Check that a value states whether a route's calls are idempotent."""
     return None if value in ("safe", "once") else f"{value!r:.80} is neither 'safe' nor 'once'"
 
 
-def split(value: Any) -> str | None:
-    """A check that a value is a list of services with their weights."""
+def check_split(value: Any) -> str | None:
+    """Check that a value is a list of services with their weights."""
     if not isinstance(value, (list, tuple)) or not value:
         return f"{value!r:.80} is no list of [service, weight], or empty"
     for entry in value:
-        if not isinstance(entry, (list, tuple)) or len(entry) != 2 or text(entry[0]):
+        if not isinstance(entry, (list, tuple)) or len(entry) != 2 or check_text(entry[0]):
             return f"{entry!r:.80} is no [service, weight]"
         if not is_weight(entry[1]):
             return f"weight {entry[1]!r:.80} is no number from 0"
@@ -70,16 +72,13 @@
 
 
 def is_weight(value: Any) -> bool:
-    """Whether a value is a number that can be a weight."""
+    """Return whether a value is a number that can be a weight."""
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
-    return is_number and 0 <= value < INTEGER_END
-
-
-# ---------------------------------------------------------------- checks of items
+    return is_number and 0 <= value < INTEGER_LIMIT
 
 
 class SpecFields(NamedTuple):
-    """The fields of a kind's spec; others are ignored."""
+    """The checks of the fields in the spec of one kind; other fields are ignored."""
 
     required: dict[str, Check]
     optional: dict[str, Check]
@@ -88,25 +87,28 @@
 SPECS = {
     "route": SpecFields(
         {
-            "host": text,
-            "prefix": prefix,
-            "repeat": repeat,
-            "timeout_us": integer(1, MAX_TIMEOUT_US + 1),
-            "tries": integer(1),
-            "split": split,
+            "host": check_text,
+            "prefix": check_prefix,
+            "repeat": check_repeat,
+            "timeout_us": integer_check(1, MAX_TIMEOUT_US + 1),
+            "tries": integer_check(1),
+            "split": check_split,
         },
-        {"aim_us": integer(0), "priority": integer(0)},
+        {"aim_us": integer_check(0), "priority": integer_check(0)},
     ),
-    "service": SpecFields({}, {"health": text, "connections": integer(0)}),
+    "service": SpecFields({}, {"health": check_text, "connections": integer_check(0)}),
     "limits": SpecFields(
-        {field: integer(1) for field in ("header_bytes", "body_bytes", "header_us", "idle_us")},
+        {
+            field: integer_check(1)
+            for field in ("header_bytes", "body_bytes", "header_us", "idle_us")
+        },
         {},
     ),
 }
 
 
 def validate_items(items: Any) -> list[str]:
-    """Every error of a change's items, as texts with paths; empty if there is none.
+    """Return all errors of a change's items, each with its path; empty if they are valid.
 
     >>> validate_items([{"kind": "service", "name": "a", "version": 1, "spec": {"x": 1}, "source": ""}])
     []
@@ -122,11 +124,11 @@
         for position, item in enumerate(items)
         for path, error in item_errors(item)
     ]
-    return (errors or contradictions(items))[:MAX_ERRORS]
+    return (errors or contradiction_errors(items))[:MAX_ERRORS]
 
 
 def item_errors(item: Any) -> list[FieldError]:
-    """What is wrong with one item."""
+    """Report what is wrong with one item."""
     if not isinstance(item, dict):
         return [("", "no item")]
     kind = item.get("kind")
@@ -136,15 +138,15 @@
 
 
 def identity_errors(item: Item) -> list[FieldError]:
-    """What is wrong with an item's name, version and source."""
+    """Report what is wrong with an item's name, version and source."""
     errors = []
     name = item.get("name")
-    if item["kind"] == NAMELESS_KIND:
+    if item["kind"] == UNNAMED_KIND:
         if name != "":
             errors.append((".name", f"limits has no name of its own: {name!r:.80}"))
-    elif error := text(name):
+    elif error := check_text(name):
         errors.append((".name", error))
-    if error := integer(0)(item.get("version")):
+    if error := integer_check(0)(item.get("version")):
         errors.append((".version", error))
     if not is_encodable(item.get("source")):
         errors.append((".source", "no text"))
@@ -152,7 +154,7 @@
 
 
 def spec_errors(item: Item) -> list[FieldError]:
-    """What is wrong with an item's spec. That of a dropped item is None."""
+    """Report what is wrong with an item's spec, which is None if the item is dropped."""
     spec = item.get("spec")
     if spec is None and "spec" in item:
         return []
@@ -164,14 +166,14 @@
     return [(f".spec.{field}", error) for field, error in outcomes if error]
 
 
-def contradictions(items: list[Item]) -> list[str]:
-    """Items that are given twice with one version, but not the same spec and source."""
-    first: dict[tuple[str, str, int], tuple[Any, str]] = {}
+def contradiction_errors(items: list[Item]) -> list[str]:
+    """Report items that occur twice with the same version but another spec or source."""
+    contents: dict[tuple[str, str, int], tuple[Any, str]] = {}
     errors = []
     for position, item in enumerate(items):
         key = item["kind"], item["name"], item["version"]
         content = item["spec"], item["source"]
-        if first.setdefault(key, content) != content:
+        if contents.setdefault(key, content) != content:
             errors.append(
                 f"items.{position}: {item['kind']} '{item['name']}' is given twice with "
                 f"version {item['version']} and differs"
@@ -180,7 +182,7 @@
 
 
 def normalize(item: Item) -> Item:
-    """An item that is valid, with the fields that have a meaning alone."""
+    """Return a valid item reduced to its known fields."""
     spec = item["spec"]
     if spec is not None:
         fields = SPECS[item["kind"]]
--- a/packages/configuration/meadowdock/configuration/routing_table.py
+++ b/packages/configuration/meadowdock/configuration/routing_table.py
@@ -1,7 +1,8 @@
-"""The routing table of a configuration: the route of a request by its caller, method and path.
+"""The routing table of a configuration, which finds the route of a request.
 
-One table holds both kinds of routes: those of the operators' configuration, which are found here,
-and those of the configuration by items, which are found by host and prefix in `RoutingTable.items`.
+One table has both kinds of routes. Those of the operators' configuration are found by caller,
+method and path; those of the configuration by items are found by host and path prefix in
+`RoutingTable.items`.
 """
 
 from __future__ import annotations
@@ -18,58 +19,62 @@
 
 CANONICAL_PATH = re.compile(r"^(/[A-Za-z0-9_~:@!$&'()*+,;=-][A-Za-z0-9._~:@!$&'()*+,;=-]*)+/?$")
 
-# codes of rejected lookups, as in meadowdock.outcome
+# Rejection codes of a lookup; they equal those of meadowdock.outcome.
 MALFORMED = "malformed"
 ROUTE_FORBIDDEN = "way_forbidden"
 ROUTE_UNKNOWN = "way_unknown"
 
 
 class Stage(NamedTuple):
-    """What a budget allows in one stage of a call."""
+    """The wait and the retries that a budget allows in one stage of a call."""
 
     wait_us: int
-    retries: int  # attempts beyond the first
+    retries: int  # attempts after the first
 
 
 class Route(NamedTuple):
-    """Where calls of some callers, methods and paths go, and within which budget."""
+    """The service that calls are routed to, and the budget of each stage of such a call."""
 
     name: str
     service: str
     path: str
-    idempotent: bool  # safe to retry; else a call must run at most once
-    arrival: Stage  # waiting for a slot where the call arrived
-    relocation: Stage  # at a peer
-    endpoint: Stage  # at the endpoint
+    idempotent: bool  # safe to retry; otherwise a call must run at most once
+    arrival: Stage  # waiting for a slot at the proxy where the call arrived
+    relocation: Stage  # waiting at a peer to which the call was relocated
+    endpoint: Stage  # waiting for the response of the endpoint
 
     @property
     def total_wait_us(self) -> int:
-        """The time that a call may take in all."""
+        """The total time that a call may take."""
         return self.arrival.wait_us + self.relocation.wait_us + self.endpoint.wait_us
 
 
 class RouteLookup(NamedTuple):
-    """What was found: a route, or the code with which the call is rejected."""
+    """The result of a lookup: a route, or the code with which the call is rejected."""
 
     route: Route | None
     rejection: str | None
 
 
 class RoutingTable:
-    """One version of the configuration. Invariant: never changed once made; a new version is a new
-    object."""
+    """The routes, services and settings of one version of the configuration.
+
+    Invariant: a table is immutable; each version is a new object.
+    """
 
     def __init__(self, version: int, configuration: Mapping[str, Any]) -> None:
-        """:param configuration: as `assemble` gives it, checked before it was stored."""
+        """Build the table.
+
+        :param configuration: as returned by `assemble`; it was validated before it was stored.
+        """
         self.version = version
-        self.load = (
-            configuration["load"] or DEFAULT_LOAD
-        )  # none before the operators' first configuration
+        # "load" is empty until the operators' first configuration.
+        self.load = configuration["load"] or DEFAULT_LOAD
         self.items = config_items.ItemTable(version, configuration.get("items", ()))
         self.services = immutables.Map({s["name"]: s for s in configuration["services"]})
         self.routes: dict[tuple[str, str, str], Route] = {}  # by caller, method and path
         self.paths: set[str] = set()  # of all routes
-        stages = {budget["name"]: stages_of(budget) for budget in configuration["budgets"]}
+        stages = {budget["name"]: budget_stages(budget) for budget in configuration["budgets"]}
         for entry in configuration["ways"]:
             self._add_route(entry, stages[entry["budget"]])
 
@@ -85,17 +90,20 @@
     def with_chunks(
         self, version: int, chunks: dict[str | None, config_items.ParsedChunk]
     ) -> RoutingTable:
-        """The same configuration under another version, with the items of these parsed chunks."""
+        """Return the table of another version, which differs only in its items.
+
+        :param chunks: the parsed chunks of all its items, by name.
+        """
         table = copy(self)
         table.version = version
         table.items = self.items.with_chunks(version, chunks)
         return table
 
     def find_route(self, caller: str, method: str, path: str) -> RouteLookup:
-        """Look a call's route up.
+        """Find the route of a call.
 
-        The longest path that any route has decides: a caller without that route falls back to no
-        shorter one.
+        The longest matching path of any route decides. A caller that may not use that route is
+        rejected; it doesn't fall back to a route with a shorter path.
         """
         if not CANONICAL_PATH.match(path):
             return RouteLookup(None, MALFORMED)
@@ -108,8 +116,8 @@
         return RouteLookup(None, ROUTE_UNKNOWN)
 
 
-def stages_of(budget: Mapping[str, Any]) -> tuple[Stage, Stage, Stage]:
-    """The stages of a budget in the order of a call: arrival, relocation, endpoint."""
+def budget_stages(budget: Mapping[str, Any]) -> tuple[Stage, Stage, Stage]:
+    """Return the stages of a budget in the order of a call: arrival, relocation, endpoint."""
     arrival, relocation, endpoint = (
         Stage(budget[stage]["wait_us"], budget[stage]["tries"])
         for stage in ("arrival", "spill", "endpoint")
--- a/packages/configuration/meadowdock/configuration/schema.py
+++ b/packages/configuration/meadowdock/configuration/schema.py
@@ -1,19 +1,20 @@
-"""The schema of operators' configurations, its limits and its defaults.
+"""The JSON schema of operators' configurations, with its limits and defaults.
 
-Names of fields are those of the configuration file, of stored chunks and of the wire: "ways" are
-routes, "spill" is the relocation of a call to a peer, "tries" are retries, "repeat" says whether a
-route's calls are idempotent ("safe") or run at most once ("once").
+The field names are those of configuration files, stored chunks and messages: "ways" are routes,
+"spill" is the relocation of a call to a peer, "tries" are retries, and "repeat" states whether the
+calls of a route are idempotent ("safe") or must run at most once ("once").
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-ConfigurationMap = dict[str, Any]  # a configuration with these names, as JSON gives it
+ConfigurationMap = dict[str, Any]  # a configuration with these field names, as parsed from JSON
 
 MAX_CONFIGURATION_BYTES = 16 << 20
-MAX_TOTAL_WAIT_US = 3_900_000  # a stop is forced after about 6 s; no call may need 4 s
-ANONYMOUS_CALLER = "guest"  # the name of callers that have no token
+# Below 4 s: a stopping process is killed after about 6 s, and must complete its calls before.
+MAX_TOTAL_WAIT_US = 3_900_000
+ANONYMOUS_CALLER = "guest"  # the caller name of requests without a token
 STAGES = ("arrival", "spill", "endpoint")  # of a budget, in the order of a call
 
 NAME_SCHEMA: dict[str, Any] = {"type": "string", "pattern": "^[a-z0-9][a-z0-9._-]{0,63}$"}
@@ -111,7 +112,7 @@
     "share": 0.05,
     "stale_us": 2_000_000,
 }
-# of the optional fields of a service
+# Defaults of the optional fields of a service.
 DEFAULT_SERVICE: dict[str, Any] = {
     "identity": False,
     "echo": False,
--- a/packages/configuration/meadowdock/configuration/validation.py
+++ b/packages/configuration/meadowdock/configuration/validation.py
@@ -1,7 +1,7 @@
 """Parsing and validation of operators' configurations.
 
-All errors are given at once, each with its path; nothing of an invalid configuration is kept. The
-libraries for it are imported when they are first needed: most daemons validate nothing.
+All errors are reported at once, each with its path, and no part of an invalid configuration is
+used. The validation libraries are imported on first use, since most daemons validate nothing.
 """
 
 from __future__ import annotations
@@ -31,20 +31,17 @@
     from returns.result import Result
 
 MAX_ERRORS = 200
-MAX_ERROR_LENGTH = 300  # of what the schema's validator says
-RESERVED_PREFIXES = ("md", "live", "ready")  # first segments of the mesh's own paths
+MAX_ERROR_LENGTH = 300  # characters of one message of the schema validator
+RESERVED_PREFIXES = ("md", "live", "ready")  # first path segments reserved for the mesh itself
 
 
 def validate_configuration(data: bytes) -> Result[ConfigurationMap, list[str]]:
-    """The complete configuration with defaults filled in, or all errors."""
+    """Return the configuration with its defaults filled in, or all errors."""
     return parse_json(data).bind(check_schema).bind(check_references)
 
 
-# ---------------------------------------------------------------- JSON
-
-
 def parse_json(data: bytes) -> Result[ConfigurationMap, list[str]]:
-    """The value of a JSON text, or errors. Keys that occur twice and NaN are errors.
+    """Parse JSON strictly: duplicate keys, NaN and infinities are errors.
 
     >>> parse_json(b'{"a": 1, "a": 2}')
     <Failure: ["duplicate key 'a' in an object"]>
@@ -65,9 +62,9 @@
 
 
 def object_without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """The object of these pairs.
+    """Build a JSON object from its pairs.
 
-    :raises InvalidJson: a key occurs twice.
+    :raises InvalidJson: a key occurs more than once.
     """
     duplicates = [key for key, count in Counter(key for key, _ in pairs).items() if count > 1]
     if duplicates:
@@ -76,22 +73,19 @@
 
 
 def reject_constant(word: str) -> None:
-    """For NaN and the infinities, which Python's parser would take.
+    """Reject NaN and the infinities, which Python's parser would accept.
 
     :raises InvalidJson: always.
     """
     raise InvalidJson([f"{word} is no JSON number"])
 
 
-# ---------------------------------------------------------------- the schema
-
-
 def check_schema(configuration: ConfigurationMap) -> Result[ConfigurationMap, list[str]]:
-    """The configuration with defaults, or its first errors against the schema."""
+    """Return the configuration with its defaults, or up to MAX_ERRORS schema errors."""
     from returns.result import Failure, Success
 
-    representative = one_route_of_each_form(configuration)
-    if representative is not None and schema_validator().is_valid(representative):
+    reduced = with_distinct_routes(configuration)
+    if reduced is not None and schema_validator().is_valid(reduced):
         return Success(with_defaults(configuration))
     errors = [
         f"{'.'.join(['manifest', *map(str, error.absolute_path)])}: "
@@ -103,38 +97,42 @@
 
 @cache
 def schema_validator() -> Any:
-    """The validator of the schema, made once."""
+    """Return the schema validator, which is built once."""
     import jsonschema
 
     jsonschema.Draft202012Validator.check_schema(CONFIGURATION_SCHEMA)
     return jsonschema.Draft202012Validator(CONFIGURATION_SCHEMA)
 
 
-def one_route_of_each_form(configuration: ConfigurationMap) -> ConfigurationMap | None:
-    """The same configuration with one route of each form: equal but for name and path.
+def with_distinct_routes(configuration: ConfigurationMap) -> ConfigurationMap | None:
+    """Return the configuration with a single route for each set that differs only in name and path.
 
-    Routes come by the ten thousand, forms by the dozen, and the schema's validator is slow. None
-    unless all names and paths match their patterns, which are checked here for each route.
+    A configuration may have tens of thousands of routes, but only dozens that differ otherwise, and
+    the schema validator is slow. The names and paths of all routes are checked here; if one of them
+    doesn't match its pattern, the result is None.
     """
     path_schema = CONFIGURATION_SCHEMA["properties"]["ways"]["items"]["properties"]["path"]
     name_pattern = re.compile(NAME_SCHEMA["pattern"])
     path_pattern = re.compile(path_schema["pattern"])
-    forms: dict[str, Any] = {}
+    distinct_routes: dict[str, Any] = {}
     try:
         for route in configuration["ways"]:
             if not (name_pattern.search(route["name"]) and path_pattern.search(route["path"])):
                 return None
             if len(route["path"]) > path_schema["maxLength"]:
                 return None
-            form = json.dumps({**route, "name": "", "path": ""}, sort_keys=True)
-            forms.setdefault(form, route)
+            other_fields = json.dumps({**route, "name": "", "path": ""}, sort_keys=True)
+            distinct_routes.setdefault(other_fields, route)
     except (KeyError, TypeError):
         return None
-    return {**configuration, "ways": list(forms.values())}
+    return {**configuration, "ways": list(distinct_routes.values())}
 
 
 def with_defaults(configuration: ConfigurationMap) -> ConfigurationMap:
-    """Complete and in one order, so that configurations that mean the same give equal chunks."""
+    """Return the configuration with its defaults filled in and its entries sorted.
+
+    Equivalent configurations thereby yield equal chunks.
+    """
     services = ({**DEFAULT_SERVICE, **service} for service in configuration["services"])
     routes = (
         {**route, "callers": sorted(route["callers"]), "methods": sorted(route["methods"])}
@@ -149,16 +147,13 @@
 
 
 def name_of(entry: Mapping[str, Any]) -> str:
-    """The name of a service, budget or route."""
+    """Return the name of a service, budget or route."""
     name: str = entry["name"]
     return name
 
 
-# ---------------------------------------------------------------- what the schema can't say
-
-
 def check_references(configuration: ConfigurationMap) -> Result[ConfigurationMap, list[str]]:
-    """The configuration, or errors between its parts."""
+    """Return the configuration, or the errors that the schema can't express."""
     from returns.result import Failure, Success
 
     errors = [
@@ -172,7 +167,7 @@
 
 
 def duplicate_name_errors(configuration: ConfigurationMap) -> list[str]:
-    """Names that are given to several entries of a section."""
+    """Report names that several entries of a section have in common."""
     return [
         f"manifest.{section}: name '{name}' is given {count} times"
         for section in ("services", "budgets", "ways")
@@ -182,7 +177,7 @@
 
 
 def reference_errors(configuration: ConfigurationMap) -> list[str]:
-    """Services, budgets and callers that routes name and that don't exist."""
+    """Report services, budgets and callers that routes refer to but that don't exist."""
     services = {name_of(service) for service in configuration["services"]}
     budgets = {name_of(budget) for budget in configuration["budgets"]}
     errors = []
@@ -198,7 +193,7 @@
 
 
 def wait_errors(configuration: ConfigurationMap) -> list[str]:
-    """Budgets whose stages add up to more than a call may take."""
+    """Report budgets whose stages add up to more than a call may take."""
     totals = (
         (budget["name"], sum(budget[stage]["wait_us"] for stage in STAGES))
         for budget in configuration["budgets"]
@@ -211,9 +206,11 @@
 
 
 def path_errors(configuration: ConfigurationMap) -> list[str]:
-    """Routes that have a caller, method and path in common, and paths of the mesh itself. A longer
-    path inside a shorter one is no overlap: the longest wins."""
-    claims = Counter(
+    """Report routes with the same caller, method and path, and routes with a reserved path.
+
+    A path below that of another route is no overlap, since the longest matching path decides.
+    """
+    match_counts = Counter(
         (caller, method, route["path"])
         for route in configuration["ways"]
         for caller in route["callers"]
@@ -221,7 +218,7 @@
     )
     overlaps = [
         f"manifest.ways: {count} ways overlap at {caller} {method} {path}"
-        for (caller, method, path), count in claims.items()
+        for (caller, method, path), count in match_counts.items()
         if count > 1
     ]
     reserved = [
@@ -233,7 +230,7 @@
 
 
 def load_errors(load: Mapping[str, Any]) -> list[str]:
-    """Settings of load sharing that contradict one another."""
+    """Report settings of load sharing that contradict one another."""
     errors = []
     if load["phi"] > load["omega"]:
         errors.append("manifest.load: phi is above omega")
--- a/tests/configuration/test_configuration_changes.py
+++ b/tests/configuration/test_configuration_changes.py
@@ -1,4 +1,4 @@
-"""Operators: checks, plans, races, unclear ends, and how a change gets everywhere."""
+"""Configuration changes by operators: validation, plans, races, unknown outcomes, propagation."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from meadowdock.simulator import run
 
 
-def test_an_invalid_configuration_changes_nothing():
+def test_a_plan_with_an_invalid_configuration_is_rejected():
     async def scenario(world):
         await configured(world)
-        status, told = await world.operate(
+        status, response = await world.operate(
             "POST", "/plan", manifest([way("x", "/x", service="no")])
         )
-        assert (status, told["code"]) == (422, "invalid")
+        assert (status, response["code"]) == (422, "invalid")
         assert (await world.operate("GET", "/manifest"))[1]["version"] == 1
 
     run(scenario)
 
 
-def test_a_change_whose_chunks_reach_no_quorum_does_not_begin():
+def test_a_change_fails_cleanly_if_its_chunks_reach_no_quorum():
     async def scenario(world):
         await configured(world)
         _, planned = await world.operate("POST", "/plan", manifest([way("x", "/balances")]))
         for core in world.core[1:]:
             disk = world.disks["mdconf", core]
-            for name in [n for n in disk.files if n.startswith("blob/")]:
+            for name in [name for name in disk.files if name.startswith("blob/")]:
                 del disk.files[name]
-        world.meddle["blob.put"] = None  # lost on their way, all of them
-        status, told = await world.operate("POST", "/confirm", {"plan": planned["plan"]})
-        assert (status, told["code"]) == (503, "no_majority")
+        world.meddle["blob.put"] = None  # all messages with chunks are lost
+        status, response = await world.operate("POST", "/confirm", {"plan": planned["plan"]})
+        assert (status, response["code"]) == (503, "no_majority")
         world.meddle.clear()
         assert (await world.operate("GET", "/manifest"))[1]["version"] == 1
         assert (await world.operate("GET", f"/plan/{planned['plan']}"))[1]["state"] == "open"
@@ -41,24 +41,24 @@
     run(scenario)
 
 
-def test_of_racing_operators_one_wins_and_the_other_is_given_what_changed():
+def test_one_of_two_racing_operators_wins_and_the_other_gets_the_difference():
     async def scenario(world):
         await configured(world)
         plans = []
         for core, name in ((0, "one"), (1, "two")):
-            facts = manifest([*manifest()["ways"], way(name, f"/{name}")])
-            plans.append((await world.operate("POST", "/plan", facts, core))[1]["plan"])
-        answers = {}
+            configuration = manifest([*manifest()["ways"], way(name, f"/{name}")])
+            plans.append((await world.operate("POST", "/plan", configuration, core))[1]["plan"])
+        responses = {}
 
         async def confirm(core):
-            answers[core] = await world.operate("POST", "/confirm", {"plan": plans[core]}, core)
+            responses[core] = await world.operate("POST", "/confirm", {"plan": plans[core]}, core)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(confirm, 0)
             nursery.start_soon(confirm, 1)
-        assert sorted(status for status, _ in answers.values()) == [200, 409]
-        loser = next(told for status, told in answers.values() if status == 409)
-        winner = next(c for c, (status, _) in answers.items() if status == 200)
+        assert sorted(status for status, _ in responses.values()) == [200, 409]
+        loser = next(response for status, response in responses.values() if status == 409)
+        winner = next(core for core, (status, _) in responses.items() if status == 200)
         assert loser["changed_since"]["ways"]["added"] == [["one", "two"][winner]]
         assert (loser["base"], loser["head"]) == (1, 2)
         assert (await world.operate("GET", "/manifest"))[1]["version"] == 2
@@ -66,52 +66,58 @@
     run(scenario)
 
 
-def test_a_commit_sent_twice_is_one_change_and_a_plan_can_be_queried():
+def test_a_repeated_confirmation_is_one_change_and_a_plan_can_be_queried():
     async def scenario(world):
         await configured(world)
-        facts = manifest([way("x", "/balances")])
-        plan = (await world.operate("POST", "/plan", facts))[1]["plan"]
+        configuration = manifest([way("x", "/balances")])
+        plan = (await world.operate("POST", "/plan", configuration))[1]["plan"]
         assert (await world.operate("GET", f"/plan/{plan}"))[1]["state"] == "open"
         first = await world.operate("POST", "/confirm", {"plan": plan}, 0)
-        again = await world.operate("POST", "/confirm", {"plan": plan}, 1)
-        assert first == again == (200, {"state": "confirmed", "plan": plan, "version": 2})
-        settled = (await world.operate("GET", f"/plan/{plan}", core=2))[1]
-        assert (settled["state"], settled["version"], settled["head"]) == ("confirmed", 2, 2)
+        repeated = await world.operate("POST", "/confirm", {"plan": plan}, 1)
+        assert first == repeated == (200, {"state": "confirmed", "plan": plan, "version": 2})
+        plan_status = (await world.operate("GET", f"/plan/{plan}", core=2))[1]
+        assert (plan_status["state"], plan_status["version"], plan_status["head"]) == (
+            "confirmed",
+            2,
+            2,
+        )
         assert (await world.operate("POST", "/confirm", {"plan": "0" * 32}))[0] == 404
 
     run(scenario)
 
 
-def test_a_change_is_in_force_everywhere_soon_and_switched_close_together():
+def test_a_change_is_activated_everywhere_soon_and_almost_simultaneously():
     async def scenario(world):
         await serving(world)
-        at = monotonic_us()
+        begun_us = monotonic_us()
         version = await world.configure(manifest([way("x", "/balances")]))
         await world.eventually(
             lambda: all(
-                world.daemon("mdproxy", h).delivery.version == version for h in hosts(world)
+                world.daemon("mdproxy", host).delivery.version == version for host in hosts(world)
             ),
             2 * SECOND,
         )
-        switched = [t for t, line in world.trace.events(502) if line["version"] == version]
-        assert len(switched) == len(hosts(world))
-        assert max(switched) - at < 2 * SECOND
-        assert max(switched) - min(switched) < 250 * MILLISECOND
+        activated_at_us = [
+            time_us for time_us, line in world.trace.events(502) if line["version"] == version
+        ]
+        assert len(activated_at_us) == len(hosts(world))
+        assert max(activated_at_us) - begun_us < 2 * SECOND
+        assert max(activated_at_us) - min(activated_at_us) < 250 * MILLISECOND
 
     run(scenario, application=("desk",) * 5)
 
 
-def test_a_change_whose_coordinator_dies_is_carried_on_by_the_proxies():
+def test_proxies_spread_a_change_whose_coordinator_was_killed():
     async def scenario(world):
         await serving(world)
         version = await world.configure(manifest([way("x", "/balances")]))
         world.kill(f"mdconf@{world.core[0]}")  # right after the acknowledgement
-        took = await world.eventually(
+        duration_us = await world.eventually(
             lambda: all(
-                world.daemon("mdproxy", h).delivery.version == version for h in hosts(world)
+                world.daemon("mdproxy", host).delivery.version == version for host in hosts(world)
             )
         )
-        assert took < 2 * SECOND
+        assert duration_us < 2 * SECOND
 
     run(scenario, core=5)
 
@@ -129,7 +135,7 @@
     run(scenario)
 
 
-async def first_cut_off(world):
+async def partition_first_proxy(world):
     await serving(world)
     host = hosts(world)[0]
     for core in world.core:
@@ -138,108 +144,112 @@
     return host
 
 
-def test_a_cut_off_proxy_serves_the_last_and_says_so_then_catches_up():
+def test_a_partitioned_proxy_serves_its_last_version_and_reports_so():
     async def scenario(world):
-        host = await first_cut_off(world)
+        host = await partition_first_proxy(world)
         version = await world.configure(manifest([way("x", "/balances")]))
         assert world.daemon("mdproxy", host).delivery.version == 1 or version == 1
-        status, lines, _ = await world.http(host, "GET", f"{host}:7400", "/balances/1")
-        assert (status, lines[b"md-cut-off"]) == (200, b"1")
+        status, headers, _ = await world.http(host, "GET", f"{host}:7400", "/balances/1")
+        assert (status, headers[b"md-cut-off"]) == (200, b"1")
         world.web.heal()
         await world.eventually(lambda: world.daemon("mdproxy", host).delivery.version == version)
-        status, lines, _ = await world.http(host, "GET", f"{host}:7400", "/balances/1")
-        assert b"md-cut-off" not in lines
+        status, headers, _ = await world.http(host, "GET", f"{host}:7400", "/balances/1")
+        assert b"md-cut-off" not in headers
 
     run(scenario, application=("desk",))
 
 
-def test_a_fresh_start_inside_a_cut_does_not_serve_what_only_a_peer_reported():
-    """The machine served version 2; its neighbour, cut off before, still has version 1."""
+def test_a_proxy_started_in_a_partition_does_not_serve_an_unconfirmed_version():
+    """The proxy served version 2 and restarts; its peer, partitioned earlier, still has version 1."""
 
     async def scenario(world):
         await serving(world)
-        mine, other = hosts(world)
+        host, peer_host = hosts(world)
         for core in world.core:
-            world.web.cut(core, other)
+            world.web.cut(core, peer_host)
         assert await world.configure(manifest([way("x", "/balances")])) == 2
-        await world.eventually(lambda: world.daemon("mdproxy", mine).delivery.version == 2)
+        await world.eventually(lambda: world.daemon("mdproxy", host).delivery.version == 2)
         for core in world.core:
-            world.web.cut(core, mine)
-        world.kill(f"mdproxy@{mine}")
-        # the two proxies alone, as if nobody but they had changed views
-        world.web.cut(mine, other)
-        await world.start("mdproxy", mine)
-        world.web.heal_links({(mine, other), (other, mine)})
-        daemon = world.daemon("mdproxy", mine)
-        view = world.node("mdproxy", other).view
+            world.web.cut(core, host)
+        world.kill(f"mdproxy@{host}")
+        # The proxy starts isolated; then only its link to the peer heals, and it merges their view.
+        world.web.cut(host, peer_host)
+        await world.start("mdproxy", host)
+        world.web.heal_links({(host, peer_host), (peer_host, host)})
+        daemon = world.daemon("mdproxy", host)
+        view = world.node("mdproxy", peer_host).view
         daemon.node.view.merge([view.me], monotonic_us())
         await sleep_us(3 * SECOND)
-        assert daemon.delivery.newest == 1  # staged, and not in force
-        status, _, told = await world.http(mine, "GET", f"{mine}:7400", "/balances/1")
-        assert (status, told["code"]) == (503, "no_manifest")
-        status, _, told = await world.http(mine, "GET", f"{mine}:7400", "/ready")
-        assert "the core hasn't confirmed a manifest here yet" in told["why"]
+        assert daemon.delivery.newest == 1  # staged, but not active
+        status, _, response = await world.http(host, "GET", f"{host}:7400", "/balances/1")
+        assert (status, response["code"]) == (503, "no_manifest")
+        status, _, response = await world.http(host, "GET", f"{host}:7400", "/ready")
+        assert "the core hasn't confirmed a manifest here yet" in response["why"]
         world.web.heal()
         await world.eventually(lambda: daemon.delivery.version == 2)
 
     run(scenario, application=("desk", "desk"))
 
 
-def test_a_version_in_force_at_a_peer_is_in_force_at_once_where_it_is_staged():
+def test_a_staged_version_is_activated_once_a_peer_has_it_active():
     async def scenario(world):
         await configured(world)
-        mine, other = hosts(world)
-        daemon = world.daemon("mdproxy", mine)
+        host, peer_host = hosts(world)
+        daemon = world.daemon("mdproxy", host)
         for core in world.core:
-            world.daemon("mdconf", core).node.rpc.call_all = no_switch(
-                world.daemon("mdconf", core).node.rpc.call_all, f"{mine}:7401"
+            world.daemon("mdconf", core).node.rpc.call_all = drop_activation(
+                world.daemon("mdconf", core).node.rpc.call_all, f"{host}:7401"
             )
         assert await world.configure(manifest([way("x", "/balances")])) == 2
-        there = world.daemon("mdproxy", other).delivery
+        peer_delivery = world.daemon("mdproxy", peer_host).delivery
         await world.eventually(
-            lambda: there.version == daemon.delivery.newest == 2, every=MILLISECOND
+            lambda: peer_delivery.version == daemon.delivery.newest == 2, every=MILLISECOND
         )
         assert daemon.delivery.version == 1
         staged_at = daemon.delivery.staged.since
-        world.node("mdproxy", mine).view.merge(
-            [world.node("mdproxy", other).view.me], monotonic_us()
+        world.node("mdproxy", host).view.merge(
+            [world.node("mdproxy", peer_host).view.me], monotonic_us()
         )
         await world.eventually(lambda: daemon.delivery.version == 2, every=MILLISECOND)
-        alone = daemon.node.settings.apply_us // ACTIVATION_DELAY_DIVISOR
-        assert monotonic_us() - staged_at < alone // 2
+        activation_delay_us = daemon.node.settings.apply_us // ACTIVATION_DELAY_DIVISOR
+        assert monotonic_us() - staged_at < activation_delay_us // 2
 
     run(scenario, application=("desk", "desk"))
 
 
-def test_the_order_to_switch_may_come_before_the_version_is_staged():
+def test_the_activation_may_arrive_before_the_version_is_staged():
     async def scenario(world):
         await configured(world)
-        mine = hosts(world)[0]
-        daemon = world.daemon("mdproxy", mine)
+        host = hosts(world)[0]
+        daemon = world.daemon("mdproxy", host)
         for core in world.core:
-            links = world.daemon("mdconf", core).node.rpc
-            links.call_all = no_switch(links.call_all, f"{mine}:7401")
+            rpc = world.daemon("mdconf", core).node.rpc
+            rpc.call_all = drop_activation(rpc.call_all, f"{host}:7401")
         daemon.delivery.on_active_elsewhere(2)
         assert daemon.delivery.version == 1
-        at = monotonic_us()
+        begun_us = monotonic_us()
         assert await world.configure(manifest([way("x", "/balances")])) == 2
         await world.eventually(lambda: daemon.delivery.version == 2, every=MILLISECOND)
-        assert monotonic_us() - at < 100 * MILLISECOND
+        assert monotonic_us() - begun_us < 100 * MILLISECOND
 
     run(scenario, application=("desk",))
 
 
-def no_switch(original, address):
-    async def call_all(asks, due):
-        kept = {k: a for k, a in asks.items() if a[:2] != (address, "manifest.switch")}
-        return await original(kept, due)
+def drop_activation(original, address):
+    async def call_all(requests, deadline):
+        remaining = {
+            key: request
+            for key, request in requests.items()
+            if request[:2] != (address, "manifest.switch")
+        }
+        return await original(remaining, deadline)
 
     return call_all
 
 
-def test_a_cut_off_proxy_learns_a_newer_version_from_a_peer():
+def test_a_partitioned_proxy_gets_a_newer_version_from_a_peer():
     async def scenario(world):
-        host = await first_cut_off(world)
+        host = await partition_first_proxy(world)
         version = await world.configure(manifest([way("x", "/balances")]))
         await world.eventually(lambda: world.daemon("mdproxy", host).delivery.version == version)
 
@@ -251,88 +261,88 @@
         await configured(world)
         host = world.core[0]
         disk = world.disks["mdconf", host]
-        name = next(n for n in sorted(disk.files) if n.startswith("blob/"))
+        name = next(name for name in sorted(disk.files) if name.startswith("blob/"))
         disk.rot(name)
-        bad = disk.files[name]
+        corrupt = disk.files[name]
         world.power_off("mdconf", host)
         await world.start("mdconf", host)
-        await world.eventually(lambda: disk.files[name] != bad)
+        await world.eventually(lambda: disk.files[name] != corrupt)
         assert world.trace.events(606)
 
     run(scenario)
 
 
-def test_a_commit_with_unknown_outcome_is_reported_so_and_its_outcome_is_final():
+def test_a_confirmation_with_unknown_outcome_is_reported_and_settles():
     async def scenario(world):
         await configured(world)
-        facts = manifest([way("x", "/balances")])
-        plan = (await world.operate("POST", "/plan", facts))[1]["plan"]
+        configuration = manifest([way("x", "/balances")])
+        plan = (await world.operate("POST", "/plan", configuration))[1]["plan"]
         store = world.daemon("mdconf", world.core[0]).store
         original = store.acceptor.write
 
         async def cut_while_writing(key, ballot, value):
-            for other in world.core[1:]:
-                world.web.cut(world.core[0], other)
+            for member in world.core[1:]:
+                world.web.cut(world.core[0], member)
             return await original(key, ballot, value)
 
         store.acceptor.write = cut_while_writing
-        status, told = await world.operate("POST", "/confirm", {"plan": plan})
-        assert (status, told["code"]) == (504, "unclear")
+        status, response = await world.operate("POST", "/confirm", {"plan": plan})
+        assert (status, response["code"]) == (504, "unclear")
         store.acceptor.write = original
         world.web.heal()
-        settled = (await world.operate("GET", f"/plan/{plan}", core=1))[1]
-        assert settled["state"] in ("confirmed", "open")
+        plan_status = (await world.operate("GET", f"/plan/{plan}", core=1))[1]
+        assert plan_status["state"] in ("confirmed", "open")
         head = (await world.operate("GET", "/manifest", core=2))[1]["version"]
-        assert head == (2 if settled["state"] == "confirmed" else 1)
+        assert head == (2 if plan_status["state"] == "confirmed" else 1)
         await sleep_us(5 * SECOND)
-        again = (await world.operate("GET", f"/plan/{plan}", core=2))[1]
-        assert again["state"] == settled["state"]
+        later_status = (await world.operate("GET", f"/plan/{plan}", core=2))[1]
+        assert later_status["state"] == plan_status["state"]
 
     run(scenario)
 
 
-def test_a_proxy_that_was_cut_off_switches_at_once_when_it_is_back():
+def test_a_proxy_switches_at_once_after_its_partition_heals():
     async def scenario(world):
-        host = await first_cut_off(world)
+        host = await partition_first_proxy(world)
         version = await world.configure(manifest([way("x", "/balances")]))
         await sleep_us(2 * SECOND)
         world.web.heal()
         delivery = world.daemon("mdproxy", host).delivery
         await world.eventually(lambda: not delivery.cut_off)
-        took = await world.eventually(lambda: delivery.version == version, every=MILLISECOND)
-        assert took < 50 * MILLISECOND
+        duration_us = await world.eventually(lambda: delivery.version == version, every=MILLISECOND)
+        assert duration_us < 50 * MILLISECOND
 
     run(scenario, application=("desk",))
 
 
-def test_changes_that_follow_one_another_put_off_no_switch():
+def test_a_series_of_changes_does_not_postpone_activation():
     async def scenario(world):
         await serving(world)
         host = hosts(world)[0]
         delivery = world.daemon("mdproxy", host).delivery
-        for daemon in (world.daemon("mdconf", c) for c in world.core):
+        for daemon in (world.daemon("mdconf", core) for core in world.core):
 
-            async def nobody_delivers(head):
+            async def skip_delivery(head):
                 await sleep_us(0)
 
-            daemon.delivery.deliver = nobody_delivers
-        begun = monotonic_us()
+            daemon.delivery.deliver = skip_delivery
+        begun_us = monotonic_us()
         for number in range(8):
             await world.configure(manifest([way(f"w{number}", "/balances")]), number % 3)
             await sleep_us(300 * MILLISECOND)
-        assert monotonic_us() - begun > 2 * SECOND
+        assert monotonic_us() - begun_us > 2 * SECOND
         assert delivery.version >= 3
 
     run(scenario, application=("desk",))
 
 
-def test_an_answer_says_cut_off_as_it_was_when_the_call_was_decided():
+def test_a_response_reports_the_partition_as_of_its_routing_decision():
     async def scenario(world):
-        host = await first_cut_off(world)
-        told, healed = [], False
+        host = await partition_first_proxy(world)
+        responses, healed = [], False  # the headers of each response
 
         async def call():
-            told.append((await world.http(host, "GET", f"{host}:7400", "/balances/1"))[1])
+            responses.append((await world.http(host, "GET", f"{host}:7400", "/balances/1"))[1])
 
         world.daemon("mdproxy", host).forwarder.endpoints.by_address[f"{host}:8000"].capacity = 9
         version = await world.configure(manifest([way("x", "/balances")]))
@@ -340,12 +350,12 @@
             for _ in range(700):
                 nursery.start_soon(call)
                 await sleep_us(MILLISECOND)
-                if len(told) >= 50 and not healed:
+                if len(responses) >= 50 and not healed:
                     world.web.heal()
                     healed = True
-        stale = [t for t in told if int(t[b"md-version"]) < version]
+        stale = [headers for headers in responses if int(headers[b"md-version"]) < version]
         assert len(stale) > 50
-        assert len(stale) < len(told)
-        assert all(b"md-cut-off" in t for t in stale)
+        assert len(stale) < len(responses)
+        assert all(b"md-cut-off" in headers for headers in stale)
 
     run(scenario, application=("desk",))
--- a/tests/configuration/test_difference.py
+++ b/tests/configuration/test_difference.py
@@ -1,4 +1,4 @@
-"""What an operator is shown of a planned change."""
+"""The difference between configurations that is shown to an operator."""
 
 from __future__ import annotations
 
@@ -6,18 +6,24 @@
 
 from meadowdock.configuration import difference
 
-NOTHING = {"added": [], "removed": [], "changed": []}
-EMPTY = {"services": [], "budgets": [], "ways": [], "load": {}}
+NO_CHANGES = {"added": [], "removed": [], "changed": []}
+EMPTY_CONFIGURATION = {"services": [], "budgets": [], "ways": [], "load": {}}
 
 
-def named(*names, **fields):
+def entries(*names, **fields):
     return [{"name": name, **fields} for name in names]
 
 
 @pytest.mark.parametrize("section", ["services", "budgets", "ways"])
-def test_names_are_given_by_section_in_order(section):
-    old = {**EMPTY, section: named("kept", "z", "a") + named("changed", version=1)}
-    new = {**EMPTY, section: named("kept", "y", "b") + named("changed", version=2)}
+def test_changed_names_are_listed_by_section_and_sorted(section):
+    old = {
+        **EMPTY_CONFIGURATION,
+        section: entries("kept", "z", "a") + entries("changed", version=1),
+    }
+    new = {
+        **EMPTY_CONFIGURATION,
+        section: entries("kept", "y", "b") + entries("changed", version=2),
+    }
     changes = difference(old, new)
     assert changes.pop(section) == {
         "added": ["b", "y"],
@@ -25,17 +31,17 @@
         "changed": ["changed"],
     }
     assert changes.pop("load") == {}
-    assert list(changes.values()) == [NOTHING, NOTHING]
+    assert list(changes.values()) == [NO_CHANGES, NO_CHANGES]
 
 
-def test_changed_settings_of_load_are_given_with_both_values():
-    old = {**EMPTY, "load": {"phi": 0.8, "omega": 0.9}}
-    new = {**EMPTY, "load": {"phi": 0.7, "omega": 0.9, "share": 0.1}}
+def test_changed_load_settings_have_both_values():
+    old = {**EMPTY_CONFIGURATION, "load": {"phi": 0.8, "omega": 0.9}}
+    new = {**EMPTY_CONFIGURATION, "load": {"phi": 0.7, "omega": 0.9, "share": 0.1}}
     assert difference(old, new)["load"] == {"phi": [0.8, 0.7], "share": [None, 0.1]}
 
 
-def test_against_no_configuration_everything_is_added():
-    new = {**EMPTY, "services": named("a"), "load": {"phi": 0.8}}
+def test_compared_with_no_configuration_every_entry_is_added():
+    new = {**EMPTY_CONFIGURATION, "services": entries("a"), "load": {"phi": 0.8}}
     changes = difference({}, new)
     assert changes["services"] == {"added": ["a"], "removed": [], "changed": []}
     assert changes["load"] == {"phi": [None, 0.8]}
--- a/tests/configuration/test_item_merge_model.py
+++ b/tests/configuration/test_item_merge_model.py
@@ -1,4 +1,4 @@
-"""The merge of calls against a plain model that forgets nothing within its bound."""
+"""The merge of items, compared with a model that stores the content of every version."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def item(name, version, content):
-    """content 0 is a drop."""
-    made = service(name, version, health=f"/{content}")
-    return made if content else {**made, "spec": None}
+    """Build a version of a service, which is dropped if `content` is 0."""
+    set_item = service(name, version, health=f"/{content}")
+    return set_item if content else {**set_item, "spec": None}
 
 
 ITEMS = st.builds(item, st.sampled_from("ab"), st.integers(0, MAX_SUPERSEDED), st.integers(0, 2))
@@ -25,43 +25,51 @@
 
 
 class Model:
-    """All contents ever acknowledged, by name and version."""
+    """The content of all acknowledged versions, by name and version."""
 
     def __init__(self):
-        self.taken = {}
+        self.contents = {}
 
     def order(self, call):
-        """Whether the call is acknowledged; only then it is kept."""
-        after = dict(self.taken)
+        """Store the items of a call, and return True, unless one of them is a conflict."""
+        after = dict(self.contents)
         for sent in call:
             if after.setdefault((sent["name"], sent["version"]), content_of(sent)) != content_of(
                 sent
             ):
                 return False
-        self.taken = after
+        self.contents = after
         return True
 
     def standing(self):
+        """Return the current version and content of the items that are not dropped, by name."""
         highest = {}
-        for (name, version), content in self.taken.items():
-            highest[name] = max(highest.get(name, (-1, None)), (version, content), key=first)
-        return {n: pair for n, pair in highest.items() if pair[1] is not None}
+        for (name, version), content in self.contents.items():
+            highest[name] = max(highest.get(name, (-1, None)), (version, content), key=version_of)
+        return {name: pair for name, pair in highest.items() if pair[1] is not None}
 
 
-def first(pair):
+def version_of(pair):
     return pair[0]
 
 
-def merged(held, call):
-    """(held after the call, whether it was acknowledged)"""
+def merged(stored, call):
+    """Return the stored items after a call, and whether the call was acknowledged."""
     try:
-        return config_items.merge(held, call)[0], True
+        return config_items.merge(stored, call)[0], True
     except config_items.VersionConflict:
-        return held, False
+        return stored, False
 
 
-def shown(held):
-    return {i["name"]: (i["version"], content_of(i)) for i in config_items.current_items(held)}
+def shown(stored):
+    """Return version and content of the current items, by name."""
+    return {
+        item["name"]: (item["version"], content_of(item))
+        for item in config_items.current_items(stored)
+    }
+
+
+# hypothesis seeds a derandomized test with its source text: an edit changes the generated examples.
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
--- a/tests/configuration/test_item_validation.py
+++ b/tests/configuration/test_item_validation.py
@@ -1,4 +1,4 @@
-"""Items by themselves: every error with its path."""
+"""Validation of the items of a change: every error is reported with its path."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def without(item, field):
-    return {**item, "spec": {k: v for k, v in item["spec"].items() if k != field}}
+    return {**item, "spec": {name: value for name, value in item["spec"].items() if name != field}}
 
 
 INVALID = [
@@ -46,12 +46,12 @@
 
 
 @pytest.mark.parametrize(("item", "path"), INVALID)
-def test_an_error_is_given_with_its_path(item, path):
+def test_an_error_is_reported_with_its_path(item, path):
     errors = validate_items([service("desk"), item])
-    assert [e.partition(":")[0] for e in errors] == [f"items.1.{path}"]
+    assert [error.partition(":")[0] for error in errors] == [f"items.1.{path}"]
 
 
-def test_all_errors_are_given_at_once_and_none_of_valid_items():
+def test_all_errors_are_reported_at_once_and_none_for_valid_items():
     invalid = [item for item, _ in INVALID]
     assert len(validate_items(invalid)) == len(invalid)
     valid = [service("desk", beyond=1), route("r", split=[["desk", 0], ["desk", 0.5]]), limits()]
@@ -59,9 +59,9 @@
     assert validate_items([7, None]) == ["items.0: no item", "items.1: no item"]
 
 
-def test_one_name_twice_is_wrong_only_with_one_version_and_two_contents():
-    twice = [service("s", 3), service("s", 3)]
-    assert validate_items(twice) == []
+def test_a_repeated_item_is_invalid_only_if_its_content_differs():
+    repeated = [service("s", 3), service("s", 3)]
+    assert validate_items(repeated) == []
     assert validate_items([service("s", 3), service("s", 4, health="/h")]) == []
     assert "given twice" in validate_items([service("s", 3), service("s", 3, health="/h")])[0]
     assert "given twice" in validate_items([service("s", 3), dropped(service("s"), 3)])[0]
--- a/tests/configuration/test_routing_table.py
+++ b/tests/configuration/test_routing_table.py
@@ -1,4 +1,4 @@
-"""The routing table: which route a call has, and what a new version takes over."""
+"""The routing table: the route of a call, and what a table has in common with the next version."""
 
 from __future__ import annotations
 
@@ -37,13 +37,15 @@
 
 
 @pytest.mark.parametrize(("caller", "method", "path", "name", "code"), LOOKUPS)
-def test_the_longest_path_decides_for_callers_and_methods(caller, method, path, name, code):
+def test_the_longest_matching_path_decides_whether_a_call_is_allowed(
+    caller, method, path, name, code
+):
     table = RoutingTable(1, validate_configuration(json.dumps(manifest()).encode()).unwrap())
     route_found, rejection = table.find_route(caller, method, path)
     assert (route_found and route_found.name, rejection) == (name, code)
 
 
-def test_new_chunks_of_items_leave_the_rest_of_the_table_as_it_is():
+def test_a_table_with_new_item_chunks_keeps_everything_else():
     configuration = {"services": [{"name": "a"}], "budgets": [], "ways": [], "load": {}}
     stored, _ = config_items.merge({}, [service("desk"), route("r")])
     bodies = [body for _, body in (*split_configuration(configuration), *split_items(stored))]
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -1,4 +1,4 @@
-"""Validation of operators' configurations: every error with its path, and nothing else."""
+"""Validation of operators' configurations: every error is reported with its path."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def errors_of(configuration):
-    found = validate_configuration(
+    result = validate_configuration(
         configuration if isinstance(configuration, bytes) else json.dumps(configuration).encode()
     )
-    return found.failure() if not is_successful(found) else []
+    return result.failure() if not is_successful(result) else []
 
 
 INVALID = [
@@ -40,18 +40,18 @@
 
 
 @pytest.mark.parametrize(("invalidate", "expected"), INVALID)
-def test_every_error_is_given_with_its_path(invalidate, expected):
+def test_every_error_is_reported_with_its_path(invalidate, expected):
     configuration = manifest()
     invalidate(configuration)
     errors = errors_of(configuration)
-    assert all(any(e in error for error in errors) for e in expected), errors
+    assert all(any(text in error for error in errors) for text in expected), errors
     assert all(error.startswith("manifest") for error in errors)
 
 
 @pytest.mark.parametrize(
     "data", [b"{", b'{"services": [], "services": []}', b'{"a": NaN}', b"[" * 100_000, b"\xff"]
 )
-def test_what_is_no_json_is_rejected(data):
+def test_invalid_json_is_rejected(data):
     assert errors_of(data)
 
 
@@ -65,10 +65,10 @@
     ]
 
 
-def test_a_budget_over_the_longest_total_wait_is_named():
+def test_a_budget_over_the_maximum_total_wait_is_reported_by_name():
     configuration = manifest()
     configuration["budgets"].append(budget("long", endpoint=3_600_000))
-    assert any("'long'" in e and "4100000" in e for e in errors_of(configuration))
+    assert any("'long'" in error and "4100000" in error for error in errors_of(configuration))
 
 
 @pytest.mark.parametrize(
@@ -82,7 +82,7 @@
         {"name": None},
     ],
 )
-def test_one_invalid_route_among_many_of_the_same_form_is_found(fault):
+def test_one_invalid_route_among_many_similar_ones_is_found(fault):
     routes = [way(f"w{n}", f"/p/q{n}") for n in range(200)]
     routes[150] |= fault
     errors = errors_of(manifest(routes))
--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -277,13 +277,13 @@
 
 def test_a_planted_second_content_under_one_version_is_found(monkeypatch):
     merge = importlib.import_module("meadowdock.configuration.items.merge")
-    combine = merge.combine
+    combine = merge.merge_version
 
     def silent(former, item):
         combined = combine(former, item)
         return former if combined is None else combined
 
-    monkeypatch.setattr(merge, "combine", silent)
+    monkeypatch.setattr(merge, "merge_version", silent)
     assert any(unexplained_keys(items_history(seed), ITEMS) for seed in ITEM_SEEDS)
 
 
