--- a/packages/runtime/meadowdock/runtime/__init__.py
+++ b/packages/runtime/meadowdock/runtime/__init__.py
@@ -1,13 +1,13 @@
-"""What a process uses of its machine: clocks, network, disk, random numbers, threads.
+"""Access to the machine: clocks, network, disk, random numbers, threads.
 
-Everything else reaches these through this package alone, so that the simulator can replace them.
+All other packages use the machine only through this package, so that the simulator can replace it.
 
 - clock: monotonic and wall clock, sleeping, deadlines
 - net, http_client, http_server: streams between processes, HTTP/1.1
-- disk: files below a data folder
+- disk: files in a data folder
 - hashing: fingerprints and checksums
-- pause_detector: pauses of this process itself
-- slab: values by handles that are never mistaken for later ones
+- pause_detector: detection of pauses of this process
+- slab: a container whose handles stay unique when its slots are reused
 """
 
 from __future__ import annotations
@@ -58,16 +58,17 @@
 
 
 async def run_in_thread(work: Callable[..., Any], *args: Any) -> Any:
-    """Run heavy work in a thread and give its result, so that the event loop goes on meanwhile."""
+    """Run CPU-intensive work in a thread, without blocking the event loop; return its result."""
     return await trio.to_thread.run_sync(work, *args)
 
 
 @dataclass
 class Runtime:
-    """The machine, as one process sees it; the simulator gives its own.
+    """The machine as seen by one process; the simulator provides its own.
 
-    :ivar offload: runs a function outside the event loop and gives its result.
-    :ivar wall_us: the wall clock in microseconds, to order incarnations and for records.
+    :ivar offload: runs a function outside the event loop and returns its result.
+    :ivar wall_us: reads the wall clock, in microseconds; only for records and to order
+        incarnations.
     """
 
     net: Net
--- a/packages/runtime/meadowdock/runtime/address.py
+++ b/packages/runtime/meadowdock/runtime/address.py
@@ -4,7 +4,7 @@
 
 
 class Address(str):
-    """ "IP:port".
+    """An address of the form "IP:port".
 
     >>> Address("10.0.0.1:80").host, Address("10.0.0.1:80").port
     ('10.0.0.1', 80)
--- a/packages/runtime/meadowdock/runtime/clock.py
+++ b/packages/runtime/meadowdock/runtime/clock.py
@@ -1,7 +1,7 @@
-"""The clocks of a process. All times and spans in meadowdock are whole microseconds.
+"""The clocks of a process. All times and durations in meadowdock are integers in microseconds.
 
-The monotonic clock is trio's own, so a virtual trio clock (of a test or the simulator) moves
-everything that is built on this module. The conversion from and to trio's seconds is here alone.
+The monotonic clock is trio's clock, so a virtual trio clock (in a test or the simulator) controls
+everything that is built on this module. Only this module converts to and from trio's seconds.
 """
 
 from __future__ import annotations
@@ -15,21 +15,24 @@
 
 
 def monotonic_us() -> int:
-    """The monotonic clock in microseconds; only differences have a meaning."""
-    # rounded, so that a scope that ended at a deadline never sees a time before it
+    """Return the monotonic time in microseconds; only differences are meaningful."""
+    # Rounded, so that after a scope expired at its deadline the time is never before that deadline.
     return round(trio.current_time() * SECOND)
 
 
 def wall_clock_us() -> int:
-    """Microseconds since 1970. The clock may jump: only to order incarnations and for records."""
+    """Return the microseconds since 1970.
+
+    This clock may jump: use it only to order incarnations and for records.
+    """
     return time.time_ns() // 1_000
 
 
 async def sleep_us(duration_us: int) -> None:
-    """Sleep; not at all if the duration is negative."""
+    """Sleep for a duration; a negative one counts as zero."""
     await trio.sleep(max(0, duration_us) / SECOND)
 
 
 def deadline_scope(deadline_us: int) -> trio.CancelScope:
-    """A cancel scope that is cancelled at a deadline by the monotonic clock."""
+    """Return a cancel scope that expires at a time of the monotonic clock."""
     return trio.CancelScope(deadline=deadline_us / SECOND)
--- a/packages/runtime/meadowdock/runtime/disk.py
+++ b/packages/runtime/meadowdock/runtime/disk.py
@@ -1,4 +1,4 @@
-"""Files below one data folder. Writes are atomic, and durable once `write` has returned.
+"""Files in a data folder. Writes are atomic, and durable once `write` has returned.
 
 >>> import trio
 >>> disk = MemoryDisk()
@@ -16,52 +16,55 @@
 import trio
 
 MAX_THREADS = 8
-TEMPORARY = ".aside"  # suffix of files whose write did not finish
+TEMPORARY_SUFFIX = ".aside"  # of files whose write is in progress or was interrupted
 
 
 class DataFolder(Protocol):
-    """Files by name; names may contain folders ("key/x")."""
+    """Files by name; a name may contain folders ("key/x"). All operations may raise OSError."""
 
     async def write(self, name: str, data: bytes) -> None:
-        """Write a file atomically; durable once this returns. Raises OSError."""
+        """Write a file atomically; it is durable once this returns."""
 
     async def read(self, name: str) -> bytes | None:
-        """The bytes of a file, or None if there is none. Raises OSError."""
+        """Return the content of a file, or None if it doesn't exist."""
 
     async def names(self, folder: str) -> list[str]:
-        """The names in a folder, in order."""
+        """Return the names in a folder, sorted."""
 
     async def remove(self, name: str) -> None:
-        """Remove a file, if it exists. Raises OSError."""
+        """Remove a file, if it exists."""
 
     async def move(self, folder: str, to: str) -> None:
-        """Rename a folder; durable once this returns. Raises OSError."""
+        """Rename a folder; the new name is durable once this returns."""
 
 
 class Disk:
     """Files on the machine's disk, read and written in threads.
 
-    A file is written to a temporary name, synced and renamed, and its folder is synced. The threads
-    are the disk's own, so that other work in threads goes on while the disk stalls.
+    A file is written under a temporary name, synced and renamed, and then its folder is synced. The
+    disk has its own limit of threads, so that a stalled disk doesn't block other work in threads.
 
-    Invariant: a name that ends in TEMPORARY is never read; it is a write that did not finish.
+    Invariant: a file whose name ends in TEMPORARY_SUFFIX is never read; its write is incomplete.
     """
 
     def __init__(self, root: str) -> None:
         self.threads = trio.CapacityLimiter(MAX_THREADS)
-        self.write_locks: dict[str, trio.Lock] = {}  # of names being written
+        self.write_locks: dict[str, trio.Lock] = {}  # by the name that is being written
         self.root = os.path.abspath(root)
         os.makedirs(self.root, exist_ok=True)
 
     def path(self, name: str) -> str:
-        """The path of a file."""
+        """Return the path of a file."""
         return os.path.join(self.root, name)
 
     async def write(self, name: str, data: bytes) -> None:
-        """Write a file atomically; durable once this returns. Raises OSError."""
+        """Write a file atomically; it is durable once this returns.
+
+        :raises OSError: the write failed.
+        """
         lock = self.write_locks.setdefault(name, trio.Lock())
         try:
-            async with lock:  # two writers of one name would share the temporary file
+            async with lock:  # concurrent writes of one name would share the temporary file
                 await trio.to_thread.run_sync(
                     self.write_in_thread, name, data, limiter=self.threads
                 )
@@ -70,11 +73,11 @@
                 self.write_locks.pop(name, None)
 
     async def read(self, name: str) -> bytes | None:
-        """The bytes of a file, or None if there is none."""
+        """Return the content of a file, or None if it doesn't exist."""
         return await trio.to_thread.run_sync(self.read_in_thread, name, limiter=self.threads)
 
     async def names(self, folder: str) -> list[str]:
-        """The names in a folder, in order."""
+        """Return the names in a folder, sorted."""
         return await trio.to_thread.run_sync(self.names_in_thread, folder, limiter=self.threads)
 
     async def remove(self, name: str) -> None:
@@ -82,13 +85,13 @@
         await trio.to_thread.run_sync(self.remove_in_thread, name, limiter=self.threads)
 
     async def move(self, folder: str, to: str) -> None:
-        """Rename a folder; durable once this returns."""
+        """Rename a folder; the new name is durable once this returns."""
         await trio.to_thread.run_sync(self.move_in_thread, folder, to, limiter=self.threads)
 
     def write_in_thread(self, name: str, data: bytes) -> None:
-        """The blocking part of the write."""
+        """Write a file (blocking)."""
         path = self.path(name)
-        temporary = path + TEMPORARY
+        temporary = path + TEMPORARY_SUFFIX
         folder = os.path.dirname(path)
         if not os.path.isdir(folder):
             os.makedirs(folder, exist_ok=True)
@@ -101,7 +104,7 @@
         sync_folder(folder)
 
     def read_in_thread(self, name: str) -> bytes | None:
-        """The blocking part of the read."""
+        """Read a file (blocking)."""
         try:
             with open(self.path(name), "rb") as file:
                 return file.read()
@@ -109,20 +112,21 @@
             return None
 
     def names_in_thread(self, folder: str) -> list[str]:
-        """The blocking part of the listing."""
+        """List a folder (blocking)."""
         try:
-            return sorted(n for n in os.listdir(self.path(folder)) if not n.endswith(TEMPORARY))
+            names = os.listdir(self.path(folder))
+            return sorted(name for name in names if not name.endswith(TEMPORARY_SUFFIX))
         except FileNotFoundError:
             return []
 
     def move_in_thread(self, folder: str, to: str) -> None:
-        """The blocking part of the move."""
+        """Rename a folder (blocking)."""
         if os.path.isdir(self.path(folder)):
             os.rename(self.path(folder), self.path(to))
         sync_folder(self.root)
 
     def remove_in_thread(self, name: str) -> None:
-        """The blocking part of the removal."""
+        """Remove a file (blocking)."""
         try:
             os.remove(self.path(name))
         except FileNotFoundError:
@@ -130,7 +134,7 @@
 
 
 def sync_folder(folder: str) -> None:
-    """Make the names in a folder durable."""
+    """Sync a folder, so that the names in it are durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -139,27 +143,29 @@
 
 
 class MemoryDisk:
-    """Files in memory, for tests that aren't about the disk."""
+    """Files in memory, for tests that don't involve a disk."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
 
     async def write(self, name: str, data: bytes) -> None:
-        """Write a file atomically; durable once this returns. Raises OSError."""
+        """Write a file."""
         await trio.lowlevel.checkpoint()
         self.files[name] = data
 
     async def read(self, name: str) -> bytes | None:
-        """The bytes of a file, or None if there is none."""
+        """Return the content of a file, or None if it doesn't exist."""
         await trio.lowlevel.checkpoint()
         return self.files.get(name)
 
     async def names(self, folder: str) -> list[str]:
-        """The names in a folder, in order."""
+        """Return the names in a folder, sorted."""
         await trio.lowlevel.checkpoint()
-        start = folder.rstrip("/") + "/"
-        inside = (n[len(start) :].split("/")[0] for n in self.files if n.startswith(start))
-        return sorted({n for n in inside if not n.endswith(TEMPORARY)})
+        prefix = folder.rstrip("/") + "/"
+        children = (
+            name[len(prefix) :].split("/")[0] for name in self.files if name.startswith(prefix)
+        )
+        return sorted({child for child in children if not child.endswith(TEMPORARY_SUFFIX)})
 
     async def remove(self, name: str) -> None:
         """Remove a file, if it exists."""
@@ -167,15 +173,18 @@
         self.files.pop(name, None)
 
     async def move(self, folder: str, to: str) -> None:
-        """Rename a folder; durable once this returns."""
+        """Rename a folder."""
         await trio.lowlevel.checkpoint()
-        for name in [n for n in self.files if n.startswith(f"{folder}/")]:
+        for name in [name for name in self.files if name.startswith(f"{folder}/")]:
             self.files[to + name[len(folder) :]] = self.files.pop(name)
 
 
 class NoDisk(MemoryDisk):
-    """For processes without a data folder: nothing can be written."""
+    """The disk of a process without a data folder: empty, and every write fails."""
 
     async def write(self, name: str, data: bytes) -> None:
-        """Always fails."""
+        """Reject the write.
+
+        :raises OSError: always.
+        """
         raise OSError("this process has no data folder")
--- a/packages/runtime/meadowdock/runtime/exceptions.py
+++ b/packages/runtime/meadowdock/runtime/exceptions.py
@@ -1,12 +1,12 @@
-"""Errors of the runtime's HTTP client and server."""
+"""Exceptions of the runtime's HTTP client and server."""
 
 from __future__ import annotations
 
 
 class HttpConnectionFailed(Exception):
-    """A request got no response.
+    """A request got no valid response.
 
-    :ivar sent: False only if no byte of the request left this process, so that it has certainly not
+    :ivar sent: False only if no byte of the request left this process, so that it certainly did not
         run; True if its outcome is unknown.
     """
 
@@ -16,9 +16,9 @@
 
 
 class InvalidHttpMessage(Exception):
-    """Bytes that are no HTTP/1.1 message, or one that is too long or ambiguously framed.
+    """The received bytes are no valid HTTP/1.1 message, or a too long or ambiguously framed one.
 
-    :ivar status: the status with which a server answers it.
+    :ivar status: the status of the server's response to it.
     """
 
     def __init__(self, status: int) -> None:
@@ -27,4 +27,4 @@
 
 
 class ConnectionEnded(Exception):
-    """The client closed its connection, or it was idle for too long."""
+    """The client closed its connection, or the connection was idle for too long."""
--- a/packages/runtime/meadowdock/runtime/hashing.py
+++ b/packages/runtime/meadowdock/runtime/hashing.py
@@ -9,22 +9,22 @@
 
 
 def fingerprint(data: bytes, key: bytes = b"") -> str:
-    """A hash of data as 32 hexadecimal digits, keyed if a key is given."""
+    """Return a hash of data as 32 hexadecimal digits, keyed if a key is given."""
     return hashlib.blake2b(data, key=key, digest_size=FINGERPRINT_SIZE).hexdigest()
 
 
 def checksum(body: bytes) -> bytes:
-    """The checksum that stored files begin with."""
+    """Return the checksum with which stored files begin."""
     return hashlib.blake2b(body, digest_size=CHECKSUM_SIZE).digest()
 
 
 def add_checksum(body: bytes) -> bytes:
-    """A file's body with its checksum before it."""
+    """Return a file's body with its checksum prepended."""
     return checksum(body) + body
 
 
 def verify_checksum(data: bytes | None) -> bytes | None:
-    """The body of a file, or None if it is missing, torn or altered.
+    """Return the body of a file, or None if the file is missing, truncated or corrupt.
 
     >>> data = add_checksum(b"x")
     >>> verify_checksum(data), verify_checksum(data[:-1]), verify_checksum(b"")
--- a/packages/runtime/meadowdock/runtime/http_client.py
+++ b/packages/runtime/meadowdock/runtime/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client on plain streams: one request at a time on a connection."""
+"""An HTTP/1.1 client on plain streams, with one request at a time on a connection."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 IP_BIND_ADDRESS_NO_PORT = 24  # of Linux; the socket module doesn't define it
 
-# What makes a request fail, beside the connection's own end
+# The exceptions with which a request fails, in addition to HttpConnectionFailed.
 REQUEST_ERRORS = (
     *CONNECTION_ERRORS,
     InvalidHttpMessage,
@@ -35,38 +35,47 @@
 
 
 class HttpConnection:
-    """A connection to one address, opened at the first request. Any failure closes it."""
+    """A connection to one address, opened at the first request and closed by any failure."""
 
     def __init__(self, address: Address, host: str | None, max_response_size: int) -> None:
-        """
-        :param host: this machine's own IP address to connect from, or None for any.
-        :param max_response_size: bytes of a response's body at most.
+        """Prepare a connection.
+
+        :param host: the local IP address to connect from, or None for any.
+        :param max_response_size: maximum size of a response's body in bytes.
         """
         self.address, self.host, self.max_response_size = address, host, max_response_size
         self.stream: trio.SocketStream | None = None
         self.closed = False
 
     def stale(self) -> bool:
-        """Whether no further request can be sent: it was closed by either side, or bytes came that
-        belong to no request."""
+        """Return whether no further request can be sent.
+
+        This is so if either side closed the connection, or the server sent bytes that belong to no
+        request.
+        """
         if self.closed or self.stream is None:
             return self.closed
         return is_readable(self.stream)
 
     async def open(self) -> trio.SocketStream:
-        """Connect, from this node's own address if it has one. Raises OSError."""
-        connecting = trio.socket.socket()
+        """Connect, from the local address `host` if one is set.
+
+        :raises OSError: there is no connection.
+        """
+        new_socket = trio.socket.socket()
         try:
             if self.host:
-                with suppress(OSError):  # choose the port at the connect: more of them are free
-                    connecting.setsockopt(trio.socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
-                await connecting.bind((self.host, 0))
-            await connecting.connect((self.address.host, self.address.port))
-            self.stream = trio.SocketStream(connecting)
+                # The port is chosen by connect, not by bind: a port that is in use for another
+                # destination can then be used again.
+                with suppress(OSError):
+                    new_socket.setsockopt(trio.socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
+                await new_socket.bind((self.host, 0))
+            await new_socket.connect((self.address.host, self.address.port))
+            self.stream = trio.SocketStream(new_socket)
             return self.stream
         finally:
             if self.stream is None:
-                connecting.close()
+                new_socket.close()
 
     async def request(
         self,
@@ -78,7 +87,7 @@
     ) -> HttpResponse:
         """Send a request and read the complete response.
 
-        :param started: called just before the first byte leaves.
+        :param started: called immediately before the first byte is sent.
         :raises HttpConnectionFailed: there was no valid response.
         """
         sent = reusable = False
@@ -100,9 +109,9 @@
                 await self.close()
 
     def encode(self, method: str, target: str, headers: Headers, body: bytes) -> bytes:
-        """The bytes of a request.
+        """Encode a request.
 
-        :raises ValueError: the method, the target or a header isn't valid.
+        :raises ValueError: the method, the target or a header is invalid.
         """
         lines = [
             (b"host", self.address.encode()),
@@ -120,8 +129,7 @@
     async def exchange(
         self, stream: trio.SocketStream, data: bytes, reader: ResponseReader
     ) -> bool:
-        """Send a request and read its response to the end. Whether the connection can be used for a
-        further one.
+        """Send a request, read its response to the end, and return whether the connection is reusable.
 
         :raises REQUEST_ERRORS, HttpConnectionFailed: there was no valid response.
         """
@@ -140,8 +148,11 @@
         return reader.reusable and sent_to_end and not closed
 
     async def send(self, stream: trio.SocketStream, data: bytes) -> bool:
-        """Send a request. False if it couldn't be sent to its end, but a response came already, as
-        from a server that refuses a large body early."""
+        """Send a request, and return whether it was sent to its end.
+
+        False means that sending failed but there is something to read, such as the response of a
+        server that rejects a large body early.
+        """
         try:
             await stream.send_all(data)
         except CONNECTION_ERRORS:
@@ -151,14 +162,14 @@
         return True
 
     async def close(self) -> None:
-        """Close; any further request fails unsent."""
+        """Close the connection; further requests fail without being sent."""
         self.closed = True
         if self.stream is not None:
             self.stream.socket.close()
 
 
 def is_readable(stream: trio.SocketStream) -> bool:
-    """Whether bytes, or the end of the stream, can be received without waiting."""
+    """Return whether bytes, or the end of the stream, can be received without waiting."""
     poll = select.poll()
     poll.register(stream.socket.fileno(), select.POLLIN)
     return bool(poll.poll(0))
--- a/packages/runtime/meadowdock/runtime/http_connection.py
+++ b/packages/runtime/meadowdock/runtime/http_connection.py
@@ -1,5 +1,4 @@
-"""The server's end of an HTTP/1.1 connection: its bytes, and the exchanges on it as ASGI's receive
-and send."""
+"""The server's side of an HTTP/1.1 connection: the byte stream, and each exchange as ASGI calls."""
 
 from __future__ import annotations
 
@@ -23,7 +22,7 @@
     RequestReader,
 )
 
-LINGER_S = 1.0  # seconds for which bytes are taken behind a last response
+LINGER_S = 1.0  # how long to receive and drop bytes after the last response
 
 Message = dict[str, Any]  # of ASGI
 
@@ -32,9 +31,9 @@
 
 
 class RequestStream:
-    """The requests that come over an accepted connection, and the bytes that go back.
+    """An accepted connection as a stream of parsed requests.
 
-    :ivar is_closing: whether the server ends its connections, so that none is kept alive.
+    :ivar is_closing: returns whether the server is closing, so that no connection is kept alive.
     """
 
     def __init__(self, stream: trio.SocketStream, is_closing: Callable[[], bool]) -> None:
@@ -52,9 +51,9 @@
         self.reader.feed(data)
 
     def next_event(self) -> RequestHead | bytes | RequestEnd:
-        """What was parsed and not yet taken.
+        """Remove the next parsed event from the queue and return it.
 
-        :raises InvalidHttpMessage: an invalid message came next.
+        :raises InvalidHttpMessage: the next event is an invalid message.
         """
         event = self.events.popleft()
         if isinstance(event, InvalidHttpMessage):
@@ -62,8 +61,11 @@
         return event
 
     async def close_after_response(self) -> None:
-        """Close for sending, and drop for a while what still comes: a connection that is closed
-        with unread bytes is reset, which may destroy the response on its way."""
+        """Close for sending, and drop for a while what is still received.
+
+        Closing a connection with unread bytes would reset it, and the client could lose a response
+        that is still on its way.
+        """
         with trio.move_on_after(LINGER_S):
             await self.stream.send_eof()
             while await self.stream.receive_some(RECEIVE_SIZE):
@@ -71,40 +73,40 @@
 
 
 class Exchange:
-    """One request and its response, as ASGI's receive and send.
+    """One request and its response, with ASGI's receive and send.
 
-    Invariants: `complete` is set when the request's end was taken; `head` is the response's head
-    until its first bytes leave, with which it leaves.
+    Invariants: `complete` is set once the end of the request was taken from the queue; `head` is
+    the encoded head of the response until it is sent together with the first part of the body.
 
-    :ivar lost: the client is gone.
+    :ivar disconnected: the client closed the connection.
     :ivar answered: the response was sent to its end.
-    :ivar refused: why the rest of the request is invalid.
+    :ivar error: why the rest of the request is invalid, if it is.
     """
 
     def __init__(self, connection: RequestStream, request: RequestHead) -> None:
         self.connection, self.scope = connection, request.scope
         self.keep_alive, self.expects_continue = request.keep_alive, request.expects_continue
-        self.complete = self.lost = self.answered = self.chunked = False
+        self.complete = self.disconnected = self.answered = self.chunked = False
         self.head = b""
-        self.refused: InvalidHttpMessage | None = None
+        self.error: InvalidHttpMessage | None = None
 
     async def receive(self) -> Message:
-        """A part of the request's body; then, once the client hangs up, "http.disconnect"."""
+        """Return the next part of the body, or "http.disconnect" once the client disconnects."""
         try:
-            if self.complete or self.lost or self.refused:
+            if self.complete or self.disconnected or self.error:
                 await self.wait_for_disconnect()
             body = await self.next_body()
             return {"type": "http.request", "body": body, "more_body": not self.complete}
         except InvalidHttpMessage as error:
-            self.refused = error
+            self.error = error
         except (ConnectionEnded, *CONNECTION_ERRORS):
-            self.lost = True
+            self.disconnected = True
         return {"type": "http.disconnect"}
 
     async def next_body(self) -> bytes:
-        """The next part of the body; empty at its end.
+        """Return the next part of the body; it is empty at the end.
 
-        :raises InvalidHttpMessage, ConnectionEnded: the request is cut short.
+        :raises InvalidHttpMessage, ConnectionEnded: the request is invalid or truncated.
         """
         events = self.connection.events
         if self.expects_continue and not events:
@@ -122,19 +124,23 @@
         return event
 
     async def wait_for_disconnect(self) -> None:
-        """Wait until the client hangs up. Of what it sends ahead, at most one read is buffered.
+        """Wait until the client disconnects.
 
-        :raises ConnectionEnded: it hung up, or the exchange had ended already.
+        Of a request that the client sends ahead, at most one read is buffered meanwhile.
+
+        :raises ConnectionEnded: the client disconnected, or the request is invalid.
         """
-        while not (self.lost or self.refused or self.connection.events):
+        while not (self.disconnected or self.error or self.connection.events):
             await self.connection.receive_more()
-        if not (self.lost or self.refused):
+        if not (self.disconnected or self.error):
             await trio.sleep_forever()
         raise ConnectionEnded
 
     async def send(self, message: Message) -> None:
-        """Take "http.response.start", then "http.response.body"; that the client is gone is no
-        error."""
+        """Send "http.response.start", then "http.response.body".
+
+        It is no error if the client has disconnected.
+        """
         if message["type"] == "http.response.start":
             self.start(message["status"], list(message["headers"]))
             return
@@ -142,14 +148,14 @@
         data = self.head + self.encode_body(message.get("body", b""), more)
         self.head = b""
         try:
-            if not self.lost and data:
+            if not self.disconnected and data:
                 await self.connection.stream.send_all(data)
         except CONNECTION_ERRORS:
-            self.lost = True
+            self.disconnected = True
         self.answered = not more
 
     def encode_body(self, data: bytes, more: bool) -> bytes:
-        """A part of the body, chunked if the response is."""
+        """Encode a part of the body, as a chunk if the response is chunked."""
         if self.scope["method"] == "HEAD":
             return b""
         if not self.chunked:
@@ -158,11 +164,11 @@
         return chunk if more else chunk + LAST_CHUNK
 
     def start(self, status: int, headers: Headers) -> None:
-        """Make the response's head, framed so that the connection stays open if it can."""
+        """Encode the head of the response, framed so that the connection stays open if possible."""
         self.drop_unread_body()
         names = {name.lower() for name, _ in headers}
-        lowered = [(name.lower(), value) for name, value in headers]
-        if b"close" in header_tokens(lowered, b"connection"):
+        lowercase_headers = [(name.lower(), value) for name, value in headers]
+        if b"close" in header_tokens(lowercase_headers, b"connection"):
             self.keep_alive = False
         without_body = status < 200 or status in (204, 304) or self.scope["method"] == "HEAD"
         framed = b"content-length" in names or b"transfer-encoding" in names
@@ -180,8 +186,10 @@
         self.head = response_head(status, headers)
 
     def drop_unread_body(self) -> None:
-        """Drop a body that the app didn't read, if it came completely: the next request can then be
-        served."""
+        """Drop a body that the app didn't read, if it was received completely.
+
+        The connection can then serve the next request.
+        """
         events = self.connection.events
         if not self.complete and REQUEST_END in events:
             while events.popleft() is not REQUEST_END:
@@ -189,13 +197,13 @@
             self.complete = True
 
     async def finish(self) -> bool:
-        """After the app: whether a further request may come on the connection.
+        """Finish the exchange after the app, and return whether the connection stays open.
 
-        :raises InvalidHttpMessage: the request was invalid and got no response yet.
+        :raises InvalidHttpMessage: the request is invalid and has no response yet.
         """
-        if self.refused and not self.answered:
-            raise self.refused
-        if self.lost or not self.answered:
+        if self.error and not self.answered:
+            raise self.error
+        if self.disconnected or not self.answered:
             return False
         if not self.keep_alive and (not self.complete or self.connection.events):
             await self.connection.close_after_response()
--- a/packages/runtime/meadowdock/runtime/http_messages.py
+++ b/packages/runtime/meadowdock/runtime/http_messages.py
@@ -1,7 +1,7 @@
-"""What HTTP/1.1 requests and responses have in common.
+"""Common parts of HTTP/1.1 requests and responses.
 
-httptools parses them. Messages whose framing two parsers could understand in two ways are refused
-(RFC 9112, sections 6 and 11: request smuggling).
+httptools parses them. A message with ambiguous framing, which two parsers could understand
+differently, is rejected (request smuggling: RFC 9112, sections 6 and 11).
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 from meadowdock.runtime.exceptions import InvalidHttpMessage
 
-MAX_HEAD_SIZE = 64 << 10  # bytes of a head, with trailers
-RECEIVE_SIZE = 16 << 10  # bytes taken from a socket at once: what a server buffers at most
+MAX_HEAD_SIZE = 64 << 10  # bytes of a head, including trailers
+RECEIVE_SIZE = 16 << 10  # bytes of one read from a socket; a server buffers at most one read
 
 VALID_TARGET = re.compile(rb"[!-~]+").fullmatch
 VALID_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+").fullmatch
 VALID_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*").fullmatch
-FIELD_OVERHEAD = 4  # bytes of a header beside its name and value: colon, space, CR, LF
+FIELD_OVERHEAD = 4  # bytes of a header in addition to its name and value: colon, space, CR, LF
 CONNECTION_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
 PHRASES = {int(status): status.phrase.encode() for status in HTTPStatus}
 
@@ -29,7 +29,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """A complete response; the headers' names are in lower case."""
+    """A complete response; the header names are in lower case."""
 
     status: int
     headers: Headers
@@ -37,23 +37,23 @@
 
 
 def header_values(headers: Headers, name: bytes) -> list[bytes]:
-    """The values of all headers of a name (lower case)."""
-    return [value for found, value in headers if found == name]
+    """Return the values of all headers with a name, which is given in lower case."""
+    return [value for header_name, value in headers if header_name == name]
 
 
 def header_tokens(headers: Headers, name: bytes) -> list[bytes]:
-    """The comma-separated tokens of all headers of a name, in lower case."""
-    words = b",".join(header_values(headers, name)).lower().split(b",")
-    return [word for raw in words if (word := raw.strip())]
+    """Return the comma-separated tokens of all headers with a name, in lower case."""
+    tokens = b",".join(header_values(headers, name)).lower().split(b",")
+    return [token for raw in tokens if (token := raw.strip())]
 
 
 class HeadParser:
     """Collects a message's head from the callbacks of httptools.
 
-    Invariants: `size` counts the bytes of names, values and target, with trailers; `unfinished_size`
-    counts the bytes of complete reads that ended no head.
+    Invariants: `size` counts the bytes of names, values and target, including trailers;
+    `unfinished_size` counts the bytes of complete reads within a head that hasn't ended yet.
 
-    :ivar in_head: a head has begun and didn't end yet.
+    :ivar in_head: a head has begun and not ended yet.
     """
 
     def __init__(self) -> None:
@@ -61,28 +61,28 @@
         self.size, self.unfinished_size, self.in_head = 0, 0, False
 
     def on_message_begin(self) -> None:
-        """A head begins."""
+        """Start a head (callback of httptools)."""
         self.headers, self.size, self.unfinished_size, self.in_head = [], 0, 0, True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, was read; trailers are dropped."""
+        """Add a header (callback of httptools); trailers are counted, but dropped."""
         self.count(len(name) + len(value) + FIELD_OVERHEAD)
         if self.in_head:
             self.headers.append((name.lower(), value))
 
     def count(self, size: int) -> None:
-        """Count bytes of the head.
+        """Count parsed bytes of the head.
 
-        :raises InvalidHttpMessage: it is longer than MAX_HEAD_SIZE.
+        :raises InvalidHttpMessage: the head is longer than MAX_HEAD_SIZE.
         """
         self.size += size
         if self.size > MAX_HEAD_SIZE:
             raise InvalidHttpMessage(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def count_read(self, size: int, was_in_head: bool) -> None:
-        """Count bytes that were fed to a head that had begun before and has not ended yet.
+        """Count the bytes of a read that both began and ended within a head.
 
-        :raises InvalidHttpMessage: they are more than MAX_HEAD_SIZE.
+        :raises InvalidHttpMessage: the unfinished head is longer than MAX_HEAD_SIZE.
         """
         self.unfinished_size += size if was_in_head and self.in_head else 0
         if self.unfinished_size > MAX_HEAD_SIZE:
@@ -90,9 +90,9 @@
 
 
 def path_and_query(target: bytes) -> bytes:
-    """Path and query of a target, also of one in absolute form (as sent to a proxy).
+    """Return path and query of a request target, which may be in absolute form (as for a proxy).
 
-    :raises InvalidHttpMessage: it is no target.
+    :raises InvalidHttpMessage: the target is invalid.
     """
     if target.startswith((b"/", b"*")):
         return target
@@ -107,6 +107,6 @@
 
 
 def response_head(status: int, headers: Headers) -> bytes:
-    """The bytes of a response's head."""
+    """Encode the head of a response."""
     lines = b"".join(b"%b: %b\r\n" % header for header in headers)
     return b"HTTP/1.1 %d %b\r\n%b\r\n" % (status, PHRASES.get(status, b""), lines)
--- a/packages/runtime/meadowdock/runtime/http_request_reader.py
+++ b/packages/runtime/meadowdock/runtime/http_request_reader.py
@@ -1,4 +1,4 @@
-"""Parses HTTP/1.1 requests at the server."""
+"""The server's parser of HTTP/1.1 requests."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """A request's head.
+    """The head of a request.
 
-    :ivar scope: as ASGI's "http" scope, without the client's address.
-    :ivar keep_alive: the client wants to use the connection again.
+    :ivar scope: the "http" scope of ASGI, without the client's address.
+    :ivar keep_alive: the client wants to reuse the connection.
     :ivar expects_continue: the client sends the body only after "100 Continue".
     """
 
@@ -44,12 +44,12 @@
 
 
 class RequestReader(HeadParser):
-    """Requests out of bytes.
+    """Parses the requests of one connection.
 
-    Invariant: `events` contains, in order, what was parsed and not yet taken: a head, bytes of a
-    body, REQUEST_END, or the InvalidHttpMessage that is the last of all.
+    Invariant: `events` is the queue of parsed events: the head of a request, parts of its body,
+    REQUEST_END, or InvalidHttpMessage, which is always the last event.
 
-    :ivar ended: nothing more is parsed: after an invalid message, or the last request.
+    :ivar ended: nothing more is parsed, after an invalid message or the last request.
     """
 
     def __init__(self) -> None:
@@ -68,38 +68,38 @@
                 self.parser.feed_data(data)
                 self.count_read(len(data), was_in_head)
             except httptools.HttpParserUpgrade as upgrade:
-                # nothing is upgraded: what follows is the next request
+                # Upgrades are ignored: the following bytes are the next request.
                 unparsed = data[upgrade.args[0] :]
                 self.parser = httptools.HttpRequestParser(self)
             except httptools.HttpParserCallbackError as error:
                 cause = error.__context__ or error.__cause__
                 if not isinstance(cause, InvalidHttpMessage):
                     cause = InvalidHttpMessage(HTTPStatus.BAD_REQUEST)
-                self.refuse(cause)
+                self.reject(cause)
             except InvalidHttpMessage as error:
-                self.refuse(error)
+                self.reject(error)
             except httptools.HttpParserError:
-                self.refuse(InvalidHttpMessage(HTTPStatus.BAD_REQUEST))
+                self.reject(InvalidHttpMessage(HTTPStatus.BAD_REQUEST))
             data = unparsed
 
-    def refuse(self, error: InvalidHttpMessage) -> None:
-        """Parse nothing more."""
-        if not self.ended:  # else these are bytes behind the last request
+    def reject(self, error: InvalidHttpMessage) -> None:
+        """Queue an error as the last event."""
+        if not self.ended:  # otherwise the invalid bytes follow the last request and are ignored
             self.events.append(error)
         self.ended = True
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Start a request (callback of httptools)."""
         super().on_message_begin()
         self.target = b""
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target was read."""
+        """Add a part of the target (callback of httptools)."""
         self.count(len(url))
         self.target += url
 
     def on_headers_complete(self) -> None:
-        """The head was read: it is checked and becomes an event."""
+        """Check the head and queue it (callback of httptools)."""
         if self.ended:
             return
         self.in_head = False
@@ -125,9 +125,9 @@
         self.events.append(RequestHead(scope, self.keep_alive, expects_continue))
 
     def check_framing(self, version: str, method: bytes) -> None:
-        """Refuse a head that two parsers could understand in two ways.
+        """Reject a head whose framing two parsers could understand differently.
 
-        :raises InvalidHttpMessage: it is one, or its version is unknown.
+        :raises InvalidHttpMessage: the framing is ambiguous, or the version is not supported.
         """
         lengths = header_values(self.headers, b"content-length")
         codings = header_values(self.headers, b"transfer-encoding")
@@ -141,18 +141,18 @@
             or len(hosts) > 1
             or (version == "1.1" and not hosts)
             or not VALID_TARGET(self.target)
-            # httptools takes the body of an upgrade for the next request
+            # httptools would parse the body of an upgrade request as the next request
             or (self.parser.should_upgrade() and (has_body or method == b"CONNECT"))
         ):
             raise InvalidHttpMessage(HTTPStatus.BAD_REQUEST)
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body was read."""
+        """Queue a part of the body (callback of httptools)."""
         if not self.ended:
             self.events.append(data)
 
     def on_message_complete(self) -> None:
-        """The request was read to its end."""
+        """Queue the end of the request (callback of httptools)."""
         if not self.ended:
             self.events.append(REQUEST_END)
             self.ended = not self.keep_alive
--- a/packages/runtime/meadowdock/runtime/http_response_reader.py
+++ b/packages/runtime/meadowdock/runtime/http_response_reader.py
@@ -1,4 +1,4 @@
-"""Parses the HTTP/1.1 response to one request at the client."""
+"""The client's parser of HTTP/1.1 responses."""
 
 from __future__ import annotations
 
@@ -16,16 +16,20 @@
 
 
 class ResponseReader(HeadParser):
-    """One response out of bytes.
+    """Parses the response to one request.
 
     :ivar has_head: the head of the final response was read.
     :ivar complete: the response was read to its end.
-    :ivar has_surplus: further bytes came behind the response's end.
-    :ivar reusable: both sides allow a further request on the connection.
+    :ivar has_surplus: bytes were received after the end of the response.
+    :ivar reusable: both sides allow another request on the connection.
     """
 
     def __init__(self, method: str, max_size: int) -> None:
-        """:param max_size: bytes of the body at most."""
+        """Create a parser for the response to one request.
+
+        :param method: the method of the request.
+        :param max_size: maximum size of the body in bytes.
+        """
         super().__init__()
         self.method, self.max_size = method, max_size
         self.status, self.body_size = 0, 0
@@ -34,14 +38,14 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def response(self) -> HttpResponse:
-        """What was read."""
+        """Return the response as far as it was read."""
         return HttpResponse(self.status, self.headers, b"".join(self.chunks))
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes.
+        """Parse received bytes.
 
-        :raises InvalidHttpMessage, httptools.HttpParserError, httptools.HttpParserUpgrade: they
-            are no valid response.
+        :raises InvalidHttpMessage, httptools.HttpParserError, httptools.HttpParserUpgrade: the
+            response is invalid.
         """
         was_in_head = self.in_head
         try:
@@ -53,26 +57,28 @@
             self.has_surplus = True
 
     def end(self) -> bool:
-        """The server closed the connection. Whether the response is complete: one that neither has
-        a length nor is chunked ends with the connection."""
+        """Process the end of the connection, and return whether the response is complete.
+
+        A response without a length that isn't chunked extends to the end of the connection.
+        """
         framed = {b"content-length", b"transfer-encoding"} & {name for name, _ in self.headers}
         self.complete = self.complete or (self.has_head and not framed)
         return self.complete
 
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Start a response (callback of httptools); a second one is surplus."""
         if self.complete:
             self.has_surplus = True
         else:
             super().on_message_begin()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, was read."""
+        """Add a header (callback of httptools)."""
         if not self.complete:
             super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """The head was read; those of interim responses (1xx) are ignored."""
+        """Process the head (callback of httptools); interim responses (1xx) are ignored."""
         self.in_head = False
         status = self.parser.get_status_code()
         if self.complete or 100 <= status < 200:
@@ -89,7 +95,7 @@
             )
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body was read."""
+        """Add a part of the body (callback of httptools)."""
         if not self.complete:
             self.body_size += len(data)
             if self.body_size > self.max_size:
@@ -97,5 +103,5 @@
             self.chunks.append(data)
 
     def on_message_complete(self) -> None:
-        """The response was read to its end."""
+        """Process the end of the response (callback of httptools)."""
         self.complete = self.complete or self.has_head
--- a/packages/runtime/meadowdock/runtime/http_server.py
+++ b/packages/runtime/meadowdock/runtime/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server for ASGI apps on plain streams: one request at a time on a connection."""
+"""An HTTP/1.1 server for ASGI apps on plain streams, with one request at a time on a connection."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from meadowdock.runtime.http_messages import CONNECTION_ERRORS, response_head
 from meadowdock.runtime.http_request_reader import RequestHead, Scope
 
-IDLE_TIMEOUT_S = 60.0  # between requests, and for a request's head
-LATE_REQUEST_S = 0.3  # how long connections accepted before the listener closed may still ask
+IDLE_TIMEOUT_S = 60.0  # between two requests, and for the head of a request
+IDLE_GRACE_S = 0.3  # how long idle connections may still send a request after the listener closed
 BACKLOG = 1024
 
 Receive = Callable[[], Awaitable[Message]]
@@ -42,14 +42,14 @@
             while await self.serve_request(client):
                 pass
         except InvalidHttpMessage as error:
-            await self.refuse(error.status)
+            await self.reject(error.status)
         except (ConnectionEnded, *CONNECTION_ERRORS):
             pass
         finally:
             self.stream.socket.close()
 
     async def serve_request(self, client: tuple[str, int]) -> bool:
-        """Serve one request. Whether a further one may come.
+        """Serve one request, and return whether the connection stays open.
 
         :raises InvalidHttpMessage, ConnectionEnded: there is no further request.
         """
@@ -60,9 +60,9 @@
         return await exchange.finish()
 
     async def next_head(self) -> RequestHead:
-        """The next request's head.
+        """Wait for the head of the next request and return it.
 
-        :raises InvalidHttpMessage, ConnectionEnded: there is none.
+        :raises InvalidHttpMessage, ConnectionEnded: there is no further request.
         """
         requests = self.requests
         with trio.move_on_after(IDLE_TIMEOUT_S):
@@ -81,9 +81,9 @@
         return event
 
     async def receive_when_idle(self) -> None:
-        """Receive between two requests, when a closing server may end the connection.
+        """Receive between two requests; a closing server cancels this and ends the connection.
 
-        :raises ConnectionEnded: the client or the server ended it.
+        :raises ConnectionEnded: the client or the server ended the connection.
         """
         with trio.CancelScope() as self.idle_scope:
             if self.server.closing:
@@ -92,8 +92,8 @@
             return
         raise ConnectionEnded
 
-    async def refuse(self, status: int) -> None:
-        """Answer an invalid message and close."""
+    async def reject(self, status: int) -> None:
+        """Respond to an invalid message and close the connection."""
         try:
             headers = [(b"content-length", b"0"), (b"connection", b"close")]
             await self.stream.send_all(response_head(status, headers))
@@ -103,9 +103,9 @@
 
 
 class HttpServer:
-    """The connections to one listening address.
+    """The connections accepted at one address.
 
-    Invariant: `closing` goes from False to True once, after the listener was closed.
+    Invariant: `closing` changes from False to True once, after the listener was closed.
     """
 
     def __init__(self, app: App) -> None:
@@ -122,7 +122,7 @@
             self.connections.discard(connection)
 
     def close(self) -> None:
-        """End idle connections now and the others after their request."""
+        """Close idle connections now, and the others after their current request."""
         self.closing = True
         for connection in self.connections:
             if connection.idle_scope is not None:
@@ -136,16 +136,16 @@
     grace_us: int,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve an ASGI app (http scopes alone) at an address until `stopping` is set.
+    """Serve an ASGI app (only http scopes) at an address until `stopping` is set.
 
-    Then the listener is closed, connections that were accepted by then are served, and after
-    grace_us those that are left are cancelled.
+    The listener is then closed. Connections accepted before are still served, until those that
+    remain after grace_us are cancelled.
 
-    :raises OSError: the address isn't free.
+    :raises OSError: the address is in use or not available.
     """
     listeners = await trio.open_tcp_listeners(address.port, host=address.host, backlog=BACKLOG)
-    # trio closes its listeners on cancellation; these copies keep the kernel's queues open
-    duplicates = [socket.socket(fileno=one.socket.dup().detach()) for one in listeners]
+    # trio closes its listeners on cancellation; the duplicates keep the kernel's accept queues open.
+    duplicates = [socket.socket(fileno=listener.socket.dup().detach()) for listener in listeners]
     server = HttpServer(app)
     async with trio.open_nursery() as connections:
         async with trio.open_nursery() as accepting:
@@ -157,15 +157,17 @@
             accepting.cancel_scope.cancel()
         for listener in duplicates:
             close_listener(listener, server, connections)
-        await trio.sleep(LATE_REQUEST_S)
+        await trio.sleep(IDLE_GRACE_S)
         server.close()
         connections.cancel_scope.deadline = trio.current_time() + grace_us / 1e6
 
 
 def close_listener(listener: socket.socket, server: HttpServer, connections: trio.Nursery) -> None:
-    """Serve what the kernel has accepted already, then close the listener: no connection is reset.
-    Nothing else runs between the last accept and the close."""
-    with listener, suppress(OSError):  # none left, or no descriptor for it
+    """Serve all connections in the kernel's accept queue, then close the listener.
+
+    No connection is reset, since nothing else runs between the last accept and the close.
+    """
+    with listener, suppress(OSError):  # the queue is empty, or no file descriptor is left
         listener.setblocking(False)
         while True:
             accepted, _ = listener.accept()
--- a/packages/runtime/meadowdock/runtime/net.py
+++ b/packages/runtime/meadowdock/runtime/net.py
@@ -1,4 +1,4 @@
-"""The real network: streams between processes, HTTP/1.1 to clients and endpoints."""
+"""The real network: streams between processes, and HTTP/1.1 with clients and endpoints."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class Net:
-    """What a process does on the network.
+    """Opens and accepts the connections of one process.
 
-    :ivar host: its own IP address, from which it connects, or None for any.
+    :ivar host: the IP address from which this process connects, or None for any.
     """
 
     def __init__(self, host: str | None = None) -> None:
@@ -28,15 +28,23 @@
         handler: Callable[[trio.abc.Stream], Awaitable[None]],
         task_status: trio.TaskStatus[list[trio.SocketListener]] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept streams at an address until cancelled. Raises OSError if it isn't free."""
-        listening = Address(address)
-        await trio.serve_tcp(handler, listening.port, host=listening.host, task_status=task_status)
+        """Accept streams at an address until cancelled.
+
+        :raises OSError: the address is in use or not available.
+        """
+        listen_address = Address(address)
+        await trio.serve_tcp(
+            handler, listen_address.port, host=listen_address.host, task_status=task_status
+        )
 
     async def open_stream(self, address: str) -> trio.abc.Stream:
-        """A stream to an address. Raises OSError."""
-        peer = Address(address)
+        """Open a stream to an address.
+
+        :raises OSError: there is no connection.
+        """
+        peer_address = Address(address)
         return await trio.open_tcp_stream(
-            peer.host, peer.port, local_address=self.host, happy_eyeballs_delay=1.0
+            peer_address.host, peer_address.port, local_address=self.host, happy_eyeballs_delay=1.0
         )
 
     async def serve_http(
@@ -47,13 +55,15 @@
         grace_us: int,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve an ASGI app at an address until `stopping`, and open connections for grace_us
-        beyond."""
+        """Serve an ASGI app at an address until `stopping` is set.
+
+        Requests that are then in flight have grace_us left to complete.
+        """
         await serve_http(app, Address(address), stopping, grace_us, task_status=task_status)
 
     def http(self, address: str, limit: int = MAX_RESPONSE_SIZE) -> HttpConnection:
-        """A connection for requests to an address.
+        """Return a connection for requests to an address; it is opened at the first request.
 
-        :param limit: bytes of a response's body at most.
+        :param limit: maximum size of a response's body in bytes.
         """
         return HttpConnection(Address(address), self.host, limit)
--- a/packages/runtime/meadowdock/runtime/pause_detector.py
+++ b/packages/runtime/meadowdock/runtime/pause_detector.py
@@ -1,13 +1,13 @@
-"""Detection of pauses of this process itself."""
+"""Detection of pauses of this process."""
 
 from __future__ import annotations
 
 
 class PauseDetector:
-    """Measures how long this process was stopped (by the scheduler, a suspended machine, ...).
+    """Measures how long this process was not running (not scheduled, machine suspended, ...).
 
-    It is asked at regular intervals; if it is asked later than expected, the process was paused.
-    Peers that seemed silent meanwhile must not be declared failed for that.
+    `look` is called at regular intervals. If a call comes later than expected, the process was
+    paused, and peers must not be declared failed for their apparent silence during the pause.
 
     >>> detector = PauseDetector(100, 0)
     >>> detector.look(90), detector.look(5_000), detector.look(5_050)
@@ -15,11 +15,14 @@
     """
 
     def __init__(self, expected_interval_us: int, now_us: int) -> None:
-        """:param expected_interval_us: the longest interval between two calls without a pause."""
+        """Start measuring.
+
+        :param expected_interval_us: the longest interval between two calls without a pause.
+        """
         self.expected_interval_us = expected_interval_us
         self.last_look_us = now_us
 
     def look(self, now_us: int) -> int:
-        """The length in microseconds of the pause that ended now, or 0 if there was none."""
+        """Return the duration of the pause that ended just now, or 0 if there was none."""
         interval_us, self.last_look_us = now_us - self.last_look_us, now_us
         return interval_us if interval_us > self.expected_interval_us else 0
--- a/packages/runtime/meadowdock/runtime/slab.py
+++ b/packages/runtime/meadowdock/runtime/slab.py
@@ -1,6 +1,7 @@
-"""A slab: values in numbered slots, each reached by a handle of slot and generation.
+"""A slab: values in numbered slots, accessed by handles of slot and generation.
 
-A slot is used again once its value was taken; a handle to the earlier value then reaches nothing.
+A slot is reused after its value was taken. Handles to the earlier value then find nothing, since
+their generation is an older one.
 
 >>> slab = Slab()
 >>> first = slab.put("a")
@@ -23,25 +24,25 @@
 
 
 class Slab(Generic[T]):
-    """Values by handle; all operations but iteration take constant time."""
+    """Values by handle; all operations except iteration take constant time."""
 
-    # Invariants: generations[slot] grows by one at each take; values[slot] is VACANT iff
-    # slot is in vacant; a handle (slot, generation) is live iff generations[slot] equals it
-    # and the slot is not vacant.
-    VACANT = object()
+    # Invariants: each take increments generations[slot]; values[slot] is FREE iff slot is in
+    # free_slots; a handle (slot, generation) is live iff generations[slot] equals its generation
+    # and the slot is not free.
+    FREE = object()
 
     def __init__(self) -> None:
         self.values: list[Any] = []
         self.generations: list[int] = []
-        self.vacant: list[int] = []
+        self.free_slots: list[int] = []
 
     def __len__(self) -> int:
-        return len(self.values) - len(self.vacant)
+        return len(self.values) - len(self.free_slots)
 
     def put(self, value: T) -> Handle:
         """Store a value and return its handle."""
-        if self.vacant:
-            slot = self.vacant.pop()
+        if self.free_slots:
+            slot = self.free_slots.pop()
             self.values[slot] = value
         else:
             slot = len(self.values)
@@ -49,32 +50,32 @@
             self.generations.append(0)
         return slot, self.generations[slot]
 
-    def live(self, handle: Handle) -> bool:
-        """Whether the handle's value was not taken yet."""
+    def is_live(self, handle: Handle) -> bool:
+        """Return whether the handle's value has not been taken yet."""
         slot, generation = handle
         return (
             0 <= slot < len(self.values)
             and self.generations[slot] == generation
-            and self.values[slot] is not Slab.VACANT
+            and self.values[slot] is not Slab.FREE
         )
 
     def get(self, handle: Handle) -> T | None:
-        """The handle's value, or None once it was taken."""
-        if not self.live(handle):
+        """Return the handle's value, or None once it was taken."""
+        if not self.is_live(handle):
             return None
         value: T = self.values[handle[0]]
         return value
 
     def take(self, handle: Handle) -> T | None:
         """Remove and return the handle's value, or None if it was taken before."""
-        if not self.live(handle):
+        if not self.is_live(handle):
             return None
         slot = handle[0]
         value: T = self.values[slot]
-        self.values[slot] = Slab.VACANT
+        self.values[slot] = Slab.FREE
         self.generations[slot] += 1
-        self.vacant.append(slot)
+        self.free_slots.append(slot)
         return value
 
     def __iter__(self) -> Iterator[T]:
-        return (value for value in list(self.values) if value is not Slab.VACANT)
+        return (value for value in list(self.values) if value is not Slab.FREE)
