--- a/packages/process/meadowdock/process/__init__.py
+++ b/packages/process/meadowdock/process/__init__.py
@@ -1,4 +1,4 @@
-"""The lifecycle that the three daemons share: start, serving, health checks, graceful shutdown."""
+"""The common lifecycle of the three daemons: start, serving, health checks, graceful shutdown."""
 
 from meadowdock.process.daemon import Daemon
 from meadowdock.process.exceptions import RECOVERABLE_ERRORS
--- a/packages/process/meadowdock/process/daemon.py
+++ b/packages/process/meadowdock/process/daemon.py
@@ -1,4 +1,4 @@
-"""The base class of the daemons: what a program adds to the node that runs it."""
+"""The base class of the daemons, with the hooks that a node calls."""
 
 from __future__ import annotations
 
@@ -14,38 +14,44 @@
 
 
 class Daemon:
-    """One program's role in a node. The node calls these methods, in the order in which they stand.
+    """The part of a process that is specific to its role.
 
-    node: the node that runs this daemon. table: the HTTP routes of the process's own listener.
+    The node calls the methods in the order of their definition.
+
+    :ivar node: the node that runs this daemon.
+    :ivar table: the HTTP routes of the process's own listener.
     """
 
     node: Node
     table: RouteTable
 
     def listeners(self) -> dict[str, RouteTable]:
-        """Further HTTP listeners by address, served and shut down as the process's own is."""
+        """Return additional HTTP listeners by address.
+
+        The node serves and shuts them down together with the process's own listener.
+        """
         return {}
 
     async def prepare(self) -> None:
-        """Load state, before any listener is open."""
+        """Load stored state, before any listener is open."""
 
     def rpc_handlers(self) -> Handlers:
-        """The rpc methods that this process answers."""
+        """Return the handlers of the rpc methods that this process serves."""
         raise NotImplementedError
 
     def background_tasks(self) -> dict[str, BackgroundTask]:
-        """The loops that run until the process ends, by their names in the log."""
+        """Return the tasks that run until the process ends, by their names in the log."""
         raise NotImplementedError
 
     def unready_reasons(self) -> list[str]:
-        """Why this process is not ready; empty if it is. Shown at /ready."""
+        """Return why this process is not ready, as reported at /ready; empty if it is ready."""
         raise NotImplementedError
 
     async def announce_shutdown(self) -> None:
-        """Tell peers that this process is about to stop, and hand over what it leads."""
+        """Notify peers that this process is about to stop, and hand over its leases."""
 
     async def drain(self) -> None:
-        """Return once no work is in flight."""
+        """Wait until no work is in flight."""
 
     def abort_requests(self) -> None:
-        """End what is in flight: a second signal asked for an immediate stop."""
+        """Abort the requests in flight, after a second signal requested an immediate stop."""
--- a/packages/process/meadowdock/process/exceptions.py
+++ b/packages/process/meadowdock/process/exceptions.py
@@ -1,7 +1,7 @@
-"""The errors after which a daemon carries on.
+"""The exceptions after which a daemon continues to run.
 
-Nothing here is raised by this package: a background task that ends with one of these is logged and
-started again, and a peer's malformed data is dropped. Any other exception ends the process.
+A background task that fails with one of them is logged and restarted, and malformed data of a peer
+that causes one of them is dropped. Any other exception ends the process.
 """
 
 from __future__ import annotations
--- a/packages/process/meadowdock/process/health.py
+++ b/packages/process/meadowdock/process/health.py
@@ -1,4 +1,4 @@
-"""Liveness and readiness: the health checks that each daemon answers at its own HTTP listener."""
+"""The liveness and readiness checks of each daemon, served at its own HTTP listener."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @health_checks.on("GET", "/live")
 async def live(daemon: Daemon, request: Request) -> Response:
-    """200 as long as the process serves at all."""
+    """Respond with 200 as long as the process serves requests at all."""
     return Response(200, {"live": True})
 
 
 @health_checks.on("GET", "/ready")
 async def ready(daemon: Daemon, request: Request) -> Response:
-    """200 if the node is ready, else 503 with the reasons."""
+    """Respond with 200 if the node is ready, otherwise with 503 and the reasons."""
     reasons = daemon.node.unready_reasons()
     return Response(503 if reasons else 200, {"ready": not reasons, "why": reasons})
 
 
 def with_health_checks(routes: RouteTable) -> RouteTable:
-    """A daemon's routes together with those of the health checks; a daemon's own go first."""
+    """Return a daemon's routes together with the health checks; a daemon's routes take precedence."""
     combined = RouteTable()
     combined.exact = {**health_checks.exact, **routes.exact}
     combined.prefixes, combined.fallback = routes.prefixes, routes.fallback
--- a/packages/process/meadowdock/process/listeners.py
+++ b/packages/process/meadowdock/process/listeners.py
@@ -1,4 +1,4 @@
-"""The HTTP listeners of one process: served together, and closed together."""
+"""The HTTP listeners of one process, which are opened and closed together."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class HttpListeners:
-    """The apps of a process by the address at which each is served.
+    """The HTTP apps of a process, by the address at which each is served.
 
-    Invariants: `closing` is set before `closed`; `closed` means that no connection is open.
+    Invariants: `closing` is set before `closed`; once `closed` is set, no connection is open.
     """
 
     def __init__(self, apps: dict[str, App]) -> None:
@@ -19,7 +19,7 @@
         self.closing, self.closed = trio.Event(), trio.Event()
 
     async def serve(self, net: Net, grace_us: int, task_status: trio.TaskStatus[None]) -> None:
-        """Serve all apps until `closing`, and requests in flight for grace_us (microseconds) more."""
+        """Serve all apps until `closing` is set, and then the requests in flight for grace_us."""
         async with trio.open_nursery() as nursery:
             for address, app in self.apps.items():
                 await nursery.start(net.serve_http, app, address, self.closing, grace_us)
@@ -27,19 +27,19 @@
         self.closed.set()
 
     def end_connections(self) -> None:
-        """From now on each response asks the client to close its connection."""
+        """Ask the client to close its connection in each response from now on."""
         for app in self.apps.values():
             app.closing = True
 
     def requests_in_flight(self) -> int:
-        """How many requests were received and not yet answered."""
+        """Return the number of requests without a response yet."""
         return sum(app.requests_in_flight for app in self.apps.values())
 
     def last_request_at(self) -> int:
-        """When the last request came that was no health check: microseconds, monotonic clock."""
+        """Return the monotonic time in microseconds of the last request that was no health check."""
         return max(app.last_request_at for app in self.apps.values())
 
     async def wait_idle(self) -> None:
-        """Return once no request is in flight."""
+        """Wait until no request is in flight."""
         for app in self.apps.values():
             await app.wait_idle()
--- a/packages/process/meadowdock/process/node.py
+++ b/packages/process/meadowdock/process/node.py
@@ -1,4 +1,4 @@
-"""The node: what each daemon is made of, beside its own role.
+"""The node: the part of a process that is the same for all daemons.
 
 A node owns the process's rpc connections and listener, its membership view, its HTTP listeners,
 its background tasks and its shutdown.
@@ -27,9 +27,11 @@
 class Node:
     """One process of the mesh.
 
-    Invariants: daemon and listeners are set once, when the node runs; stopping goes from False to
-    True once, and is True from the moment at which shutdown begins. incarnation is the wall clock's
-    time of the start in microseconds: it orders the processes that have had this address.
+    Invariants: daemon and listeners are set once, when the node runs; stopping changes from False
+    to True once, when the shutdown begins.
+
+    :ivar incarnation: the wall-clock time of the start in microseconds, which orders the processes
+        that had this address.
     """
 
     daemon: Daemon
@@ -45,9 +47,9 @@
         self.settings, self.runtime, self.nursery = settings, runtime, nursery
         self.log = log or Log(settings.name)
         self.incarnation = runtime.wall_us()
-        me = Peer(settings.name, settings.link)
+        self_peer = Peer(settings.name, settings.link)
         self.rpc = ConnectionPool(
-            nursery, runtime.net, settings.fleet_key, runtime.rng, me, self.log
+            nursery, runtime.net, settings.fleet_key, runtime.rng, self_peer, self.log
         )
         entry = MemberEntry(
             settings.link, settings.role, settings.zone, self.incarnation, 0, False, 0
@@ -57,7 +59,7 @@
         self.shutdown = GracefulShutdown(self)
 
     def unready_reasons(self) -> list[str]:
-        """Why this node is not ready; empty if it is."""
+        """Return why this node is not ready; empty if it is ready."""
         stopping = ["stopping"] if self.stopping else []
         return [*stopping, *self.daemon.unready_reasons()]
 
@@ -68,7 +70,7 @@
     ) -> None:
         """Serve until a shutdown is requested, then shut down and cancel the node's nursery.
 
-        Reports itself started once all listeners are open.
+        `task_status` is set to started once all listeners are open.
         """
         self.daemon = make_daemon(self)
         self.listeners = HttpListeners(self.apps())
@@ -88,7 +90,7 @@
         await self.shutdown.run()
 
     def apps(self) -> dict[str, App]:
-        """The HTTP apps by address: the process's own with the health checks, then the daemon's."""
+        """Return the HTTP apps by address: the process's own, with health checks, and the daemon's."""
         own = {self.settings.http: with_health_checks(self.daemon.table)}
         routes = {**own, **self.daemon.listeners()}
         return {address: App(table, self.daemon, self.log) for address, table in routes.items()}
--- a/packages/process/meadowdock/process/runner.py
+++ b/packages/process/meadowdock/process/runner.py
@@ -1,4 +1,4 @@
-"""From settings to a running process: event loop, signals, and the interpreter's own settings."""
+"""Running a daemon as a process: event loop, signals, and interpreter settings."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 from meadowdock.runtime import Disk, Net, NoDisk, Runtime
 from meadowdock.settings import ProcessSettings
 
-# Threads check and assemble large configurations; the event loop gets its turn back this soon.
+# While a thread validates or assembles a large configuration, the event loop waits no longer than
+# this for the interpreter lock.
 THREAD_SWITCH_INTERVAL_S = 0.0005
 
 
 async def watch_signals(node: Node) -> None:
-    """Pass SIGTERM and SIGINT on to the node's shutdown."""
+    """Forward SIGTERM and SIGINT to the node's shutdown."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
         async for _ in received:
-            node.shutdown.signalled()
+            node.shutdown.on_signal()
 
 
 async def run_daemon(settings: ProcessSettings, make_daemon: Callable[[Node], Daemon]) -> None:
@@ -36,13 +37,13 @@
 
 
 def start(make_daemon: Callable[[Node], Daemon]) -> Callable[[ProcessSettings], None]:
-    """A function that runs a daemon with given settings and returns once it has ended."""
+    """Return a function that runs a daemon with its settings and returns once it has ended."""
 
     def run(settings: ProcessSettings) -> None:
         sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
-        linecache.clearcache()  # attrs put the source of each method that it generated there
+        linecache.clearcache()  # drops the source of all methods that attrs has generated
         gc.collect()
-        gc.freeze()  # what is loaded by now stays: no collection looks at it again
+        gc.freeze()  # garbage collections skip what is loaded so far, which is never freed
         trio.run(run_daemon, settings, make_daemon)
 
     return run
--- a/packages/process/meadowdock/process/shutdown.py
+++ b/packages/process/meadowdock/process/shutdown.py
@@ -1,8 +1,8 @@
-"""Graceful shutdown: what a node does between the first signal and the end of its process.
+"""Graceful shutdown of a node, from the first signal to the end of its process.
 
-In order: it reports itself not ready, tells its peers, keeps serving until load balancers and
-callers have noticed, waits for the requests in flight, and closes its listeners. A deadline bounds
-all of it; a second signal ends it at once.
+The node reports itself not ready, notifies its peers, keeps serving until load balancers and
+callers have noticed, waits for the requests in flight, and closes its listeners. All this is
+limited by a deadline; a second signal ends it immediately.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 if TYPE_CHECKING:
     from meadowdock.process.node import Node
 
-# Still serving for so long: the platform looks at readiness only once a second.
+# How long a node keeps serving first; the platform checks readiness only once a second.
 DEFAULT_LINGER_US = 1_200 * MILLISECOND
-# The platform kills a process after about 6 s; a stop within 5 s is promised.
+# The platform kills a process after about 6 s, and a stop within 5 s is guaranteed.
 DEFAULT_TIMEOUT_US = 4_700 * MILLISECOND
-# Listeners stay open until no request came for so long, for callers that ignore readiness...
+# Listeners stay open until no request has arrived for this long, for callers that ignore readiness.
 QUIET_PERIOD_US = 200 * MILLISECOND
-# ...but are closed so long before the deadline in any case.
+# Listeners are closed this long before the deadline, even if requests still arrive.
 DRAIN_RESERVE_US = SECOND
-# After the deadline, for requests that came in just before the listeners were closed.
+# Extra time after the deadline for requests that arrived just before the listeners were closed.
 LAST_REQUESTS_US = 400 * MILLISECOND
 
 
 class GracefulShutdown:
     """The shutdown of one node.
 
-    Invariant: deadline is None until the shutdown begins. Times are in microseconds, and deadline
-    is one of the monotonic clock.
+    Invariant: deadline is None until the shutdown begins, and then a monotonic time in
+    microseconds.
     """
 
     def __init__(self, node: Node) -> None:
@@ -42,8 +42,8 @@
         self.deadline: int | None = None
         self.requested, self.abort_requested = trio.Event(), trio.Event()
 
-    def signalled(self) -> None:
-        """A signal came: the first asks for a graceful shutdown, a further one for the end."""
+    def on_signal(self) -> None:
+        """Request a graceful shutdown at the first signal, and an immediate one at the second."""
         if self.requested.is_set():
             self.abort_requested.set()
         else:
@@ -71,23 +71,23 @@
         node.nursery.cancel_scope.cancel()
 
     async def abort_when_requested(self, scope: trio.CancelScope) -> None:
-        """At a second signal: abort the requests in flight and cancel the scope."""
+        """Wait for a second signal, then abort the requests in flight and cancel the scope."""
         await self.abort_requested.wait()
         self.node.log(104)
         self.node.daemon.abort_requests()
         scope.cancel()
 
     async def linger(self) -> None:
-        """Tell peers, and keep serving until readiness checks have seen that this node leaves."""
-        linger_until = monotonic_us() + self.linger_us
+        """Notify peers, and keep serving until readiness checks have noticed the shutdown."""
+        linger_until_us = monotonic_us() + self.linger_us
         await self.node.daemon.announce_shutdown()
         await self.node.view.announce_leaving()
-        await sleep_us(linger_until - monotonic_us())
+        await sleep_us(linger_until_us - monotonic_us())
 
-    async def wait_for_quiet(self, latest: int) -> None:
-        """Keep the listeners open until requests cease, or until `latest`."""
+    async def wait_for_quiet(self, latest_us: int) -> None:
+        """Keep the listeners open until no more requests arrive, or until `latest_us`."""
         while (
             monotonic_us() - self.node.listeners.last_request_at() < QUIET_PERIOD_US
-            and monotonic_us() < latest
+            and monotonic_us() < latest_us
         ):
             await sleep_us(QUIET_PERIOD_US // 4)
--- a/packages/process/meadowdock/process/supervision.py
+++ b/packages/process/meadowdock/process/supervision.py
@@ -1,4 +1,4 @@
-"""Background tasks that outlive their own errors."""
+"""Supervision of background tasks, which are restarted after errors."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from meadowdock.runtime import MILLISECOND, sleep_us
 
 RESTART_DELAY_US = 200 * MILLISECOND
-CAUSES_LOGGED = 3
+MAX_LOGGED_CAUSES = 3
 
 
 async def supervise(name: str, task: BackgroundTask, log: Log) -> None:
-    """Run a task until it returns. After a recoverable error it is logged and run again."""
+    """Run a task until it returns; after a recoverable error, log the error and restart the task."""
     while True:
         try:
             await task()
             return
         except* RECOVERABLE_ERRORS as group:
-            log(105, task=name, cause=repr(group.exceptions[:CAUSES_LOGGED]))
+            log(105, task=name, cause=repr(group.exceptions[:MAX_LOGGED_CAUSES]))
         await sleep_us(RESTART_DELAY_US)
--- a/packages/settings/meadowdock/settings/__init__.py
+++ b/packages/settings/meadowdock/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of a process: files and flags, validated, and the daemons' command line."""
+"""The settings of a process, from files and flags, and the command line of the daemons."""
 
 from meadowdock.settings.command import command
 from meadowdock.settings.exceptions import InvalidSettings
--- a/packages/settings/meadowdock/settings/command.py
+++ b/packages/settings/meadowdock/settings/command.py
@@ -1,4 +1,4 @@
-"""The command line that the daemons share: run, check, --version, --help."""
+"""The common command line of the daemons: run, check, --version, --help."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 def command(
     role: str, start: Callable[[ProcessSettings], None], **extra: Callable[..., Any]
 ) -> Callable[..., None]:
-    """The `main` of a daemon's program.
+    """Return the `main` function of a daemon's program.
 
-    start: runs the daemon and returns once it has ended. extra: further commands by name, of a
-    settings file and flags.
+    :param start: runs the daemon with its settings and returns once it has ended.
+    :param extra: further commands by name, which take a settings file and flags.
     """
-    import fire  # here, since whoever makes ProcessSettings by itself needs no command line
+    # Imported here: programs that build their ProcessSettings themselves have no command line.
+    import fire
 
     @fire.decorators.SetParseFn(str)
     def run(
@@ -34,7 +35,7 @@
         data: str | None = None,
         fleet_key: str | None = None,
     ) -> None:
-        """Serve until told to stop. Flags override the boot file."""
+        """Run the daemon until a signal stops it. Flags override the settings in the boot file."""
         start(load(role, boot, host=host, hall=hall, seeds=seeds, data=data, fleet_key=fleet_key))
 
     @fire.decorators.SetParseFn(str)
@@ -46,18 +47,18 @@
         data: str | None = None,
         fleet_key: str | None = None,
     ) -> str:
-        """Check a boot file and flags; list every error."""
+        """Check a boot file and flags, and list all errors."""
         load(role, boot, host=host, hall=hall, seeds=seeds, data=data, fleet_key=fleet_key)
         return "boot is good"
 
     def main(argv: list[str] | None = None) -> None:
-        words = sys.argv[1:] if argv is None else argv
-        if words == ["--version"]:
+        arguments = sys.argv[1:] if argv is None else argv
+        if arguments == ["--version"]:
             print(f"{role} {VERSION}")
             return
         os.environ.setdefault("PAGER", "cat")
         try:
-            fire.Fire({"run": run, "check": check, **extra}, command=words, name=role)
+            fire.Fire({"run": run, "check": check, **extra}, command=arguments, name=role)
         except InvalidSettings as invalid:
             print("\n".join(invalid.errors), file=sys.stderr)
             sys.exit(EXIT_INVALID_SETTINGS)
--- a/packages/settings/meadowdock/settings/deferred_imports.py
+++ b/packages/settings/meadowdock/settings/deferred_imports.py
@@ -1,7 +1,6 @@
-"""Starts a daemon without the modules that it never uses: their memory is paid for as long as a
-process runs.
+"""Deferred imports, which save a daemon the memory of modules that it never uses.
 
-`defer_unused_imports` comes before all other imports of a program, and is for whole programs only.
+A program calls `defer_unused_imports` before all its other imports. Libraries must not call it.
 """
 
 from __future__ import annotations
@@ -11,18 +10,18 @@
 import sys
 import types
 
-# What trio and the standard library import for TLS, for host names that aren't ASCII, for other
-# programs and for URLs. Each is loaded once one of its names is asked for.
-UNUSED = ("ssl", "idna", "subprocess", "ipaddress")
-# A second implementation of the hashes that hashlib has by itself, at the price of all of OpenSSL.
+# Imported by trio and the standard library for TLS, non-ASCII host names, subprocesses and URLs.
+# Each is loaded at the first access to one of its attributes.
+DEFERRED = ("ssl", "idna", "subprocess", "ipaddress")
+# Loads all of OpenSSL for hashes that hashlib also implements without it.
 OMITTED = ("_hashlib",)
 
 
 class DeferredModule(types.ModuleType):
-    """A module whose code runs once one of its names is asked for.
+    """A module that is executed at the first access to one of its attributes.
 
-    importlib's LazyLoader doesn't do: Python 3.11 itself looks at the module when it is imported a
-    second time.
+    importlib's LazyLoader is no alternative: Python 3.11 itself accesses an attribute of the module
+    when it is imported a second time, which would load it.
     """
 
     def __getattr__(self, name: str) -> object:
@@ -34,7 +33,7 @@
 
 
 def defer_import(name: str) -> None:
-    """Load a module only when one of its names is asked for; nothing if it is loaded already."""
+    """Defer the loading of a module to its first use; a module that is already loaded stays."""
     spec = None if name in sys.modules else importlib.util.find_spec(name)
     if spec is not None:
         module = sys.modules[name] = importlib.util.module_from_spec(spec)
@@ -43,19 +42,19 @@
 
 def defer_unused_imports() -> None:
     """Defer or omit the modules that no daemon needs."""
-    for name in UNUSED:
+    for name in DEFERRED:
         defer_import(name)
     for name in OMITTED:
-        # its import fails, and hashlib takes its own implementation
+        # None makes its import fail, so that hashlib falls back to its own implementation.
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
     if "ctypes.util" not in sys.modules:
         install_library_finder()
 
 
 def install_library_finder() -> None:
-    """A ctypes.util for trio, which asks it once for the library that names threads.
+    """Install a minimal ctypes.util for trio, which uses it once to find the C library.
 
-    The real one starts other programs to find it.
+    The original would start other programs for that.
     """
     module = types.ModuleType("ctypes.util")
     module.find_library = find_library  # type: ignore[attr-defined]
@@ -64,5 +63,5 @@
 
 
 def find_library(name: str) -> str | None:
-    """The file name of the C library, or None for any other."""
+    """Return the file name of the C library, or None for any other library."""
     return "libc.so.6" if name in ("c", "pthread") else None
--- a/packages/settings/meadowdock/settings/exceptions.py
+++ b/packages/settings/meadowdock/settings/exceptions.py
@@ -1,4 +1,4 @@
-"""The error of this package."""
+"""The exception of this package."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class InvalidSettings(Exception):
-    """Settings were rejected; nothing was started.
+    """The settings are invalid; the process was not started.
 
-    errors: all that is wrong, one text each, which begins with the path of the setting.
+    :ivar errors: one message for each error, beginning with the path of the setting.
     """
 
     def __init__(self, errors: Sequence[str]) -> None:
--- a/packages/settings/meadowdock/settings/loading.py
+++ b/packages/settings/meadowdock/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reads settings files (TOML) and the flags that override them."""
+"""Loading of settings files (TOML) and the flags that override them."""
 
 from __future__ import annotations
 
@@ -9,33 +9,35 @@
 from meadowdock.settings.model import SECOND, ProcessSettings
 from meadowdock.settings.validation import checked
 
-# Readiness is looked at once a second: two looks fail while the listeners are still open.
+# Readiness is checked once a second: two checks fail while the listeners are still open.
 MAX_LINGER_US = 2_300_000
-# A process is to end so long before its platform kills it.
+# A process must end this long before its platform kills it.
 KILL_MARGIN_US = SECOND
 
 
 def load(role: str, boot: str | None = None, **flags: Any) -> ProcessSettings:
-    """The settings of a process: those of the file `boot`, if one is named, and flags over them.
+    """Load the settings of a process from the file `boot`, if there is one, and from flags.
 
-    Flags that are None are not given.
+    Flags override the file; a flag that is None is ignored.
 
-    :raises InvalidSettings: the file can't be read, or a setting is wrong.
+    :raises InvalidSettings: the file can't be read, or a setting is invalid.
     """
     values = {} if boot is None else read_file(boot)
-    given = {name: value for name, value in flags.items() if value is not None}
-    if "seeds" in given:
-        seeds = given["seeds"]
-        given["seeds"] = seeds.split(",") if isinstance(seeds, str) else [str(s) for s in seeds]
-    if "fleet_key" in given:
+    given_flags = {name: value for name, value in flags.items() if value is not None}
+    if "seeds" in given_flags:
+        seeds = given_flags["seeds"]
+        given_flags["seeds"] = (
+            seeds.split(",") if isinstance(seeds, str) else [str(s) for s in seeds]
+        )
+    if "fleet_key" in given_flags:
         values.pop("fleet_key_file", None)
-    return checked(role, values | {name: flag_value(value) for name, value in given.items()})
+    return checked(role, values | {name: flag_value(value) for name, value in given_flags.items()})
 
 
 def read_file(path: str) -> dict[str, Any]:
-    """The values of a settings file.
+    """Read the values of a settings file.
 
-    :raises InvalidSettings: it can't be read, or is no TOML.
+    :raises InvalidSettings: the file can't be read, or isn't valid TOML.
     """
     try:
         with open(path, "rb") as file:
@@ -47,14 +49,14 @@
 
 
 def flag_value(value: Any) -> str | list[str]:
-    """A flag's value as a settings file would have it."""
+    """Convert the value of a flag to the type that a settings file would have."""
     return value if isinstance(value, list) else str(value)
 
 
 def stop_times(grace_us: int) -> dict[str, int]:
-    """{linger_us, stop_us} for a platform that kills a process grace_us after it asked it to stop.
+    """Return linger_us and stop_us for a platform that kills a process grace_us after the signal.
 
-    The process ends a second before, and lingers for two looks at its readiness if there is time.
+    The process ends one second earlier, and lingers for two readiness checks if there is time.
 
     >>> stop_times(6_000_000)
     {'linger_us': 2300000, 'stop_us': 5000000}
--- a/packages/settings/meadowdock/settings/model.py
+++ b/packages/settings/meadowdock/settings/model.py
@@ -1,7 +1,7 @@
-"""The settings of one process, as values of known types.
+"""The settings of one process as typed values.
 
-The names of settings in files and flags are those of schema.py; FIELD_NAMES lists where a field's
-name here is another.
+Settings files and flags use the names in schema.py; FIELD_NAMES lists the fields that have another
+name here.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 SECOND = 1_000_000  # microseconds
 
-# Name in a settings file -> name of the field, where they differ.
+# The field names that differ from the name in a settings file, by the latter.
 FIELD_NAMES = {
     "hall": "zone",
     "local": "local_addresses",
@@ -20,17 +20,17 @@
     "beat_us": "heartbeat_us",
     "tries": "retry_budget",
 }
-# Ports by role: (HTTP, rpc).
+# The HTTP and rpc ports by role.
 DEFAULT_PORTS = {"mdproxy": (7400, 7401), "mdreg": (7410, 7411), "mdconf": (7420, 7421)}
 DEFAULT_NODES_EXPECTED = 8
 
 
 @dataclass(frozen=True)
 class RetryBudgetSettings:
-    """How many retries the whole fleet may send for one service.
+    """The limit of retries that all proxies together may send to one service.
 
-    In each window of window_us microseconds: `ratio` of the service's requests, or `reserve`
-    retries if that is more.
+    In each window of window_us microseconds they may send as many retries as `ratio` of the
+    service's requests, or `reserve` retries if that is more.
     """
 
     ratio: float = 0.15
@@ -42,8 +42,8 @@
 class ProcessSettings:
     """The settings of one process.
 
-    Invariant: made only by `checked`, so each field has passed the schema and the cross-checks.
-    Times are in microseconds; addresses are "ip:port".
+    Invariant: only `checked` creates them, so that each field has passed the schema and the
+    cross-checks. Times are in microseconds; addresses are "ip:port".
     """
 
     role: str
@@ -51,30 +51,30 @@
     zone: str
     seeds: tuple[str, ...]  # rpc addresses of processes to join through
     fleet_key: bytes
-    data: str | None  # folder of what the process stores
-    members: tuple[str, ...]  # the bootstrap set of the config store; empty: the seeds
+    data: str | None  # the data folder
+    members: tuple[str, ...]  # the bootstrap members of the config store; the seeds if empty
     local_addresses: frozenset[str]  # IP addresses of this machine
     nodes_expected: int
     operator_key: str | None
     http_port: int
     link_port: int
-    gate_port: int = 7402  # where proxies of other machines forward requests to
-    gate_address: str | None = None  # where requests of this machine arrive
-    service: str | None = None  # of the local endpoint
-    app_address: str | None = None  # of the local endpoint
+    gate_port: int = 7402  # the port to which proxies on other machines forward requests
+    gate_address: str | None = None  # the address at which requests of this machine arrive
+    service: str | None = None  # the service of the local endpoint
+    app_address: str | None = None  # the address of the local endpoint
     may_bootstrap: bool = True  # whether this process may take part in a bootstrap
     losses: int = 1  # members that may be lost at once; 2 * losses + 1 voters are wanted
     zone_losses: int = 0  # complete zones that may be lost at once
     region_losses: int = 0  # complete regions that may be lost at once
-    region: str = ""  # of the zone, if known
-    contact_us: int = 3 * SECOND  # after the last fault, processes are connected within this
-    ack_us: int = 4 * SECOND  # an operator's request is acknowledged within this
-    apply_us: int = 2 * SECOND  # an acknowledged change is in force everywhere within this
-    linger_us: int = 1_200_000  # a stopping process keeps its listeners open for so long
-    stop_us: int = 4_700_000  # and ends within this; linger_us is less
-    catch_up_us: int = 4 * SECOND  # how long a machine that is back still counts as lost
-    heartbeat_us: int = 500_000  # interval of the endpoints' heartbeats
-    drain_us: int = 2 * SECOND  # how long an endpoint serves on once it reported draining
+    region: str = ""  # the region of the zone, if known
+    contact_us: int = 3 * SECOND  # time limit to connect to other processes after the last fault
+    ack_us: int = 4 * SECOND  # time limit to acknowledge an operator's request
+    apply_us: int = 2 * SECOND  # time limit to activate an acknowledged change everywhere
+    linger_us: int = 1_200_000  # how long a stopping process keeps its listeners open
+    stop_us: int = 4_700_000  # time limit of a shutdown; longer than linger_us
+    catch_up_us: int = 4 * SECOND  # how long a returned machine still counts as lost
+    heartbeat_us: int = 500_000  # interval of the heartbeats of endpoints
+    drain_us: int = 2 * SECOND  # how long an endpoint still serves after it reported draining
     retry_budget: RetryBudgetSettings = RetryBudgetSettings()
 
     @property
--- a/packages/settings/meadowdock/settings/schema.py
+++ b/packages/settings/meadowdock/settings/schema.py
@@ -1,8 +1,8 @@
-"""What each setting may be: a JSON schema, and for each setting a check that needs no library.
+"""The valid values of each setting, as a JSON schema and as a check that needs no library.
 
 The checks save a daemon the time and memory of a schema validator. Invariant: a check accepts
-nothing that its schema rejects. What a check doesn't accept is validated, and the errors are
-worded, by the schema.
+nothing that its schema rejects. If a check fails, the settings are validated with the schema, which
+also provides the error messages.
 """
 
 from __future__ import annotations
@@ -32,38 +32,35 @@
 
 
 class Rule(NamedTuple):
-    """What one setting may be."""
+    """The valid values of one setting."""
 
     schema: Schema
     accepts: Check
 
 
-# ---------------------------------------------------------------- checks
-
-
 def integer_between(low: int, high: int) -> Check:
-    """A check for integers within bounds; a boolean is none."""
+    """Return a check that accepts integers within bounds, but no booleans."""
     return lambda value: type(value) is int and low <= value <= high
 
 
 def is_text(value: Any) -> bool:
-    """Whether a value is text, and not empty."""
+    """Return whether a value is text and not empty."""
     return isinstance(value, str) and value != ""
 
 
 def is_boolean(value: Any) -> bool:
-    """Whether a value is true or false."""
+    """Return whether a value is a boolean."""
     return isinstance(value, bool)
 
 
 def matches(pattern: str) -> Check:
-    """A check for text in which a pattern is found."""
+    """Return a check that accepts text in which a pattern is found."""
     search = re.compile(pattern).search
     return lambda value: isinstance(value, str) and search(value) is not None
 
 
 def is_ipv4(value: Any) -> bool:
-    """Whether a value is an IPv4 address in its usual form."""
+    """Return whether a value is an IPv4 address in dotted-decimal notation."""
     try:
         return isinstance(value, str) and bool(socket.inet_pton(socket.AF_INET, value))
     except (OSError, ValueError):
@@ -71,12 +68,12 @@
 
 
 def list_of(accepts: Check) -> Check:
-    """A check for lists whose items pass a check."""
+    """Return a check that accepts lists whose items all pass another check."""
     return lambda value: isinstance(value, list) and all(map(accepts, value))
 
 
 def distinct_list(low: int, high: int, accepts: Check) -> Check:
-    """A check for lists of low to high different items that pass a check."""
+    """Return a check that accepts lists of low to high distinct items that pass another check."""
     accepts_items = list_of(accepts)
     return lambda value: (
         accepts_items(value) and low <= len(value) <= high and len(set(value)) == len(value)
@@ -84,37 +81,34 @@
 
 
 def is_service(value: Any) -> bool:
-    """Whether a value is the name of a service."""
+    """Return whether a value is a valid name of a service."""
     return is_text(value) and len(value) <= MAX_SERVICE_LENGTH
 
 
 def is_retry_budget(value: Any) -> bool:
-    """Whether a value is a table with all settings of a retry budget, and no others."""
+    """Return whether a value is a table with exactly the settings of a retry budget."""
     return (
         isinstance(value, dict)
         and set(value) == set(RETRY_BUDGET_SCHEMA["properties"])
         and type(value["ratio"]) in (int, float)
         and 0 <= value["ratio"] <= 1
-        and TIME.accepts(value["window_us"])
+        and DURATION_US.accepts(value["window_us"])
         and integer_between(0, MAX_RESERVE)(value["reserve"])
     )
 
 
-# ---------------------------------------------------------------- rules
-
-
 def integer_rule(low: int, high: int) -> Rule:
-    """The rule for integers within bounds."""
+    """Return the rule for integers within bounds."""
     return Rule({"type": "integer", "minimum": low, "maximum": high}, integer_between(low, high))
 
 
 def pattern_rule(pattern: str) -> Rule:
-    """The rule for text in which a pattern is found."""
+    """Return the rule for text in which a pattern is found."""
     return Rule({"type": "string", "pattern": pattern}, matches(pattern))
 
 
 def addresses_rule(low: int, high: int) -> Rule:
-    """The rule for lists of low to high different addresses."""
+    """Return the rule for lists of low to high distinct addresses."""
     schema: Schema = {
         "type": "array",
         "maxItems": high,
@@ -132,7 +126,7 @@
 IPV4_LIST = Rule({"type": "array", "items": IPV4.schema}, list_of(is_ipv4))
 ADDRESS = pattern_rule(ADDRESS_PATTERN)
 ZONE = pattern_rule(ZONE_PATTERN)
-TIME = integer_rule(1, MAX_TIME_US)
+DURATION_US = integer_rule(1, MAX_TIME_US)
 PORT = integer_rule(1, MAX_PORT)
 LOSSES = integer_rule(0, MAX_LOSSES)
 SERVICE = Rule(
@@ -145,7 +139,7 @@
     "required": ["ratio", "window_us", "reserve"],
     "properties": {
         "ratio": {"type": "number", "minimum": 0, "maximum": 1},
-        "window_us": TIME.schema,
+        "window_us": DURATION_US.schema,
         "reserve": {"type": "integer", "minimum": 0, "maximum": MAX_RESERVE},
     },
 }
@@ -172,14 +166,14 @@
     "zone_losses": LOSSES,
     "region_losses": LOSSES,
     "region": ZONE,
-    "contact_us": TIME,
-    "ack_us": TIME,
-    "apply_us": TIME,
-    "linger_us": TIME,
-    "stop_us": TIME,
-    "catch_up_us": TIME,
-    "beat_us": TIME,
-    "drain_us": TIME,
+    "contact_us": DURATION_US,
+    "ack_us": DURATION_US,
+    "apply_us": DURATION_US,
+    "linger_us": DURATION_US,
+    "stop_us": DURATION_US,
+    "catch_up_us": DURATION_US,
+    "beat_us": DURATION_US,
+    "drain_us": DURATION_US,
     "tries": Rule(RETRY_BUDGET_SCHEMA, is_retry_budget),
 }
 SCHEMA: Schema = {
@@ -191,15 +185,18 @@
 
 
 def passes_checks(values: dict[str, Any]) -> bool:
-    """Whether all settings pass their checks; False says only that the schema has to look."""
+    """Return whether all settings pass their checks.
+
+    False doesn't mean that they are invalid: the schema decides.
+    """
     return set(REQUIRED) <= values.keys() <= RULES.keys() and all(
         RULES[name].accepts(value) for name, value in values.items()
     )
 
 
 def schema_errors(values: dict[str, Any]) -> ValidationErrors:
-    """All that the schema finds wrong."""
-    import jsonschema  # here, since a daemon whose settings are good never needs it
+    """Return all errors that the schema finds, with their paths."""
+    import jsonschema  # imported here, since a daemon with valid settings never needs it
 
     validator = jsonschema.Draft202012Validator(SCHEMA, format_checker=jsonschema.FormatChecker())
     return [
--- a/packages/settings/meadowdock/settings/validation.py
+++ b/packages/settings/meadowdock/settings/validation.py
@@ -1,4 +1,4 @@
-"""From the values of a settings file and flags to ProcessSettings: schema, cross-checks, key files."""
+"""Validation of settings and their conversion to ProcessSettings, with the reading of key files."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     schema_errors,
 )
 
-KEY_DIGITS = 64
+FLEET_KEY_DIGITS = 64
 HEXADECIMAL = frozenset("0123456789abcdef")
 BOOTSTRAP_SIZES = (1, 3, 5)
-# Settings that are taken as they are, and that have a default in ProcessSettings.
+# Settings that need no conversion and have a default in ProcessSettings.
 OPTIONAL = (
     "gate_port",
     "gate",
@@ -46,9 +46,10 @@
 
 
 def checked(role: str, values: dict[str, Any]) -> ProcessSettings:
-    """The settings of a process of a role ("mdproxy", "mdreg" or "mdconf").
+    """Validate the settings of a process and return them as ProcessSettings.
 
-    :raises InvalidSettings: with every error and its path.
+    :param role: "mdproxy", "mdreg" or "mdconf".
+    :raises InvalidSettings: with all errors and their paths.
 
     >>> try: checked("mdreg", {"host": "x", "hall": "H", "zone": "b"})
     ... except InvalidSettings as invalid: print(invalid)
@@ -59,7 +60,7 @@
     boot.host: 'x' is not a 'ipv4'
     """
     errors = [] if passes_checks(values) else schema_errors(values)
-    fleet_key = fleet_key_of(values, errors)
+    fleet_key = find_fleet_key(values, errors)
     operator_key = None
     if values.get("operator_key_file"):
         operator_key = read_key_file(values["operator_key_file"], "boot.operator_key_file", errors)
@@ -71,14 +72,14 @@
     if errors or fleet_key is None:
         distinct = sorted(set(errors), key=str)
         raise InvalidSettings([f"{path}: {message}" for path, message in distinct])
-    return settings_of(role, values, fleet_key, operator_key)
+    return build_settings(role, values, fleet_key, operator_key)
 
 
-def settings_of(
+def build_settings(
     role: str, values: dict[str, Any], fleet_key: str, operator_key: str | None
 ) -> ProcessSettings:
-    """The settings that valid values describe."""
-    optional = {FIELD_NAMES.get(n, n): values[n] for n in OPTIONAL if n in values}
+    """Build ProcessSettings from valid values."""
+    optional = {FIELD_NAMES.get(name, name): values[name] for name in OPTIONAL if name in values}
     if "tries" in values:
         optional["retry_budget"] = RetryBudgetSettings(**values["tries"])
     http_port, link_port = DEFAULT_PORTS[role]
@@ -99,8 +100,8 @@
     )
 
 
-def fleet_key_of(values: dict[str, Any], errors: ValidationErrors) -> str | None:
-    """The fleet's key, given or from its file; what is wrong with it is added to `errors`."""
+def find_fleet_key(values: dict[str, Any], errors: ValidationErrors) -> str | None:
+    """Return the fleet key, from the settings or its file; add what is wrong with it to `errors`."""
     key, path = values.get("fleet_key"), values.get("fleet_key_file")
     if key:
         return str(key)
@@ -108,13 +109,16 @@
         errors.append(("boot", "one of fleet_key and fleet_key_file is needed"))
         return None
     key = read_key_file(path, "boot.fleet_key_file", errors)
-    if key is not None and (len(key) != KEY_DIGITS or set(key) - HEXADECIMAL):
+    if key is not None and (len(key) != FLEET_KEY_DIGITS or set(key) - HEXADECIMAL):
         errors.append(("boot.fleet_key_file", "the file must hold 64 hexadecimal digits"))
     return key
 
 
 def read_key_file(path: str, setting: str, errors: ValidationErrors) -> str | None:
-    """The text of a key file; if it can't be read, None, and an error of the setting is added."""
+    """Return the text of a key file; if it can't be read, add an error and return None.
+
+    :param setting: the path of the setting that names the file.
+    """
     try:
         with open(path, encoding="ascii") as file:
             return file.read().strip()
@@ -124,10 +128,12 @@
 
 
 def config_store_errors(values: dict[str, Any]) -> ValidationErrors:
-    """What the settings of a member of the config store lack."""
-    given = {"data": bool(values.get("data")), "members": "members" in values}
+    """Return the errors in the settings that only members of the config store need."""
+    is_present = {"data": bool(values.get("data")), "members": "members" in values}
     errors = [
-        ("boot", f"'{name}' is needed by mdconf") for name, present in given.items() if not present
+        ("boot", f"'{name}' is needed by mdconf")
+        for name, present in is_present.items()
+        if not present
     ]
     if values.get("members") and len(values["members"]) not in BOOTSTRAP_SIZES:
         errors.append(("boot.members", "must list 1, 3 or 5 members, or none: the seeds found"))
@@ -135,7 +141,7 @@
 
 
 def address_errors(values: dict[str, Any]) -> ValidationErrors:
-    """The seeds and members that are no IP address and port."""
+    """Return an error for each seed and member that is no valid IP address with a port."""
     return [
         (f"boot.{name}.{index}", "is no IP number and port")
         for name in ("seeds", "members")
@@ -145,7 +151,7 @@
 
 
 def is_address(address: str) -> bool:
-    """Whether a text is "ip:port" with numbers within their bounds."""
+    """Return whether a text is a valid "ip:port"."""
     host, _, port = address.rpartition(":")
     try:
         return is_ipv4(host) and 0 < int(port) <= MAX_PORT
@@ -154,7 +160,7 @@
 
 
 def shutdown_errors(values: dict[str, Any]) -> ValidationErrors:
-    """That a process would stop before it has lingered, if so."""
+    """Return an error if a process would have to end before it has lingered."""
     linger_us = values.get("linger_us", ProcessSettings.linger_us)
     stop_us = values.get("stop_us", ProcessSettings.stop_us)
     if linger_us < stop_us:
--- a/tests/settings/test_command.py
+++ b/tests/settings/test_command.py
@@ -1,4 +1,4 @@
-"""The daemons' command line with settings files and flags, as processes."""
+"""The daemons' command line with settings files and flags, run as processes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from meadowdock.local_fleet.fleet import PROGRAM_PACKAGES
 
-GOOD = """
+VALID_SETTINGS = """
 host = "127.0.0.1"
 hall = "a"
 seeds = ["127.0.0.1:7411"]
@@ -26,9 +26,9 @@
 
 
 @pytest.mark.parametrize("role", ["mdproxy", "mdreg", "mdconf"])
-def test_check_version_help(role, tmp_path):
+def test_check_version_and_help(role, tmp_path):
     settings_file = tmp_path / "boot.toml"
-    settings_file.write_text(GOOD)
+    settings_file.write_text(VALID_SETTINGS)
     assert run_program(role, "check", "--boot", str(settings_file))[:2] == (0, "boot is good\n")
     assert run_program(role, "--version")[1].startswith(f"{role} ")
     status, out, err = run_program(role, "run", "--help")
@@ -36,7 +36,7 @@
     assert "--fleet_key" in out + err
 
 
-def test_every_error_is_listed_with_its_path_and_exit_status_2(tmp_path):
+def test_invalid_settings_exit_with_2_and_list_every_error(tmp_path):
     settings_file = tmp_path / "boot.toml"
     settings_file.write_text(
         'host = "here"\nzone = 1\nseeds = ["10.0.0.999:1"]\nfleet_key = "short"\n'
@@ -58,7 +58,7 @@
 
 def test_flags_override_the_file(tmp_path):
     settings_file = tmp_path / "boot.toml"
-    settings_file.write_text(GOOD.replace('127.0.0.1"\nhall', 'nonsense"\nhall'))
+    settings_file.write_text(VALID_SETTINGS.replace('127.0.0.1"\nhall', 'nonsense"\nhall'))
     assert run_program("mdreg", "check", "--boot", str(settings_file))[0] == 2
     assert (
         run_program("mdreg", "check", "--boot", str(settings_file), "--host", "127.0.0.1")[0] == 0
