--- a/packages/audit/meadowdock/audit/__init__.py
+++ b/packages/audit/meadowdock/audit/__init__.py
@@ -1,8 +1,8 @@
-"""An audit trail that others can verify.
+"""An audit trail that third parties can verify.
 
-Each accepted change is one signed record (JWS, RFC 7515, Ed25519) that refers to the record before
-it by its SHA-256. The newest record is part of the configuration's current revision itself, which
-changes only once a durable quorum has stored the record before as a file of its own.
+Each accepted change has one signed record (JWS, RFC 7515, Ed25519), which refers to the previous
+record by its SHA-256. The newest record is part of the current revision of the configuration. That
+revision changes only after a quorum has durably stored the newest record in a file of its own.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def __getattr__(name: str) -> type[Exception]:
-    # The library for JOSE is heavy: its error is looked up by those who verify, not before.
+    # The JOSE library needs much memory, so its exception is imported on first use.
     if name == "JoseError":
         from joserfc.errors import JoseError
 
--- a/packages/audit/meadowdock/audit/keys.py
+++ b/packages/audit/meadowdock/audit/keys.py
@@ -1,8 +1,8 @@
-"""The key that signs audit records: Ed25519, its public half as a JWK.
+"""The Ed25519 key that signs audit records, with its public key as a JWK.
 
-Signing needs only the signature itself from a library: a complete one for JOSE, as the verification
-uses it, would take 3 MB of memory in each member of the register. Even that library is loaded when
-the first key is made, not when the module is imported.
+Signing uses only the Ed25519 implementation of a library. The complete JOSE library, which
+verification uses, would take 3 MB of memory in each member of the config store. The library for
+signing is also imported only when the first key is created.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from meadowdock.audit.encoding import base64url
 
-KEY_PURPOSE = b"audit"  # derives the signing key from the fleet key
+KEY_PURPOSE = b"audit"  # HMAC message that derives the signing key from the fleet key
 
 
 class SigningKey:
-    """Signs records."""
+    """An Ed25519 key that signs audit records."""
 
     def __init__(self, seed: bytes) -> None:
         from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
@@ -26,24 +26,24 @@
         self.x = base64url(self.private.public_key().public_bytes_raw())
 
     def as_dict(self, private: bool = False) -> dict[str, str]:
-        """The public half as a JWK (RFC 8037).
+        """Return the public key as a JWK (RFC 8037).
 
-        :raises ValueError: the private half was asked for; it is never given out.
+        :raises ValueError: the private key was requested, which is never exported.
         """
         if private:
-            raise ValueError("only the public half of the signing key is given out")
+            raise ValueError("the private signing key can't be exported, only the public one")
         return {"crv": "Ed25519", "x": self.x, "kty": "OKP"}
 
     def thumbprint(self) -> str:
-        """The key's id in the header of each record (RFC 7638)."""
+        """Return the key ID in the header of each record (RFC 7638)."""
         members = json.dumps(self.as_dict(), separators=(",", ":"), sort_keys=True)
         return base64url(hashlib.sha256(members.encode()).digest())
 
     def sign(self, data: bytes) -> bytes:
-        """The signature of some data."""
+        """Return the signature of some data."""
         return self.private.sign(data)
 
 
 def signing_key(fleet_key: bytes) -> SigningKey:
-    """The signing key that all members derive from the fleet key: no further secret is stored."""
+    """Derive the signing key from the fleet key, so that no further secret has to be stored."""
     return SigningKey(hmac.digest(fleet_key, KEY_PURPOSE, "sha256"))
--- a/packages/audit/meadowdock/audit/verification.py
+++ b/packages/audit/meadowdock/audit/verification.py
@@ -1,6 +1,6 @@
-"""Verification of an audit trail by whoever has the public key: no trust in its members is needed.
+"""Verification of an audit trail with the public key, without trusting the members that store it.
 
-The library for JOSE is heavy: it is loaded when a trail is verified, not before.
+The JOSE library needs much memory, so it is imported on first use.
 """
 
 from __future__ import annotations
@@ -19,8 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Anchor:
-    """Where a chain begins whose older records were removed. version: of its first record.
-    former: the hash of the record before it."""
+    """The start of a chain whose older records were removed.
+
+    :ivar version: the version of the first record of the chain.
+    :ivar former: the hash of the record before it.
+    """
 
     version: int
     former: str
@@ -32,11 +35,12 @@
     version: int | None = None,
     anchor: Mapping[str, Any] | None = None,
 ) -> list[str]:
-    """Every fault of a chain of records, in order; an empty list if there is none.
+    """Verify a chain of records and return its faults in order; empty if there is none.
 
-    public: the signing key's public half as a JWK. version: that of the current revision, if known.
-    anchor: {"version", "former"} as in Anchor; without it the chain begins with the record whose
-    former hash is empty.
+    :param public: the public signing key as a JWK.
+    :param version: the version of the current revision, if known.
+    :param anchor: {"version", "former"} as in Anchor; without it, the chain must begin with the
+        record whose "former" hash is empty.
 
     >>> from meadowdock.audit import record_hash, sign, signing_key
     >>> key = signing_key(b"k" * 32)
@@ -55,22 +59,23 @@
     from joserfc.jwk import OKPKey
 
     key = OKPKey.import_key(dict(public))
-    start = None if anchor is None else Anchor(anchor["version"], anchor["former"])
+    chain_start = None if anchor is None else Anchor(anchor["version"], anchor["former"])
     payloads = [read_payload(record) for record in records]
     versions = {payload["version"] for payload in payloads if payload}
-    verifier = ChainVerifier(key, versions, start)
+    verifier = ChainVerifier(key, versions, chain_start)
     for record, payload in zip(records, payloads, strict=True):
-        verifier.check(record, payload)
+        verifier.check_record(record, payload)
     if version is not None:
         verifier.check_end(version)
     return verifier.faults
 
 
 class ChainVerifier:
-    """Goes through a chain, record by record, and collects its faults.
+    """Checks a chain record by record and collects its faults.
 
-    Invariants: position is the version that the record checked last should have, or None before
-    the first; former is that record's hash."""
+    Invariants: position is the expected version of the last record that was checked, or None before
+    the first; former is the hash of that record.
+    """
 
     def __init__(self, key: OKPKey, versions: set[int], anchor: Anchor | None) -> None:
         self.key = key
@@ -82,7 +87,7 @@
             self.position = anchor.version - 1
             self.former = anchor.former
 
-    def check(self, record: str, payload: dict[str, Any] | None) -> None:
+    def check_record(self, record: str, payload: dict[str, Any] | None) -> None:
         """Check the next record."""
         self.position = position = self.next_position(payload)
         if payload is None:
@@ -93,14 +98,14 @@
         self.former = record_hash(record)
 
     def next_position(self, payload: dict[str, Any] | None) -> int:
-        """The version that the next record should have."""
+        """Return the expected version of the next record."""
         if self.position is not None:
             return self.position + 1
         is_start = payload is not None and payload.get("former") == ""
         return payload["version"] if payload is not None and is_start else FIRST_VERSION
 
     def check_position(self, payload: dict[str, Any], position: int) -> None:
-        """Check that the record is the one after the former."""
+        """Check that the record follows the previous one."""
         version = payload["version"]
         if version == position:
             if payload.get("former") != self.former:
@@ -119,7 +124,7 @@
 
 
 def signature_faults(record: str, version: int, key: OKPKey) -> list[str]:
-    """What is wrong with a record's signature: nothing or one fault."""
+    """Return the fault of a record's signature, if there is one."""
     from joserfc import jws
     from joserfc.errors import JoseError
 
--- a/packages/cli/meadowdock/cli/__init__.py
+++ b/packages/cli/meadowdock/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' command line."""
+"""mdctl, the operators' command line."""
--- a/packages/cli/meadowdock/cli/exceptions.py
+++ b/packages/cli/meadowdock/cli/exceptions.py
@@ -1,11 +1,11 @@
-"""How a request to the config store can fail, by what is known of it."""
+"""The ways in which a request to the config store fails, by what is known of its outcome."""
 
 from __future__ import annotations
 
 
 class Unreachable(Exception):
-    """No member took a connection: nothing was sent, and the request did not run."""
+    """No member accepted a connection: nothing was sent, so the request did not run."""
 
 
 class OutcomeUnknown(Exception):
-    """The request was sent and no usable response came: it may have run."""
+    """The request was sent, but there was no usable response: it may have run."""
--- a/packages/cli/meadowdock/cli/operator_client.py
+++ b/packages/cli/meadowdock/cli/operator_client.py
@@ -1,4 +1,7 @@
-"""Requests to any member of the config store. Another is asked only if no byte reached the first."""
+"""Requests to the config store, of which any member can serve a request.
+
+A request is sent to another member only if no byte of it was sent to the previous one.
+"""
 
 from __future__ import annotations
 
@@ -15,33 +18,34 @@
 
 
 def ask(
-    cores: list[str],
+    members: list[str],
     method: str,
     path: str,
     body: bytes = b"",
     key: str | None = None,
     wait_s: float = DEFAULT_TIMEOUT_S,
 ) -> tuple[int, Any]:
-    """The status and JSON content of the response of the first member that takes a connection.
-
-    cores: their addresses, "ip:port". key: the operators' key, if the core wants one. wait_s:
-    seconds for a read or a write.
+    """Send a request to the first member that accepts a connection.
 
-    :raises Unreachable: no member took a connection.
-    :raises OutcomeUnknown: the request was sent, and there is no usable response.
+    :param members: their addresses, "ip:port".
+    :param key: the operators' key, if the members require one.
+    :param wait_s: time-out of each read and write in seconds.
+    :returns: the status and the JSON content of the response.
+    :raises Unreachable: no member accepted a connection.
+    :raises OutcomeUnknown: the request was sent, but there was no usable response.
     """
-    for core in cores:
+    for member in members:
         try:
-            return ask_one(core, method, path, body, key, wait_s)
+            return ask_member(member, method, path, body, key, wait_s)
         except Unreachable:
             continue
-    raise Unreachable(", ".join(cores))
+    raise Unreachable(", ".join(members))
 
 
-def ask_one(
-    core: str, method: str, path: str, body: bytes, key: str | None, wait_s: float
+def ask_member(
+    member: str, method: str, path: str, body: bytes, key: str | None, wait_s: float
 ) -> tuple[int, Any]:
-    """As `ask`, of one member."""
+    """Send a request to one member, as `ask` does."""
     sent = False
 
     def trace(event: str, info: dict[str, Any]) -> None:
@@ -61,7 +65,7 @@
         try:
             response = pool.request(
                 method,
-                f"http://{core}{path}",
+                f"http://{member}{path}",
                 headers=headers,
                 content=body,
                 extensions={"trace": trace, "timeout": timeout},
@@ -69,7 +73,7 @@
             return response.status, json.loads(response.content)
         except TRANSPORT_ERRORS as cause:
             if sent:
-                raise OutcomeUnknown(f"{core}: {cause!r}") from cause
-            raise Unreachable(core) from cause
+                raise OutcomeUnknown(f"{member}: {cause!r}") from cause
+            raise Unreachable(member) from cause
         except ValueError as cause:
-            raise OutcomeUnknown(f"{core}: the answer is no JSON") from cause
+            raise OutcomeUnknown(f"{member}: the answer is no JSON") from cause
--- a/packages/logs/meadowdock/logs/__init__.py
+++ b/packages/logs/meadowdock/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Log events with numbers: a catalogue, and the log that writes them."""
+"""Numbered log events: their catalogue, and the log that writes them."""
 
 from meadowdock.logs.catalogue import CATALOGUE, EventKind
 from meadowdock.logs.log import Log
--- a/packages/logs/meadowdock/logs/catalogue.py
+++ b/packages/logs/meadowdock/logs/catalogue.py
@@ -1,6 +1,7 @@
-"""The catalogue of log events: the one place where numbers and names are given.
+"""The catalogue of log events, which defines their numbers and names.
 
-Operators' tools go by the numbers, which never change their meaning. docs/events.md shows the catalogue.
+Operators' tools rely on the numbers, whose meanings never change. docs/events.md documents the
+catalogue.
 
 >>> sorted(CATALOGUE) == list(CATALOGUE)
 True
@@ -12,7 +13,7 @@
 
 
 class EventKind(NamedTuple):
-    """What a number stands for."""
+    """The name and the meaning of an event number."""
 
     name: str
     meaning: str
--- a/packages/logs/meadowdock/logs/log.py
+++ b/packages/logs/meadowdock/logs/log.py
@@ -1,4 +1,4 @@
-"""Writes log events as lines of JSON.
+"""The log of a process, written as lines of JSON.
 
 >>> Log("mdreg@x", file=sys.stdout, timed=False)(101, role="mdreg")
 {"of": "mdreg@x", "number": 101, "role": "mdreg", "event": "started"}
@@ -15,18 +15,22 @@
 
 
 class Log:
-    """The log of one process: one JSON object a line; what JSON can't represent is written as text.
+    """The log of one process, with one JSON object per line.
 
-    of: the name of the process, role@host. file: standard error unless given. timed: whether each
-    line has a timestamp.
+    Values that JSON can't represent are written as text.
+
+    :ivar of: the name of the process, "role@host".
+    :ivar file: the output, standard error by default.
+    :ivar timed: whether each line has a timestamp.
     """
 
     def __init__(self, of: str, file: TextIO | None = None, timed: bool = True) -> None:
         self.of, self.file, self.timed = of, file or sys.stderr, timed
 
     def __call__(self, number: int, **fields: Any) -> None:
-        """Write the event of a number with its fields.
+        """Write an event with its fields.
 
+        :param number: the number of the event in the catalogue.
         :raises KeyError: the number is not in the catalogue.
         """
         line = {"of": self.of, "number": number, **fields, "event": CATALOGUE[number].name}
--- a/tests/cli/test_usage.py
+++ b/tests/cli/test_usage.py
@@ -1,4 +1,4 @@
-"""mdctl without a core: its help."""
+"""The help of mdctl, which needs no core."""
 
 from __future__ import annotations
 
