--- a/packages/config_store/meadowdock/config_store/exceptions.py
+++ b/packages/config_store/meadowdock/config_store/exceptions.py
@@ -1,8 +1,8 @@
 """Errors of the configuration store.
 
-Whether a change may have been made is said by the errors of `meadowdock.consensus`: after
-`NoQuorum` it was not, after `OutcomeUnknown` it may have been. The errors here name further causes;
-after each of them nothing was changed.
+The errors of `meadowdock.consensus` tell whether a change may have been made: after `NoQuorum` it
+was not, after `OutcomeUnknown` it may have been. The errors here name further causes; after each of
+them nothing was changed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class QuorumUnreachable(NoQuorum):
-    """This member is in touch with no quorum; raised before anything was begun.
+    """This member is not in contact with a quorum; raised before the operation started.
 
     listeners: {listener name: address} of another member that reports a quorum; empty if none does.
     """
@@ -30,7 +30,7 @@
 class RevisionConflict(Exception):
     """The current revision is not the one that a change was based on.
 
-    current: the revision in force.
+    current: the current revision.
     """
 
     def __init__(self, current: Revision) -> None:
@@ -39,36 +39,36 @@
 
 
 class InvalidConfiguration(Exception):
-    """A configuration breaks the schema or its rules.
+    """A configuration violates the schema or its rules.
 
-    errors: one text for each fault.
+    errors: one text for each violation.
     """
 
     def __init__(self, errors: list[str]) -> None:
-        super().__init__(f"{len(errors)} errors")
+        super().__init__(f"invalid configuration: {len(errors)} errors")
         self.errors = errors
 
 
 class PlanUnknown(Exception):
-    """There is no such plan: it was never made, or its chunk is removed already."""
+    """The plan does not exist: it was never created, or its chunk has been removed."""
 
     def __init__(self, plan_id: object) -> None:
-        super().__init__(f"no plan {plan_id}")
+        super().__init__(f"plan {plan_id} is unknown")
 
 
 class PlanExpired(Exception):
     """The plan is too old to be committed."""
 
     def __init__(self, plan_id: str) -> None:
-        super().__init__(f"plan {plan_id} is too old")
+        super().__init__(f"plan {plan_id} has expired")
         self.plan_id = plan_id
 
 
 class PlanOutdated(Exception):
-    """The configuration changed since the plan was made.
+    """The configuration changed after the plan was created.
 
-    base: the version that the plan is based on. current: the version in force. changed_since: what
-    changed between them, by section; None if the base's chunks are removed already.
+    base: the version that the plan is based on. current: the current version. changed_since: what
+    changed between them, by section; None if the chunks of the base have been removed.
     """
 
     def __init__(
@@ -80,11 +80,11 @@
 
 
 class MembershipConflict(Exception):
-    """A change of the membership can't be made now.
+    """The membership can't be changed now.
 
-    code: the reason, as operators are told. facts: further fields of the answer to them.
+    code: the reason, as reported to operators. details: further fields of the response to them.
     """
 
-    def __init__(self, code: str, **facts: object) -> None:
+    def __init__(self, code: str, **details: object) -> None:
         super().__init__(code)
-        self.code, self.facts = code, facts
+        self.code, self.details = code, details
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -1,5 +1,7 @@
-"""Graceful shutdown of a voter: its vote goes to a spare, if there is one, and in any case what only
-its disk may hold goes to the other voters.
+"""Graceful shutdown of a voter.
+
+Its vote is handed over to a spare if there is one. In any case, state that may be on its disk alone
+is written to the other voters.
 """
 
 from __future__ import annotations
@@ -18,17 +20,17 @@
     from meadowdock.config_store.server import ConfigStore
 
 CHECK_INTERVAL_US = 20 * MILLISECOND
-SECURE_TIMEOUT_US = SECOND  # at most, for what only this disk may hold
-KEYS_AT_ONCE = 16
+SECURE_TIMEOUT_US = SECOND  # for writing state of this disk to the others
+MAX_CONCURRENT_KEYS = 16
 
 IsDurable = Callable[[VoterSets, Iterable[str]], bool]
 
 
 class Handover:
-    """What a voter does before it stops.
+    """The steps of a voter's graceful shutdown.
 
-    Invariant: once retired, this member accepts no write, so what secure_state found on the others'
-    disks is all that this one has acknowledged.
+    Invariant: once retired, this member accepts no write, so all that it ever accepted is covered
+    by secure_state.
     """
 
     def __init__(self, server: ConfigStore) -> None:
@@ -45,22 +47,27 @@
         return target is not None and server.node.settings.link not in target
 
     async def leave_membership(self, deadline: int) -> None:
-        """Wait until another voter replaced this one, as long as one can. The others know by
-        member.hello that this process is leaving, and change the membership."""
+        """Wait until another voter has replaced this one, as long as that is possible.
+
+        The other members learn from member.hello that this process is leaving, and change the
+        membership.
+        """
         store = self.server.store
         while store.is_voter and self.replaceable() and monotonic_us() < deadline:
             await sleep_us(CHECK_INTERVAL_US)
 
     async def secure_state(self, deadline: int) -> None:
-        """Make sure that what this disk accepted is on a durable quorum without it. Gives up at the
-        deadline, or at once if too few others answer."""
+        """Make sure that a durable quorum without this member holds what this disk has accepted.
+
+        It gives up at the deadline, or at once if too few others answer.
+        """
         store = self.server.store
         if not store.is_voter:
             return
         others = store.voter_sets.without(store.disk)
         answering = {answer.disk for answer in self.server.reachable().values()}
         if not others.is_durable(answering):
-            return  # without this member nothing can be written anyway
+            return  # without this member no write is possible anyway
         self.retired = True
 
         def is_durable(voter_sets: VoterSets, members: Iterable[str]) -> bool:
@@ -75,11 +82,11 @@
                     is_durable, min(deadline, monotonic_us() + SECURE_TIMEOUT_US)
                 )
             except (NoQuorum, OutcomeUnknown):
-                pass  # it stops all the same: the platform would end it soon
+                pass  # it stops all the same, as the platform would soon kill the process
 
     async def secure_keys(self, is_durable: IsDurable, deadline: int) -> None:
-        """Put each key's latest accepted pair on a durable quorum without this member."""
-        acceptor, limit = self.server.store.acceptor, trio.CapacityLimiter(KEYS_AT_ONCE)
+        """Write the latest accepted pair of each key to a durable quorum without this member."""
+        acceptor, limit = self.server.store.acceptor, trio.CapacityLimiter(MAX_CONCURRENT_KEYS)
 
         async def secure(key: str) -> None:
             async with limit:
@@ -87,14 +94,14 @@
                     ballot, _ = acceptor.read(key)
                     await self.server.proposer.ensure_accepted(key, ballot, is_durable, deadline)
                 except (KeyStateLost, NoQuorum, OutcomeUnknown):
-                    pass  # the other keys can still be secured
+                    pass  # the other keys can still be written
 
         async with trio.open_nursery() as nursery:
             for key in sorted(acceptor.keys.values()):
                 nursery.start_soon(secure, key)
 
     async def secure_chunks(self, is_durable: IsDurable, deadline: int) -> None:
-        """Put the chunks of the current revision on a durable quorum without this member."""
+        """Write the chunks of the current revision to a durable quorum without this member."""
         record = self.server.store.acceptor.read(CURRENT_REVISION_KEY)[1]
         if record is None:
             return
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -1,8 +1,7 @@
-"""Which configuration stores answer, and since when; and the bootstrap of the first membership
-configuration.
+"""Failure detection among configuration stores, and the bootstrap of the first configuration.
 
-Every process polls every other one. Who answered nothing for a while counts as failed; the time that
-this process itself was suspended is not counted.
+Every process polls every other one. A process that has been silent for a while counts as failed;
+time for which this process itself was suspended is not counted.
 """
 
 from __future__ import annotations
@@ -19,13 +18,13 @@
 class PeerStatus:
     """The last answer of another process.
 
-    since: when it began to answer under this disk id without a gap; at: when it answered last (both
-    in microseconds of the monotonic clock).
+    answering_since: when it began to answer under this disk id without a gap. answered_at: when it
+    answered last. Both are in microseconds of the monotonic clock.
     """
 
     disk: str
-    since: int
-    at: int
+    answering_since: int
+    answered_at: int
     disk_writable: bool
     leaving: bool
     failure_domain: FailureDomain
@@ -40,7 +39,7 @@
     handlers = Handlers()
 
     async def poll_peers_loop(self):
-        """Poll every known process, so that all get to know the newest configuration."""
+        """Poll every known process, so that all of them learn the newest configuration."""
         while True:
             await self.poll_peers()
             await sleep_us(
@@ -50,15 +49,18 @@
             )
 
     async def poll_peers(self):
-        """Poll every other known process once; adopt a newer membership configuration, or bootstrap the
-        first one if this process may."""
+        """Poll every other known process once.
+
+        Adopt a newer membership configuration if one is reported, or bootstrap the first one if
+        this process may.
+        """
         self.discount_pause(self.pause_detector.look(monotonic_us()))
-        asked = {
-            a: (a, "member.hello", {"link": self.node.settings.link})
-            for a in self.known_addresses()
+        requests = {
+            address: (address, "member.hello", {"link": self.node.settings.link})
+            for address in self.known_addresses()
         }
         answers = await self.node.rpc.successful_responses(
-            asked, monotonic_us() + self.timing.hello_timeout_us
+            requests, monotonic_us() + self.timing.hello_timeout_us
         )
         for address, hello in answers.items():
             self.record_hello(address, hello)
@@ -72,42 +74,46 @@
             self.membership_known_at = monotonic_us()
 
     def known_addresses(self):
-        """Addresses of all other known processes, in order."""
-        self.recent_askers = {
-            a: at
-            for a, at in self.recent_askers.items()
-            if monotonic_us() - at < self.timing.contact_kept_us
+        """Return the addresses of all other known processes, in order."""
+        self.recent_pollers = {
+            address: polled_at
+            for address, polled_at in self.recent_pollers.items()
+            if monotonic_us() - polled_at < self.timing.contact_retention_us
         }
         return sorted(
             {
                 *self.bootstrap_members,
                 *self.store.members.values(),
                 *self.node.view.core_members("mdconf"),
-                *self.recent_askers,
+                *self.recent_pollers,
             }
             - {self.node.settings.link}
         )
 
     def discount_pause(self, pause_us):
-        """This process was suspended for so long: the others' answers did not stop meanwhile."""
+        """Correct the statuses of peers after this process was suspended.
+
+        :param pause_us: for how long it was suspended; that time doesn't count as silence of the
+            others
+        """
         if pause_us:
             self.started_at += pause_us
             self.peer_statuses = {
-                a: replace(status, at=status.at + pause_us)
-                for a, status in self.peer_statuses.items()
+                address: replace(status, answered_at=status.answered_at + pause_us)
+                for address, status in self.peer_statuses.items()
             }
 
     def record_hello(self, address, hello):
-        """Remember what another process answered."""
-        old = self.peer_statuses.get(address)
+        """Update the status of a peer from its answer to a poll."""
+        previous = self.peer_statuses.get(address)
         uninterrupted = (
-            old
-            and old.disk == hello["disk"]
-            and monotonic_us() - old.at < self.timing.failed_after_us
+            previous
+            and previous.disk == hello["disk"]
+            and monotonic_us() - previous.answered_at < self.timing.failed_after_us
         )
         self.peer_statuses[address] = PeerStatus(
             hello["disk"],
-            old.since if uninterrupted else monotonic_us(),
+            previous.answering_since if uninterrupted else monotonic_us(),
             monotonic_us(),
             hello["well"],
             hello["leaving"],
@@ -115,8 +121,8 @@
         )
 
     def reachable(self):
-        """{address: PeerStatus} of all that answer, this process among them."""
-        me = PeerStatus(
+        """Return {address: PeerStatus} of all processes that answer, including this one."""
+        own_status = PeerStatus(
             self.store.disk,
             self.started_at,
             monotonic_us(),
@@ -125,23 +131,25 @@
             self.failure_domain,
         )
         fresh = {
-            a: status
-            for a, status in self.peer_statuses.items()
-            if monotonic_us() - status.at < self.timing.failed_after_us
+            address: status
+            for address, status in self.peer_statuses.items()
+            if monotonic_us() - status.answered_at < self.timing.failed_after_us
         }
-        return {**fresh, self.node.settings.link: me}
+        return {**fresh, self.node.settings.link: own_status}
 
     def unanswered_for_us(self, address):
-        """How long an address has not answered, in microseconds."""
+        """Return how long an address has been silent, in microseconds."""
         return monotonic_us() - (
-            self.peer_statuses[address].at if address in self.peer_statuses else self.started_at
+            self.peer_statuses[address].answered_at
+            if address in self.peer_statuses
+            else self.started_at
         )
 
     @handlers.on("member.hello")
-    async def on_hello(self, peer, asker):
-        """Answer a poll: the disk id and membership configuration here, and the state of the process."""
-        if asker and asker["link"] != self.node.settings.link:
-            self.recent_askers[asker["link"]] = monotonic_us()
+    async def on_hello(self, peer, poller):
+        """Answer a poll with the disk id, membership configuration and state of this process."""
+        if poller and poller["link"] != self.node.settings.link:
+            self.recent_pollers[poller["link"]] = monotonic_us()
         return {
             "disk": self.store.disk,
             "record": self.store.membership.to_record() if self.store.membership else None,
@@ -154,41 +162,48 @@
             "doors": self.operator_doors(),
         }
 
-    # ------------------------------------------------------------ bootstrap
-
     def is_blank(self):
-        """Whether this process may take part in a bootstrap: nothing was ever stored here."""
+        """Whether this process may take part in a bootstrap.
+
+        It may if the settings allow it and nothing was ever stored on its disk.
+        """
         return self.bootstrap_allowed and self.store.is_blank
 
     def may_bootstrap(self, answers):
-        """Whether this is the first of the bootstrap members, and all of them are blank and were
-        configured with the same list. So of two differing lists none is bootstrapped, and a lost
-        disk is never taken for a blank one."""
+        """Whether this process is to make the first membership configuration.
+
+        It must be the first of the bootstrap members, and all of them must be blank and configured
+        with the same list. Therefore members configured with different lists never bootstrap, and a
+        lost disk is never mistaken for a blank one.
+        """
         others = set(self.bootstrap_members) - {self.node.settings.link}
         return (
             self.is_blank()
             and self.node.settings.link == self.bootstrap_members[0]
             and all(
-                a in answers and tuple(answers[a]["founders"] or ()) == self.bootstrap_members
-                for a in others
+                address in answers
+                and tuple(answers[address]["founders"] or ()) == self.bootstrap_members
+                for address in others
             )
         )
 
     async def bootstrap(self, answers):
         """Make the first membership configuration and send it to the others."""
         voters = {
-            answers[a]["disk"]: a for a in self.bootstrap_members if a != self.node.settings.link
+            answers[address]["disk"]: address
+            for address in self.bootstrap_members
+            if address != self.node.settings.link
         }
         voters[self.store.disk] = self.node.settings.link
-        places = {hello["disk"]: failure_domain_of(hello) for hello in answers.values()}
-        places[self.store.disk] = self.failure_domain
-        membership = MembershipConfiguration(1, voters).with_places(places)
+        domains = {hello["disk"]: failure_domain_of(hello) for hello in answers.values()}
+        domains[self.store.disk] = self.failure_domain
+        membership = MembershipConfiguration(1, voters).with_failure_domains(domains)
         await self.store.adopt(membership)
         self.node.log(601, members=sorted(voters.values()))
-        asks = {a: (a, "member.adopt", membership.to_record()) for a in answers}
-        await self.node.rpc.call_all(asks, monotonic_us() + self.timing.hello_timeout_us)
+        requests = {a: (a, "member.adopt", membership.to_record()) for a in answers}
+        await self.node.rpc.call_all(requests, monotonic_us() + self.timing.hello_timeout_us)
 
 
 def failure_domain_of(hello):
-    """The failure domain in an answer to member.hello; former releases send none."""
+    """Return the failure domain in an answer to member.hello; older releases send none."""
     return FailureDomain(hello.get("zone", ""), hello.get("region", ""))
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -1,8 +1,8 @@
-"""Who votes: the voters are bootstrapped, added and replaced by the processes themselves, or changed
-by operators.
+"""The selection of voters, automatic or by operators.
 
-Each member decides by itself what should change (`wanted_change`); which of them acts first follows
-from an order that all know (`takeover_rank`). The change itself is in `membership_change`.
+Without operators the voters are bootstrapped, added and replaced automatically. Each member decides
+by itself what should change (`wanted_change`); which of them acts first follows from an order that
+all of them compute alike (`takeover_rank`). The change itself is made in `membership_change`.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us, sleep_us
 
 RECONCILE_INTERVAL_US = 50 * MILLISECOND
-MAX_JITTER_US = 100 * MILLISECOND  # before a change is made
-MAX_RETRY_JITTER_US = 300 * MILLISECOND  # after an attempt that failed
+MAX_JITTER_US = 100 * MILLISECOND  # of the delay before a change is made
+MAX_RETRY_JITTER_US = 300 * MILLISECOND  # of the delay after a failed attempt
 MAX_REQUEST_BYTES = 65536
 OPERATOR_MEMBER_COUNTS = (1, 3, 5)
 
@@ -31,29 +31,32 @@
 class MembershipManager(Liveness, VotingMember, StateTransfer, MembershipChange):
     """The part of a configuration store that decides who should vote, and which member acts.
 
-    A base class of the server, which has node, store and proposer. changes_in_progress counts the
-    changes that this process makes now.
+    A base class of the server, which provides node, store and proposer. changes_in_progress counts
+    the changes that this process is making.
     """
 
     def init_membership(self):
-        """Set up from the process's settings; called by the server's constructor."""
+        """Initialize from the settings of the process; called by the constructor of the server."""
         settings = self.node.settings
         self.bootstrap_members = tuple(sorted(settings.members or settings.seeds))
-        # operators choose the members; only lost disks are replaced without them
+        # operators choose the members; only lost disks are replaced automatically
         self.operator_managed = bool(settings.members)
         self.bootstrap_allowed = getattr(settings, "may_bootstrap", True)
-        self.timing = MembershipTiming.of(settings)
+        self.timing = MembershipTiming.from_settings(settings)
         self.failure_domain = FailureDomain(settings.zone, getattr(settings, "region", ""))
         self.tolerated_losses = getattr(settings, "losses", 1)
         self.store.tolerance = self.tolerance = self.loss_tolerance(settings)
-        self.peer_statuses, self.recent_askers = {}, {}
+        self.peer_statuses, self.recent_pollers = {}, {}
         self.started_at = self.membership_known_at = monotonic_us()
         self.pause_detector = PauseDetector(SECOND, monotonic_us())
         self.changes_in_progress = 0
-        self.joint_seen = (0, 0)  # version of the joint configuration seen last, and since when
+        self.joint_seen = (
+            0,
+            0,
+        )  # version of the last joint configuration, and when it was first seen
 
     def membership_handlers(self):
-        """The RPC handlers of membership."""
+        """Return the RPC handlers of the membership."""
         return (
             Liveness.handlers.bind(self)
             | VotingMember.handlers.bind(self)
@@ -61,14 +64,15 @@
         )
 
     def membership_tasks(self):
-        """The background tasks of membership."""
+        """Return the background tasks of the membership, by name."""
         return {"members": self.poll_peers_loop, "voters": self.reconcile_loop}
 
-    # ------------------------------------------------------------ who should be a voter
-
     def loss_tolerance(self, settings):
-        """The losses that a write has to outlive; where operators chose the members, what a majority of
-        those members gives."""
+        """Return the losses that an acknowledged write must survive.
+
+        Where operators choose the members, these are the losses that a majority of those members
+        survives.
+        """
         if self.operator_managed:
             return Tolerance()
         return Tolerance(
@@ -79,19 +83,24 @@
 
     def is_spare(self):
         """Whether this process has no vote, and no further voter is wanted."""
-        membership, reachable, me = self.store.membership, self.reachable(), self.node.settings.link
-        if self.operator_managed or me in self.store.members.values():
+        membership, reachable = self.store.membership, self.reachable()
+        own_address = self.node.settings.link
+        if self.operator_managed or own_address in self.store.members.values():
             return False
         voters = set(membership.voters.values())
         if len(membership.voters) >= wanted_voters(len({*reachable, *voters}), self.tolerance):
             return True
-        # fewer vote than could where that lets a zone or a region be lost
-        watched = monotonic_us() - self.started_at >= 2 * self.timing.stable_after_us
-        return watched and me not in self.policy_choice(voters, reachable)
+        # The policy chooses fewer voters than it could where that lets a zone or region be lost.
+        observed_enough = monotonic_us() - self.started_at >= 2 * self.timing.stable_after_us
+        return observed_enough and own_address not in self.policy_choice(voters, reachable)
 
     def has_too_few_voters(self):
-        """Whether no write of these voters would outlive the tolerated losses; or, for a while after
-        the start, there are fewer voters than that takes, and more may still come."""
+        """Whether there are too few voters to accept changes.
+
+        That is so if no write of these voters could survive the tolerated losses. It is also so for
+        a while after the start, as long as there are fewer voters than that requires and more may
+        still join.
+        """
         membership = self.store.membership
         if membership is None or self.operator_managed:
             return False
@@ -103,23 +112,32 @@
         )
 
     def target_voters(self):
-        """The addresses of the wanted voters; None if they vote already, under the same disks."""
+        """Return the addresses of the wanted voters, or None if this process should change
+        nothing.
+
+        That is so if the wanted voters vote already, under the same disks and in the recorded
+        failure domains; if this process is neither a voter nor at the address of one; or if no
+        quorum of the voters answers.
+        """
         reachable = self.reachable()
-        voters = {a: d for d, a in self.store.membership.voters.items()}
-        swapped = {a for a, d in voters.items() if a in reachable and reachable[a].disk != d}
-        me = self.node.settings.link
-        if not self.store.is_voter and me not in swapped:
+        voters = {address: disk for disk, address in self.store.membership.voters.items()}
+        replaced = {a for a, disk in voters.items() if a in reachable and reachable[a].disk != disk}
+        own_address = self.node.settings.link
+        if not self.store.is_voter and own_address not in replaced:
             return None
-        answering = [a for a in voters if a in reachable and a not in swapped]
+        answering = [a for a in voters if a in reachable and a not in replaced]
         if not VoterSets.of([voters]).is_quorum(answering):
             return None
         addresses = set(voters) if self.operator_managed else self.policy_choice(voters, reachable)
-        if swapped or addresses != set(voters) or self.failure_domains_outdated(reachable):
+        if replaced or addresses != set(voters) or self.failure_domains_outdated(reachable):
             return frozenset(addresses)
         return None
 
     def policy_choice(self, voters, reachable):
-        """The addresses that the policy chooses. voters: the addresses of the present voters."""
+        """Return the addresses that the policy chooses.
+
+        :param voters: the addresses of the current voters
+        """
         voters, candidates = self.follow_moved_disks(set(voters), reachable)
         failed = tuple(sorted(a for a in voters if a not in reachable))
         observed = ObservedMembers(
@@ -127,77 +145,90 @@
             failed=failed,
             leaving=tuple(sorted(a for a in voters if a in reachable and reachable[a].leaving)),
             removable=tuple(
-                a for a in failed if self.unanswered_for_us(a) > self.timing.removable_after_us
+                address
+                for address in failed
+                if self.unanswered_for_us(address) > self.timing.removable_after_us
             ),
             suspected=frozenset(
-                a
-                for a in voters - {self.node.settings.link}
-                if self.unanswered_for_us(a) > self.timing.suspect_after_us
+                address
+                for address in voters - {self.node.settings.link}
+                if self.unanswered_for_us(address) > self.timing.suspect_after_us
             ),
             candidates=candidates,
-            places=self.places_by_address(reachable),
+            failure_domains=self.failure_domains_by_address(reachable),
         )
         return choose_voters(observed, self.tolerance)
 
     def follow_moved_disks(self, voters, reachable):
-        """(voters, candidates). A voter's disk that answers at another address was moved, or its
-        machine got another address. While the old address answers too, one of the two disks is a
-        copy, and neither is changed."""
+        """Return (voters, candidates), with the addresses of moved disks updated.
+
+        A voter's disk that answers at another address was moved, or its machine got another
+        address. While the old address answers as well, one of the two disks is a copy, and neither
+        address is changed.
+        """
         candidates = []
         for address in sorted(set(reachable) - voters):
             status = reachable[address]
             if (
                 not status.disk_writable
                 or status.leaving
-                or monotonic_us() - status.since < self.timing.stable_after_us
+                or monotonic_us() - status.answering_since < self.timing.stable_after_us
             ):
                 continue
-            former = self.store.membership.voters.get(status.disk)
-            if former is None:
+            old_address = self.store.membership.voters.get(status.disk)
+            if old_address is None:
                 candidates.append(address)
-            elif former not in reachable and former in voters:
-                voters = voters - {former} | {address}
+            elif old_address not in reachable and old_address in voters:
+                voters = voters - {old_address} | {address}
         return voters, tuple(candidates)
 
-    def places_by_address(self, reachable):
-        """{address: FailureDomain}: as reported by those that answer, else as in the configuration."""
-        places = self.store.membership.places
-        kept = {a: places[d] for d, a in self.store.members.items() if d in places}
-        return kept | {
-            a: h.failure_domain for a, h in reachable.items() if h.failure_domain != FailureDomain()
+    def failure_domains_by_address(self, reachable):
+        """Return {address: FailureDomain} of all known processes.
+
+        Processes that answer report their own; for the others the one in the membership
+        configuration is used.
+        """
+        by_disk = self.store.membership.failure_domains
+        known = {a: by_disk[disk] for disk, a in self.store.members.items() if disk in by_disk}
+        return known | {
+            address: status.failure_domain
+            for address, status in reachable.items()
+            if status.failure_domain != FailureDomain()
         }
 
     def failure_domains_outdated(self, reachable):
-        """Whether a voter that answers runs elsewhere than the configuration says."""
+        """Whether an answering voter's failure domain differs from the one in the configuration."""
         if self.operator_managed:
-            return False  # nothing depends on failure domains then
-        known = self.store.membership.places
+            return False  # operators choose the voters, whatever their failure domains
+        known = self.store.membership.failure_domains
         return any(
-            a in reachable
-            and reachable[a].disk == d
-            and reachable[a].failure_domain not in (FailureDomain(), known.get(d, FailureDomain()))
-            for d, a in self.store.membership.voters.items()
+            address in reachable
+            and reachable[address].disk == disk
+            and reachable[address].failure_domain
+            not in (FailureDomain(), known.get(disk, FailureDomain()))
+            for disk, address in self.store.membership.voters.items()
         )
 
-    # ------------------------------------------------------------ who acts
-
     def takeover_rank(self):
-        """How many members act before this one."""
+        """Return how many members act before this one."""
         reachable = self.reachable()
-        able = sorted(
-            a
-            for d, a in self.store.membership.voters.items()
-            if a in reachable
-            and reachable[a].disk == d
-            and reachable[a].disk_writable
-            and not reachable[a].leaving
+        eligible = sorted(
+            address
+            for disk, address in self.store.membership.voters.items()
+            if address in reachable
+            and reachable[address].disk == disk
+            and reachable[address].disk_writable
+            and not reachable[address].leaving
         )
-        me = self.node.settings.link
-        return able.index(me) if me in able else min(len(able), 2)
+        own_address = self.node.settings.link
+        return eligible.index(own_address) if own_address in eligible else min(len(eligible), 2)
 
     def wanted_change(self):
-        """The change of members that this process would make: (version of the configuration, wanted
-        addresses), with None for the addresses if a change under way is to be ended; or None."""
+        """Return the change of members that this process would make, or None.
+
+        A change is (version of the configuration, wanted addresses); the addresses are None if a
+        change in progress is to be completed.
+        """
         membership = self.store.membership
         if membership is None or self.changes_in_progress or self.store.files.failure():
             return None
@@ -209,8 +240,11 @@
         return None if target is None else (membership.version, target)
 
     async def reconcile_loop(self):
-        """Make the wanted change, once it was wanted for long enough. The first member by
-        takeover_rank acts; each further one after a longer wait, should those before it be stuck."""
+        """Make the wanted change once it has been wanted for long enough.
+
+        The first member by takeover_rank acts; each further one waits longer, in case those before
+        it are stuck.
+        """
         rng = self.node.runtime.rng
         pending, since, jitter = None, monotonic_us(), 0
         while True:
@@ -237,11 +271,14 @@
                 Rejected,
                 OSError,
             ):
-                # retried, after a jitter
+                # retried after a random delay
                 since, jitter = monotonic_us(), rng.randrange(MAX_RETRY_JITTER_US)
 
     async def make_change(self, target):
-        """Make the voters those at these addresses, or with None end the change under way."""
+        """Make the disks at these addresses the voters.
+
+        :param target: the addresses; None completes the change in progress
+        """
         deadline = monotonic_us() + self.timing.change_us
         if target is None:
             membership = await self.resume_change(deadline)
@@ -254,29 +291,32 @@
         voters = sorted(membership.voters.values())
         self.node.log(607, version=membership.version, members=voters)
 
-    # ------------------------------------------------------------ operators
-
     async def is_answering(self, address):
-        """Whether the process at an address answers. A member that is replaced by another disk at its
-        own address must answer, or nothing would change and be reported as done."""
-        me = self.node.settings.link
-        asks = {address: (address, "member.hello", {"link": me})}
+        """Whether the process at an address answers.
+
+        If a member is to be replaced by another disk at the same address, that disk must answer.
+        Otherwise nothing would change, and the request would be reported as done.
+        """
+        own_address = self.node.settings.link
+        requests = {address: (address, "member.hello", {"link": own_address})}
         deadline = monotonic_us() + self.timing.hello_timeout_us
-        return address == me or bool(await self.node.rpc.successful_responses(asks, deadline))
+        return address == own_address or bool(
+            await self.node.rpc.successful_responses(requests, deadline)
+        )
 
-    async def make_members(self, request):
-        """POST /members: operators replace one member, or set all."""
+    async def handle_members_request(self, request):
+        """Serve POST /members: replace one member, or set all of them."""
         try:
-            facts = json.loads(await request.body(MAX_REQUEST_BYTES))
+            body = json.loads(await request.body(MAX_REQUEST_BYTES))
             addresses = set(self.store.membership.voters.values())
-            if "set" in facts:
-                addresses = set(facts["set"])
+            if "set" in body:
+                addresses = set(body["set"])
             else:
-                if facts["old"] not in addresses:
+                if body["old"] not in addresses:
                     return Response(404, {"code": "member_unknown", "members": sorted(addresses)})
-                addresses = addresses - {facts["old"]} | {facts["new"]}
-                if facts["old"] == facts["new"] and not await self.is_answering(facts["new"]):
-                    return Response(409, {"code": "absent", "absent": [facts["new"]]})
+                addresses = addresses - {body["old"]} | {body["new"]}
+                if body["old"] == body["new"] and not await self.is_answering(body["new"]):
+                    return Response(409, {"code": "absent", "absent": [body["new"]]})
             if not all(isinstance(a, str) for a in addresses):
                 raise ValueError
             if len(addresses) not in OPERATOR_MEMBER_COUNTS:
@@ -288,7 +328,7 @@
                 addresses, monotonic_us() + self.timing.operator_change_us
             )
         except MembershipConflict as conflict:
-            return Response(409, {"code": conflict.code, **conflict.facts})
+            return Response(409, {"code": conflict.code, **conflict.details})
         self.log_change(membership)
         return Response(
             200,
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -1,7 +1,8 @@
-"""Changes of the membership: a joint configuration of the old and the new voters, the transfer of all
-state, then the new voters alone (after Raft, section 6).
+"""Changes of the membership by joint consensus (after Raft, section 6).
 
-A change that its process left unfinished is completed, or reverted, by any other member.
+A joint configuration of the old and the new voters is committed, all state is transferred, then the
+new voters vote alone. A change that its process left unfinished is completed, or reverted, by any
+other member.
 """
 
 from __future__ import annotations
@@ -19,36 +20,38 @@
 from meadowdock.runtime import deadline_scope, monotonic_us
 
 MEMBERS = "members"  # the consensus key of the membership configuration
-ATTEMPTS_MAX = 2  # a transfer that takes longer than so many attempts counts as stuck
+ATTEMPTS_MAX = 2  # a transfer that takes longer than this many attempts counts as stuck
 
 Addresses = Collection[str]
 Answers = dict[str, Any]  # disk id -> answer
 
 
 class MembershipChange:
-    """Mixed into `MembershipManager`.
+    """A base class of `MembershipManager`.
 
     Invariant: a configuration is proposed only under the one that it follows, and a joint one is
-    ended only after all keys were transferred under that same version.
+    completed only after all keys were transferred under that same version.
     """
 
     handlers = Handlers()
 
     async def change_members(self, addresses: Addresses, deadline: int) -> MembershipConfiguration:
-        """Make the disks at these addresses the voters. A change that was begun and not completed
-        is completed by the same call again.
+        """Make the disks at these addresses the voters.
 
-        :raises MembershipConflict: another change is under way, or a newcomer doesn't answer
+        Calling it again with the same addresses completes a change that was begun and not
+        completed.
+
+        :raises MembershipConflict: another change is in progress, or a newcomer doesn't answer
         :raises NoQuorum: this step of the change was not made
         :raises OutcomeUnknown: the change may have been made
         """
         self.changes_in_progress += 1
         try:
             disks = await self.disks_at(addresses, deadline)
-            places = self.places_by_address(self.reachable())
-            places = {d: places[a] for d, a in disks.items() if a in places}
+            by_address = self.failure_domains_by_address(self.reachable())
+            failure_domains = {d: by_address[a] for d, a in disks.items() if a in by_address}
             membership = await self.propose_membership(
-                lambda current: current.change_begun(disks, places), deadline
+                lambda current: current.change_begun(disks, failure_domains), deadline
             )
             if not membership.is_joint:
                 return membership
@@ -59,8 +62,10 @@
             self.changes_in_progress -= 1
 
     async def resume_change(self, deadline: int) -> MembershipConfiguration:
-        """Complete the change that is under way, whoever began it, with the disks it was begun for.
-        Raises as change_members does."""
+        """Complete the change in progress, whichever member began it.
+
+        The disks remain those that it was begun for. Raises as change_members does.
+        """
         self.changes_in_progress += 1
         try:
             membership = await self.propose_membership(lambda current: current, deadline)
@@ -73,25 +78,32 @@
     async def complete_change(
         self, membership: MembershipConfiguration, deadline: int
     ) -> MembershipConfiguration:
-        """Transfer all state to the new voters of a joint configuration, which a majority of both
-        sides knows, and let them vote alone; if a newcomer can't take it, the change is reverted.
-        What another completed meanwhile, and began anew, is left alone: its keys aren't transferred
-        yet."""
+        """Transfer all state to the new voters of a joint configuration, then let them vote
+        alone.
+
+        A majority of both sides knows the joint configuration. If a newcomer can't receive the
+        state, the change is reverted. If another member completed the change in the meantime and
+        began a new one, the new one is not completed here: its keys have not been transferred yet.
+        """
         if self.is_stuck(membership):
             return await self.revert_change(membership, deadline)
         await self.transfer_state(deadline)
 
-        def end(current: MembershipConfiguration) -> MembershipConfiguration:
-            same = current.version == membership.version
-            return current.change_ended() if same else current
+        def complete(current: MembershipConfiguration) -> MembershipConfiguration:
+            unchanged = current.version == membership.version
+            return current.change_ended() if unchanged else current
 
-        ended = await self.propose_membership(end, deadline)
-        if ended.version > membership.version + 1:
-            raise MembershipConflict("another_change", next=ended.next_voters)
-        return ended
+        completed = await self.propose_membership(complete, deadline)
+        if completed.version > membership.version + 1:
+            raise MembershipConflict("another_change", next=completed.next_voters)
+        return completed
 
     def is_stuck(self, membership: MembershipConfiguration) -> bool:
-        """Whether a newcomer failed, or the transfer to it takes longer than two attempts."""
+        """Whether the change in progress can't be completed.
+
+        That is so if a newcomer failed, or the transfer to it takes longer than ATTEMPTS_MAX
+        attempts.
+        """
         newcomers = membership.newcomers
         if not newcomers:
             return False
@@ -109,24 +121,27 @@
         )
 
     async def revert_change(self, membership: MembershipConfiguration, deadline: int) -> NoReturn:
-        """Let the former voters vote alone again, once all that was accepted meanwhile is on a
-        majority of them too.
+        """Let the old voters vote alone again.
+
+        Before that, all that was accepted during the change is written to a majority of them too.
 
         :raises MembershipConflict: always
         """
         await self.transfer_back(membership, deadline)
 
         def revert(current: MembershipConfiguration) -> MembershipConfiguration:
-            same = current.version == membership.version
-            return current.change_reverted() if same else current
+            unchanged = current.version == membership.version
+            return current.change_reverted() if unchanged else current
 
         await self.propose_membership(revert, deadline)
         raise MembershipConflict("newcomer_gone", absent=sorted(membership.newcomers.values()))
 
     async def disks_at(self, addresses: Addresses, deadline: int) -> dict[str, str]:
-        """{disk id: address}. A voter that doesn't answer stays under its known disk.
+        """Return {disk id: address} of the disks at these addresses.
+
+        A voter that doesn't answer is listed with its known disk.
 
-        :raises MembershipConflict: an address that is no voter's doesn't answer
+        :raises MembershipConflict: an address that belongs to no voter doesn't answer
         """
         own_address, voters = self.node.settings.link, self.store.membership.voters
         disks = await self.answering_disks(addresses, deadline)
@@ -140,19 +155,21 @@
         return disks
 
     async def answering_disks(self, addresses: Addresses, deadline: int) -> dict[str, str]:
-        """{disk id: address} of the other members at these addresses that answer now. Voters that
-        failed are not waited for."""
+        """Return {disk id: address} of the other members at these addresses that answer now.
+
+        Voters that failed are not polled.
+        """
         own_address, voters = self.node.settings.link, self.store.membership.voters
         failed = {
             address
             for address in voters.values()
             if self.unanswered_for_us(address) > self.timing.failed_after_us
         }
-        asked = [
+        polled = [
             address for address in addresses if address != own_address and address not in failed
         ]
         hello = await self.node.rpc.successful_responses(
-            {address: (address, "member.hello", {"link": own_address}) for address in asked},
+            {address: (address, "member.hello", {"link": own_address}) for address in polled},
             min(deadline, monotonic_us() + self.timing.hello_timeout_us),
         )
         for address, answer in hello.items():
@@ -164,20 +181,21 @@
         change: Callable[[MembershipConfiguration], MembershipConfiguration],
         deadline: int,
     ) -> MembershipConfiguration:
-        """Make one change of the membership configuration: it is committed, then sent to a quorum
-        of the old and the new members.
+        """Commit one change of the membership configuration.
+
+        The new configuration is then sent to a quorum of the old and the new members.
 
         :raises NoQuorum: it was not made
         :raises OutcomeUnknown: it may have been made
         """
         old_sets, members = self.store.voter_sets, self.store.members
-        # more members may be what durability lacks, so a quorum decides on members
+        # Durability may be impossible until members are added, so a quorum is enough here.
         enough = VoterSets.is_quorum
 
         def update(record: Mapping[str, Any] | None) -> dict[str, Any]:
-            known_here = self.store.membership
-            newer = record and record["version"] > known_here.version
-            base = MembershipConfiguration.from_record(record) if newer else known_here
+            stored = self.store.membership
+            newer = record and record["version"] > stored.version
+            base = MembershipConfiguration.from_record(record) if newer else stored
             return change(base).to_record()
 
         record = await self.proposer.change(MEMBERS, update, deadline, enough)
@@ -192,11 +210,11 @@
         await self.store.adopt(membership)
         return membership
 
-    # ------------------------------------------------------------ requests of other members
-
     @handlers.on("member.adopt")
     async def on_adopt(self, peer: object, record: Mapping[str, Any]) -> Answers:
-        """Take a newer membership configuration; answers the disk and version here.
+        """Adopt a newer membership configuration.
+
+        It returns the disk id and the version of the configuration here.
 
         :raises Rejected: "disk" if it can't be written
         """
@@ -206,8 +224,10 @@
 
     @handlers.on("member.keys")
     async def on_keys(self, peer: object, record: Mapping[str, Any]) -> Answers:
-        """The keys that this member accepted. Answered only once the configuration is known here:
-        no ballot under an older one adds a key after that.
+        """Return the keys that this member has accepted.
+
+        The configuration of the request is adopted first, so that no ballot under an older one adds
+        a key afterwards.
 
         :raises Rejected: "disk" if the configuration can't be written
         """
@@ -223,13 +243,17 @@
         deadline: int,
         enough: Callable[[Iterable[str]], bool],
     ) -> Answers:
-        """{disk id: answer} as soon as enough(answers), all answered, or the deadline; slower members
-        still get the request. members: {disk id: address}. An answer under another disk id counts
-        as none."""
+        """Call a method of these members, and return {disk id: answer}.
+
+        It returns as soon as enough(answers) holds, all have answered, or the deadline passes;
+        slower members still get the request. An answer under another disk id is ignored.
+
+        :param members: {disk id: address}
+        """
         answers: Answers = {}
         pending, done = set(members), trio.Event()
 
-        async def ask(disk: str, address: str) -> None:
+        async def call(disk: str, address: str) -> None:
             try:
                 if disk == self.store.disk:
                     handler = {"member.adopt": self.on_adopt, "member.keys": self.on_keys}[method]
@@ -245,7 +269,7 @@
                 done.set()
 
         for disk, address in sorted(members.items()):
-            self.node.nursery.start_soon(ask, disk, address)
+            self.node.nursery.start_soon(call, disk, address)
         with deadline_scope(deadline):
             await done.wait()
         return dict(answers)
--- a/packages/config_store/meadowdock/config_store/operator_api.py
+++ b/packages/config_store/meadowdock/config_store/operator_api.py
@@ -271,7 +271,7 @@
 @operator_request()
 async def change_members(server: ConfigStore, request: Request) -> Response:
     """Replace one member, or set all."""
-    response: Response = await server.make_members(request)
+    response: Response = await server.handle_members_request(request)
     return response
 
 
--- a/packages/config_store/meadowdock/config_store/policy.py
+++ b/packages/config_store/meadowdock/config_store/policy.py
@@ -1,8 +1,8 @@
-"""Which processes should be the voters: pure functions of what is known about each.
+"""The choice of voters: pure functions of what is known about each process.
 
 Voters that failed or are leaving are replaced, voters are added up to the number that the tolerated
-losses need, and they are spread over failure domains, so that the loss of a zone or a region leaves
-a majority.
+losses require, and they are spread over failure domains, so that the loss of a zone or a region
+leaves a majority.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 from meadowdock.consensus import FailureDomain, Tolerance
 
-SMALL_DEPLOYMENT = 5  # up to so many processes all are voters
+SMALL_DEPLOYMENT = 5  # up to this many processes, all of them vote
 FEWEST_VOTERS = 3
-REMOVED_TOGETHER = (1, 2)  # how many voters one step of the spreading may remove
+REMOVED_TOGETHER = (1, 2)  # how many voters one step of spread_out may remove
 
 
 @dataclass(frozen=True)
 class ObservedMembers:
-    """What is known about the voters, and about others that could vote, by their addresses."""
+    """What is known about the voters and about other processes that could vote, by address."""
 
     voters: frozenset[str]
     failed: tuple[str, ...] = ()  # voters that may be replaced
@@ -29,20 +29,20 @@
     removable: tuple[str, ...] = ()  # voters that may be removed without a replacement
     suspected: frozenset[str] = frozenset()  # voters that may be about to be replaced
     candidates: tuple[str, ...] = ()
-    places: Mapping[str, FailureDomain] = field(default_factory=dict)
+    failure_domains: Mapping[str, FailureDomain] = field(default_factory=dict)
 
-    def place(self, address: str) -> FailureDomain:
-        """The failure domain of an address, as far as known."""
-        return self.places.get(address, FailureDomain())
+    def failure_domain(self, address: str) -> FailureDomain:
+        """Return the failure domain of an address, as far as it is known."""
+        return self.failure_domains.get(address, FailureDomain())
 
 
 def choose_voters(observed: ObservedMembers, tolerance: Tolerance) -> frozenset[str]:
-    """The addresses that should be the voters.
+    """Return the addresses that should be the voters.
 
     >>> x, y, z = FailureDomain("x"), FailureDomain("y"), FailureDomain("z")
     >>> zones = {"a": x, "b": y, "c": z, "d": y, "e": x}
     >>> observed = ObservedMembers(
-    ...     frozenset("abc"), failed=("a",), candidates=("d", "e"), places=zones
+    ...     frozenset("abc"), failed=("a",), candidates=("d", "e"), failure_domains=zones
     ... )
     >>> sorted(choose_voters(observed, Tolerance(1)))
     ['b', 'c', 'd', 'e']
@@ -52,7 +52,7 @@
     candidates = list(observed.candidates)
     chosen = replace_failed(observed, candidates)
     if not observed.suspected & chosen:
-        # a voter added beside one that has failed makes a majority harder to reach, not easier
+        # While a voter has failed, an additional one makes a majority harder to reach.
         add_voters(chosen, candidates, observed, tolerance)
         if not observed.failed and not observed.leaving:
             chosen = spread_out(chosen, candidates, observed, tolerance)
@@ -60,8 +60,10 @@
 
 
 def replace_failed(observed: ObservedMembers, candidates: list[str]) -> set[str]:
-    """The voters with a candidate for each that failed or is leaving; it is taken out of the
-    candidates."""
+    """Return the voters, with a candidate in the place of each that failed or is leaving.
+
+    Chosen candidates are removed from `candidates`.
+    """
     chosen = set(observed.voters)
     for replaced in (*observed.failed, *observed.leaving):
         if not candidates:
@@ -74,7 +76,7 @@
 def add_voters(
     chosen: set[str], candidates: list[str], observed: ObservedMembers, tolerance: Tolerance
 ) -> None:
-    """Move candidates to the chosen, up to the wanted number of voters."""
+    """Move candidates to the chosen voters, up to the wanted number of voters."""
     lacking = wanted_voters(len(chosen) + len(candidates), tolerance) - len(chosen)
     for _ in range(min(lacking, len(candidates))):
         chosen.add(take_least_crowded(chosen, candidates, observed))
@@ -83,21 +85,21 @@
 def take_least_crowded(
     chosen: Collection[str], candidates: list[str], observed: ObservedMembers
 ) -> str:
-    """Remove and give the candidate whose zone, then region, has the fewest of those chosen."""
-    zones = Counter(observed.place(address).zone for address in chosen)
-    regions = Counter(observed.place(address).region for address in chosen)
+    """Remove and return the candidate whose zone, then region, has the fewest chosen voters."""
+    zones = Counter(observed.failure_domain(address).zone for address in chosen)
+    regions = Counter(observed.failure_domain(address).region for address in chosen)
 
-    def crowd(address: str) -> tuple[int, int, str]:
-        place = observed.place(address)
-        return zones[place.zone], regions[place.region], address
+    def crowding(address: str) -> tuple[int, int, str]:
+        domain = observed.failure_domain(address)
+        return zones[domain.zone], regions[domain.region], address
 
-    best = min(candidates, key=crowd)
+    best = min(candidates, key=crowding)
     candidates.remove(best)
     return best
 
 
 def wanted_voters(known: int, tolerance: Tolerance) -> int:
-    """How many voters, of so many processes.
+    """Return how many of so many known processes should vote.
 
     >>> [wanted_voters(n, Tolerance(1)) for n in (1, 4, 5, 6)], wanted_voters(9, Tolerance(2))
     ([1, 4, 5, 3], 5)
@@ -108,7 +110,7 @@
 
 
 def fewest_voters(tolerance: Tolerance) -> int:
-    """The least number of voters that bears the losses."""
+    """Return the smallest number of voters that survives the tolerated losses."""
     return max(FEWEST_VOTERS, 2 * max(tolerance.disks, tolerance.zones, tolerance.regions) + 1)
 
 
@@ -118,11 +120,14 @@
     observed: ObservedMembers,
     tolerance: Tolerance,
 ) -> set[str]:
-    """Exchange or remove voters until the loss of as many zones (regions) as are tolerated leaves a
-    majority, as far as the processes allow it.
+    """Exchange or remove voters until they survive the tolerated losses of zones and regions.
+
+    That is so when the remaining voters are a majority. It stops early if no exchange or removal
+    improves the spread.
 
     >>> x, y, z = FailureDomain("x"), FailureDomain("y"), FailureDomain("z")
-    >>> observed = ObservedMembers(frozenset("abc"), places={"a": x, "b": x, "c": y, "d": z})
+    >>> zones = {"a": x, "b": x, "c": y, "d": z}
+    >>> observed = ObservedMembers(frozenset("abc"), failure_domains=zones)
     >>> sorted(spread_out({"a", "b", "c"}, ["d"], observed, Tolerance(1, 1)))
     ['a', 'c', 'd']
     """
@@ -144,35 +149,41 @@
 def alternatives(
     chosen: frozenset[str], candidates: Collection[str], fewest: int
 ) -> Iterator[frozenset[str]]:
-    """The sets of voters that one exchange leads to, or the removal of one or two voters that
-    leaves the fewest that are needed."""
-    for former in chosen:
-        for new in candidates:
-            yield chosen - {former} | {new}
+    """Yield the sets of voters that one exchange, or the removal of one or two voters, leads to.
+
+    A removal leaves at least the fewest voters that are needed.
+    """
+    for removed in chosen:
+        for added in candidates:
+            yield chosen - {removed} | {added}
     for count in REMOVED_TOGETHER:
         if count <= len(chosen) - fewest:
-            for removed in combinations(chosen, count):
-                yield chosen - set(removed)
+            for removed_together in combinations(chosen, count):
+                yield chosen - set(removed_together)
 
 
 def excess(chosen: Collection[str], observed: ObservedMembers, tolerance: Tolerance) -> int:
-    """How many voters too many are in the most crowded zones and regions.
+    """Return how many voters too many are in the most crowded zones and regions.
 
     >>> x, y = FailureDomain("x"), FailureDomain("y")
-    >>> observed = ObservedMembers(frozenset("abc"), places={"a": x, "b": x, "c": y})
+    >>> zones = {"a": x, "b": x, "c": y}
+    >>> observed = ObservedMembers(frozenset("abc"), failure_domains=zones)
     >>> excess("abc", observed, Tolerance(1, 1))
     1
     """
     minority = (len(chosen) - 1) // 2
-    places = [observed.place(address) for address in chosen]
-    zones = domain_excess([place.zone for place in places], tolerance.zones, minority)
-    regions = domain_excess([place.region for place in places], tolerance.regions, minority)
+    domains = [observed.failure_domain(address) for address in chosen]
+    zones = domain_excess([domain.zone for domain in domains], tolerance.zones, minority)
+    regions = domain_excess([domain.region for domain in domains], tolerance.regions, minority)
     return zones + regions
 
 
 def domain_excess(names: list[str], lost: int, minority: int) -> int:
-    """By how many voters the loss of the most crowded domains of a kind exceeds a minority; 0 if
-    none need be borne, or a voter's domain isn't known."""
+    """Return how far the loss of the most crowded domains of a kind exceeds a minority of
+    voters.
+
+    It is 0 if no such loss has to be tolerated, or if the domain of a voter is unknown.
+    """
     if lost == 0 or "" in names:
         return 0
     crowded = sum(count for _, count in Counter(names).most_common(lost))
@@ -182,14 +193,14 @@
 def remove_failed(
     chosen: Collection[str], observed: ObservedMembers, tolerance: Tolerance
 ) -> frozenset[str]:
-    """Remove voters that failed where that lets the others bear more losses."""
+    """Remove failed voters where that lets the others tolerate more losses."""
     removable = [address for address in observed.removable if address in chosen]
     count = removable_count(len(chosen), len(removable), 2 * tolerance.disks + 1)
     return frozenset(set(chosen) - set(removable[:count]))
 
 
 def removable_count(voters: int, failed: int, fewest: int) -> int:
-    """How many of the failed voters to remove, so that most of the others may still be lost.
+    """Return how many failed voters to remove so that the rest tolerates the most losses.
 
     >>> removable_count(4, 1, 3), removable_count(5, 1, 3)
     (1, 0)
@@ -198,8 +209,8 @@
     """
     counts = range(max(0, min(failed, voters - fewest)) + 1)
 
-    def losses_borne(count: int) -> int:
+    def tolerated_losses(count: int) -> int:
         majority = (voters - count) // 2 + 1
         return voters - failed - majority
 
-    return max(counts, key=lambda count: (losses_borne(count), -count))
+    return max(counts, key=lambda count: (tolerated_losses(count), -count))
--- a/packages/config_store/meadowdock/config_store/quorum_monitor.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -1,9 +1,9 @@
-"""Whether this member is in touch with a quorum, and which other member is.
+"""Whether this member is in contact with a quorum, and which other members are.
 
-Every member asks every other a few times a second (`Liveness.poll_peers`); only answers to its own
-questions count, so a partition of either direction ends the contact. The check spares an operator a
-wait that can't succeed. It is no proof: what is read or changed still needs a quorum's answers of
-its own.
+Every member polls every other a few times a second (`Liveness.poll_peers`). Only answers to its own
+polls count, so a partition in either direction ends the contact. The check saves an operator from
+waiting for an operation that can't succeed. It proves nothing: every read or change still needs the
+answers of a quorum.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 if TYPE_CHECKING:
     from meadowdock.config_store.server import ConfigStore
 
-FRESH_ROUNDS = 2  # of asking: an answer counts for so long; after it members are asked once more
-CHECK_INTERVAL_US = 50 * MILLISECOND  # while an operator's request is under way
-ASK_SHARE = 12  # one part in so many of contact_us: how long a check waits for members
+FRESH_ROUNDS = 2  # an answer counts for this many poll rounds, then members are polled again
+CHECK_INTERVAL_US = 50 * MILLISECOND  # while an operator's request is in progress
+POLL_TIMEOUT_DIVISOR = 12  # a check waits for members for contact_us divided by this
 
 Result = TypeVar("Result")
 
 
 @dataclass(frozen=True)
 class HelloAnswer:
-    """What counts here of a member's answer to member.hello. Members of releases before these
-    fields report no quorum.
+    """The fields of an answer to member.hello that matter here.
 
-    listeners: {listener name: address} where operators reach that member.
+    Members of older releases, which don't send these fields, count as without a quorum. listeners:
+    {listener name: address} where operators reach that member.
     """
 
     has_quorum: bool
@@ -54,56 +54,65 @@
 
     @property
     def serves_operators(self) -> bool:
-        """Whether an operator may be redirected there."""
-        able = self.has_quorum and self.disk_writable and not self.leaving
-        return able and bool(self.listeners)
+        """Whether an operator may be redirected to that member."""
+        healthy = self.has_quorum and self.disk_writable and not self.leaving
+        return healthy and bool(self.listeners)
 
 
 class QuorumMonitor:
     """Checks the contact with a quorum before and during an operator's request.
 
-    Invariant: a member is named to an operator only by an answer that it gave after this member had
-    lost its quorum; so two members never redirect an operator back and forth unless one of them
-    found its quorum again.
+    Invariant: an operator is redirected only by an answer that was given after this member had lost
+    its quorum. Two members therefore never redirect an operator back and forth, unless one of them
+    regained its quorum.
     """
 
     def __init__(self, server: ConfigStore) -> None:
         self.server = server
 
     def in_touch(self, writing: bool = True) -> bool:
-        """Whether a quorum answered lately. writing: and their disks can be written."""
+        """Whether a quorum has answered recently.
+
+        :param writing: whether their disks must be writable too
+        """
         fresh_us = FRESH_ROUNDS * self.server.timing.hello_interval_us
         disks = [
             answer.disk
             for answer in self.server.reachable().values()
-            if monotonic_us() - answer.at < fresh_us and (answer.disk_writable or not writing)
+            if monotonic_us() - answer.answered_at < fresh_us
+            and (answer.disk_writable or not writing)
         ]
         return self.server.proposer.is_quorum(disks)
 
     async def require_quorum(self, writing: bool = True) -> None:
-        """Return if a quorum is in touch; if none answered lately, the members are asked first.
+        """Return if a quorum is in contact; if none has answered recently, poll first.
 
         :raises QuorumUnreachable: within contact_us / 12
         """
         if self.in_touch(writing):
             return
-        answers = await self.ask_members(writing)
+        answers = await self.poll_members(writing)
         if self.in_touch(writing):
             return
         if self.server.store.membership:
             self.server.revisions.note_no_quorum()
-        able = [answer.listeners for answer in answers if answer.serves_operators]
-        raise QuorumUnreachable(self.server.node.runtime.rng.choice(able) if able else {})
+        usable = [answer.listeners for answer in answers if answer.serves_operators]
+        raise QuorumUnreachable(self.server.node.runtime.rng.choice(usable) if usable else {})
 
-    async def ask_members(self, writing: bool) -> list[HelloAnswer]:
-        """Answers of the other members, as far as they come before a quorum is in touch."""
+    async def poll_members(self, writing: bool) -> list[HelloAnswer]:
+        """Poll the other members, and return their answers.
+
+        It stops polling as soon as a quorum is in contact.
+        """
         answers: list[HelloAnswer] = []
         node = self.server.node
-        timeout = min(node.settings.contact_us // ASK_SHARE, self.server.timing.hello_timeout_us)
+        timeout = min(
+            node.settings.contact_us // POLL_TIMEOUT_DIVISOR, self.server.timing.hello_timeout_us
+        )
         deadline = monotonic_us() + timeout
         sender = {"link": node.settings.link}
 
-        async def ask(address: str) -> None:
+        async def poll(address: str) -> None:
             try:
                 message = await node.rpc.call(address, "member.hello", sender, deadline)
             except (ConnectionFailed, Rejected):
@@ -115,7 +124,7 @@
 
         async with trio.open_nursery() as nursery:
             for address in sorted(self.server.broadcast.peers().values()):
-                nursery.start_soon(ask, address)
+                nursery.start_soon(poll, address)
         return answers
 
     async def run_while_quorum(
@@ -124,8 +133,10 @@
         failure: Callable[[], Exception],
         writing: bool = True,
     ) -> Result:
-        """The result of `work()`. Once no quorum is in touch any more it is cancelled, and the
-        error that `failure()` gives is raised."""
+        """Run `work()` as long as a quorum is in contact, and return its result.
+
+        Once the contact is lost it is cancelled, and the error that `failure()` returns is raised.
+        """
         scope, done = trio.CancelScope(), trio.Event()
         self.server.node.nursery.start_soon(self.cancel_without_quorum, scope, done, writing)
         try:
@@ -138,7 +149,7 @@
     async def cancel_without_quorum(
         self, scope: trio.CancelScope, done: trio.Event, writing: bool
     ) -> None:
-        """Cancel the scope once no quorum is in touch, unless done is set before."""
+        """Cancel the scope once no quorum is in contact, unless done is set before."""
         while not done.is_set():
             await sleep_us(CHECK_INTERVAL_US)
             try:
--- a/packages/config_store/meadowdock/config_store/rescue.py
+++ b/packages/config_store/meadowdock/config_store/rescue.py
@@ -1,4 +1,4 @@
-"""Rescue of a configuration store that lost a majority of its disks for good."""
+"""Rescue of a configuration store that lost a majority of its disks permanently."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from meadowdock.config_store.store import CURRENT_REVISION_KEY, Store
 from meadowdock.runtime import Disk, fingerprint
 
-# The configuration of a rescued member must be newer than any that the lost members can have.
+# The configuration of a rescued member must be newer than any that the lost members may have.
 RESCUE_VERSION_STEP = 1000
 
 
 async def rescue(disk: Disk, address: str, change: bool) -> str:
-    """Describe what this disk has; with `change`, it becomes the only voter, at this address.
+    """Describe the state on this disk; with `change`, make it the only voter, at this address.
 
-    :raises SystemExit: the disk is no member's.
+    :raises SystemExit: the disk doesn't belong to a member.
     """
     store = Store(disk, None, lambda *_, **__: None)
     if await disk.read("disk") is None:
--- a/packages/config_store/meadowdock/config_store/revision.py
+++ b/packages/config_store/meadowdock/config_store/revision.py
@@ -1,7 +1,7 @@
 """Revisions of the configuration, and the plans that lead to them.
 
-The current revision is the value of one consensus key. The types here are its decoded form and that
-of a plan, which is stored as a chunk; the names of their stored fields occur in this module alone.
+The current revision is the value of one consensus key, and a plan is stored as a chunk. This module
+has the decoded form of both; the names of their stored fields occur in no other module.
 """
 
 from __future__ import annotations
@@ -16,17 +16,18 @@
 from meadowdock.runtime import fingerprint
 
 PLAN_ID_LENGTH = 32  # hexadecimal digits of a fingerprint
-HISTORY_LENGTH = repair.RETAINED_VERSIONS  # revisions whose plans the current one names
+HISTORY_LENGTH = repair.RETAINED_VERSIONS  # revisions listed in the history of the current one
 
 
 @dataclass(frozen=True, slots=True)
 class Revision:
     """One revision of the configuration.
 
-    chunks: the names of its chunks: those of the operators' configuration, then those of items.
-    item_chunk_count: how many of them, the last, hold items; None if it was stored before there
-    were any. history: (version, plan id) of the latest revisions, this one the last.
-    audit_record: the signed record of the change that led to it; None of the empty revision.
+    chunks: the names of its chunks: first those of the operators' configuration, then those of
+    items. item_chunk_count: how many chunks at the end hold items; None if the revision was stored
+    by a release without items. history: (version, plan id) of the latest revisions, ending with
+    this one. audit_record: the signed record of the change that led to this revision; None for the
+    empty revision.
     """
 
     version: int
@@ -38,7 +39,7 @@
 
     @classmethod
     def from_record(cls, record: Mapping[str, Any] | None) -> Revision:
-        """Decode the value of the consensus key; the empty revision if nothing was written yet."""
+        """Decode the value of the consensus key; None gives the empty revision."""
         if record is None:
             return EMPTY_REVISION
         return cls(
@@ -62,7 +63,7 @@
         }
 
     def to_update(self) -> dict[str, Any]:
-        """The message that tells a proxy which chunks to load."""
+        """Build the message that tells a proxy which chunks to load."""
         update = {"version": self.version, "ranges": list(self.chunks)}
         if self.item_chunk_count is None:
             return update
@@ -79,11 +80,11 @@
         return self.chunks[len(self.chunks) - (self.item_chunk_count or 0) :]
 
     def version_of(self, plan_id: str) -> int:
-        """The version that a plan became, if the history still names it; else 0."""
+        """Return the version that a plan became, or 0 if the history doesn't contain the plan."""
         return next((version for version, known in self.history if known == plan_id), 0)
 
     def successor(self, plan_id: str, plan: Plan, audit_record: str) -> Revision:
-        """The next revision, which a plan based on this one leads to."""
+        """Build the revision that follows this one when a plan based on it is committed."""
         version = self.version + 1
         return Revision(
             version=version,
@@ -100,10 +101,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What the next revision is to hold, if the current one is still the base.
+    """The content of the next revision, valid only while its base is the current revision.
 
-    created_us: wall clock, in microseconds. author: the proposer's name of a change of items, which
-    keeps two equal changes apart; None of an operator's plan.
+    created_us: wall clock, in microseconds. author: the name of the proposer that changes items, so
+    that two identical changes have different plan ids; None for an operator's plan.
     """
 
     base: int
@@ -125,7 +126,10 @@
         )
 
     def encode(self) -> bytes:
-        """Encode as a chunk. The order of the fields is part of the plan's id."""
+        """Encode as a chunk.
+
+        The plan's id is a hash of the encoded form, so the order of the fields must not change.
+        """
         record: dict[str, Any] = {
             "base": self.base,
             "ranges": list(self.chunks),
@@ -143,12 +147,12 @@
 
 
 def plan_id_of(body: bytes) -> str:
-    """The id of a plan: the fingerprint of its encoded form."""
+    """Return the id of a plan: the fingerprint of its encoded form."""
     return fingerprint(body)
 
 
 def is_plan_id(value: object) -> TypeGuard[str]:
-    """Whether a value has the form of a plan's id.
+    """Whether a value has the form of a plan id.
 
     >>> is_plan_id("0f" * 16), is_plan_id("0f"), is_plan_id(7)
     (True, False, False)
--- a/packages/config_store/meadowdock/config_store/revision_reader.py
+++ b/packages/config_store/meadowdock/config_store/revision_reader.py
@@ -1,6 +1,6 @@
 """Quorum reads of the current revision, and the loop that keeps its chunks on this member.
 
-State: the latest revision known to this member, and whether the last quorum read failed.
+State: the latest revision that this member knows, and whether the last quorum read failed.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 @dataclass
 class SharedRead:
-    """A quorum read that several requests wait for.
+    """A quorum read whose outcome several requests share.
 
-    Invariant: only requests that came before it began share it, so each gets a revision at least as
-    new as the one that was current when it asked.
+    Invariant: only requests that arrived before it began share it, so each gets a revision at least
+    as new as the one that was current when the request arrived.
     """
 
     done: trio.Event = field(default_factory=trio.Event)
@@ -37,7 +37,7 @@
 class RevisionReader:
     """The current revision, as this member knows it.
 
-    Invariant: `latest` only goes up in version.
+    Invariant: the version of `latest` only increases.
     """
 
     def __init__(self, server: ConfigStore) -> None:
@@ -46,11 +46,12 @@
         self.no_quorum = False  # the last quorum read failed, and none has succeeded since
         self.next_read: SharedRead | None = None
         self.read_lock = trio.Lock()
-        self.complete_version: int | None = None  # whose chunks are all on this disk
+        self.complete_version: int | None = None  # the version whose chunks are all on this disk
 
     async def read(self, deadline: int) -> Revision:
-        """The current revision, from a quorum. Requests that come while a read is under way share
-        the next one.
+        """Read the current revision from a quorum.
+
+        Requests that arrive while a read is in flight share the next one.
 
         :raises NoQuorum: too few members answered by the deadline
         """
@@ -69,9 +70,9 @@
         return shared.outcome
 
     async def run_shared_read(self, shared: SharedRead) -> None:
-        """One quorum read, for all requests that share it."""
+        """Do one quorum read for all requests that share it."""
         async with self.read_lock:
-            self.next_read = None  # requests that come from here on share the next one
+            self.next_read = None  # requests that arrive from now on share the next one
             deadline = monotonic_us() + self.server.operator_timing.quorum_read_us
             try:
                 record = await self.server.proposer.read(CURRENT_REVISION_KEY, deadline)
@@ -86,19 +87,19 @@
                 shared.done.set()
 
     def note_no_quorum(self) -> None:
-        """This member is not ready until a quorum read succeeds."""
+        """Mark this member as not ready until a quorum read succeeds."""
         if not self.no_quorum:
             self.server.node.log(603, members=len(self.server.proposer.voters()))
         self.no_quorum = True
 
     def learn(self, revision: Revision) -> None:
-        """Take a revision as the latest known, if it is newer, and gossip its version."""
+        """Remember a revision if it is newer than the latest known one, and gossip its version."""
         if revision.version > self.latest.version:
             self.latest = revision
             self.server.node.view.advance_heartbeat(version=revision.version)
 
     async def run(self) -> None:
-        """Keep the revision known and its chunks complete on this disk, and remove old chunks."""
+        """Keep the current revision known and its chunks on this disk, and remove old chunks."""
         while True:
             await self.server.store.files.retry_after_failure()
             if self.server.store.membership:
@@ -113,7 +114,7 @@
             await sleep_us(REFRESH_INTERVAL_US)
 
     async def fetch_missing_chunks(self, revision: Revision) -> None:
-        """Fetch the chunks of a revision, and its plan, that this disk lacks."""
+        """Fetch the chunks of a revision and its plan, as far as this disk lacks them."""
         if self.complete_version == revision.version:
             return
         names = [*revision.chunks, *([revision.plan_id] if revision.plan_id else [])]
--- a/packages/config_store/meadowdock/config_store/state_transfer.py
+++ b/packages/config_store/meadowdock/config_store/state_transfer.py
@@ -1,4 +1,7 @@
-"""State transfer: what the voters of a new membership configuration must have before they vote alone."""
+"""State transfer during a change of the membership.
+
+It determines what the voters of a new membership configuration must have before they vote alone.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +18,17 @@
     """A base class of the server: transfers keys, and has the server transfer the files."""
 
     def transferred_to(self, side, membership, required=()):
-        """A function of members: is a transfer to one side ({disk id: address}) complete once they
-        have it? Those required and a quorum of both sides must, and a durable quorum of that side if
-        its members allow one."""
+        """Return a predicate on members: whether the transfer to one side is complete if they
+        have the state.
+
+        It requires the required members and a quorum of both sides, and a durable quorum of that
+        side if its members allow one.
+
+        :param side: {disk id: address} of the members that will vote alone
+        """
         joint = membership.voter_sets()
         side_alone = replace(membership, voters=side, next_voters=None)
-        new = side_alone.voter_sets(self.tolerance)
+        side_sets = side_alone.voter_sets(self.tolerance)
         required = set(required)
 
         def enough(members):
@@ -28,31 +36,40 @@
             return (
                 joint.is_quorum(complete)
                 and required <= complete
-                and (new.is_durable(complete) or not new.can_be_durable())
+                and (side_sets.is_durable(complete) or not side_sets.can_be_durable())
             )
 
         return enough
 
     def transferred(self, membership):
-        """As transferred_to, for the end of the change under way: all newcomers must have it too."""
+        """Return the predicate for completing the change in progress.
+
+        As transferred_to, and all newcomers must have the state too.
+        """
         side = membership.next_voters or membership.voters
         return self.transferred_to(side, membership, membership.newcomers)
 
     async def transfer_state(self, deadline):
-        """Transfer to the new voters. If another configuration becomes known meanwhile, this change is
-        not ended."""
+        """Transfer all state to the new voters.
+
+        If another configuration becomes known in the meantime, the caller does not complete this
+        change.
+        """
         membership = self.store.membership
         await self.transfer_listed_keys(membership, self.transferred(membership), deadline)
         await self.transfer_files(deadline)
 
     async def transfer_back(self, membership, deadline):
-        """Transfer to the former voters what was accepted meanwhile, perhaps by newcomers alone."""
+        """Transfer to the old voters what was accepted during the change.
+
+        Some of it may have been accepted by newcomers alone.
+        """
         enough = self.transferred_to(membership.voters, membership)
         await self.transfer_listed_keys(membership, enough, deadline)
         await self.transfer_files(deadline, enough)
 
     async def transfer_listed_keys(self, membership, enough, deadline):
-        """Transfer all keys that the former voters list, to both sides."""
+        """Transfer all keys that the old voters list, to both sides."""
 
         def listed(answers):
             return VoterSets.of([membership.voters]).is_quorum(answers)
@@ -61,18 +78,19 @@
             membership.voters, "member.keys", membership.to_record(), deadline, listed
         )
         if not listed(answers):
-            raise NoQuorum("keys")
-        keys = sorted({k for t in answers.values() for k in t["keys"]})
+            raise NoQuorum("the keys of the old voters")
+        keys = sorted({key for answer in answers.values() for key in answer["keys"]})
         await self.transfer_keys(keys, deadline, lambda _, members: enough(members))
 
     async def transfer_keys(self, keys, deadline, enough):
-        """Write each key's value again, until enough(voter sets, members that accepted it).
+        """Rewrite the value of each key, until enough members have accepted it.
 
+        :param enough: a predicate on (voter sets, members that accepted the value)
         :raises NoQuorum: not all of them could be written by the deadline.
         """
         failures, limit = [], trio.CapacityLimiter(MAX_CONCURRENT_KEYS)
 
-        async def write_again(key):
+        async def rewrite(key):
             async with limit:
                 try:
                     if not failures:
@@ -82,6 +100,6 @@
 
         async with trio.open_nursery() as nursery:
             for key in keys:
-                nursery.start_soon(write_again, key)
+                nursery.start_soon(rewrite, key)
         if failures:
             raise NoQuorum(str(failures[0]))
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -1,4 +1,4 @@
-"""What is on a member's disk: disk id, membership configuration, keys, chunks and audit log."""
+"""The state on a member's disk: disk id, membership configuration, keys, chunks and audit log."""
 
 from __future__ import annotations
 
@@ -17,38 +17,40 @@
 from meadowdock.rpc import Rejected
 from meadowdock.runtime import Disk, add_checksum, fingerprint, monotonic_us, verify_checksum
 
-RETAINED_CONFIGURATIONS = 2  # the newest, and one to go on from should that be damaged
+RETAINED_CONFIGURATIONS = 2  # the newest, and one to fall back to if that is damaged
 
 
 CURRENT_REVISION_KEY = "manifest/head"  # the register key of the current revision
 
 
 class Store:
-    """The durable state of one member: disk id, membership configuration, keys, chunks, audit log.
+    """The durable state of one member.
 
-    Invariants: the disk id is fixed by the first start on an empty folder, or by the start that
-    found the disk damaged; the version of the membership configuration only goes up, and it is on
-    disk before it is used; a chunk's name is its body's fingerprint.
+    Invariants: the disk id is set by the first start on an empty directory, or by the start that
+    found the disk damaged; the version of the membership configuration only increases, and a
+    configuration is on disk before it is used; a chunk is named by the fingerprint of its body.
     """
 
     def __init__(self, disk: Disk, rng: Random, log: Callable[..., None]) -> None:
         self.files, self.rng, self.log = MonitoredDisk(disk), rng, log
         self.acceptor = Acceptor(cast("Disk", self.files), log)
-        self.chunk_lock = trio.Lock()  # held by who looks for a chunk, and by who removes one
-        self.chunk_used_at: dict[str, int] = {}  # chunk -> when it was last asked for
+        self.chunk_lock = trio.Lock()  # held while a chunk is looked up or removed
+        self.chunk_used_at: dict[str, int] = {}  # chunk -> when it was last requested
         self.started_at = monotonic_us()
         self.adopt_lock = trio.Lock()
         self.blank_at_start = False
-        self.disk = ""  # the disk id; empty until it is loaded
+        self.disk = ""  # the disk id; empty until load() has run
         self.membership: MembershipConfiguration | None = None
         self.tolerance = NO_LOSSES
         self.audit_log = AuditLog(cast("Disk", self.files))
 
     async def load(self) -> None:
-        """Read the disk: membership configuration, audit log, keys and disk id. A disk that lost
-        something gets another id."""
+        """Read the membership configuration, audit log, keys and disk id from the disk.
+
+        A disk that has lost state gets a new id.
+        """
         versions = await self.files.names("members")
-        # the newest that can be read; the others' addresses are good even of an older one
+        # The newest readable one. Even an older one is useful for the addresses of the members.
         for version in reversed(versions):
             body = verify_checksum(await self.files.read(f"members/{version}"))
             if body is not None:
@@ -61,9 +63,9 @@
         lost = self.acceptor.lost_keys()
         self.blank_at_start = not versions and not self.acceptor.states
         if disk_id is None or lost or lost_configuration:
-            # an unreadable id, a key whose older file would forget promises, or a
-            # configuration whose older file would let former voters vote: a lost disk. It goes on
-            # as another; the configuration stays, to ask for the former one's place
+            # The disk counts as lost: its id is unreadable, or an older file of a key would forget
+            # promises, or an older configuration would let former voters vote. It continues under
+            # a new id and keeps the configuration, to apply for the place of the old disk.
             disk_id = f"{self.rng.getrandbits(64):016x}".encode()
             await self.files.write("disk", add_checksum(disk_id))
         if lost:
@@ -73,12 +75,18 @@
 
     @property
     def is_blank(self) -> bool:
-        """Never was a member: nothing is here, nor was when the process began."""
+        """Whether this disk never belonged to a member.
+
+        It holds no state now, and held none when the process started.
+        """
         return self.blank_at_start and self.membership is None
 
     async def adopt(self, membership: MembershipConfiguration) -> None:
-        """Store a newer membership configuration, then go by it. One at a time: an older one that
-        took longer to write must not follow a newer."""
+        """Store a newer membership configuration, then use it.
+
+        Configurations are stored one at a time, so that an older one whose write is slow can't
+        replace a newer one.
+        """
         if not self.is_newer(membership):
             return
         async with self.adopt_lock:
@@ -90,23 +98,23 @@
             await self.remove_old_configurations()
 
     def is_newer(self, membership: MembershipConfiguration) -> bool:
-        """Whether a membership configuration is newer than the one here."""
+        """Whether a membership configuration is newer than the stored one."""
         return self.membership is None or membership.version > self.membership.version
 
     async def remove_old_configurations(self) -> None:
-        """Keep the newest two membership configurations."""
+        """Remove all membership configurations but the newest two."""
         names = sorted(await self.files.names("members"))
         for name in names[:-RETAINED_CONFIGURATIONS]:
             await self.files.remove(f"members/{name}")
 
     @property
     def members(self) -> dict[str, str]:
-        """{disk id: address} of all that have a vote."""
+        """{disk id: address} of all disks that have a vote."""
         return {} if self.membership is None else self.membership.members
 
     @property
     def voter_sets(self) -> VoterSets:
-        """The voter sets of the present membership configuration."""
+        """The voter sets of the current membership configuration."""
         if self.membership is None:
             return VoterSets(tolerance=self.tolerance)
         return self.membership.voter_sets(self.tolerance)
@@ -118,7 +126,10 @@
 
     @property
     def is_established_voter(self) -> bool:
-        """Whether this disk has a vote, whether or not a change under way is completed."""
+        """Whether this disk votes independently of a change in progress.
+
+        In a joint configuration only the old voters do.
+        """
         return self.membership is not None and self.disk in self.membership.voters
 
     async def put_chunk(self, body: bytes) -> str:
@@ -129,18 +140,22 @@
         return name
 
     async def read_chunk(self, name: str) -> bytes | None:
-        """The body, or None if it is missing or damaged."""
+        """Read the body of a chunk, or None if it is missing or damaged."""
         body = await self.files.read(f"blob/{name}")
         return body if body is not None and fingerprint(body) == name else None
 
     async def touch_chunk(self, name: str) -> bytes | None:
-        """As read_chunk; and it is not removed before it was idle for as long as its remover asks."""
+        """Read a chunk, and protect it from removal for a while.
+
+        It is removed only after it was idle for as long as the caller of `remove_idle_chunk`
+        requires.
+        """
         async with self.chunk_lock:
             self.chunk_used_at[name] = monotonic_us()
             return await self.read_chunk(name)
 
     async def missing_chunks(self, names: Sequence[str]) -> list[str]:
-        """Which of these chunks are missing here; the others are touched."""
+        """Return those of these chunks that are missing here, and touch the others."""
         present = set()
         for name in names:
             if await self.touch_chunk(name) is not None:
@@ -149,12 +164,12 @@
         return [name for name in names if name not in present]
 
     async def chunk_names(self) -> list[str]:
-        """The names of all chunks here."""
+        """List the names of all chunks on this disk."""
         names: list[str] = await self.files.names("blob")
         return names
 
     async def remove_idle_chunk(self, name: str, idle_us: int) -> bool:
-        """Remove a chunk that nobody asked for within this time.
+        """Remove a chunk that was not requested within this time.
 
         :returns: whether it was removed.
         """
@@ -168,7 +183,7 @@
 
 @contextmanager
 def disk_failures_rejected() -> Iterator[None]:
-    """Answer another member's request with a rejection if the disk can't be written.
+    """Reject another member's request if the disk can't be written.
 
     :raises Rejected: with the code "disk".
     """
--- a/packages/config_store/meadowdock/config_store/voting.py
+++ b/packages/config_store/meadowdock/config_store/voting.py
@@ -1,4 +1,4 @@
-"""The consensus requests between members: sent to the others, and voted on as one of them."""
+"""The consensus requests between members: the sending side, and the acceptor's side."""
 
 from __future__ import annotations
 
@@ -9,27 +9,36 @@
 
 
 class VotingMember:
-    """A base class of the server. Invariant: a vote is given only under the membership configuration
-    of the proposer; an older one than this member's is rejected, with the newer one."""
+    """A base class of the server: sends consensus requests, and votes on those of others.
+
+    Invariant: a vote is given only under the membership configuration of the proposer. A request
+    under an older configuration than this member's is rejected, and the rejection carries the newer
+    one.
+    """
 
     handlers = Handlers()
 
     def make_proposer(self):
-        """A proposer with a name that is never used again: random bits are added, as a wall clock that
-        goes back may give an incarnation twice."""
+        """Create a proposer with a name that is never used again.
+
+        Random bits are part of the name, as a wall clock that is set back may produce the same
+        incarnation twice.
+        """
         incarnation = f"{self.node.incarnation}:{self.node.runtime.rng.getrandbits(64):016x}"
         return Proposer(
             f"{self.store.disk}:{incarnation}",
             lambda: self.store.voter_sets,
-            self.ask,
+            self.call_acceptor,
             self.node.runtime.rng,
             self.node.nursery,
             lambda: self.store.membership.version if self.store.membership else 0,
         )
 
-    async def ask(self, member, method, args, deadline, version):
-        """The answer of one member, perhaps this one. version: of the membership configuration that the
-        ballot is bound to."""
+    async def call_acceptor(self, member, method, args, deadline, version):
+        """Send a request to one member, perhaps this one, and return its answer.
+
+        :param version: of the membership configuration that the ballot is bound to
+        """
         if member == self.store.disk:
             return await self.answer(version, member, method, args)
         address = self.store.members[member]
@@ -46,7 +55,7 @@
 
     @handlers.on("register")
     async def on_register(self, peer, args):
-        """A prepare, write or read by another member."""
+        """Handle a prepare, write or read of another member."""
         return await self.answer(*args)
 
     async def answer(self, version, member, method, args):
