--- a/packages/config_store/meadowdock/config_store/__main__.py
+++ b/packages/config_store/meadowdock/config_store/__main__.py
@@ -18,10 +18,11 @@
 
 @fire.decorators.SetParseFn(str)
 def rescue(boot: str, lose_others: str = "no") -> None:
-    """When a majority of the disks is lost for good: make this disk the only voter.
+    """Make this disk the only voter after a majority of the disks was lost permanently.
 
-    Only with the daemon stopped. What was accepted while this disk was away is lost. Without
-    --lose_others=yes it only tells what this disk holds."""
+    Run it only while the daemon is stopped. Everything that was accepted while this disk was away
+    is lost. Without --lose_others=yes it only reports what this disk holds.
+    """
     settings = load("mdconf", boot)
     confirmed = lose_others == CONFIRMED
     print(trio.run(rescue_disk, Disk(settings.data), settings.link, confirmed))
--- a/packages/config_store/meadowdock/config_store/audit_log.py
+++ b/packages/config_store/meadowdock/config_store/audit_log.py
@@ -1,9 +1,10 @@
 """The audit log on one member's disk: sealed segments, and a short tail of single records.
 
 Records are grouped by version number, so a segment is the same at all members. A sealed segment is
-one file, named by its index and its last record's hash; each record holds the hash of the one before,
-so that hash stands for the complete chain up to there. Only names of segments and the tail are kept
-in memory. The oldest segments are dropped once a checkpoint says where the kept chain begins.
+one file, named by its index and the hash of its last record. Each record contains the hash of the
+previous one, so that hash identifies the complete chain up to there. Only the names of segments,
+and the tail, are kept in memory. The oldest segments are dropped once a checkpoint records where
+the retained chain begins.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from meadowdock.consensus import for_each
 from meadowdock.runtime import Disk, add_checksum, fingerprint, verify_checksum
 
-RECORDS_PER_SEGMENT = 64  # about 40 KB: one segment is also the most that one message carries
+RECORDS_PER_SEGMENT = 64  # about 40 KB; also the maximum that one message carries
 MAX_SEGMENTS = 256  # 16,384 versions, about 10 MB
 DIGEST_LENGTH = 32  # hexadecimal digits of a segment's digest
 
@@ -32,7 +33,7 @@
 
 
 def segment_of(version: int) -> int:
-    """The index of the segment that a version belongs to.
+    """Return the index of the segment that a version belongs to.
 
     >>> segment_of(1), segment_of(RECORDS_PER_SEGMENT), segment_of(RECORDS_PER_SEGMENT + 1)
     (0, 0, 1)
@@ -41,12 +42,12 @@
 
 
 def versions_of(index: int) -> range:
-    """The versions of a segment."""
+    """Return the versions of a segment."""
     return range(index * RECORDS_PER_SEGMENT + 1, (index + 1) * RECORDS_PER_SEGMENT + 1)
 
 
 def by_segment(versions: Iterable[int]) -> list[list[int]]:
-    """Versions in batches of one segment each, in order.
+    """Group versions into batches of one segment each, in order.
 
     >>> by_segment([1, 64, 65])
     [[1, 64], [65]]
@@ -59,15 +60,20 @@
 
 @dataclass
 class AuditLogState:
-    """Which records one member has: its sealed segments' digests, and the versions of its tail."""
+    """Which records one member has.
 
-    first_version: int = 1  # of the kept chain
-    previous_hash: str = ""  # of the record before the first; empty where the chain itself begins
+    These are the digests of its sealed segments, and the versions of its tail.
+    """
+
+    first_version: int = 1  # of the retained chain
+    previous_hash: str = (
+        ""  # of the record before the first; empty at the start of the complete chain
+    )
     segments: dict[int, str] = field(default_factory=dict)  # index -> digest
     tail: list[int] = field(default_factory=list)
 
     def to_wire(self) -> dict[str, Any]:
-        """As sent to another member."""
+        """Encode as sent to another member."""
         return {
             "first": self.first_version,
             "former": self.previous_hash,
@@ -77,25 +83,31 @@
 
     @classmethod
     def from_wire(cls, fields: Mapping[str, Any]) -> AuditLogState:
-        """Decode what another member sent.
+        """Decode the state of another member.
 
         :raises KeyError: a field is missing.
         """
         return cls(fields["first"], fields["former"], fields["segments"], fields["tail"])
 
     def anchor(self) -> dict[str, Any] | None:
-        """What `audit.verify` has to know of the records before the first; None if there are none."""
+        """Return what `audit.verify` has to know of the dropped records before the first one.
+
+        None if the chain is complete.
+        """
         if self.first_version == 1:
             return None
         return {"version": self.first_version, "former": self.previous_hash}
 
     def digest(self) -> str:
-        """Equal for two members that have the same records."""
+        """Compute a digest that is equal for two members with the same records."""
         content = [self.first_version, sorted(self.segments.items()), self.tail]
         return fingerprint(repr(content).encode())
 
     def merged_with(self, other: AuditLogState) -> AuditLogState:
-        """All records that either has, from the later beginning on."""
+        """Return the state with the records of both members.
+
+        It begins at the later of their two first versions.
+        """
         later = max(self, other, key=lambda state: state.first_version)
         return AuditLogState(
             later.first_version,
@@ -109,8 +121,9 @@
     """The audit log of one member.
 
     Invariants: a segment is in `segments` only once its file is durable; the single files of its
-    records are removed only after that. A record at or after `first` is never changed. The
-    checkpoint is durable before the first segment that it leaves out is removed."""
+    records are removed only after that. A record at or after `first_version` is never changed. The
+    checkpoint is durable before the first segment that it leaves out is removed.
+    """
 
     def __init__(self, files: Disk) -> None:
         self.files = files
@@ -118,13 +131,14 @@
         self.segments: dict[int, str] = {}  # index -> digest
         self.tail: Records = {}
         self.redundant_versions: list[int] = []  # with both a single file and a sealed segment
-        self.sealing = trio.Lock()
-
-    # ------------------------------------------------------------ start
+        self.seal_lock = trio.Lock()
 
     async def load(self) -> None:
-        """Reads the checkpoint and the single records; of segments only the names. All single files
-        of the former layout (one for each version) are a long tail, which seal() shortens."""
+        """Read the checkpoint and the single records; of segments only the names.
+
+        In the former layout each version has a single file; these form a long tail, which seal()
+        shortens.
+        """
         body = verify_checksum(await self.files.read(CHECKPOINT_FILE))
         if body is not None:
             self.first_version, self.previous_hash = ormsgpack.unpackb(body)
@@ -140,41 +154,39 @@
         )
 
     async def load_record(self, version: int) -> None:
-        """Read the single file of a version; a damaged one counts as missing."""
+        """Read the single file of a version into the tail; a damaged one counts as missing."""
         body = verify_checksum(await self.files.read(record_file(version)))
-        if body is not None:  # a damaged one is pulled from another member
+        if body is not None:  # else it is pulled from another member
             self.tail[version] = body.decode()
 
-    # ------------------------------------------------------------ reading
-
     def holds(self, version: int) -> bool:
-        """Whether the record of a version is here."""
+        """Whether the record of a version is on this disk."""
         return version in self.tail or segment_of(version) in self.segments
 
     def state(self, since: int = 0) -> AuditLogState:
-        """Which records are here, without the segments before the index `since`."""
+        """Return which records are on this disk, without the segments before the index `since`."""
         segments = {i: digest for i, digest in self.segments.items() if i >= since}
         return AuditLogState(self.first_version, self.previous_hash, segments, sorted(self.tail))
 
     def first_missing_segment(self) -> int:
-        """The first segment, from where the kept chain begins, that is missing here."""
+        """Return the index of the first segment of the retained chain that is missing here."""
         index = segment_of(self.first_version)
         while index in self.segments:
             index += 1
         return index
 
     def missing(self, end: int) -> list[int]:
-        """Versions from the first up to, without, end that are missing here."""
+        """Return the retained versions before `end` that are missing here."""
         return [version for version in range(self.first_version, end) if not self.holds(version)]
 
     def versions_to_pull(self, state: AuditLogState) -> list[int]:
-        """Versions that a member in this state has, and that are missing here."""
+        """Return the versions that are missing here and that a member in this state has."""
         versions = [v for index in state.segments for v in versions_of(index)]
         first = max(self.first_version, state.first_version)
         return [v for v in (*versions, *state.tail) if v >= first and not self.holds(v)]
 
     async def read(self, versions: Collection[int]) -> Records:
-        """{version: record} of those that are here."""
+        """Return {version: record} of those versions that are on this disk."""
         found = {v: self.tail[v] for v in versions if v in self.tail}
         for batch in by_segment(
             v for v in versions if v not in self.tail and v >= self.first_version
@@ -184,8 +196,10 @@
         return dict(sorted(found.items()))
 
     async def read_segment(self, index: int) -> Records:
-        """{version: record}; empty if it isn't here, or its file is damaged: then it counts as missing
-        from here on."""
+        """Return {version: record} of a segment; empty if it is missing.
+
+        A segment whose file turns out to be damaged counts as missing from then on.
+        """
         digest = self.segments.get(index)
         if digest is None:
             return {}
@@ -198,10 +212,8 @@
             del self.segments[index]
         return {}
 
-    # ------------------------------------------------------------ writing
-
     async def put(self, records: Records) -> None:
-        """{version: record}, each as a file of its own unless it is here already."""
+        """Store {version: record}, each as a single file, unless it is stored already."""
         for version, record in records.items():
             if version < self.first_version or self.holds(version):
                 continue
@@ -212,31 +224,35 @@
                 self.tail[version] = record
 
     async def put_batch(self, records: Records) -> None:
-        """As put; a batch that makes its segment complete is written as that segment at once."""
+        """Store {version: record} of one segment.
+
+        Records that complete the segment are written as a sealed segment at once.
+        """
         if not records:
             return
         index = segment_of(min(records))
         combined = {v: r for v, r in self.tail.items() if segment_of(v) == index} | records
         if self.can_seal(index, combined):
-            async with self.sealing:
+            async with self.seal_lock:
                 await self.write_segment(index, combined)
                 await self.remove_redundant_files()
         else:
             await self.put(records)
 
-    async def adopt_beginning(self, state: AuditLogState) -> None:
-        """Take over where another member's kept chain begins, if no earlier record is here."""
+    async def adopt_first_version(self, state: AuditLogState) -> None:
+        """Adopt the first version of another member's chain.
+
+        Nothing changes if an earlier record is on this disk.
+        """
         has_earlier = any(v < state.first_version for v in self.tail) or any(
             versions_of(index)[0] < state.first_version for index in self.segments
         )
         if state.first_version > self.first_version and not has_earlier:
             await self.write_checkpoint(state.first_version, state.previous_hash)
 
-    # ------------------------------------------------------------ segments
-
     async def seal(self) -> None:
-        """Segments that are complete in the tail become files; the oldest are dropped."""
-        async with self.sealing:
+        """Write segments that are complete in the tail as files, and drop the oldest segments."""
+        async with self.seal_lock:
             await self.checkpoint_former_layout()
             await self.remove_redundant_files()
             for batch in by_segment(self.tail):
@@ -250,21 +266,24 @@
             await self.drop_oldest()
 
     def can_seal(self, index: int, records: Records) -> bool:
-        """All of the segment's versions from the first on, each following the one before."""
+        """Whether these are all retained records of a segment, each chained to the previous one."""
         wanted = [v for v in versions_of(index) if v >= self.first_version]
         return bool(wanted) and sorted(records) == wanted and not versions_with_broken_link(records)
 
     async def checkpoint_former_layout(self) -> None:
-        """Set the checkpoint of a chain that began under the former layout, later than at version 1:
-        its first record names no record before it."""
+        """Write the checkpoint of a chain from the former layout that begins later than at
+        version 1.
+
+        The first record of such a chain contains no hash of a previous record.
+        """
         if not self.segments and self.tail and self.first_version == 1:
             first = min(self.tail)
-            facts = audit.read_payload(self.tail[first])
-            if first > 1 and facts and facts.get("former") == "":
+            payload = audit.read_payload(self.tail[first])
+            if first > 1 and payload and payload.get("former") == "":
                 await self.write_checkpoint(first, "")
 
     async def write_segment(self, index: int, records: Records) -> None:
-        """Write one sealed segment; its records leave the tail."""
+        """Write one sealed segment, and remove its records from the tail."""
         digest = digest_of(records)
         body = ormsgpack.packb(records, option=ormsgpack.OPT_NON_STR_KEYS)
         await self.files.write(segment_file(index, digest), add_checksum(body))
@@ -274,65 +293,72 @@
                 self.redundant_versions.append(version)
 
     async def remove_redundant_files(self) -> None:
-        """Single files of records whose segment can be read back, or that come before the first."""
+        """Remove single files that are not needed any more.
+
+        These are files of records whose segment is readable, or that come before the first retained
+        version.
+        """
         redundant_versions, self.redundant_versions = self.redundant_versions, []
         for batch in by_segment(redundant_versions):
             index = segment_of(batch[0])
             in_segment = batch[-1] >= self.first_version
             if in_segment and not await self.read_segment(index):
-                await for_each(self.load_record, batch)  # the segment is bad: these count again
+                await for_each(self.load_record, batch)  # the segment is damaged: use the files
                 continue
             for version in batch:
                 await self.files.remove(record_file(version))
 
     async def drop_broken_links(self, records: Records) -> None:
-        """Drop records that their successors don't follow: a rescued member may have left the chain
-        that the others went on with."""
+        """Drop records that their successors don't chain to.
+
+        A rescued member may have records that diverge from the chain with which the other members
+        continued.
+        """
         for version in versions_with_broken_link(records):
             del self.tail[version]
             await self.files.remove(record_file(version))
 
     async def drop_oldest(self) -> None:
-        """Drop segments beyond the bound, once the checkpoint is durable."""
-        end = max(self.segments, default=-1) - MAX_SEGMENTS + 1  # the first to be kept
-        old = [index for index in self.segments if index < end]
-        if not old:
+        """Drop segments beyond MAX_SEGMENTS, once the checkpoint is durable."""
+        end = max(self.segments, default=-1) - MAX_SEGMENTS + 1  # the first segment to keep
+        dropped = [index for index in self.segments if index < end]
+        if not dropped:
             return
         records = await self.read_segment(end)
         if not records:
-            return  # to be pulled before
+            return  # it has to be pulled first
         first = min(records)
         await self.write_checkpoint(first, audit.read_payload(records[first])["former"])
-        for index in old:
+        for index in dropped:
             await self.files.remove(segment_file(index, self.segments.pop(index)))
         self.redundant_versions += [v for v in self.tail if v < first]
         self.tail = {v: r for v, r in self.tail.items() if v >= first}
         await self.remove_redundant_files()
 
     async def write_checkpoint(self, first_version: int, previous_hash: str) -> None:
-        """Store where the kept chain begins."""
+        """Store where the retained chain begins."""
         checkpoint = ormsgpack.packb([first_version, previous_hash])
         await self.files.write(CHECKPOINT_FILE, add_checksum(checkpoint))
         self.first_version, self.previous_hash = first_version, previous_hash
 
 
 def record_file(version: int) -> str:
-    """The name of the single file of a version."""
+    """Return the name of the single file of a version."""
     return f"{RECORD_FOLDER}/{version:08d}"
 
 
 def segment_file(index: int, digest: str) -> str:
-    """The name of a segment's file."""
+    """Return the name of a segment's file."""
     return f"{SEGMENT_FOLDER}/{index:08d}-{digest}"
 
 
 def digest_of(records: Records) -> str:
-    """A segment's digest: the hash of its last record, shortened."""
+    """Return the digest of a segment: the shortened hash of its last record."""
     return audit.record_hash(records[max(records)])[:DIGEST_LENGTH]
 
 
 def versions_with_broken_link(records: Records) -> list[int]:
-    """Versions whose successor is present and holds the hash of another record."""
+    """Return the versions whose successor is present but contains the hash of another record."""
     return [
         version
         for version, record in records.items()
--- a/packages/config_store/meadowdock/config_store/audit_log_transfer.py
+++ b/packages/config_store/meadowdock/config_store/audit_log_transfer.py
@@ -1,7 +1,7 @@
-"""The audit log between members: compared by digest, pulled in bounded pieces.
+"""Transfer of the audit log between members: compared by digest, pulled in bounded batches.
 
-A member that lacks records asks for them, segment by segment. Each piece is durable here before the
-next is asked for, so a transfer that was interrupted resumes where it was.
+A member that lacks records requests them, segment by segment. Each batch is durable on this disk
+before the next one is requested, so an interrupted transfer resumes where it stopped.
 """
 
 from __future__ import annotations
@@ -32,17 +32,19 @@
 
 RUN_INTERVAL_US = SECOND
 REQUEST_TIMEOUT_US = SECOND
-HEDGE_DELAY_US = 200 * MILLISECOND  # without an answer by then the next member is asked too
-CATCH_UP_TIMEOUT_US = 20 * SECOND  # of one round; what is left comes with the next
-NEWCOMER_TIMEOUT_US = 2 * SECOND  # at a change of members, beyond the quorum
+HEDGE_DELAY_US = 200 * MILLISECOND  # without an answer by then, the next member is asked too
+CATCH_UP_TIMEOUT_US = 20 * SECOND  # of one round; the rest is pulled in the next one
+NEWCOMER_TIMEOUT_US = (
+    2 * SECOND
+)  # how long a change of members waits for newcomers beyond the quorum
 CATCH_UP_RETRY_US = 200 * MILLISECOND
 
 
 class AuditLogTransfer:
-    """Pulls the records that this member lacks, and answers the other members that pull theirs.
+    """Pulls the records that this member lacks, and serves the other members that pull theirs.
 
-    Invariants: one catch-up runs at a time, so nothing is pulled twice; nothing is sent that was
-    not asked for, and no message holds more than RECORDS_PER_SEGMENT records.
+    Invariants: one catch-up runs at a time, so nothing is pulled twice; nothing is sent without a
+    request, and no message holds more than RECORDS_PER_SEGMENT records.
     """
 
     handlers = Handlers()
@@ -51,15 +53,18 @@
         self,
         node: Node,
         store: Store,
-        others: Callable[[], dict[str, str]],
+        peers: Callable[[], dict[str, str]],
         record_repair: Callable[..., None],
     ) -> None:
-        """others: gives {disk id: address} of the other members. record_repair: is told of what was
-        pulled."""
+        """Create the transfer of a member.
+
+        :param peers: returns {disk id: address} of the other members
+        :param record_repair: called with what was pulled
+        """
         self.node, self.store = node, store
-        self.others, self.record_repair = others, record_repair
+        self.peers, self.record_repair = peers, record_repair
         self.round_number = 0
-        self.pulling = trio.Lock()
+        self.pull_lock = trio.Lock()
 
     @property
     def audit_log(self) -> AuditLog:
@@ -67,36 +72,37 @@
         return self.store.audit_log
 
     async def run(self) -> None:
-        """Seal what is complete and catch up, at a steady pace."""
+        """Seal complete segments and catch up, at a steady rate."""
         while True:
             try:
                 await self.audit_log.seal()
                 if self.store.is_voter:
                     await self.compare()
             except OSError:
-                pass  # the disk can't be written: again in the next round
+                pass  # the disk can't be written; retried in the next round
             await sleep_us(RUN_INTERVAL_US)
 
-    # ------------------------------------------------------------ comparing
-
     async def compare(self) -> None:
-        """With the next member: by one digest, and only if that differs by those of the segments."""
-        others = sorted(self.others().values())
-        if not others:
+        """Compare with the next member, and catch up with it if it has other records.
+
+        One digest covers all records; those of the segments are fetched only if it differs.
+        """
+        addresses = sorted(self.peers().values())
+        if not addresses:
             return
         self.round_number += 1
-        address = others[self.round_number % len(others)]
+        address = addresses[self.round_number % len(addresses)]
         try:
-            digest = await self.ask(address, "trail.digest", None)
+            digest = await self.call(address, "trail.digest", None)
             if digest != self.audit_log.state().digest():
                 since = self.audit_log.first_missing_segment()
-                fields = await self.ask(address, "trail.state", since)
+                fields = await self.call(address, "trail.state", since)
                 state = AuditLogState.from_wire(fields)
                 await self.catch_up(state, monotonic_us() + CATCH_UP_TIMEOUT_US)
         except (ConnectionFailed, Rejected):
             pass
 
-    async def ask(self, address: str, method: str, args: object) -> Any:
+    async def call(self, address: str, method: str, args: object) -> Any:
         """Call one member.
 
         :raises ConnectionFailed: there is no answer.
@@ -106,30 +112,28 @@
 
     @handlers.on("trail.digest")
     async def on_digest(self, peer: object, _: None) -> str:
-        """The digest of all records here."""
+        """Return the digest of all records on this disk."""
         return self.audit_log.state().digest()
 
     @handlers.on("trail.state")
     async def on_state(self, peer: object, since: int) -> dict[str, Any]:
-        """Which records are here, of segments from the given one on."""
+        """Return which records are on this disk, without the segments before `since`."""
         return self.audit_log.state(since).to_wire()
 
     @handlers.on("trail.read")
     async def on_read(self, peer: object, versions: list[int]) -> Records:
-        """Records of these versions, at most one segment."""
+        """Return the records of these versions, at most one segment."""
         return await self.audit_log.read(versions[:RECORDS_PER_SEGMENT])
 
-    # ------------------------------------------------------------ pulling
-
     async def catch_up(self, state: AuditLogState, deadline: int) -> int:
-        """Pull what is missing of a state, piece by piece.
+        """Pull the records of a state that are missing here, batch by batch.
 
         :returns: the number of records still missing at the deadline.
         :raises OSError: the disk can't be written.
         """
         with deadline_scope(deadline):
-            async with self.pulling:
-                await self.audit_log.adopt_beginning(state)
+            async with self.pull_lock:
+                await self.audit_log.adopt_first_version(state)
                 for versions in by_segment(self.audit_log.versions_to_pull(state)):
                     records = await self.pull(versions, deadline)
                     await self.audit_log.put_batch(records)
@@ -138,8 +142,11 @@
         return len(self.audit_log.versions_to_pull(state))
 
     async def pull(self, versions: list[int], deadline: int) -> Records:
-        """{version: record} of up to one segment. One member after the other is asked, the next once
-        those before failed, or answered nothing for HEDGE_DELAY_US."""
+        """Fetch {version: record} of up to one segment from other members.
+
+        They are asked one after the other: the next one as soon as those before have failed, or
+        have been silent for HEDGE_DELAY_US.
+        """
         deadline = min(deadline, monotonic_us() + REQUEST_TIMEOUT_US)
         found: Records = {}
         pending: set[trio.Event] = set()
@@ -153,7 +160,7 @@
             pending.discard(ended)
             ended.set()
 
-        addresses = sorted(self.others().values())
+        addresses = sorted(self.peers().values())
         start = self.round_number % max(1, len(addresses))
         async with trio.open_nursery() as nursery:
             for address in addresses[start:] + addresses[:start]:
@@ -170,9 +177,11 @@
             nursery.cancel_scope.cancel()
         return {version: found[version] for version in versions if version in found}
 
-    async def record(self, version: int, deadline: int) -> str | None:
-        """The record of a version before the current revision's, from here or from any member; None
-        if the chain kept here begins later.
+    async def fetch_record(self, version: int, deadline: int) -> str | None:
+        """Return the record of a version older than the current revision.
+
+        It is read from this disk or from any other member; None if it is older than the retained
+        chain.
 
         :raises NoQuorum: no member that has it answers.
         """
@@ -180,14 +189,17 @@
             return None
         found = await self.audit_log.read([version]) or await self.pull([version], deadline)
         if version not in found:
-            raise NoQuorum("audit record")
+            raise NoQuorum(f"audit record of version {version}")
         return found[version]
 
-    async def records(self, end: int, deadline: int) -> tuple[AuditLogState, Records]:
-        """(the log's state, {version: record} up to, without, end), from here and the others."""
-        states = await self.states(deadline)
+    async def fetch_records(self, end: int, deadline: int) -> tuple[AuditLogState, Records]:
+        """Return (state of the log, {version: record} before `end`).
+
+        Records that are missing on this disk are fetched from the other members.
+        """
+        states = await self.fetch_states(deadline)
         for state in states.values():
-            await self.audit_log.adopt_beginning(state)
+            await self.audit_log.adopt_first_version(state)
         found = await self.audit_log.read(range(self.audit_log.first_version, end))
         missing = [v for v in range(self.audit_log.first_version, end) if v not in found]
         for versions in by_segment(missing):
@@ -195,34 +207,33 @@
                 found |= await self.pull(versions, deadline)
         return self.audit_log.state(), dict(sorted(found.items()))
 
-    # ------------------------------------------------------------ a change of members
-
-    async def states(self, deadline: int) -> dict[str, AuditLogState]:
-        """{disk id: AuditLogState} of the other members that answer."""
-        asks = {d: (a, "trail.state", 0) for d, a in self.others().items()}
+    async def fetch_states(self, deadline: int) -> dict[str, AuditLogState]:
+        """Return {disk id: AuditLogState} of the other members that answer."""
+        requests = {d: (a, "trail.state", 0) for d, a in self.peers().items()}
         responses = await self.node.rpc.successful_responses(
-            asks, min(deadline, monotonic_us() + REQUEST_TIMEOUT_US)
+            requests, min(deadline, monotonic_us() + REQUEST_TIMEOUT_US)
         )
         return {disk: AuditLogState.from_wire(fields) for disk, fields in responses.items()}
 
     async def transfer_to_quorum(self, run_on_quorum: RunOnQuorum, deadline: int) -> None:
-        """A quorum of all members gets what a majority of the voters so far has: each record before
-        the current revision's is on such a majority. Members pull; nothing is pushed. Newcomers are
-        waited for, within NEWCOMER_TIMEOUT_US: one of them may be gone for good.
+        """Let a quorum of all members pull what a majority of the current voters has.
 
-        run_on_quorum: runs the first function here and the second with each other member's address.
+        Each record before the current revision's is on such a majority. Newcomers are waited for
+        beyond the quorum, but only for NEWCOMER_TIMEOUT_US, as one of them may be lost permanently.
 
+        :param run_on_quorum: runs the first function locally, and the second with each other
+            member's address
         :raises NoQuorum: too few members answer, or are complete by the deadline.
         """
         state = await self.state_of_majority(deadline)
         fields = state.to_wire()
         newcomers = self.newcomers()
 
-        async def catch_up_here() -> None:
+        async def catch_up_locally() -> None:
             while await self.catch_up(state, deadline):
                 await sleep_us(CATCH_UP_RETRY_US)
 
-        async def catch_up_there(address: str) -> None:
+        async def catch_up_remotely(address: str) -> None:
             try:
                 while await self.node.rpc.call(address, "trail.catch_up", fields, deadline):
                     await sleep_us(CATCH_UP_RETRY_US)
@@ -230,35 +241,37 @@
                 if address in newcomers:
                     newcomers[address].set()
 
-        await run_on_quorum(catch_up_here, catch_up_there, deadline)
+        await run_on_quorum(catch_up_locally, catch_up_remotely, deadline)
         with deadline_scope(min(deadline - SECOND, monotonic_us() + NEWCOMER_TIMEOUT_US)):
             for ended in newcomers.values():
                 await ended.wait()
 
     async def state_of_majority(self, deadline: int) -> AuditLogState:
-        """All that this member and those that answer have.
+        """Return the merged state of this member and those that answer.
 
-        :raises NoQuorum: they are no majority of the voters so far.
+        :raises NoQuorum: they are no majority of the current voters.
         """
         state = self.audit_log.state()
-        states = await self.states(deadline)
+        states = await self.fetch_states(deadline)
         voters = [list(self.store.membership.voters)]
         if not holds_majorities(voters, {self.store.disk, *states}):
-            raise NoQuorum("audit trail")
-        for other in states.values():
-            state = state.merged_with(other)
+            raise NoQuorum("audit log of the voters")
+        for peer_state in states.values():
+            state = state.merged_with(peer_state)
         return state
 
     def newcomers(self) -> dict[str, trio.Event]:
-        """{address: trio.Event} of the other disks that come in with the change under way."""
+        """Return {address: event} of the other members that the change in progress adds."""
         newcomers = self.store.membership.newcomers
         disks = set(newcomers) - {self.store.disk}
         return {newcomers[disk]: trio.Event() for disk in disks}
 
     @handlers.on("trail.catch_up")
     async def on_catch_up(self, peer: object, fields: dict[str, Any]) -> int:
-        """Pull what is missing of that state, for a second at most; how many records are still
-        missing here."""
+        """Pull the records of that state for at most a second.
+
+        It returns how many records are still missing here.
+        """
         with disk_failures_rejected():
             return await self.catch_up(
                 AuditLogState.from_wire(fields), monotonic_us() + REQUEST_TIMEOUT_US
@@ -267,5 +280,5 @@
 
 def is_record(version: int, record: str) -> bool:
     """Whether a text is the record of that version."""
-    facts = audit.read_payload(record)
-    return facts is not None and facts["version"] == version
+    payload = audit.read_payload(record)
+    return payload is not None and payload["version"] == version
--- a/packages/config_store/meadowdock/config_store/audit_records.py
+++ b/packages/config_store/meadowdock/config_store/audit_records.py
@@ -20,13 +20,15 @@
 
     @cached_property
     def key(self) -> audit.SigningKey:
-        """The signing key. Its first use loads the libraries for keys, which takes a while."""
+        """The signing key. Its first use loads the cryptographic libraries, which takes a while."""
         return audit.signing_key(self.node.settings.fleet_key)
 
     def sign(self, current: Revision, plan_id: str, plan: Plan) -> str:
-        """The signed record of the change that makes a plan the successor of the current revision.
-        It holds the digest of the current revision's record, which chains them."""
-        former = audit.record_hash(current.audit_record) if current.audit_record else ""
+        """Sign the record of the change that makes a plan the successor of the current revision.
+
+        It contains the hash of the current revision's record, which chains the records.
+        """
+        previous_hash = audit.record_hash(current.audit_record) if current.audit_record else ""
         return audit.sign(
             self.key,
             {
@@ -35,6 +37,6 @@
                 "base": plan.base,
                 "ranges": audit.record_hash(" ".join(plan.chunks)),
                 "at": str(self.node.runtime.wall_us()),
-                "former": former,
+                "former": previous_hash,
             },
         )
--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -1,7 +1,7 @@
-"""Content-addressed chunks at a member: read from memory, its own disk or the other members, and
-given to the processes that ask for them.
+"""Content-addressed chunks at a member.
 
-State: recent chunks in memory, and packed ones for the proxies that ask for the same.
+They are read from memory, the local disk or the other members, and served to other processes.
+State: recently used chunks in memory, and packed ones for proxies that request the same chunks.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
     from meadowdock.config_store.store import Store
     from meadowdock.process import Node
 
-DISK_IDLE_US = 30 * MILLISECOND  # a disk that gives nothing for so long: other members are asked
+DISK_IDLE_US = 30 * MILLISECOND  # a disk idle for this long is stalled: ask other members
 CACHE_MAX_BYTES = 1 << 20
-HEDGE_SHARE = 20  # one part in so many of apply_us: then the next member is asked too
-FETCH_SHARE = 2  # one part in so many of apply_us: the limit of one fetch
+HEDGE_DELAY_DIVISOR = 20  # the next member is asked too after apply_us divided by this
+FETCH_TIMEOUT_DIVISOR = 2  # one fetch takes at most apply_us divided by this
 
 
 class ChunkService:
     """Reads and serves chunks.
 
-    Invariant: `recent` holds chunks by their name, the latest last, up to CACHE_MAX_BYTES.
+    Invariant: `recent` holds chunks by name, the most recent last, up to CACHE_MAX_BYTES.
     """
 
     handlers = Handlers()
@@ -38,15 +38,18 @@
         self.recent: dict[str, bytes] = {}
         self.recent_bytes = 0
         self.packed = PackedChunkCache(self.read)
-        hedge_us = node.settings.apply_us // HEDGE_SHARE
+        hedge_us = node.settings.apply_us // HEDGE_DELAY_DIVISOR
         self.fetcher = ChunkFetcher(node.rpc, node.settings.link, hedge_us, COMPLETE_FORM)
 
     async def read(self, name: str) -> bytes | None:
-        """The body of a chunk from memory or disk; None if it is missing or damaged."""
+        """Read the body of a chunk from memory or disk; None if it is missing or damaged."""
         return self.recent.get(name) or await self.store.read_chunk(name)
 
     def cache(self, bodies: Mapping[str, bytes]) -> None:
-        """Keep these chunks in memory as the latest, within the bound."""
+        """Add these chunks to memory as the most recent.
+
+        The oldest chunks beyond CACHE_MAX_BYTES are evicted.
+        """
         for name, body in bodies.items():
             if name not in self.recent and len(body) <= CACHE_MAX_BYTES:
                 self.recent[name] = body
@@ -56,9 +59,12 @@
             self.recent_bytes -= len(self.recent.pop(oldest))
 
     async def fetch(self, names: Sequence[str], deadline: int | None = None) -> dict[str, bytes]:
-        """{name: body} of the chunks that are found by the deadline, or within half of apply_us.
-        Neither a disk nor a member that stalls delays it."""
-        limit = monotonic_us() + self.node.settings.apply_us // FETCH_SHARE
+        """Return {name: body} of the chunks that can be found in time.
+
+        The time ends at the deadline, or earlier after half of apply_us. Neither a disk nor a
+        member that stalls delays it.
+        """
+        limit = monotonic_us() + self.node.settings.apply_us // FETCH_TIMEOUT_DIVISOR
         deadline = limit if deadline is None else min(deadline, limit)
         sources = self.fetcher.spread(self.peers().values())
         found = {name: self.recent[name] for name in names if name in self.recent}
@@ -69,12 +75,12 @@
         if not fetch.complete.is_set():
             await self.fetcher.run(fetch, deadline)
         if not fetch.complete.is_set() and not fetch.disk_read.is_set():
-            with deadline_scope(deadline):  # the other members have no more: the disk may
+            with deadline_scope(deadline):  # the members don't have the rest, the disk may
                 await fetch.disk_read.wait()
         return {name: fetch.found[name] for name in names if name in fetch.found}
 
     async def wait_for_disk(self, fetch: ChunkFetch, deadline: int) -> None:
-        """Wait for this disk, as long as it goes on giving chunks."""
+        """Wait for the local disk, as long as it keeps delivering chunks."""
         while not fetch.disk_read.is_set() and monotonic_us() < deadline:
             found = len(fetch.found)
             with deadline_scope(monotonic_us() + DISK_IDLE_US):
@@ -83,7 +89,7 @@
                 return
 
     async def read_disk(self, fetch: ChunkFetch) -> None:
-        """Give a fetch the chunks that this disk has."""
+        """Add the chunks that the local disk has to a fetch."""
         try:
             for name in sorted(fetch.wanted):
                 if (
@@ -92,19 +98,17 @@
                 ):
                     fetch.add({name: body})
         except OSError:
-            pass  # the other members have it
+            pass  # the chunks are fetched from the other members
         finally:
             fetch.disk_read.set()
 
-    # ------------------------------------------------------------ for proxies and members
-
     @handlers.on("chunk.get")
     async def on_get_packed(self, peer: object, request: Any) -> Any:
-        """Parts of packed chunks, as many bytes as the asker takes."""
+        """Return parts of packed chunks, up to the number of bytes that the requester accepts."""
         return await serve_chunks(request, self.packed.get)
 
     @handlers.on("blob.get")
     async def on_get(self, peer: object, names: Sequence[str]) -> dict[str, bytes]:
-        """Whole chunks, for processes of former releases."""
+        """Return complete chunks, for processes of older releases."""
         bodies = {name: await self.read(name) for name in names}
         return {name: body for name, body in bodies.items() if body is not None}
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -1,9 +1,9 @@
 """Changes of the configuration by items, made on the same revisions as operators' plans.
 
 A change is a plan and its commit in one: it is merged into the items of the current revision, its
-new chunks are put on a durable quorum, then the revision is changed if it is still that one; else
-the change is attempted again. Changes that come while one is under way are made together by the
-next.
+new chunks are written to a durable quorum, then the revision is changed if it is still the same;
+otherwise the change is attempted again. Changes that arrive while one is in progress are made
+together in the next batch.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 if TYPE_CHECKING:
     from meadowdock.config_store.server import ConfigStore
 
-TIMEOUT_PER_ITEM_US = 3 * MILLISECOND  # an operator waits longer for a large change
-RETRY_PAUSE_MAX_MS = 10
+TIMEOUT_PER_ITEM_US = 3 * MILLISECOND  # added to the timeout of a change for each of its items
+RETRY_BACKOFF_MAX_MS = 10
 CHUNKS_PER_MESSAGE = 16
 
-Outcome = int | Exception  # the version of the revision that holds the change, or why none does
+Outcome = int | Exception  # the version of the revision that contains the change, or the error
 
 
 @dataclass
 class PendingChange:
-    """One operator's change that waits for its batch.
+    """An operator's change that waits for its batch.
 
     Invariant: outcome is set before done is.
     """
@@ -49,9 +49,9 @@
 class ItemChanges:
     """Makes changes of items, in batches.
 
-    Invariants: `pending` are the changes of the next batch, and one batch runs at a time.
-    `may_be_accepted` says that some member may have accepted a new revision of this batch, which
-    may yet be committed.
+    Invariants: `pending` holds the changes of the next batch, and one batch runs at a time.
+    `may_be_accepted` is true if some member may have accepted a new revision of this batch, which
+    may still be committed.
     """
 
     handlers = Handlers()
@@ -62,10 +62,8 @@
         self.running = False
         self.may_be_accepted = False
 
-    # ------------------------------------------------------------ reads
-
     async def read(self, deadline: int) -> tuple[int, list[Item]]:
-        """(version, items in force), from a quorum read. Raises NoQuorum."""
+        """Read (version, items in force) from a quorum. Raises NoQuorum."""
         monitor = self.server.quorum_monitor
         await monitor.require_quorum(writing=False)
         return await monitor.run_while_quorum(
@@ -73,15 +71,13 @@
         )
 
     async def read_now(self, deadline: int) -> tuple[int, list[Item]]:
-        """As read, without the check that a quorum is in touch."""
+        """Read (version, items in force) without checking first whether a quorum is in contact."""
         revision = await self.server.revisions.read(deadline)
-        items = await self.server.item_snapshot.at(revision, deadline)
+        items = await self.server.item_snapshot.items_of(revision, deadline)
         return revision.version, config_items.current_items(items)
 
-    # ------------------------------------------------------------ changes
-
     async def change(self, items: list[Item]) -> int:
-        """Make a change; the version of the revision that holds it, once that is committed.
+        """Make a change, and return the version of the committed revision that contains it.
 
         :raises config_items.InvalidItems: nothing was changed
         :raises config_items.VersionConflict: nothing was changed
@@ -97,14 +93,16 @@
         if not self.running:
             self.running = True
             self.server.node.nursery.start_soon(self.run_batches)
-        timeout = self.server.operator_timing.answer_us + TIMEOUT_PER_ITEM_US * len(items)
-        with deadline_scope(monotonic_us() + timeout):
+        timeout_us = self.server.operator_timing.answer_us + TIMEOUT_PER_ITEM_US * len(items)
+        with deadline_scope(monotonic_us() + timeout_us):
             await change.done.wait()
         return self.outcome_of(change)
 
     def outcome_of(self, change: PendingChange) -> int:
-        """The version of a change, or raises why there is none; one that still waits for its batch
-        is withdrawn."""
+        """Return the version of a change, or raise the reason why there is none.
+
+        A change that is still waiting for its batch is withdrawn.
+        """
         if change.outcome is None:
             if change in self.pending:
                 self.pending.remove(change)
@@ -115,14 +113,14 @@
         return change.outcome
 
     async def run_batches(self) -> None:
-        """Make batches, one after the other, while changes are pending."""
+        """Make one batch after the other, as long as changes are pending."""
         try:
             while self.pending:
                 batch, self.pending = self.pending, []
                 outcomes: list[Outcome]
                 try:
-                    outcomes = await self.make_batch_in_touch(batch)
-                except Exception as cause:  # whatever it is, it concerns these changes alone
+                    outcomes = await self.make_batch_while_quorum(batch)
+                except Exception as cause:  # any error affects only the changes of this batch
                     outcomes = [cause] * len(batch)
                 for change, outcome in zip(batch, outcomes, strict=True):
                     change.outcome = outcome
@@ -130,21 +128,23 @@
         finally:
             self.running = False
 
-    async def make_batch_in_touch(self, batch: list[PendingChange]) -> list[Outcome]:
-        """As make_batch; ended early once no quorum is in touch any more."""
+    async def make_batch_while_quorum(self, batch: list[PendingChange]) -> list[Outcome]:
+        """Make a batch; it ends early once no quorum is in contact."""
         monitor, self.may_be_accepted = self.server.quorum_monitor, False
         await monitor.require_quorum()
         return await monitor.run_while_quorum(lambda: self.make_batch(batch), self.failure)
 
     def failure(self) -> NoQuorum | OutcomeUnknown:
-        """The error of a batch that ends without a quorum's answer."""
+        """Return the error of a batch that ends without a quorum's answer."""
         return OutcomeUnknown("items") if self.may_be_accepted else NoQuorum("items")
 
     async def make_batch(self, batch: list[PendingChange]) -> list[Outcome]:
-        """The outcome of each change, in order. Each is judged by itself, after those before it.
+        """Return the outcome of each change, in order.
+
+        Each is validated separately, after those before it.
 
         :raises NoQuorum: no new revision was sent to any member
-        :raises OutcomeUnknown: one was, and may be committed
+        :raises OutcomeUnknown: one was sent, and may be committed
         """
         deadline = monotonic_us() + self.server.operator_timing.change_us
         while True:
@@ -155,26 +155,31 @@
                     raise self.failure() from None
             except NoQuorum:
                 raise self.failure() from None
-            pause = self.server.node.runtime.rng.randrange(1, RETRY_PAUSE_MAX_MS)
-            await sleep_us(pause * MILLISECOND)
+            backoff_ms = self.server.node.runtime.rng.randrange(1, RETRY_BACKOFF_MAX_MS)
+            await sleep_us(backoff_ms * MILLISECOND)
 
     async def attempt_batch(self, batch: list[PendingChange], deadline: int) -> list[Outcome]:
-        """One attempt of a batch. Raises RevisionConflict if another changed the revision."""
+        """Make one attempt at a batch.
+
+        :raises RevisionConflict: another change was committed first
+        """
         current = await self.server.revisions.read(deadline)
-        items = await self.server.item_snapshot.at(current, deadline)
+        items = await self.server.item_snapshot.items_of(current, deadline)
         merged, rejected = merge_batch(items, batch)
         version = current.version
         if merged is not items:
             version = (await self.commit(current, merged, deadline)).version
         elif len(rejected) < len(batch):
-            # nothing changes, but what a read found may be on fewer disks than an
-            # acknowledgement needs
+            # Nothing changes, but the revision that was read may be on fewer disks than an
+            # acknowledgement requires.
             await self.server.plans.rewrite_current(deadline)
         return [rejected.get(index, version) for index in range(len(batch))]
 
     async def commit(self, current: Revision, items: ItemsByKey, deadline: int) -> Revision:
-        """The successor of a revision with these items, committed. Raises RevisionConflict if the
-        current revision is another."""
+        """Commit the successor of a revision with these items.
+
+        :raises RevisionConflict: the current revision is another one
+        """
         server = self.server
         chunks = await server.node.runtime.offload(split_items, items)
         names = [name for name, _ in chunks]
@@ -187,14 +192,14 @@
         )
         body = plan.encode()
         plan_id = plan_id_of(body)
-        # the others are on a quorum since the revision that names them
+        # The other chunks have been on a quorum since an earlier revision.
         known = server.item_snapshot.items_by_chunk
         new_chunks = {name: chunk for name, chunk in chunks if name not in known}
         server.chunks.cache(new_chunks)
-        # as with a plan's commit: the new revision holds its own audit record alone
+        # As with the commit of a plan, the new revision contains only its own audit record.
         records = {current.version: current.audit_record} if current.audit_record else {}
         await self.replicate({**new_chunks, plan_id: body}, records, deadline)
-        # loads libraries at first use, which takes too long for the event loop
+        # The first use loads libraries, which would block the event loop for too long.
         await server.node.runtime.offload(lambda: server.audit_signer.key)
         committed = await self.propose(server.plans.transition(plan_id, plan), deadline)
         server.revisions.learn(committed)
@@ -208,18 +213,16 @@
         try:
             record = await self.server.proposer.change(CURRENT_REVISION_KEY, transition, deadline)
         except NoQuorum:
-            self.may_be_accepted = before  # this attempt surely wrote nothing
+            self.may_be_accepted = before  # this attempt wrote nothing
             raise
         return Revision.from_record(record)
 
-    # ------------------------------------------------------------ files
-
     async def replicate(
         self, bodies: Mapping[str, bytes], records: Mapping[int, str], deadline: int
     ) -> None:
-        """Put chunks and audit records on a durable quorum at once. Raises NoQuorum."""
+        """Write chunks and audit records to a durable quorum with one message. Raises NoQuorum."""
 
-        async def write_at(address: str) -> None:
+        async def write_remotely(address: str) -> None:
             chunks = list(bodies.values())
             for start in range(0, len(chunks), CHUNKS_PER_MESSAGE):
                 is_last = start + CHUNKS_PER_MESSAGE >= len(chunks)
@@ -228,11 +231,14 @@
                 await self.server.node.rpc.call(address, "items.put", message, deadline)
 
         await self.server.broadcast.write_to_quorum(
-            lambda: self.write_files(bodies.values(), records), write_at, deadline
+            lambda: self.write_files(bodies.values(), records), write_remotely, deadline
         )
 
     async def write_files(self, bodies: Collection[bytes], records: Mapping[int, str]) -> None:
-        """Write to this disk, side by side. Raises the OSError of a write that failed."""
+        """Write chunks and audit records to the local disk concurrently.
+
+        :raises OSError: one of the writes failed
+        """
         failures: list[OSError] = []
 
         async def run_write(write: Callable[..., Awaitable[object]], argument: object) -> None:
@@ -263,8 +269,10 @@
 def merge_batch(
     items: ItemsByKey, batch: list[PendingChange]
 ) -> tuple[ItemsByKey, dict[int, Exception]]:
-    """(the items with all changes that fit, {index of a rejected change: why}). Gives the very items
-    back if nothing changes."""
+    """Return (the items with all changes that fit, {index of a rejected change: error}).
+
+    If nothing changes, the items are returned as the same object.
+    """
     merged: ItemsByKey = items
     rejected: dict[int, Exception] = {}
     for index, change in enumerate(batch):
--- a/packages/config_store/meadowdock/config_store/item_snapshot.py
+++ b/packages/config_store/meadowdock/config_store/item_snapshot.py
@@ -1,7 +1,7 @@
 """The items of a revision, decoded from its chunks.
 
-State: the decoded items of the newest revision that was asked for, so that a read of an unchanged
-revision decodes nothing, and one of a successor only the chunks that changed.
+State: the decoded items of the newest revision that was requested. A read of an unchanged revision
+therefore decodes nothing, and a read of its successor only the chunks that changed.
 """
 
 from __future__ import annotations
@@ -19,11 +19,14 @@
     from meadowdock.config_store.chunks import ChunkService
 
 Item = dict[str, Any]
-ItemsByKey = Mapping[tuple[str, str], Item]  # (kind, name) -> item, the dropped ones included
+ItemsByKey = Mapping[tuple[str, str], Item]  # (kind, name) -> item, including dropped ones
 
 
 class ItemSnapshot:
-    """Decoded items. Invariant: `items` is what the chunks `names`, those of `version`, decode to."""
+    """Decoded items.
+
+    Invariant: `items` is the decoded content of the chunks `names`, which are those of `version`.
+    """
 
     def __init__(self, chunks: ChunkService) -> None:
         self.chunks = chunks
@@ -32,9 +35,10 @@
         self.items_by_chunk: dict[str, list[Item]] = {}
         self.items: ItemsByKey = {}
 
-    async def at(self, revision: Revision, deadline: int) -> ItemsByKey:
-        """All items of a revision, the dropped ones included. Fetches only chunks that are not
-        decoded yet.
+    async def items_of(self, revision: Revision, deadline: int) -> ItemsByKey:
+        """Return all items of a revision, including dropped ones.
+
+        Only chunks that are not decoded yet are fetched.
 
         :raises NoQuorum: a chunk could not be fetched
         """
@@ -55,8 +59,8 @@
         return items
 
     async def fetch_decoded(self, names: Sequence[str], deadline: int) -> dict[str, list[Item]]:
-        """{name: its items} of chunks, all of them. Raises NoQuorum."""
+        """Fetch and decode all these chunks: {name: its items}. Raises NoQuorum."""
         bodies = await self.chunks.fetch(names, deadline)
         if len(bodies) < len(names):
-            raise NoQuorum("chunks")
+            raise NoQuorum("item chunks")
         return {name: ormsgpack.unpackb(body)[1] for name, body in bodies.items()}
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -50,10 +50,8 @@
         self.started_at = self.membership_known_at = monotonic_us()
         self.pause_detector = PauseDetector(SECOND, monotonic_us())
         self.changes_in_progress = 0
-        self.joint_seen = (
-            0,
-            0,
-        )  # version of the last joint configuration, and when it was first seen
+        # version of the last joint configuration, and when it was first seen
+        self.joint_seen = (0, 0)
 
     def membership_handlers(self):
         """Return the RPC handlers of the membership."""
@@ -112,8 +110,7 @@
         )
 
     def target_voters(self):
-        """Return the addresses of the wanted voters, or None if this process should change
-        nothing.
+        """Return the addresses of the wanted voters, or None if nothing is to be changed.
 
         That is so if the wanted voters vote already, under the same disks and in the recorded
         failure domains; if this process is neither a voter nor at the address of one; or if no
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -78,8 +78,7 @@
     async def complete_change(
         self, membership: MembershipConfiguration, deadline: int
     ) -> MembershipConfiguration:
-        """Transfer all state to the new voters of a joint configuration, then let them vote
-        alone.
+        """Transfer all state to the new voters of a joint configuration, and complete it.
 
         A majority of both sides knows the joint configuration. If a newcomer can't receive the
         state, the change is reverted. If another member completed the change in the meantime and
--- a/packages/config_store/meadowdock/config_store/monitored_disk.py
+++ b/packages/config_store/meadowdock/config_store/monitored_disk.py
@@ -1,4 +1,7 @@
-"""A disk that knows whether it can be written, so that a member with a failed disk is not chosen."""
+"""A disk that tracks whether it can be written.
+
+A member whose disk has failed is not chosen as a voter.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,14 @@
 from meadowdock.runtime import SECOND, Disk, monotonic_us
 
 SLOW_WRITE_US = SECOND  # a write that takes longer counts as a disk failure
-TEST_FILE = "probe"  # written to find out whether the disk works again
+TEST_FILE = "probe"  # written to check whether the disk works again
 
 
 class MonitoredDisk:
-    """A disk whose writes are watched; all else is the disk's own.
+    """A disk whose writes are tracked; everything else is delegated to the disk.
 
-    Invariants: last_error is the cause of the last write that failed, until one succeeds;
-    pending_writes holds when each write under way began.
+    Invariants: last_error is the cause of the last failed write, until one succeeds; pending_writes
+    holds when each write in flight began.
     """
 
     def __init__(self, disk: Disk) -> None:
@@ -42,7 +45,7 @@
             del self.pending_writes[token]
 
     def failure(self) -> str | None:
-        """Why the disk can't be relied on now, or None."""
+        """Return why the disk can't be relied on now, or None."""
         if self.last_error:
             return f"the disk can't be written: {self.last_error}"
         if self.pending_writes:
@@ -52,7 +55,7 @@
         return None
 
     async def retry_after_failure(self) -> None:
-        """After a failed write: find out whether the disk works again."""
+        """Find out whether the disk works again after a failed write."""
         if self.last_error:
             try:
                 await self.write(TEST_FILE, b"")
--- a/packages/config_store/meadowdock/config_store/operator_api.py
+++ b/packages/config_store/meadowdock/config_store/operator_api.py
@@ -44,7 +44,7 @@
 
 
 def unauthorized(server: ConfigStore, request: Request) -> Response | None:
-    """The answer to a request without the operators' key; None if it may be served."""
+    """Return the response to a request without the operators' key, or None if it is authorized."""
     key = server.node.settings.operator_key
     given = request.header(b"authorization") or ""
     if key is None or hmac.compare_digest(given.encode(), f"Bearer {key}".encode()):
@@ -53,7 +53,7 @@
 
 
 def unavailable(server: ConfigStore, request: Request) -> Response | None:
-    """The answer while this member can't serve operators at all; None if it can."""
+    """Return the response while this member can't serve operators at all; None if it can."""
     if not server.store.membership:
         return Response(503, {"code": "not_founded"}, RETRY_AFTER)
     if request.method == "POST" and server.has_too_few_voters():
@@ -64,10 +64,11 @@
 def operator_request(
     lost_quorum: Callable[[str], Exception] | None = None,
 ) -> Callable[[Handler], Handler]:
-    """A decorator for handlers: checks the operators' key, and answers the errors of consensus.
+    """Return a decorator for handlers that serve operators.
 
-    With lost_quorum, the work needs a quorum in touch as long as it goes on: it is ended with this
-    error if the contact ends. Without it, the work checks the contact by itself.
+    It checks the operators' key and maps consensus errors to responses. With lost_quorum, a quorum
+    must stay in contact while the handler runs; when the contact is lost, the handler is cancelled
+    and ends with this error. Without it, the handler checks the contact itself.
     """
 
     def decorate(handler: Handler) -> Handler:
@@ -102,9 +103,6 @@
     return decorate
 
 
-# ------------------------------------------------------------ plan and commit
-
-
 @table.on("POST", "/plan")
 @operator_request(NoQuorum)
 async def create_plan(server: ConfigStore, request: Request) -> Response:
@@ -141,7 +139,7 @@
 @table.on("GET", "/plan/*")
 @operator_request(NoQuorum)
 async def get_plan(server: ConfigStore, request: Request) -> Response:
-    """What became of a plan."""
+    """Report the state of a plan."""
     try:
         status = await server.plans.status(request.path.rpartition("/")[2])
     except PlanUnknown:
@@ -159,19 +157,19 @@
 
 
 def plan_unknown() -> Response:
-    """The answer about a plan that no member has."""
+    """Build the response about a plan that no member has."""
     detail = "never made, or older than two plan lives: plan again"
     return Response(404, {"code": "plan_unknown", "detail": detail})
 
 
 def plan_expired(plan_id: str) -> Response:
-    """The answer to the commit of a plan that is too old."""
+    """Build the response to the commit of a plan that is too old."""
     detail = f"a plan can be confirmed for {repair.PLAN_LIFETIME_US // SECOND} s; plan again"
     return Response(410, {"code": "plan_expired", "plan": plan_id, "detail": detail})
 
 
 def plan_outdated(outdated: PlanOutdated) -> Response:
-    """The answer to the commit of a plan whose base is not the current revision."""
+    """Build the response to the commit of a plan whose base is not the current revision."""
     return Response(
         409,
         {
@@ -184,13 +182,10 @@
     )
 
 
-# ------------------------------------------------------------ items
-
-
 @table.on("POST", "/items")
 @operator_request()
 async def change_items(server: ConfigStore, request: Request) -> Response:
-    """Change items: all of a request, or none."""
+    """Change either all items of a request, or none."""
     try:
         items = json.loads(await request.body(MAX_CONFIGURATION_BYTES))["items"]
     except (ValueError, KeyError, TypeError, RecursionError):
@@ -205,7 +200,7 @@
 
 
 def version_conflict(conflict: VersionConflict) -> dict[str, Any]:
-    """The body of the answer to a change that gives a known version another content."""
+    """Build the body of the response to a change that gives an existing version another content."""
     return {
         "code": "version_conflict",
         "detail": "another content stands under these numbers; nothing of the call holds",
@@ -216,19 +211,16 @@
 @table.on("GET", "/items")
 @operator_request()
 async def get_items(server: ConfigStore, request: Request) -> Response:
-    """The items in force, by a quorum read."""
+    """Return the items in force, by a quorum read."""
     deadline = monotonic_us() + server.operator_timing.read_us
     version, items = await server.item_changes.read(deadline)
     return Response(200, {"version": version, "items": items})
 
 
-# ------------------------------------------------------------ reads
-
-
 @table.on("GET", "/manifest")
 @operator_request(NoQuorum)
 async def get_configuration(server: ConfigStore, request: Request) -> Response:
-    """The configuration in force, by a quorum read."""
+    """Return the configuration in force, by a quorum read."""
     current = await server.plans.current_configuration()
     body = {
         "version": current.revision.version,
@@ -241,10 +233,12 @@
 @table.on("GET", "/audit")
 @operator_request(NoQuorum)
 async def get_audit_trail(server: ConfigStore, request: Request) -> Response:
-    """The audit records up to the current revision, with the public key and the trail's anchor."""
+    """Return the audit records up to the current revision, the public key and the trail's
+    anchor.
+    """
     deadline = monotonic_us() + server.operator_timing.change_us
     current = await server.revisions.read(deadline)
-    state, records = await server.audit_log_transfer.records(current.version, deadline)
+    state, records = await server.audit_log_transfer.fetch_records(current.version, deadline)
     if current.audit_record:
         records[current.version] = current.audit_record
     return Response(
@@ -260,13 +254,10 @@
 
 @table.on("GET", "/status")
 async def get_status(server: ConfigStore, request: Request) -> Response:
-    """The state of the deployment as this member sees it; answered without a quorum too."""
+    """Return the state of the deployment as this member sees it, even without a quorum."""
     return unauthorized(server, request) or Response(200, await status_of(server))
 
 
-# ------------------------------------------------------------ members
-
-
 @table.on("POST", "/members")
 @operator_request()
 async def change_members(server: ConfigStore, request: Request) -> Response:
@@ -275,17 +266,14 @@
     return response
 
 
-# ------------------------------------------------------------ answers without a quorum
-
-
 def no_quorum() -> Response:
-    """The answer when too few members answer and nothing was changed."""
+    """Build the response when too few members answer and nothing was changed."""
     detail = "too few members of the register answer; nothing was changed"
     return Response(503, {"code": "no_majority", "detail": detail}, RETRY_AFTER)
 
 
 def redirect(request: Request, address: str | None) -> Response:
-    """To a member that has a quorum, if the address of one is known."""
+    """Build the redirect to a member that has a quorum, if the address of one is known."""
     if address is None:
         return no_quorum()
     location = f"http://{address}{request.path}"
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -1,8 +1,8 @@
-"""Plans of operators: a configuration is planned on the current revision, and committed if that is
-still the current one.
+"""Plans of operators: a configuration is planned on the current revision, then committed.
 
-A commit is idempotent: a plan of base B was committed if and only if the audit record of version
-B + 1 names it, so a repeated commit is answered with the version that the plan became.
+A commit succeeds only if the base of the plan is still the current revision. It is idempotent: a
+plan of base B was committed if and only if the audit record of version B + 1 names it, so a
+repeated commit returns the version that the plan became.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class PlanState(StrEnum):
-    """What became of a plan; the values are those of the operators' API."""
+    """The state of a plan; the values are those of the operators' API."""
 
     OPEN = "open"
     COMMITTED = "confirmed"
@@ -50,7 +50,10 @@
 
 @dataclass(frozen=True)
 class PlannedChange:
-    """A plan that was made. plan_id: None if the configuration is in force already."""
+    """A plan that was created.
+
+    plan_id: None if the configuration is already in force.
+    """
 
     plan_id: str | None
     base: int
@@ -59,7 +62,10 @@
 
 @dataclass(frozen=True)
 class PlanStatus:
-    """version: the one that the plan became, or 0. current: the version in force."""
+    """The status of a plan.
+
+    version: the version that the plan became, or 0. current: the current version.
+    """
 
     plan_id: str
     state: PlanState
@@ -70,7 +76,7 @@
 
 @dataclass(frozen=True)
 class CommittedConfiguration:
-    """The configuration in force, and the items beside it; None if there never were any."""
+    """The configuration in force, with the items beside it; None if there never were any items."""
 
     revision: Revision
     configuration: dict[str, Any]
@@ -78,29 +84,27 @@
 
 
 class Plans:
-    """Makes and commits the plans of operators, at one member."""
+    """Creates and commits the plans of operators, at one member."""
 
     def __init__(self, server: ConfigStore) -> None:
         self.server = server
 
     def deadline(self) -> int:
-        """The deadline of one step of an operator's request that begins now."""
+        """Return the deadline of one step of an operator's request that begins now."""
         return monotonic_us() + self.server.operator_timing.change_us
 
-    # ------------------------------------------------------------ plan
-
     async def create(self, body: bytes) -> PlannedChange:
         """Plan a configuration, given as JSON, on the current revision.
 
-        :raises InvalidConfiguration: with all faults that were found
-        :raises NoQuorum: the plan is on too few members
+        :raises InvalidConfiguration: with all violations that were found
+        :raises NoQuorum: too few members stored the plan
         """
         runtime = self.server.node.runtime
         configuration = await self.checked_configuration(body)
         current = await self.server.revisions.read(self.deadline())
-        former = await self.configuration_of(current.configuration_chunks)
+        current_configuration = await self.configuration_of(current.configuration_chunks)
         chunks = await runtime.offload(split_configuration, configuration)
-        changes = difference(former, configuration)
+        changes = difference(current_configuration, configuration)
         names = (*(name for name, _ in chunks), *current.item_chunks)
         if names == current.chunks:
             return PlannedChange(None, current.version, changes)
@@ -115,8 +119,10 @@
         return PlannedChange(plan_id, current.version, changes)
 
     async def checked_configuration(self, body: bytes) -> dict[str, Any]:
-        """The configuration in a request's body. Raises InvalidConfiguration."""
-        from returns.pipeline import is_successful  # here: a daemon without plans is spared it
+        """Parse and validate the configuration in a request's body. Raises InvalidConfiguration."""
+        from returns.pipeline import (
+            is_successful,
+        )  # imported here: a daemon without plans doesn't need it
 
         result = await self.server.node.runtime.offload(validate_configuration, body)
         if not is_successful(result):
@@ -125,17 +131,16 @@
         return configuration
 
     async def find(self, plan_id: str) -> Plan | None:
-        """The plan of an id, or None if no member that answers has it."""
+        """Return the plan with an id, or None if no member that answers has it."""
         bodies = await self.server.chunks.fetch([plan_id])
         return Plan.decode(bodies[plan_id]) if plan_id in bodies else None
 
-    # ------------------------------------------------------------ commit
-
     async def commit(self, plan_id: object) -> int:
-        """Make a plan the current revision; the version that it became.
+        """Make a plan the current revision, and return the version that it became.
 
         :raises PlanUnknown: there is no such plan
-        :raises PlanExpired: it is too old, and was not committed or this can't be determined any more
+        :raises PlanExpired: it is too old, and was not committed or this can't be determined any
+            more
         :raises PlanOutdated: another change was committed on its base
         :raises NoQuorum: it was not committed by this call
         :raises OutcomeUnknown: it may be committed
@@ -158,28 +163,37 @@
         return await self.propose(plan_id, plan, deadline)
 
     async def rewrite_current(self, deadline: int) -> Revision:
-        """Write the current revision once more, under a new ballot. A read may have found it on
-        fewer disks than an acknowledgement needs; and whatever change was under way is in it, or
-        never will be."""
+        """Write the current revision once more, under a new ballot.
+
+        A read may have found it on fewer disks than an acknowledgement requires. After the rewrite,
+        a change that was in progress is either part of the current revision, or can't be committed
+        any more.
+        """
         record = await self.server.proposer.change(CURRENT_REVISION_KEY, lambda old: old, deadline)
         return Revision.from_record(record)
 
     async def replicate_files(
         self, current: Revision, plan_id: str, plan: Plan, deadline: int
     ) -> None:
-        """Put all that the new revision needs on a durable quorum. Raises NoQuorum."""
+        """Write everything that the new revision refers to, to a durable quorum.
+
+        :raises NoQuorum: too few members have it, or a chunk is missing
+        """
         bodies = await self.server.chunks.fetch([*sorted(set(plan.chunks)), plan_id])
         if len(bodies) < len({*plan.chunks, plan_id}):
-            raise NoQuorum("chunks")
+            raise NoQuorum(f"chunks of plan {plan_id}")
         await self.server.broadcast.replicate_chunks(bodies, deadline)
         if current.audit_record:
-            # the new revision holds its own record alone; should the current revision be another
-            # by the commit, the plan is outdated
+            # The new revision contains only its own record. If the current revision has changed by
+            # the time of the commit, the plan is outdated.
             records = {current.version: current.audit_record}
             await self.server.broadcast.replicate_audit_records(records, deadline)
 
     async def propose(self, plan_id: str, plan: Plan, deadline: int) -> int:
-        """Change the current revision to that of the plan; its version. Raises as commit does."""
+        """Change the current revision to that of the plan, and return its version.
+
+        Raises as commit does.
+        """
         try:
             record = await self.server.proposer.change(
                 CURRENT_REVISION_KEY, self.transition(plan_id, plan), deadline
@@ -194,9 +208,11 @@
         return version
 
     def transition(self, plan_id: str, plan: Plan) -> Callable[[dict[str, Any] | None], Any]:
-        """For the proposer: the revision that a plan makes of its base. Idempotent.
+        """Return the function for the proposer that makes a plan the successor of its base.
 
-        The result raises RevisionConflict or PlanExpired, which leave the revision as it is."""
+        The function is idempotent. It raises RevisionConflict or PlanExpired, which leave the
+        revision unchanged.
+        """
 
         def successor(record: dict[str, Any] | None) -> dict[str, Any] | None:
             current = Revision.from_record(record)
@@ -212,12 +228,13 @@
         return successor
 
     def is_expired(self, plan: Plan) -> bool:
-        """Whether a plan is older than a plan may be."""
+        """Whether a plan is older than PLAN_LIFETIME_US."""
         return self.server.node.runtime.wall_us() - plan.created_us > repair.PLAN_LIFETIME_US
 
     async def version_after_conflict(self, plan_id: str, plan: Plan, current: Revision) -> int:
-        """The version that the plan became: an earlier attempt at this very change may have been
-        committed, and others after it.
+        """Return the version that the plan became in spite of the conflict.
+
+        An earlier attempt at this very commit may have succeeded, followed by other changes.
 
         :raises PlanOutdated: it was not committed
         :raises PlanExpired: the audit log begins too late to tell
@@ -234,29 +251,34 @@
         changed_since = await self.changes_since(plan.base, current)
         raise PlanOutdated(plan_id, plan.base, current.version, changed_since) from None
 
-    # ------------------------------------------------------------ what became of a plan
-
     async def committed_version(
         self, current: Revision, plan_id: str, plan: Plan, deadline: int
     ) -> int:
-        """The version that a plan became, or 0. Raises NoQuorum if this can't be determined now."""
+        """Return the version that a plan became, or 0.
+
+        :raises NoQuorum: this can't be determined now
+        """
         version = plan.base + 1
         if version > current.version:
             return 0
         return version if await self.plan_id_at(current, version, deadline) == plan_id else 0
 
     async def plan_id_at(self, current: Revision, version: int, deadline: int) -> str | None:
-        """The plan that became a version up to the current one; None if it is older than the audit
-        trail. Raises NoQuorum."""
-        for known, plan_id in current.history:
-            if known == version:
+        """Return the plan that became a version up to the current one.
+
+        None if the version is older than the audit log.
+
+        :raises NoQuorum: this can't be determined now
+        """
+        for committed_version, plan_id in current.history:
+            if committed_version == version:
                 return plan_id
-        record = await self.server.audit_log_transfer.record(version, deadline)
+        record = await self.server.audit_log_transfer.fetch_record(version, deadline)
         payload = audit.read_payload(record) if record else None
         return str(payload["plan"]) if payload else None
 
     async def status(self, plan_id: str) -> PlanStatus:
-        """What became of a plan.
+        """Return the status of a plan.
 
         :raises PlanUnknown: there is no such plan
         :raises NoQuorum: this can't be determined now
@@ -275,33 +297,33 @@
             state = PlanState.EXPIRED if self.is_expired(plan) else PlanState.OPEN
         return PlanStatus(plan_id, state, version, plan.base, current.version)
 
-    # ------------------------------------------------------------ configurations
-
     async def current_configuration(self) -> CommittedConfiguration:
-        """The configuration in force, by a quorum read. Raises NoQuorum."""
+        """Return the configuration in force, by a quorum read. Raises NoQuorum."""
         revision = await self.server.revisions.read(self.deadline())
-        items = await self.server.item_snapshot.at(revision, self.deadline())
+        items = await self.server.item_snapshot.items_of(revision, self.deadline())
         configuration = await self.configuration_of(revision.configuration_chunks)
         return CommittedConfiguration(
             revision, configuration, current_items(items) if items else None
         )
 
     async def changes_since(self, base: int, current: Revision) -> dict[str, Any] | None:
-        """What changed from a former version to the current one, by section; None if the former
-        one's chunks are not known any more."""
-        former_chunks = await self.chunks_at(current, base)
-        if former_chunks is None:
+        """Return what changed from an earlier version to the current one, by section.
+
+        None if the chunks of the earlier version are not available any more.
+        """
+        base_chunks = await self.chunks_at(current, base)
+        if base_chunks is None:
             return None
         try:
-            former = await self.configuration_of(former_chunks)
+            base_configuration = await self.configuration_of(base_chunks)
             current_configuration = await self.configuration_of(current.configuration_chunks)
-            changes: dict[str, Any] = difference(former, current_configuration)
+            changes: dict[str, Any] = difference(base_configuration, current_configuration)
             return changes
         except NoQuorum:
             return None
 
     async def chunks_at(self, current: Revision, version: int) -> Sequence[str] | None:
-        """The chunks of a former version, or None if they are not known any more."""
+        """Return the chunks of an earlier version, or None if they are not known any more."""
         if version == 0:
             return ()
         try:
@@ -312,13 +334,15 @@
         return plan.configuration_chunks if plan else None
 
     async def configuration_of(self, chunks: Sequence[str]) -> dict[str, Any]:
-        """The configuration that these chunks make; the empty one of none. Raises NoQuorum if one
-        is missing."""
+        """Assemble the configuration from these chunks; the empty one if there are none.
+
+        :raises NoQuorum: a chunk is missing
+        """
         if not chunks:
             return EMPTY_CONFIGURATION
         bodies = await self.server.chunks.fetch(sorted(set(chunks)))
         if len(bodies) < len(set(chunks)):
-            raise NoQuorum("chunks")
+            raise NoQuorum("configuration chunks")
         configuration: dict[str, Any] = await self.server.node.runtime.offload(
             lambda: assemble(bodies[name] for name in chunks)
         )
--- a/packages/config_store/meadowdock/config_store/policy.py
+++ b/packages/config_store/meadowdock/config_store/policy.py
@@ -179,10 +179,12 @@
 
 
 def domain_excess(names: list[str], lost: int, minority: int) -> int:
-    """Return how far the loss of the most crowded domains of a kind exceeds a minority of
-    voters.
+    """Return how far the loss of the most crowded domains exceeds a minority of the voters.
 
     It is 0 if no such loss has to be tolerated, or if the domain of a voter is unknown.
+
+    :param names: the voters' domains of one kind: zones or regions
+    :param lost: how many domains may be lost
     """
     if lost == 0 or "" in names:
         return 0
--- a/packages/config_store/meadowdock/config_store/repair.py
+++ b/packages/config_store/meadowdock/config_store/repair.py
@@ -1,7 +1,8 @@
-"""Repair of durable state, at a steady slow pace.
+"""Continuous repair of durable state, at a low rate.
 
-Three jobs: scrub (the files here are read again), anti-entropy (accepted values are compared with the
-other members' by digest) and the removal of chunks that no kept revision names.
+It has three jobs: scrubbing (re-reading the files on this disk), anti-entropy (comparing accepted
+values with the other members by digest) and garbage collection of chunks that no retained revision
+refers to.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 RUN_INTERVAL_US = SECOND
 FILES_PER_ROUND = 8
 KEY_RANGES = 16  # keys are compared by one digest for each range
-PLAN_LIFETIME_US = 600 * SECOND  # so long a plan can be committed
-RETAINED_VERSIONS = 32  # versions whose chunks are kept, to tell what changed since
+PLAN_LIFETIME_US = 600 * SECOND  # how long a plan can be committed
+RETAINED_VERSIONS = 32  # versions whose chunks are kept, to report changes since then
 REQUEST_TIMEOUT_US = SECOND
 
 
 class Repairer:
-    """Scrubs, compares and removes, at one member.
+    """Scrubs, compares and garbage-collects, at one member.
 
-    Invariants: a chunk is removed only after a quorum read of the current revision, while no kept
-    version names it and nobody asked for it for two plan lifetimes; a key is repaired only by a value
-    that another member accepted, as if that write had come late.
+    Invariants: a chunk is removed only after a quorum read of the current revision, while no
+    retained version refers to it and nobody requested it for two plan lifetimes; a key is repaired
+    only with a value that another member accepted, as if that write had arrived late.
     """
 
     handlers = Handlers()
@@ -41,18 +42,22 @@
         self,
         node: Node,
         store: Store,
-        others: Callable[[], dict[str, str]],
+        peers: Callable[[], dict[str, str]],
         fetch: Callable[[list[str]], Awaitable[dict[str, bytes]]],
     ) -> None:
-        """others: gives {disk id: address} of the other members. fetch: gives {name: body} of chunks."""
+        """Create the repairer of a member.
+
+        :param peers: returns {disk id: address} of the other members
+        :param fetch: returns {name: body} of the chunks that could be fetched
+        """
         self.node, self.store = node, store
-        self.others, self.fetch = others, fetch
+        self.peers, self.fetch = peers, fetch
         self.counts: Counter[str] = Counter()
         self.round_number = 0
         self.chunks_of_plan: dict[str, Iterable[str]] = {}  # plans never change
 
     async def run(self) -> None:
-        """Scrub and compare at a steady pace, while this member votes."""
+        """Scrub and compare at a steady rate, as long as this member is a voter."""
         while True:
             await sleep_us(RUN_INTERVAL_US)
             if self.store.is_voter:
@@ -61,16 +66,17 @@
                     await self.compare()
                 self.round_number += 1
 
-    def record_repair(self, what: str, **facts: object) -> None:
+    def record_repair(self, kind: str, **fields: object) -> None:
         """Count and log one repair."""
-        self.counts[what] += 1
-        self.node.log(606, what=what, **facts)
-
-    # ------------------------------------------------------------ own files
+        self.counts[kind] += 1
+        self.node.log(606, what=kind, **fields)
 
     async def scrub(self) -> None:
-        """Read the next few files, in turn. Of damaged ones, a key is written again from memory, a
-        chunk is fetched, a segment of the audit log counts as missing and is pulled."""
+        """Read the next few files in turn, and repair damaged ones.
+
+        A key is rewritten from memory and a chunk is fetched from another member. A segment of the
+        audit log counts as missing, and is pulled later.
+        """
         acceptor = self.store.acceptor
         segments = self.store.audit_log.segments
         names: list[Any] = [
@@ -79,7 +85,7 @@
             *sorted(segments),
         ]
         start = self.round_number * FILES_PER_ROUND % max(1, len(names))
-        # on from the front when the end is reached: else the first files come up in few turns only
+        # Wraps around at the end; otherwise the first files would be read in few rounds only.
         for name in (names[start:] + names[:start])[:FILES_PER_ROUND]:
             if name in acceptor.keys:
                 if await acceptor.rewrite_if_damaged(name):
@@ -100,10 +106,8 @@
             self.record_repair("range_file", blob=fingerprint(body))
         return len(bodies) == len(names)
 
-    # ------------------------------------------------------------ anti-entropy
-
     def accepted_ballots(self, key_range: int) -> dict[str, list[Any]]:
-        """{key: accepted ballot} of one range of keys."""
+        """Return {key: accepted ballot} of one range of keys."""
         acceptor = self.store.acceptor
         return {
             acceptor.keys[folder]: list(state.accepted)
@@ -114,27 +118,28 @@
         }
 
     def digests(self) -> list[str]:
-        """One digest for each range of keys."""
+        """Compute one digest for each range of keys."""
         return [
             fingerprint(repr(self.accepted_ballots(key_range)).encode())
             for key_range in range(KEY_RANGES)
         ]
 
     async def compare(self) -> None:
-        """Compare with the next member, and repair keys in ranges whose digests differ."""
-        others = sorted(self.others().values())
-        if not others:
+        """Compare with the next member, and repair the ranges of keys whose digests differ."""
+        addresses = sorted(self.peers().values())
+        if not addresses:
             return
-        address = others[self.round_number // 2 % len(others)]
+        address = addresses[self.round_number // 2 % len(addresses)]
         try:
-            theirs = await self.ask(address, "mend.digests", None)
-            for key_range, (mine, other) in enumerate(zip(self.digests(), theirs, strict=True)):
-                if mine != other:
-                    await self.repair_keys(await self.ask(address, "mend.keys", key_range))
+            remote_digests = await self.call(address, "mend.digests", None)
+            pairs = zip(self.digests(), remote_digests, strict=True)
+            for key_range, (local, remote) in enumerate(pairs):
+                if local != remote:
+                    await self.repair_keys(await self.call(address, "mend.keys", key_range))
         except (ConnectionFailed, Rejected):
             pass
 
-    async def ask(self, address: str, method: str, args: object) -> Any:
+    async def call(self, address: str, method: str, args: object) -> Any:
         """Call one member.
 
         :raises ConnectionFailed: there is no answer.
@@ -142,12 +147,12 @@
         """
         return await self.node.rpc.call(address, method, args, monotonic_us() + REQUEST_TIMEOUT_US)
 
-    async def repair_keys(self, theirs: dict[str, Any]) -> None:
-        """Accept newer values that another member accepted, as if their writes had come late."""
-        for key, (ballot, value) in theirs.items():
+    async def repair_keys(self, accepted_by_peer: dict[str, Any]) -> None:
+        """Accept newer values that another member accepted, as if their writes had arrived late."""
+        for key, (ballot, value) in accepted_by_peer.items():
             try:
-                mine, _ = self.store.acceptor.read(key)
-                if tuple(ballot) <= mine:
+                own_ballot, _ = self.store.acceptor.read(key)
+                if tuple(ballot) <= own_ballot:
                     continue
                 if (await self.store.acceptor.write(key, tuple(ballot), value))[0] == "yes":
                     self.record_repair("key", key=key)
@@ -156,32 +161,37 @@
 
     @handlers.on("mend.digests")
     async def on_digests(self, peer: object, _: None) -> list[str]:
-        """The digests here."""
+        """Return the digests of this member."""
         return self.digests()
 
     @handlers.on("mend.keys")
     async def on_keys(self, peer: object, key_range: int) -> dict[str, Any]:
-        """The accepted (ballot, value) of one range of keys."""
+        """Return {key: (accepted ballot, value)} of one range of keys."""
         return {key: self.store.acceptor.read(key) for key in self.accepted_ballots(key_range)}
 
-    # ------------------------------------------------------------ garbage collection
-
     async def remove_unreferenced_chunks(
         self, revision: Revision, find_plan: Callable[[str], Awaitable[Plan | None]]
     ) -> None:
-        """Remove chunks that no kept revision names. revision: from a quorum read just now."""
-        plans = {plan for _, plan in revision.history}
-        kept = plans | set(revision.chunks)
-        for _, plan in revision.history[-RETAINED_VERSIONS:]:
-            if plan not in self.chunks_of_plan:
-                found = await find_plan(plan)
-                if found is None:
-                    return  # which chunks it names is unknown now
-                self.chunks_of_plan[plan] = found.chunks
-            kept.update(self.chunks_of_plan[plan])
+        """Remove chunks that no retained revision refers to.
+
+        :param revision: the current one, from a quorum read that has just been made
+        """
+        plan_ids = {plan_id for _, plan_id in revision.history}
+        retained = plan_ids | set(revision.chunks)
+        for _, plan_id in revision.history[-RETAINED_VERSIONS:]:
+            if plan_id not in self.chunks_of_plan:
+                plan = await find_plan(plan_id)
+                if plan is None:
+                    return  # which chunks it refers to is unknown
+                self.chunks_of_plan[plan_id] = plan.chunks
+            retained.update(self.chunks_of_plan[plan_id])
         self.chunks_of_plan = {
-            plan: chunks for plan, chunks in self.chunks_of_plan.items() if plan in plans
+            plan_id: chunks
+            for plan_id, chunks in self.chunks_of_plan.items()
+            if plan_id in plan_ids
         }
         for name in await self.store.chunk_names():
-            if name not in kept and await self.store.remove_idle_chunk(name, 2 * PLAN_LIFETIME_US):
+            if name not in retained and await self.store.remove_idle_chunk(
+                name, 2 * PLAN_LIFETIME_US
+            ):
                 self.counts["removed"] += 1
--- a/packages/config_store/meadowdock/config_store/rpc_handlers.py
+++ b/packages/config_store/meadowdock/config_store/rpc_handlers.py
@@ -1,4 +1,4 @@
-"""What this member answers to other processes about revisions, chunks and audit records."""
+"""The RPC handlers for revisions, chunks and audit records."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RevisionHandlers:
-    """Handlers of requests that touch the current revision and the files that it needs."""
+    """Handlers of requests that concern the current revision and the files that it refers to."""
 
     handlers = Handlers()
 
@@ -25,7 +25,9 @@
 
     @handlers.on("manifest.head")
     async def on_current_revision(self, peer: object, known_version: int) -> dict[str, Any]:
-        """A proxy's question for a revision newer than the one it knows: a quorum read.
+        """Return the current revision to a proxy, by a quorum read.
+
+        If the proxy knows it already, only its version is returned.
 
         :raises Rejected: "no_majority" if no quorum answers
         """
@@ -39,7 +41,7 @@
 
     @handlers.on("duty.claim")
     async def on_claim(self, peer: object, claim: object) -> None:
-        """A registry of a former release asks for a claim that never ends; none is given any more.
+        """Reject the claim of a registry of an older release: such claims never expire.
 
         :raises Rejected: always
         """
@@ -47,13 +49,13 @@
 
     @handlers.on("blob.missing")
     async def on_missing_chunks(self, peer: object, names: list[str]) -> list[str]:
-        """Which of these chunks this member lacks."""
+        """Return those of these chunks that this member lacks."""
         missing: list[str] = await self.server.store.missing_chunks(names)
         return missing
 
     @handlers.on("blob.put")
     async def on_put_chunks(self, peer: object, bodies: list[bytes]) -> list[str]:
-        """Store chunks; answers their names.
+        """Store chunks, and return their names.
 
         :raises Rejected: "disk" if they can't be written
         """
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -1,7 +1,7 @@
-"""The config store daemon (mdconf): wires the parts of one member together.
+"""The config store daemon (mdconf), which connects the parts of one member.
 
-A member stores its share of the consensus keys, the chunks of the configuration and the audit
-trail, takes part in choosing the voters, and serves operators and proxies.
+A member stores its share of the consensus keys, the chunks of the configuration and the audit log,
+takes part in choosing the voters, and serves operators and proxies.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
     from meadowdock.process import Node
     from meadowdock.rpc import Handlers
 
-FAREWELL_RESERVE_US = 3 * SECOND // 2  # of a stop, for what comes after the vote's handover
-LAST_RESERVE_US = SECOND // 4  # of a stop, for what comes after this disk's state is on others
+HANDOVER_RESERVE_US = 3 * SECOND // 2  # shutdown time left after the handover of the vote
+DRAIN_RESERVE_US = SECOND // 4  # shutdown time left after the drain
 
 
 class ConfigStore(MembershipManager, process.Daemon):
     """One member of the config store: a voter or a spare."""
 
     table = operator_api.table
-    proposer: Proposer  # made by prepare, before anything is served
+    proposer: Proposer  # created by prepare, before any request is served
 
     def __init__(self, node: Node) -> None:
         self.node = node
@@ -69,7 +69,7 @@
         self.init_membership()
 
     def rpc_handlers(self) -> Handlers:
-        """The rpc methods that this process answers."""
+        """Return the RPC methods that this process serves."""
         return (
             RevisionHandlers.handlers.bind(self.revision_handlers)
             | self.membership_handlers()
@@ -81,13 +81,13 @@
         )
 
     async def prepare(self) -> None:
-        """Read the disk before anything is served."""
+        """Read the disk before any request is served."""
         await self.store.load()
         self.leases.start()
         self.proposer = self.make_proposer()
 
     def background_tasks(self) -> dict[str, Any]:
-        """The loops that the node keeps going, by the names that it logs."""
+        """Return the loops that the node keeps running, by the names that it logs."""
         return {
             **self.membership_tasks(),
             "head": self.revisions.run,
@@ -96,19 +96,17 @@
             "trail": self.audit_log_transfer.run,
         }
 
-    # ------------------------------------------------------------ operators
-
     @property
     def operator_timing(self) -> OperatorTiming:
-        """Time-outs of operators' requests."""
+        """The timeouts of operators' requests."""
         return OperatorTiming(self.node.settings.ack_us)
 
     def operator_doors(self) -> dict[str, str]:
-        """{listener name: address} where operators reach this member."""
+        """Return {listener name: address} where operators reach this member."""
         return {operator_api.LISTENER: self.node.settings.http}
 
     async def change_items(self, items: list[dict[str, Any]]) -> int:
-        """Change items; the version of the revision that holds the change.
+        """Change items, and return the version of the revision that contains the change.
 
         :raises meadowdock.configuration.items.InvalidItems: nothing was changed
         :raises meadowdock.configuration.items.VersionConflict: nothing was changed
@@ -120,17 +118,15 @@
         return await self.item_changes.change(items)
 
     async def read_items(self) -> list[dict[str, Any]]:
-        """The items in force, by kind and name, from a quorum read. Raises NoQuorum."""
+        """Return the items in force by kind and name, from a quorum read. Raises NoQuorum."""
         if not self.store.membership:
             raise NoQuorum("members")
         deadline = monotonic_us() + self.operator_timing.read_us
         _, items = await self.item_changes.read(deadline)
         return items
 
-    # ------------------------------------------------------------ readiness and shutdown
-
     def unready_reasons(self) -> list[str]:
-        """Why this process is not ready; empty if it is."""
+        """Return why this process is not ready; empty if it is."""
         if self.store.membership is None:
             return ["the register isn't founded, or its members aren't known yet"]
         reasons = []
@@ -146,21 +142,21 @@
         return reasons
 
     async def announce_shutdown(self) -> None:
-        """Hand the vote to a spare, as long as one can come."""
-        reserve = min(self.node.shutdown.timeout_us // 3, FAREWELL_RESERVE_US)
+        """Hand the vote over to a spare, as long as one is available."""
+        reserve = min(self.node.shutdown.timeout_us // 3, HANDOVER_RESERVE_US)
         if self.store.membership:
             await self.handover.leave_membership(self.node.shutdown.deadline - reserve)
 
     async def drain(self) -> None:
-        """Secure on other members what only this disk may hold."""
+        """Write state that may be on this disk alone to other members."""
         if self.store.membership:
-            await self.handover.secure_state(self.node.shutdown.deadline - LAST_RESERVE_US)
-
-    # ------------------------------------------------------------ state transfer
+            await self.handover.secure_state(self.node.shutdown.deadline - DRAIN_RESERVE_US)
 
     async def transfer_files(self, deadline: int, enough: IsEnough | None = None) -> None:
-        """Transfer the audit log and the chunks of the current revision, until enough(disk ids
-        that hold them); without it, until all newcomers and a quorum of both sides do.
+        """Transfer the audit log and the chunks of the current revision to the other members.
+
+        It returns once enough(disk ids of the members that have them) holds. Without `enough`, all
+        newcomers and a quorum of both sides are required.
 
         :raises NoQuorum: they are on too few members by the deadline
         """
@@ -172,5 +168,5 @@
         plan_ids = (plan_id for _, plan_id in current.history)
         bodies = await self.chunks.fetch(sorted({*current.chunks, *plan_ids}))
         if not set(current.chunks) <= set(bodies):
-            raise NoQuorum("chunks")
+            raise NoQuorum(f"chunks of version {current.version}")
         await self.broadcast.replicate_chunks(bodies, deadline, enough)
--- a/packages/config_store/meadowdock/config_store/state_transfer.py
+++ b/packages/config_store/meadowdock/config_store/state_transfer.py
@@ -18,11 +18,10 @@
     """A base class of the server: transfers keys, and has the server transfer the files."""
 
     def transferred_to(self, side, membership, required=()):
-        """Return a predicate on members: whether the transfer to one side is complete if they
-        have the state.
+        """Return a predicate on members: whether a transfer is complete if they have the state.
 
-        It requires the required members and a quorum of both sides, and a durable quorum of that
-        side if its members allow one.
+        It requires the required members and a quorum of both sides, and a durable quorum of the
+        side that will vote alone if its members allow one.
 
         :param side: {disk id: address} of the members that will vote alone
         """
--- a/packages/config_store/meadowdock/config_store/status.py
+++ b/packages/config_store/meadowdock/config_store/status.py
@@ -1,4 +1,4 @@
-"""The state of the deployment that a member tells an operator, as far as it can see it."""
+"""The state of the deployment that a member reports to operators, as far as it is known here."""
 
 from __future__ import annotations
 
@@ -17,12 +17,15 @@
 REGISTRY_FIELDS = ("collector", "seen_epoch", "regs", "last")
 PROXY_FIELDS = ("hall", "incarnation", "version", "cut_off", "endpoints", "counts")
 
-NodeTables = Mapping[str, Mapping[str, Any]]  # of each registry, by its address
+NodeTables = Mapping[str, Mapping[str, Any]]  # by the registry's address
 
 
 async def status_of(server: ConfigStore) -> dict[str, Any]:
-    """The body of GET /status. `majority` says whether `head` comes from a quorum or is only the
-    latest version that this member knows."""
+    """Build the body of GET /status.
+
+    `majority` tells whether `head` comes from a quorum or is only the latest version that this
+    member knows.
+    """
     revision, from_quorum = await latest_revision(server)
     members = await members_of(server)
     await server.delivery.refresh()
@@ -48,7 +51,7 @@
 
 
 async def latest_revision(server: ConfigStore) -> tuple[Revision, bool]:
-    """(the latest revision, whether a quorum gave it)"""
+    """Return (the latest revision, whether it was read from a quorum)."""
     try:
         await server.quorum_monitor.require_quorum(writing=False)
         return await server.revisions.read(monotonic_us() + READ_TIMEOUT_US), True
@@ -57,9 +60,9 @@
 
 
 async def members_of(server: ConfigStore) -> dict[str, dict[str, Any]]:
-    """{address: its disk, and whether it answers under that disk now}"""
+    """Return {address: the member's disk, and whether it answers under that disk now}."""
     deadline = monotonic_us() + HELLO_TIMEOUT_US
-    hello = await server.broadcast.ask_peers("member.hello", None, deadline)
+    hello = await server.broadcast.call_peers("member.hello", None, deadline)
     answering = {disk for disk, answer in hello.items() if answer["disk"] == disk}
     return {
         address: {"disk": disk, "answers": disk == server.store.disk or disk in answering}
@@ -68,7 +71,7 @@
 
 
 def latest_heartbeats(node_tables: NodeTables) -> dict[str, Mapping[str, Any]]:
-    """{proxy's address: its last heartbeat}, from all registries' node tables."""
+    """Return {proxy's address: its last heartbeat}, from the node tables of all registries."""
     latest: dict[str, Mapping[str, Any]] = {}
     for table in node_tables.values():
         for address, heartbeat in table["proxies"].items():
--- a/tests/config_store/test_audit_log.py
+++ b/tests/config_store/test_audit_log.py
@@ -168,7 +168,7 @@
         await again.audit_log.put({1: records[1]})  # what was dropped does not come back
         assert not again.audit_log.holds(1)
         blank = await opened(MemoryDisk())
-        await blank.audit_log.adopt_beginning(
+        await blank.audit_log.adopt_first_version(
             AuditLogState.from_wire(again.audit_log.state().to_wire())
         )
         assert (blank.audit_log.first_version, blank.audit_log.previous_hash) == (
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -184,7 +184,8 @@
         await fleet.up()
         wanted = {fleet.store(h).disk: FailureDomain(z, z[0]) for h, z in fleet.zones.items()}
         await world.eventually(
-            lambda: all(m.failure_domains == wanted for m in fleet.memberships().values()), 4 * SECOND
+            lambda: all(m.failure_domains == wanted for m in fleet.memberships().values()),
+            4 * SECOND,
         )
         assert fleet.store(fleet.hosts[0]).membership.voters == former.voters
         assert await configure(world, 1, fleet.hosts[0]) == 1
--- a/tests/support/audit_log_facts.py
+++ b/tests/support/audit_log_facts.py
@@ -80,7 +80,7 @@
     sizes = []
     state = AuditLogState.from_wire(source.state(target.first_missing_segment()).to_wire())
     sizes.append(len(ormsgpack.packb(state.to_wire(), option=ormsgpack.OPT_NON_STR_KEYS)))
-    await target.adopt_beginning(state)
+    await target.adopt_first_version(state)
     for versions in by_segment(target.versions_to_pull(state)):
         records = await source.read(versions)
         sizes.append(len(ormsgpack.packb(records, option=ormsgpack.OPT_NON_STR_KEYS)))
