--- a/packages/config_store/meadowdock/config_store/lease.py
+++ b/packages/config_store/meadowdock/config_store/lease.py
@@ -105,7 +105,7 @@
         request = AcquireLease.decode(message)
         accepted = self.accepted_value(request.key)
         if accepted is not None:
-            # without a ballot, if the lease is held according to the value accepted here
+            # Reject without a ballot if the value accepted here shows a valid lease.
             self.reject_if_leased(LeaseRecord.decode(accepted), request)
         return await self.change(request, self.acquired)
 
