--- a/packages/consensus/meadowdock/consensus/__init__.py
+++ b/packages/consensus/meadowdock/consensus/__init__.py
@@ -1,7 +1,8 @@
-"""A replicated register of keys, kept on a majority of disks (CASPaxos).
+"""A replicated key-value register (CASPaxos), with each value stored on a majority of the disks.
 
-It has no log and no leader: each change of a key reads the highest accepted value from a quorum of
-acceptors that promised its ballot, and writes the new value to a durable quorum under that ballot.
+There is no log and no leader. Each change of a key prepares a ballot at a quorum of acceptors, takes
+the highest accepted value from their promises, and writes the new value to a durable quorum under
+the same ballot.
 """
 
 from meadowdock.consensus.acceptor import Acceptor, AcceptorState
--- a/packages/consensus/meadowdock/consensus/acceptor.py
+++ b/packages/consensus/meadowdock/consensus/acceptor.py
@@ -1,8 +1,8 @@
-"""The acceptor of one voter: promises and accepted values of all keys, on its own disk.
+"""The acceptor of one voter: promises and accepted values of all keys, stored on its own disk.
 
-Each key has a folder, `key/<fingerprint of the key>`, with one file for its newest state; a change
-writes the next file before it removes the former, so a power loss leaves one or the other complete.
-Nothing is answered before its state is on the disk.
+Each key has a folder, `key/<fingerprint of the key>`, with one file for its newest state. A change
+writes the next file before it removes the previous one, so that at least one of them is intact after
+a power loss. A request is answered only after the new state is on disk.
 """
 
 from __future__ import annotations
@@ -34,64 +34,66 @@
 
 @dataclass(frozen=True)
 class AcceptorState:
-    """What one acceptor has promised and accepted for one key."""
+    """What one acceptor has promised and accepted for one key.
+
+    Invariants: accepted <= promised; the value was accepted under `accepted`; file_version counts
+    the files written for the key, and the file of that number is on disk before the state is put
+    into Acceptor.states.
+    """
 
-    # Invariants: accepted <= promised; value belongs to accepted; file_version counts the files
-    # written for the key, and that file is on disk before the state is in Acceptor.states.
     promised: Ballot = ZERO_BALLOT
     accepted: Ballot = ZERO_BALLOT
     value: Any = None
     file_version: int = 0
 
     def to_record(self, key: str) -> list[Any]:
-        """The content of the key's file."""
+        """Return the content of the key's file."""
         return [key, tuple(self.promised), tuple(self.accepted), self.value]
 
     @classmethod
     def from_record(cls, record: list[Any], file_version: int) -> AcceptorState:
-        """The state in a key's file; the key is the record's first element."""
+        """Build the state from the content of a key's file, whose first element is the key."""
         _, promised, accepted, value = record
         return cls(Ballot(*promised), Ballot(*accepted), value, file_version)
 
 
-def folder_of(key: str) -> str:
-    """The name of a key's folder."""
+def key_folder_name(key: str) -> str:
+    """Return the name of a key's folder."""
     return fingerprint(key.encode())
 
 
-def file_name(folder: str, file_version: int) -> str:
-    """The path of one state file of a key; the names sort by version."""
+def state_file_path(folder: str, file_version: int) -> str:
+    """Return the path of one state file of a key; file names sort by version."""
     return f"key/{folder}/{file_version:012d}"
 
 
 class Acceptor:
-    """One voter: promises and accepted values of all keys, on the disk before they are answered.
+    """The acceptor of one voter, which stores each promise and acceptance before it answers.
 
-    The answers of prepare, write and read are in the form in which they are sent
-    (`meadowdock.consensus.messages`)."""
+    prepare, write and read return their answers as encoded by `meadowdock.consensus.messages`.
+    """
 
     def __init__(self, disk: Disk, log: Callable[..., None]) -> None:
         self.disk = disk
         self.log = log
-        self.states: dict[str, AcceptorState | None] = {}  # folder -> state, or None if it is lost
+        self.states: dict[str, AcceptorState | None] = {}  # folder -> state, or None if damaged
         self.keys: dict[str, str] = {}  # folder -> key
-        self.on_accepted: Callable[[str, Any], None] | None = None  # (key, accepted value) on disk
+        # called as (key, accepted value) after each change of a state is on disk
+        self.on_accepted: Callable[[str, Any], None] | None = None
         self.locks: dict[str, trio.Lock] = {}  # key -> lock
 
-    # ------------------------------------------------------------ requests of proposers
-
     async def prepare(self, key: str, ballot: tuple[int, str]) -> tuple[str, tuple[Any, ...], Any]:
-        """Promise to accept nothing below this ballot, or refuse because of a higher promise.
+        """Promise to accept no ballot below this one, or refuse because of an earlier promise.
 
         :raises KeyStateLost: the state of the key on this disk is damaged.
         """
-        async with self.lock(key):
+        async with self.key_lock(key):
             answer = await self.promise(key, Ballot(*ballot))
         return PrepareRequest.answer_to_wire(answer)
 
     async def promise(self, key: str, ballot: Ballot) -> Promise | Refusal:
-        """As prepare, under the lock of the key."""
-        state = self.state_of(key)
+        """Handle a prepare; the caller holds the lock of the key."""
+        state = self.key_state(key)
         if ballot <= state.promised:
             return Refusal(state.promised)
         await self.store_state(key, ballot, state.accepted, state.value)
@@ -104,13 +106,13 @@
 
         :raises KeyStateLost: the state of the key on this disk is damaged.
         """
-        async with self.lock(key):
+        async with self.key_lock(key):
             answer = await self.accept(key, Ballot(*ballot), value)
         return WriteRequest.answer_to_wire(answer)
 
     async def accept(self, key: str, ballot: Ballot, value: Any) -> Acceptance | Refusal:
-        """As write, under the lock of the key."""
-        state = self.state_of(key)
+        """Handle a write; the caller holds the lock of the key."""
+        state = self.key_state(key)
         if ballot < state.promised:
             return Refusal(state.promised)
         if ballot != state.accepted:
@@ -118,56 +120,55 @@
         return Acceptance(ballot)
 
     def read(self, key: str) -> tuple[tuple[Any, ...], Any]:
-        """The accepted ballot and value of a key.
+        """Return the accepted ballot and value of a key.
 
         :raises KeyStateLost: the state of the key on this disk is damaged.
         """
-        state = self.state_of(key)
+        state = self.key_state(key)
         return ReadRequest.answer_to_wire(AcceptedPair(state.accepted, state.value))
 
-    # ------------------------------------------------------------ state
-
-    def lock(self, key: str) -> trio.Lock:
-        """The lock under which the state of one key is changed."""
+    def key_lock(self, key: str) -> trio.Lock:
+        """Return the lock that protects changes of one key's state."""
         return self.locks.setdefault(key, trio.Lock())
 
-    def state_of(self, key: str) -> AcceptorState:
-        """The state of a key, blank if it was never written.
+    def key_state(self, key: str) -> AcceptorState:
+        """Return the state of a key, which is blank if the key was never written.
 
         :raises KeyStateLost: the state of the key on this disk is damaged.
         """
-        state = self.states.get(folder_of(key), AcceptorState())
+        state = self.states.get(key_folder_name(key), AcceptorState())
         if state is None:
             raise KeyStateLost(key)
         return state
 
     def lost_keys(self) -> list[str]:
-        """Folders of the keys whose newest file was damaged at the start."""
+        """Return the folders of the keys whose newest file was found damaged at the start."""
         return sorted(folder for folder, state in self.states.items() if state is None)
 
     async def store_state(self, key: str, promised: Ballot, accepted: Ballot, value: Any) -> None:
-        """Write a key's new state to disk, then take it into memory, then remove the former file."""
-        folder = folder_of(key)
-        former = self.states.get(folder) or AcceptorState()
-        state = AcceptorState(promised, accepted, value, former.file_version + 1)
+        """Write a key's new state to disk, publish it in memory, then remove the previous file."""
+        folder = key_folder_name(key)
+        previous = self.states.get(folder) or AcceptorState()
+        state = AcceptorState(promised, accepted, value, previous.file_version + 1)
         body = ormsgpack.packb(state.to_record(key))
-        await self.disk.write(file_name(folder, state.file_version), add_checksum(body))
+        await self.disk.write(state_file_path(folder, state.file_version), add_checksum(body))
         self.keys[folder] = key
         self.states[folder] = state
         if self.on_accepted:
             self.on_accepted(key, value)
-        if former.file_version:
-            await self.disk.remove(file_name(folder, former.file_version))
-
-    # ------------------------------------------------------------ files
+        if previous.file_version:
+            await self.disk.remove(state_file_path(folder, previous.file_version))
 
     async def load(self) -> None:
         """Read the states of all keys from the disk."""
         await for_each(self.load_key, await self.disk.names("key"))
 
     async def load_key(self, folder: str) -> None:
-        """Read the newest file of one key. If it is damaged the key is lost here: an older file
-        would forget promises."""
+        """Read the newest file of one key.
+
+        If it is damaged, the state of the key is lost on this disk: an older file would lack
+        promises that were given since.
+        """
         versions = await self.disk.names(f"key/{folder}")
         if not versions:
             return
@@ -183,22 +184,22 @@
         await self.remove_older_files(folder, newest)
 
     async def remove_older_files(self, folder: str, newest: str) -> None:
-        """Remove the files of one key that a power loss left beside the newest."""
+        """Remove older files of one key, which a power loss may have left beside the newest."""
         for version in await self.disk.names(f"key/{folder}"):
             if version < newest:
                 await self.disk.remove(f"key/{folder}/{version}")
 
     async def rewrite_if_damaged(self, folder: str) -> bool:
-        """If the file of a key has become unreadable, write the state in memory anew.
+        """Write a key's state in memory to a new file if its file on disk is damaged.
 
-        :returns: whether it was written.
+        :returns: whether a file was written.
         """
         if self.states.get(folder) is None:
             return False
         key = self.keys[folder]
-        async with self.lock(key):
-            state = self.state_of(key)
-            file = file_name(folder, state.file_version)
+        async with self.key_lock(key):
+            state = self.key_state(key)
+            file = state_file_path(folder, state.file_version)
             if verify_checksum(await self.disk.read(file)) is not None:
                 return False
             await self.store_state(key, state.promised, state.accepted, state.value)
--- a/packages/consensus/meadowdock/consensus/answers.py
+++ b/packages/consensus/meadowdock/consensus/answers.py
@@ -1,4 +1,7 @@
-"""What the answers to a broadcast decide. Answers are by member: one that failed has none."""
+"""Evaluation of the answers to a broadcast.
+
+Answers are mappings from member to answer; a member whose request failed is not in them.
+"""
 
 from __future__ import annotations
 
@@ -9,44 +12,47 @@
 from meadowdock.consensus.messages import Acceptance, AcceptedPair, Answer, Promise, Refusal
 from meadowdock.consensus.quorum import VoterSets
 
-# Whether the acceptances of these members make a write durable enough to be acknowledged.
+# Whether a write may be acknowledged once these members have accepted it.
 QuorumRule = Callable[[VoterSets, Iterable[str]], bool]
 
 
 class HighestBallot(NamedTuple):
-    """The highest accepted ballot among some answers, and the members that have accepted it."""
+    """The highest accepted ballot among a set of answers, and the members that accepted it."""
 
     ballot: Ballot
     members: tuple[str, ...]
 
 
 def granted_by(answers: Mapping[str, Answer]) -> list[str]:
-    """The members that granted a prepare or a write, in the order of their answers."""
+    """Return the members that granted a prepare or a write, in the order of their answers."""
     return [m for m, answer in answers.items() if isinstance(answer, Promise | Acceptance)]
 
 
 def refused_ballots(answers: Mapping[str, Answer]) -> list[Ballot]:
-    """The higher ballots for which a prepare or a write was refused."""
+    """Return the higher ballots because of which a prepare or a write was refused."""
     return [answer.promised for answer in answers.values() if isinstance(answer, Refusal)]
 
 
 def is_decided(answers: Mapping[str, Answer], voter_sets: VoterSets, rule: QuorumRule) -> bool:
-    """Whether a phase of a ballot needs no further answers: it was granted, or a quorum answered
-    and one of it refused. Members that are silent would only delay the next attempt."""
+    """Return whether a phase of a ballot needs no further answers.
+
+    It is decided once it is granted, or once a quorum answered with at least one refusal: waiting
+    for the members that have not answered would only delay the next attempt.
+    """
     if rule(voter_sets, granted_by(answers)):
         return True
     return voter_sets.is_quorum(answers) and bool(refused_ballots(answers))
 
 
 def highest_promised_value(answers: Mapping[str, Answer]) -> Any:
-    """The value accepted under the highest ballot among some promises, or None if there is none."""
+    """Return the value with the highest accepted ballot among the promises, or None without one."""
     promises = [answer for answer in answers.values() if isinstance(answer, Promise)]
     newest = max(promises, key=lambda promise: promise.accepted)
     return newest.value if newest.accepted != ZERO_BALLOT else None
 
 
 def agreed_pair(answers: Mapping[str, AcceptedPair], voter_sets: VoterSets) -> AcceptedPair | None:
-    """The highest accepted pair, if a quorum has accepted it.
+    """Return the highest accepted pair if a quorum has accepted it, else None.
 
     >>> new, old = AcceptedPair(Ballot(2, "x"), 7), AcceptedPair(Ballot(1, "y"), 6)
     >>> agreed_pair({"a": new, "b": new, "c": old}, VoterSets.of(["abc"])).value
@@ -61,7 +67,9 @@
 
 
 def highest_ballot(answers: Mapping[str, AcceptedPair]) -> HighestBallot:
-    """The highest accepted ballot and its members: a write that is in progress changes one of them.
+    """Return the highest accepted ballot and the members that accepted it.
+
+    A write in progress changes at least one of the two.
 
     >>> new, old = AcceptedPair(Ballot(2, "x"), 7), AcceptedPair(Ballot(1, "y"), 6)
     >>> highest_ballot({"a": new, "b": new, "c": old}).members
--- a/packages/consensus/meadowdock/consensus/ballot.py
+++ b/packages/consensus/meadowdock/consensus/ballot.py
@@ -1,4 +1,4 @@
-"""Ballot numbers (proposal numbers of Paxos): a total order in which no two proposers share one."""
+"""Ballot numbers (proposal numbers of Paxos): totally ordered, and never shared by two proposers."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Ballot(NamedTuple):
-    """Ordered by round, then by the proposer's name.
+    """A ballot number, ordered by round and then by the proposer's name.
 
-    The serializer takes plain tuples only, so a ballot that is sent or stored is converted by
-    `tuple(ballot)`, and one that is received by `Ballot(*received)`.
+    The serializer encodes plain tuples only: convert a ballot with `tuple(ballot)` before it is
+    sent or stored, and build it with `Ballot(*received)` after it is received.
 
     >>> Ballot(2, "a") > Ballot(1, "z") > ZERO_BALLOT
     True
@@ -19,4 +19,4 @@
     proposer: str  # unique to one incarnation of one process
 
 
-ZERO_BALLOT = Ballot(0, "")  # below every ballot of a proposer: nothing promised, nothing accepted
+ZERO_BALLOT = Ballot(0, "")  # lower than every proposer's ballot: nothing was promised or accepted
--- a/packages/consensus/meadowdock/consensus/concurrency.py
+++ b/packages/consensus/meadowdock/consensus/concurrency.py
@@ -16,7 +16,8 @@
 ) -> None:
     """Await action(name) for every name, at most `concurrency` at the same time.
 
-    Reading one file after the other would make the start of a process on a slow disk long."""
+    Loading files one after the other would delay the start of a process on a slow disk.
+    """
     remaining = list(reversed(names))
 
     async def worker() -> None:
--- a/packages/consensus/meadowdock/consensus/exceptions.py
+++ b/packages/consensus/meadowdock/consensus/exceptions.py
@@ -6,7 +6,10 @@
 
 
 class ConsensusError(Exception):
-    """Base class. `key` is the register's key that the operation was about."""
+    """Base class of the package's errors.
+
+    :ivar key: the register's key that the operation was about.
+    """
 
     explanation: ClassVar[str]
 
@@ -19,20 +22,24 @@
 
 
 class KeyStateLost(ConsensusError):
-    """The newest file of a key failed its checksum: this acceptor can't vote on the key."""
+    """The newest file of a key failed its checksum, so this acceptor can't vote on the key."""
 
     explanation = "its state on this disk is damaged, so this acceptor can't vote on it"
 
 
 class NoQuorum(ConsensusError):
-    """Too few acceptors answered, and none was asked to accept the change: it wasn't applied and
-    never will be."""
+    """No quorum answered, and no acceptor was asked to accept the change.
+
+    The change was not applied and never will be.
+    """
 
     explanation = "no quorum answered in time; nothing was written"
 
 
 class OutcomeUnknown(ConsensusError):
-    """Acceptors were asked to accept the change and no durable quorum was seen to do so: it may
-    have been applied, or may still be."""
+    """Acceptors were asked to accept the change, but no durable quorum confirmed it.
+
+    The change may have been applied, or may still be applied by another proposer.
+    """
 
     explanation = "the change was sent to acceptors, and whether it was applied is not known"
--- a/packages/consensus/meadowdock/consensus/messages.py
+++ b/packages/consensus/meadowdock/consensus/messages.py
@@ -1,7 +1,7 @@
-"""Requests from proposers to acceptors and the answers to them, with their forms on the wire.
+"""Requests from proposers to acceptors and the answers to them, with their encoding on the wire.
 
-The names of the methods and the order of the arguments are part of the protocol between processes:
-`tests/golden` holds one frame of each.
+Method names and the order of arguments are part of the protocol between processes; `tests/golden`
+contains a recorded frame of each request.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 
 class Request(Protocol[AnswerT]):
-    """What each request has: its method on the wire, its arguments and the form of its answer."""
+    """The interface of all requests: method name, encoded arguments, and decoding of the answer."""
 
     @property
     def method(self) -> str:
         """The name of the method on the wire."""
 
     def to_wire(self) -> list[Any]:
-        """The arguments as they are sent."""
+        """Encode the arguments."""
 
     def answer_from_wire(self, sent: Sequence[Any]) -> AnswerT:
-        """An answer as it was sent."""
+        """Decode an acceptor's answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """A granted prepare: the acceptor takes no lower ballot, and has accepted this pair so far."""
+    """A granted prepare: the acceptor will refuse lower ballots, and last accepted this pair."""
 
     accepted: Ballot
     value: Any
@@ -42,20 +42,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Acceptance:
-    """A granted write: the value is on the acceptor's disk under this ballot."""
+    """A granted write: the acceptor has stored the value under this ballot on its disk."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A prepare or write was refused, because this higher ballot had been promised."""
+    """A refused prepare or write: the acceptor had already promised this higher ballot."""
 
     promised: Ballot
 
 
 class AcceptedPair(NamedTuple):
-    """The answer to a read: the accepted ballot of a key and the value that belongs to it."""
+    """The answer to a read: the ballot last accepted for a key, and the value accepted under it."""
 
     ballot: Ballot
     value: Any
@@ -63,26 +63,26 @@
 
 @dataclass(frozen=True, slots=True)
 class PrepareRequest:
-    """Asks for the promise to accept no lower ballot (phase 1 of Paxos)."""
+    """Asks an acceptor to promise that it will accept no lower ballot (phase 1 of Paxos)."""
 
     method: ClassVar[str] = "prepare"
     key: str
     ballot: Ballot
 
     def to_wire(self) -> list[Any]:
-        """The arguments as they are sent."""
+        """Encode the arguments."""
         return [self.key, tuple(self.ballot)]
 
     @staticmethod
     def answer_to_wire(answer: Promise | Refusal) -> tuple[str, tuple[Any, ...], Any]:
-        """An answer as it is sent."""
+        """Encode an answer."""
         if isinstance(answer, Refusal):
             return REFUSED, tuple(answer.promised), None
         return GRANTED, tuple(answer.accepted), answer.value
 
     @staticmethod
     def answer_from_wire(sent: Sequence[Any]) -> Promise | Refusal:
-        """An answer as it was sent."""
+        """Decode an answer."""
         verdict, ballot, value = sent
         if verdict == GRANTED:
             return Promise(Ballot(*ballot), value)
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRequest:
-    """Asks to accept a value under a ballot (phase 2 of Paxos, there called accept)."""
+    """Asks an acceptor to accept a value under a ballot (phase 2, the accept message, of Paxos)."""
 
     method: ClassVar[str] = "write"
     key: str
@@ -99,19 +99,19 @@
     value: Any
 
     def to_wire(self) -> list[Any]:
-        """The arguments as they are sent."""
+        """Encode the arguments."""
         return [self.key, tuple(self.ballot), self.value]
 
     @staticmethod
     def answer_to_wire(answer: Acceptance | Refusal) -> tuple[str, tuple[Any, ...]]:
-        """An answer as it is sent."""
+        """Encode an answer."""
         if isinstance(answer, Refusal):
             return REFUSED, tuple(answer.promised)
         return GRANTED, tuple(answer.ballot)
 
     @staticmethod
     def answer_from_wire(sent: Sequence[Any]) -> Acceptance | Refusal:
-        """An answer as it was sent."""
+        """Decode an answer."""
         verdict, ballot = sent
         if verdict == GRANTED:
             return Acceptance(Ballot(*ballot))
@@ -120,23 +120,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequest:
-    """Asks for the accepted pair of a key; it changes no state."""
+    """Asks an acceptor for its accepted pair of a key, without changing its state."""
 
     method: ClassVar[str] = "read"
     key: str
 
     def to_wire(self) -> list[Any]:
-        """The arguments as they are sent."""
+        """Encode the arguments."""
         return [self.key]
 
     @staticmethod
     def answer_to_wire(answer: AcceptedPair) -> tuple[tuple[Any, ...], Any]:
-        """An answer as it is sent."""
+        """Encode an answer."""
         return tuple(answer.ballot), answer.value
 
     @staticmethod
     def answer_from_wire(sent: Sequence[Any]) -> AcceptedPair:
-        """An answer as it was sent."""
+        """Decode an answer."""
         ballot, value = sent
         return AcceptedPair(Ballot(*ballot), value)
 
--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -1,8 +1,8 @@
 """The proposer: changes and reads of keys over a quorum of acceptors.
 
 The algorithm is that of CASPaxos (D. Rystsov, "CASPaxos: Replicated State Machines without logs",
-2018): no log and no leader. A change prepares a ballot at a quorum, applies a function to the
-highest accepted value that it was promised, and writes the result under the same ballot.
+2018), without a log or a leader. A change prepares a ballot at a quorum, applies a function to the
+highest accepted value among the promises, and writes the result under the same ballot.
 """
 
 from __future__ import annotations
@@ -40,15 +40,16 @@
 from meadowdock.consensus.read import READ_TIMEOUT, QuorumRead
 from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us, sleep_us
 
-MIN_TIME_FOR_ATTEMPT = 50 * MILLISECOND  # us; with less until the deadline no attempt is begun
+MIN_TIME_FOR_ATTEMPT = 50 * MILLISECOND  # us; no attempt starts closer to the deadline
 
 
 @dataclass(frozen=True, slots=True)
 class BallotConfiguration:
-    """The membership that one ballot is bound to, from its prepare to its write.
+    """The membership configuration that one ballot uses from its prepare to its write.
 
-    version: that of the membership record, sent along with each request, or None if acceptors
-    don't check it."""
+    :ivar version: the version of the membership record, which is sent with each request; None if
+        acceptors don't check it.
+    """
 
     voter_sets: VoterSets
     version: int | None = None
@@ -60,24 +61,29 @@
 
     committed: bool
     value: Any = None  # the new value, if committed
-    may_be_accepted: bool = False  # writes were sent, so some member may have accepted the value
+    may_be_accepted: bool = False  # writes were sent, so a member may have accepted the value
     quorum_answered: bool = False
 
 
 class Proposer:
     """Changes and reads keys on behalf of one process.
 
-    name: unique to this incarnation of the process, since a restarted proposer may use a round
-    again. voter_sets(): the present voters, one set as a rule, the old and the new one during a
-    change of members. version(): the version of that membership. ask(member, method, arguments,
-    deadline, version): one member's answer in its form on the wire, or an exception; without
-    `version` its last argument is left out. nursery: runs the requests; one to a slow member ends
-    after the call that sent it, at its deadline at the latest. Times are in microseconds.
-
-    Invariants: round never goes down, and each ballot (round, name) is used for one value only.
-    Voter sets and version are the same from a ballot's prepare to its write: the promises of a
-    former membership allow no write under the next. The lock of a key is held by the one change of
-    it that is in progress here: two from the same process would only outrun each other.
+    Invariants: the round never decreases, and each ballot (round, name) is used for one value only.
+    Voter sets and version stay the same from a ballot's prepare to its write: promises made under a
+    previous membership permit no write under the next. The lock of a key is held by the only change
+    of it in progress in this process: two concurrent ones would only preempt each other.
+
+    :param name: unique to this incarnation of the process, since a restarted proposer may reuse a
+        round.
+    :param voter_sets: returns the current voters; normally one set, the old and the new one during
+        a membership change.
+    :param ask: ask(member, method, arguments, deadline, version) returns a member's encoded answer,
+        or raises. Without `version` the last argument is omitted.
+    :param nursery: runs the requests. A request to a slow member may outlive the call that sent it,
+        but ends at its deadline.
+    :param version: returns the version of the current membership.
+
+    All times are in microseconds.
     """
 
     def __init__(
@@ -99,27 +105,23 @@
         self.locks: dict[str, trio.Lock] = {}  # by key
         self.read_repair_delay = ReadRepairDelay(rng)
 
-    # ------------------------------------------------------------ membership
-
     def configuration(self) -> BallotConfiguration:
-        """The present membership."""
+        """Return the current membership configuration."""
         version = None if self.version is None else self.version()
         return BallotConfiguration(VoterSets.of(self.voter_sets()), version)
 
     def voters(self) -> list[str]:
-        """The members of all voter sets, in order."""
+        """Return the members of all voter sets, sorted."""
         return sorted(VoterSets.of(self.voter_sets()).voters)
 
     def is_quorum(self, members: Iterable[str]) -> bool:
-        """Whether these members are a quorum of the present voter sets."""
+        """Return whether these members are a quorum of the current voter sets."""
         return VoterSets.of(self.voter_sets()).is_quorum(members)
 
     def is_durable(self, members: Iterable[str]) -> bool:
-        """Whether these members are a durable quorum of the present voter sets."""
+        """Return whether these members are a durable quorum of the current voter sets."""
         return VoterSets.of(self.voter_sets()).is_durable(members)
 
-    # ------------------------------------------------------------ operations
-
     async def change(
         self,
         key: str,
@@ -127,21 +129,21 @@
         deadline: int,
         rule: QuorumRule = VoterSets.is_durable,
     ) -> Any:
-        """Replace the value of a key by update(value); its value is None if it has none.
-
-        update may run several times, also on a value that has its own effect already: an attempt
-        that was outrun may be completed by another proposer. So it has to recognise its effect. It
-        may raise to leave the key unchanged. rule: which members have to accept the change; they
-        must always include a quorum.
+        """Replace the value of a key by update(value).
 
+        :param update: called with the current value, or None if the key has none; it may raise to
+            leave the key unchanged. It may run several times, also on a value that already contains
+            its effect, since another proposer may complete an attempt that it preempted. So it has
+            to be idempotent.
+        :param rule: which members have to accept the change; they must always include a quorum.
         :returns: the new value.
         :raises NoQuorum: the change was not and will not be applied.
         :raises OutcomeUnknown: the change may have been applied, or may still be.
         """
         lock = self.locks.setdefault(key, trio.Lock())
-        with deadline_scope(deadline) as waiting:
+        with deadline_scope(deadline) as lock_scope:
             await lock.acquire()
-        if waiting.cancelled_caught:
+        if lock_scope.cancelled_caught:
             raise NoQuorum(key)
         try:
             return await self.change_locked(key, update, deadline, rule)
@@ -151,7 +153,10 @@
     async def change_locked(
         self, key: str, update: Callable[[Any], Any], deadline: int, rule: QuorumRule
     ) -> Any:
-        """As change, under the lock of the key: attempts until one is committed."""
+        """Attempt a change until it is committed; the caller holds the lock of the key.
+
+        Parameters and errors are those of `change`.
+        """
         may_be_accepted = False
         retry_delay = RetryDelay(self.rng)
         while True:
@@ -167,7 +172,7 @@
             await sleep_us(min(retry_delay.draw(duration, result.quorum_answered), remaining))
 
     async def read(self, key: str, deadline: int) -> Any:
-        """The value of a key, or None if it has none.
+        """Return the value of a key, or None if it has none.
 
         :raises NoQuorum: no quorum agreed before the deadline.
         """
@@ -176,10 +181,12 @@
     async def ensure_accepted(
         self, key: str, ballot: tuple[int, str], rule: QuorumRule, deadline: int
     ) -> None:
-        """Make sure that members that satisfy the rule have accepted the newest pair of a key, whose
-        ballot is at least the given one. One broadcast if they have already.
+        """Ensure that members that satisfy the rule have accepted the newest pair of a key.
+
+        If they already have, this takes one broadcast.
 
-        :raises NoQuorum, OutcomeUnknown: as change.
+        :param ballot: the newest pair must have at least this ballot.
+        :raises NoQuorum, OutcomeUnknown: as for `change`.
         """
         configuration = self.configuration()
 
@@ -190,21 +197,19 @@
         timeout = min(deadline, monotonic_us() + READ_TIMEOUT)
         answers = await self.broadcast(configuration, ReadRequest(key), timeout, is_satisfied)
         if not is_satisfied(answers):
-            await self.change(key, lambda old: old, deadline, rule)
+            await self.change(key, lambda value: value, deadline, rule)
 
     def is_changing(self, key: str) -> bool:
-        """Whether a change of the key is in progress from this process."""
+        """Return whether this process has a change of the key in progress."""
         return key in self.locks and self.locks[key].locked()
 
-    # ------------------------------------------------------------ one ballot
-
     def next_ballot(self) -> Ballot:
-        """A new ballot, higher than any seen."""
+        """Return a new ballot that is higher than any seen so far."""
         self.round += 1
         return Ballot(self.round, self.name)
 
     def learn(self, ballots: Iterable[Ballot]) -> None:
-        """Go on above the highest round of these ballots."""
+        """Let the next ballot be higher than all of these."""
         self.round = max([self.round, *(ballot.round for ballot in ballots)])
 
     async def attempt(
@@ -214,7 +219,7 @@
         deadline: int,
         rule: QuorumRule = VoterSets.is_durable,
     ) -> AttemptResult:
-        """Both phases of one ballot. Raises what update raises."""
+        """Run both phases of one ballot; an exception that update raises is passed on."""
         ballot = self.next_ballot()
         configuration = self.configuration()
         voter_sets = configuration.voter_sets
@@ -247,8 +252,10 @@
         deadline: int,
         is_enough: Callable[[dict[str, AnswerT]], bool],
     ) -> dict[str, AnswerT]:
-        """Send a request to all voters, and wait until is_enough(answers), all of them have
-        answered or failed, or the deadline.
+        """Send a request to all voters and collect their answers.
+
+        Return once is_enough(answers) is true, every voter has answered or failed, or the deadline
+        has passed.
 
         :returns: the answers so far, by member. Slower members still receive the request.
         """
@@ -263,7 +270,7 @@
             try:
                 sent = await self.ask(member, request.method, arguments, deadline, *version)
                 answers[member] = request.answer_from_wire(sent)
-            except Exception:  # whatever broke, this member gave no answer
+            except Exception:  # any failure counts as no answer from this member
                 pass
             pending.discard(member)
             if not pending or is_enough(answers):
--- a/packages/consensus/meadowdock/consensus/quorum.py
+++ b/packages/consensus/meadowdock/consensus/quorum.py
@@ -1,8 +1,8 @@
-"""Quorums: which members' answers decide, and which are enough to acknowledge a write.
+"""Quorums: which members have to answer, and which have to accept a write before it is acknowledged.
 
-While members change, the configuration is a joint one as in Raft (D. Ongaro and J. Ousterhout, "In
-Search of an Understandable Consensus Algorithm", 2014, section 6): a quorum is a majority of the
-old voters and a majority of the new.
+During a membership change the configuration is a joint one, as in Raft (D. Ongaro and J. Ousterhout,
+"In Search of an Understandable Consensus Algorithm", 2014, section 6): a quorum is a majority of the
+old voters and a majority of the new ones.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class FailureDomain:
-    """Where a member runs. An empty name: unknown."""
+    """The zone and region that a member runs in; an empty name means unknown."""
 
     zone: str = UNKNOWN_DOMAIN
     region: str = UNKNOWN_DOMAIN
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True)
 class VoterSets:
-    """The voters of one configuration: one set as a rule, the old and the new while members change.
+    """The voters of one configuration: normally one set, two during a membership change.
 
-    Two quorums of the same configuration always share a member, so a prepare and a read need a
-    quorum only. A write is acknowledged once it is on a durable quorum: then it survives the
-    tolerated losses. Requirements on zones (regions) hold once each voter's zone (region) is known.
+    Any two quorums of a configuration share a member, so a prepare or a read needs only a quorum. A
+    write is acknowledged once a durable quorum has it, which survives the tolerated losses. The
+    requirement on zones (regions) applies only while the zone (region) of every voter is known.
 
     >>> abc = VoterSets.of([["a", "b", "c"]], tolerance=Tolerance(disks=2))
     >>> abc.is_quorum(["a", "b"]), abc.is_durable(["a", "b"]), abc.is_durable(["a", "b", "c"])
@@ -53,7 +53,7 @@
     sets: tuple[frozenset[str], ...] = ()
     failure_domains: Mapping[str, FailureDomain] = field(default_factory=dict)
     tolerance: Tolerance = NO_LOSSES
-    excluded: frozenset[str] = frozenset()  # members that don't count for durability
+    excluded: frozenset[str] = frozenset()  # members that don't count towards durability
 
     @classmethod
     def of(
@@ -62,7 +62,7 @@
         failure_domains: Mapping[str, FailureDomain] | None = None,
         tolerance: Tolerance = NO_LOSSES,
     ) -> VoterSets:
-        """From lists of voters, or unchanged if it is a VoterSets already."""
+        """Build voter sets from lists of voters; a VoterSets is returned unchanged."""
         if isinstance(sets, VoterSets):
             return sets
         voter_sets = tuple(frozenset(voters) for voters in sets)
@@ -74,46 +74,54 @@
         return frozenset[str]().union(*self.sets)
 
     def is_quorum(self, members: Iterable[str]) -> bool:
-        """Whether they are a majority of each set."""
-        given = set(members)
-        majorities = (len(given & voters) > len(voters) // 2 for voters in self.sets)
+        """Return whether the members include a majority of each set."""
+        present = set(members)
+        majorities = (len(present & voters) > len(voters) // 2 for voters in self.sets)
         return bool(self.sets) and all(majorities)
 
     def is_durable(self, members: Iterable[str]) -> bool:
-        """Whether they are a quorum on more disks, zones and regions than may be lost at once."""
-        counted = (set(members) & self.voters) - self.excluded
+        """Return whether the members are a quorum that survives the tolerated losses.
+
+        They have to be on more disks, zones and regions than may be lost at the same time.
+        """
+        eligible = (set(members) & self.voters) - self.excluded
         return (
-            self.is_quorum(counted)
-            and len(counted) > self.tolerance.disks
-            and self.spans(counted, "zone", self.tolerance.zones)
-            and self.spans(counted, "region", self.tolerance.regions)
+            self.is_quorum(eligible)
+            and len(eligible) > self.tolerance.disks
+            and self.spans(eligible, "zone", self.tolerance.zones)
+            and self.spans(eligible, "region", self.tolerance.regions)
         )
 
-    def spans(self, members: set[str], kind: str, losses: int) -> bool:
-        """Whether the members run in more zones (regions) than may be lost; true while the zone
-        (region) of some voter is unknown. kind: the field of FailureDomain."""
+    def spans(self, members: set[str], domain_kind: str, losses: int) -> bool:
+        """Return whether the members run in more zones (regions) than may be lost.
+
+        The requirement is waived while the zone (region) of any voter is unknown.
+
+        :param domain_kind: the field of FailureDomain, "zone" or "region".
+        """
         if losses == 0:
             return True
-        names = {
-            m: getattr(self.failure_domains.get(m, FailureDomain()), kind) for m in self.voters
+        domains = {
+            m: getattr(self.failure_domains.get(m, FailureDomain()), domain_kind)
+            for m in self.voters
         }
-        if UNKNOWN_DOMAIN in names.values():
+        if UNKNOWN_DOMAIN in domains.values():
             return True
-        return len({names[m] for m in members}) > losses
+        return len({domains[m] for m in members}) > losses
 
     def can_be_durable(self) -> bool:
-        """Whether all voters together would be a durable quorum."""
+        """Return whether all voters together would be a durable quorum."""
         return self.is_durable(self.voters)
 
     def without(self, member: str) -> VoterSets:
-        """The same, with durability counted on the other members only."""
+        """Return a copy in which the member does not count towards durability."""
         return replace(self, excluded=self.excluded | {member})
 
 
 def holds_majorities(
     voter_sets: VoterSets | Iterable[Iterable[str]], members: Iterable[str]
 ) -> bool:
-    """Whether the members are a majority of each voter set.
+    """Return whether the members include a majority of each voter set.
 
     >>> holds_majorities([["a", "b", "c"], ["b", "c", "d"]], ["a", "b"])
     False
--- a/packages/consensus/meadowdock/consensus/read.py
+++ b/packages/consensus/meadowdock/consensus/read.py
@@ -1,4 +1,4 @@
-"""A linearizable read of one key, mostly without a ballot."""
+"""A linearizable read of one key, which normally needs no ballot."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from meadowdock.consensus.proposer import BallotConfiguration, Proposer
 
-READ_TIMEOUT = 100 * MILLISECOND  # us, of one broadcast of a read
+READ_TIMEOUT = 100 * MILLISECOND  # us, for each broadcast of a read
 POLL_INTERVAL_MIN = 4 * MILLISECOND  # us, between the broadcasts of one read
 POLL_INTERVAL_MAX = 80 * MILLISECOND
 
@@ -21,11 +21,11 @@
 class QuorumRead:
     """One read. If a quorum agrees on the highest accepted pair, one broadcast is enough.
 
-    Members that diverge are mostly about to agree: a write is on its way to them, and a ballot now
-    would outrun it. So they are polled, at growing intervals. Only if nothing changes among them
-    for longer than a write takes does the read repair them, by a ballot that writes the highest
-    accepted value again (read repair); not while this process changes the key itself, since a
-    change does the same.
+    Members that diverge usually agree soon: a write is on its way to them, and a ballot at this
+    moment would preempt it. So the read polls them at increasing intervals. Only if their answers
+    stay the same for longer than a write takes does it start a ballot that writes the highest
+    accepted value again (read repair). It starts none while this process is changing the key, since
+    the change has the same effect.
     """
 
     def __init__(self, proposer: Proposer, key: str, deadline: int) -> None:
@@ -33,14 +33,14 @@
         self.key = key
         self.deadline = deadline
         self.started = monotonic_us()
-        self.longest_delay = (deadline - self.started) * 2 // 3  # the rest is left for a ballot
-        self.repair_delay = proposer.read_repair_delay.draw(self.longest_delay)
+        self.max_repair_delay = (deadline - self.started) * 2 // 3  # leaves time for a ballot
+        self.repair_delay = proposer.read_repair_delay.draw(self.max_repair_delay)
         self.highest: HighestBallot | None = None
         self.unchanged_since = self.started
         self.poll_interval = POLL_INTERVAL_MIN
 
     async def run(self) -> Any:
-        """The value of the key, or None if it has none.
+        """Return the value of the key, or None if it has none.
 
         :raises NoQuorum: no quorum agreed before the deadline.
         """
@@ -49,19 +49,19 @@
             answers = await self.poll(configuration)
             pair = agreed_pair(answers, configuration.voter_sets)
             if pair is not None:
-                self.note_agreement()
+                self.record_agreement()
                 return pair.value
             self.proposer.learn(answer.ballot for answer in answers.values())
-            changed = self.note_highest(answers, configuration)
+            changed = self.record_highest(answers, configuration)
             if not changed and self.needs_repair():
-                repair = await self.proposer.attempt(self.key, lambda old: old, self.deadline)
+                repair = await self.proposer.attempt(self.key, lambda value: value, self.deadline)
                 if repair.committed:
                     return repair.value
-                self.note_failed_repair()
+                self.record_failed_repair()
             await self.pause()
 
     async def poll(self, configuration: BallotConfiguration) -> dict[str, AcceptedPair]:
-        """The accepted pairs of the members, as soon as a quorum agrees."""
+        """Ask all members for their accepted pairs, and return the answers once a quorum agrees."""
 
         def is_agreed(answers: dict[str, AcceptedPair]) -> bool:
             return agreed_pair(answers, configuration.voter_sets) is not None
@@ -70,33 +70,33 @@
         request = ReadRequest(self.key)
         return await self.proposer.broadcast(configuration, request, deadline, is_agreed)
 
-    def note_agreement(self) -> None:
-        """A quorum agrees; if it didn't at first, the time that it took counts for later reads."""
+    def record_agreement(self) -> None:
+        """Adapt the delay of later repairs, if the quorum did not agree at the first poll."""
         if self.poll_interval > POLL_INTERVAL_MIN:
-            self.proposer.read_repair_delay.note_agreement(monotonic_us() - self.started)
+            self.proposer.read_repair_delay.record_agreement(monotonic_us() - self.started)
 
-    def note_highest(
+    def record_highest(
         self, answers: dict[str, AcceptedPair], configuration: BallotConfiguration
     ) -> bool:
-        """Remember since when a quorum has answered and nothing has changed among the members.
+        """Record the highest ballot and its members, and since when they have been the same.
 
-        :returns: whether something changed, or no quorum answered.
+        :returns: whether they changed since the previous poll, or no quorum answered.
         """
-        former, self.highest = self.highest, highest_ballot(answers)
-        changed = former != self.highest or not configuration.voter_sets.is_quorum(answers)
+        previous, self.highest = self.highest, highest_ballot(answers)
+        changed = previous != self.highest or not configuration.voter_sets.is_quorum(answers)
         if changed:
             self.unchanged_since = monotonic_us()
         return changed
 
     def needs_repair(self) -> bool:
-        """Whether the members have diverged for so long that no write seems to be on its way."""
+        """Return whether the members have diverged for so long that no write can be in progress."""
         unchanged = monotonic_us() - self.unchanged_since
         return unchanged > self.repair_delay and not self.proposer.is_changing(self.key)
 
-    def note_failed_repair(self) -> None:
-        """The ballot was outrun: wait longer before the next."""
-        self.proposer.read_repair_delay.note_failed_repair()
-        self.repair_delay = self.proposer.read_repair_delay.draw(self.longest_delay)
+    def record_failed_repair(self) -> None:
+        """Wait longer before the next repair, since the ballot of this one was preempted."""
+        self.proposer.read_repair_delay.record_failed_repair()
+        self.repair_delay = self.proposer.read_repair_delay.draw(self.max_repair_delay)
         self.unchanged_since = monotonic_us()
 
     async def pause(self) -> None:
--- a/packages/model_checker/meadowdock/model_checker/replica.py
+++ b/packages/model_checker/meadowdock/model_checker/replica.py
@@ -10,7 +10,7 @@
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import AcceptorState
-from meadowdock.consensus.acceptor import file_name
+from meadowdock.consensus.acceptor import state_file_path
 from meadowdock.model_checker.process import Implementation, make_node, make_store, packed
 from meadowdock.rpc import Rejected
 
@@ -122,7 +122,7 @@
         if name.startswith("key/"):
             key_files.setdefault(name.split("/")[1], []).append(name)
     single = {folder for folder, versions in key_files.items() if len(versions) == 1}
-    renamed = {key_files[folder][0]: file_name(folder, 1) for folder in single}
+    renamed = {key_files[folder][0]: state_file_path(folder, 1) for folder in single}
     files = tuple((renamed.get(name, name), store.files.files[name]) for name in names)
     acceptor = {}
     for folder, state in sorted(store.acceptor.states.items()):
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -1,4 +1,4 @@
-"""One acceptor: promises, refusals, power loss between any two disk steps, damaged files."""
+"""One acceptor: promises, refusals, power loss at any disk operation, damaged files."""
 
 from __future__ import annotations
 
@@ -60,30 +60,30 @@
 
 
 def test_a_promise_survives_power_loss_at_every_disk_step():
-    """After any step the disk has the old or the new state, complete; once answered, the new."""
+    """After a power loss the disk holds the old or the new state intact, and an acknowledged one."""
 
     async def scenario(world):
-        for lost_at in range(1, 10):
-            disk = SimDisk(random.Random(lost_at))
-            answered = []
+        for loss_step in range(1, 10):
+            disk = SimDisk(random.Random(loss_step))
+            acknowledged = []
 
-            async def use(disk=disk, answered=answered):
+            async def write_twice(disk=disk, acknowledged=acknowledged):
                 acceptor = await loaded_acceptor(disk)
                 for number in (1, 2):
                     await acceptor.prepare("k", (number, "p"))
                     await acceptor.write("k", (number, "p"), f"v{number}")
-                    answered.append(number)
+                    acknowledged.append(number)
 
             scope = trio.CancelScope()
-            disk.lose_at, disk.on_loss = lost_at, scope.cancel
+            disk.lose_at, disk.on_loss = loss_step, scope.cancel
             with trio.move_on_after(1), scope:
-                await use()
+                await write_twice()
             disk.power_off()
             disk.lose_at = None
             acceptor = await loaded_acceptor(disk)
             assert not acceptor.lost_keys()
             accepted, value = acceptor.read("k")
-            assert accepted[0] >= (answered[-1] if answered else 0)
+            assert accepted[0] >= (acknowledged[-1] if acknowledged else 0)
             assert value == (f"v{accepted[0]}" if accepted[0] else None)
 
     run(scenario)
--- a/tests/consensus/test_messages.py
+++ b/tests/consensus/test_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers between proposers and acceptors: their forms on the wire."""
+"""Requests and answers between proposers and acceptors: their encoding on the wire."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 ]
 
 
-def sent(value):
-    """A value as the other side of a connection gets it."""
+def as_received(value):
+    """Return a value as the peer decodes it."""
     return ormsgpack.unpackb(ormsgpack.packb(value))
 
 
 @pytest.mark.parametrize(("request_sent", "method", "arguments"), REQUESTS)
-def test_a_request_has_its_form_on_the_wire(request_sent, method, arguments):
+def test_a_request_is_encoded_as_specified(request_sent, method, arguments):
     assert request_sent.method == method
-    assert sent(request_sent.to_wire()) == arguments
+    assert as_received(request_sent.to_wire()) == arguments
 
 
-@pytest.mark.parametrize(("kind", "answer", "form"), ANSWERS)
-def test_an_answer_has_its_form_on_the_wire_and_is_read_from_it(kind, answer, form):
-    assert sent(kind.answer_to_wire(answer)) == form
-    assert kind.answer_from_wire(form) == answer
+@pytest.mark.parametrize(("request_class", "answer", "encoded"), ANSWERS)
+def test_an_answer_is_encoded_as_specified_and_decoded_to_the_same(request_class, answer, encoded):
+    assert as_received(request_class.answer_to_wire(answer)) == encoded
+    assert request_class.answer_from_wire(encoded) == answer
 
 
-@pytest.mark.parametrize("form", [None, [], ["yes"], ["yes", 7, None], ["yes", [7], None]])
-def test_a_malformed_answer_is_no_answer(form):
+@pytest.mark.parametrize("encoded", [None, [], ["yes"], ["yes", 7, None], ["yes", [7], None]])
+def test_a_malformed_answer_is_rejected(encoded):
     with pytest.raises((TypeError, ValueError)):
-        PrepareRequest.answer_from_wire(form)
+        PrepareRequest.answer_from_wire(encoded)
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -1,4 +1,4 @@
-"""Changes and reads over three acceptors: races, lost answers, no quorum, unknown outcomes."""
+"""Changes and reads over three acceptors: contention, lost answers, no quorum, unknown outcomes."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 from meadowdock.simulator import run
 
 
-def with_three_acceptors(work, seed=1):
+def run_with_three_acceptors(check, seed=1):
     async def scenario(world):
-        return await work(ThreeAcceptors(world.nursery, random.Random(seed)))
+        return await check(ThreeAcceptors(world.nursery, random.Random(seed)))
 
     return run(scenario, seed)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_racing_changes_lose_none(seed):
-    """Each acknowledged addition is in the last value; one that was surely not applied is not.
+def test_concurrent_changes_lose_no_acknowledged_one(seed):
+    """Every acknowledged addition is in the final value, and none that failed with NoQuorum is.
 
-    An addition may be in it twice: it doesn't look for its own effect, as change demands."""
+    An addition may be in the value twice, since the update function here is not idempotent.
+    """
 
-    async def work(acceptors):
+    async def check(acceptors):
         acceptors.answer_loss = 0.1
         acknowledged, unknown, not_applied = [], [], []
 
@@ -36,7 +37,7 @@
                 try:
                     await proposer.change(
                         "k",
-                        lambda old, n=n: [*(old or []), f"{name}{n}"],
+                        lambda value, n=n: [*(value or []), f"{name}{n}"],
                         monotonic_us() + 2 * SECOND,
                     )
                     acknowledged.append(f"{name}{n}")
@@ -55,26 +56,26 @@
         assert not set(not_applied) & set(final)
         assert len(acknowledged) >= 10
 
-    with_three_acceptors(work, seed)
+    run_with_three_acceptors(check, seed)
 
 
 def test_without_a_quorum_a_change_fails_and_nothing_is_written():
-    async def work(acceptors):
+    async def check(acceptors):
         acceptors.down = {"x", "y"}
         with pytest.raises(NoQuorum):
-            await acceptors.proposer("a").change("k", lambda old: 1, monotonic_us() + SECOND)
+            await acceptors.proposer("a").change("k", lambda value: 1, monotonic_us() + SECOND)
         acceptors.down = set()
         assert await acceptors.proposer("b").read("k", monotonic_us() + SECOND) is None
 
-    with_three_acceptors(work)
+    run_with_three_acceptors(check)
 
 
-def test_a_change_whose_write_is_cut_off_has_an_unknown_outcome_that_is_then_the_same_for_all():
-    async def work(acceptors):
-        original = acceptors.ask
+def test_a_change_interrupted_in_its_write_has_an_unknown_outcome_that_all_later_reads_agree_on():
+    async def check(acceptors):
+        original_ask = acceptors.ask
 
         async def ask(member, method, args, deadline):
-            answer = await original(member, method, args, deadline)
+            answer = await original_ask(member, method, args, deadline)
             if method == "write":
                 acceptors.down = {"x", "y", "z"} - {member}
                 raise TimeoutError
@@ -83,10 +84,12 @@
         proposer = acceptors.proposer("a")
         proposer.ask = ask
         with pytest.raises(OutcomeUnknown):
-            await proposer.change("k", lambda old: "new", monotonic_us() + SECOND)
+            await proposer.change("k", lambda value: "new", monotonic_us() + SECOND)
         acceptors.down = set()
-        first = await acceptors.proposer("b").change("k", lambda old: old, monotonic_us() + SECOND)
+        decided = await acceptors.proposer("b").change(
+            "k", lambda value: value, monotonic_us() + SECOND
+        )
         for name in "cde":
-            assert await acceptors.proposer(name).read("k", monotonic_us() + SECOND) == first
+            assert await acceptors.proposer(name).read("k", monotonic_us() + SECOND) == decided
 
-    with_three_acceptors(work)
+    run_with_three_acceptors(check)
--- a/tests/consensus/test_quorum.py
+++ b/tests/consensus/test_quorum.py
@@ -1,4 +1,4 @@
-"""Which members are a quorum, alone and under a joint configuration."""
+"""Which members form a quorum or a durable quorum, also under a joint configuration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     (["abc"], "ab", True),
     (["abc"], "adef", False),  # only voters count
     (["abcd"], "ab", False),
-    (["abc", "cde"], "abc", False),  # of a joint configuration, a majority of both
+    (["abc", "cde"], "abc", False),  # a joint configuration needs a majority of both sets
     (["abc", "cde"], "bcd", True),
     (["abc", "cde"], "abde", True),
 ]
@@ -23,17 +23,17 @@
     assert VoterSets.of(sets).is_quorum(members) == expected
 
 
-def test_a_durable_quorum_without_a_member_does_not_count_it():
+def test_an_excluded_member_does_not_count_towards_a_durable_quorum():
     voters = VoterSets.of(["abc"], tolerance=Tolerance(disks=1))
     assert voters.is_durable("ab")
     assert not voters.without("a").is_durable("ab")
     assert voters.without("a").is_durable("abc")
 
 
-def test_zones_count_once_the_zone_of_each_voter_is_known():
-    known = {"a": FailureDomain("x"), "b": FailureDomain("x"), "c": FailureDomain("y")}
+def test_zones_are_required_only_while_the_zone_of_each_voter_is_known():
+    domains = {"a": FailureDomain("x"), "b": FailureDomain("x"), "c": FailureDomain("y")}
     tolerance = Tolerance(zones=1)
-    assert not VoterSets.of(["abc"], known, tolerance).is_durable("ab")
-    assert VoterSets.of(["abc"], known, tolerance).is_durable("bc")
-    del known["c"]
-    assert VoterSets.of(["abc"], known, tolerance).is_durable("ab")
+    assert not VoterSets.of(["abc"], domains, tolerance).is_durable("ab")
+    assert VoterSets.of(["abc"], domains, tolerance).is_durable("bc")
+    del domains["c"]
+    assert VoterSets.of(["abc"], domains, tolerance).is_durable("ab")
--- a/tests/consensus/test_register.py
+++ b/tests/consensus/test_register.py
@@ -1,4 +1,4 @@
-"""The register of the simulated core: power loss, blank disks, minorities, silent members."""
+"""The register of the simulated config stores: power loss, blank disks, minorities, silent members."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from meadowdock.simulator import run
 
 
-def test_all_killed_at_any_moment_keeps_all_that_was_acknowledged():
+def test_acknowledged_changes_survive_a_power_loss_of_all_members_at_any_moment():
     async def scenario(world):
         await configured(world)
         rng = random.Random(5)
@@ -20,12 +20,12 @@
 
         async def operator(number):
             nonlocal acknowledged
-            ways = [way(f"w{number}", "/balances")]
-            status, planned = await world.operate("POST", "/plan", manifest(ways), number % 3)
+            routes = [way(f"w{number}", "/balances")]
+            status, planned = await world.operate("POST", "/plan", manifest(routes), number % 3)
             if status == 200 and planned["plan"]:
-                status, told = await world.operate("POST", "/confirm", {"plan": planned["plan"]})
+                status, answer = await world.operate("POST", "/confirm", {"plan": planned["plan"]})
                 if status == 200:
-                    acknowledged = told["version"]
+                    acknowledged = answer["version"]
 
         for number in range(6):
             with trio.move_on_after(rng.uniform(0.001, 0.06)):
@@ -34,44 +34,44 @@
                 world.power_off("mdconf", host)
             for host in world.core:
                 await world.start("mdconf", host)
-            conf = world.node("mdconf", world.core[0])
-            await world.eventually(lambda c=conf: not c.unready_reasons())
-            status, told = await world.operate("GET", "/manifest")
+            config_store = world.node("mdconf", world.core[0])
+            await world.eventually(lambda node=config_store: not node.unready_reasons())
+            status, answer = await world.operate("GET", "/manifest")
             assert status == 200
-            assert told["version"] >= acknowledged
-            acknowledged = told["version"]
+            assert answer["version"] >= acknowledged
+            acknowledged = answer["version"]
         assert acknowledged > 1
 
     run(scenario)
 
 
-def test_a_lost_disk_serves_operators_and_does_not_vote_until_it_is_a_member_again():
+def test_a_process_with_a_blank_disk_serves_operators_but_does_not_vote_until_it_is_a_member():
     async def scenario(world):
         await configured(world)
         host = await first_with_a_blank_disk(world)
-        conf = world.node("mdconf", host)
-        await world.eventually(lambda: conf.daemon.store.membership is not None)
-        assert conf.unready_reasons() == ["this disk is no member, or not fully yet"]
-        assert not conf.daemon.store.is_voter
-        status, told = await world.operate("GET", "/manifest")  # it still serves operators
-        assert (status, told["version"]) == (200, 1)
+        config_store = world.node("mdconf", host)
+        await world.eventually(lambda: config_store.daemon.store.membership is not None)
+        assert config_store.unready_reasons() == ["this disk is no member, or not fully yet"]
+        assert not config_store.daemon.store.is_voter
+        status, answer = await world.operate("GET", "/manifest")  # it still serves operators
+        assert (status, answer["version"]) == (200, 1)
         assert await world.configure(manifest([way("new", "/balances")])) == 2
-        await world.eventually(lambda: not conf.unready_reasons(), within=15 * SECOND)
-        world.kill(f"mdconf@{world.core[1]}")  # what was acknowledged does not need it
-        status, told = await world.operate("GET", "/manifest", core=2)
-        assert (status, told["version"]) == (200, 2)
+        await world.eventually(lambda: not config_store.unready_reasons(), within=15 * SECOND)
+        world.kill(f"mdconf@{world.core[1]}")  # the other two hold all acknowledged changes
+        status, answer = await world.operate("GET", "/manifest", core=2)
+        assert (status, answer["version"]) == (200, 2)
         assert await world.configure(manifest([way("again", "/balances")]), core=2) == 3
 
     run(scenario)
 
 
-def test_a_minority_side_refuses_operators():
+def test_the_minority_side_of_a_partition_refuses_operators():
     async def scenario(world):
         await configured(world)
         for other in world.core[1:]:
             world.web.cut(world.core[0], other)
-        status, told = await world.operate("POST", "/plan", manifest([way("new", "/balances")]))
-        assert (status, told["code"]) == (503, "no_majority")
+        status, answer = await world.operate("POST", "/plan", manifest([way("new", "/balances")]))
+        assert (status, answer["code"]) == (503, "no_majority")
         status, _ = await world.operate("GET", "/manifest")
         assert status == 503
         assert (
@@ -83,8 +83,8 @@
     run(scenario)
 
 
-def test_a_member_that_is_silent_holds_up_no_change_that_has_to_try_again():
-    """The first ballot is too low at one of the two that answer; the third never answers."""
+def test_a_silent_member_does_not_delay_the_next_attempt_of_a_change():
+    """The first ballot is refused by one of the two members that answer; the third never answers."""
 
     async def scenario(world):
         await configured(world)
@@ -94,8 +94,8 @@
             await world.daemon("mdconf", world.core[core]).store.acceptor.prepare(
                 "manifest/head", (50, "somebody")
             )
-        at = monotonic_us()
+        started = monotonic_us()
         assert await world.configure(manifest([way("new", "/balances")]), core=1) == 2
-        assert monotonic_us() - at < SECOND
+        assert monotonic_us() - started < SECOND
 
     run(scenario)
--- a/tests/consensus/test_register_contention.py
+++ b/tests/consensus/test_register_contention.py
@@ -1,4 +1,4 @@
-"""Readers and changes of the register at the same time, on slow disks: neither outruns the other."""
+"""Concurrent reads and changes of the register on slow disks: neither starves the other."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from meadowdock.simulator import SimDisk, run
 
 DISK_STEP = 5 * MILLISECOND  # a write takes four steps
-SLOWDOWN = 25
-ANSWER_LIMIT = 3 * SECOND  # operators wait 4 s
+SLOWDOWN = 25  # factor
+CHANGE_DURATION_LIMIT = 3 * SECOND  # operators wait 4 s
 
 
 class BusyDisk(SimDisk):
-    """Others use it too: now and then a step waits long."""
+    """A disk shared with other programs: some steps wait for them first."""
 
     async def step(self, shield):
         await sleep_us(self.rng.choice((0, 0, 0, self.step_us, 8 * self.step_us)))
@@ -32,44 +32,50 @@
 
     def __init__(self, nursery, rng, size, make_disk):
         self.nursery, self.rng = nursery, rng
-        self.disks = {f"v{n}": make_disk(random.Random(n), DISK_STEP) for n in range(size)}
+        self.disks = {
+            f"v{number}": make_disk(random.Random(number), DISK_STEP) for number in range(size)
+        }
         self.acceptors = {
             m: Acceptor(disk, lambda *_, **__: None) for m, disk in self.disks.items()
         }
-        self.dead, self.ballots, self.lossy = set(), 0, False
+        self.dead, self.prepares_sent, self.loses_answers = set(), 0, False
 
     def proposer(self, name):
         return Proposer(name, lambda: [list(self.acceptors)], self.ask, self.rng, self.nursery)
 
     async def ask(self, member, method, args, deadline):
-        self.ballots += method == "prepare"
+        self.prepares_sent += method == "prepare"
         await sleep_us(self.rng.randrange(1, 3) * MILLISECOND)
         if member in self.dead:
             await sleep_us(deadline - monotonic_us())
             raise TimeoutError
         answer = await answer_of(self.acceptors[member], method, args)
-        if self.lossy and self.rng.random() < 0.1:
+        if self.loses_answers and self.rng.random() < 0.1:
             raise TimeoutError
         await sleep_us(self.rng.randrange(1, 3) * MILLISECOND)
         return answer
 
 
 async def contend(voters, changes=8):
-    """A reader without a pause at each member, and one that changes. Gives how long each change
-    took, and of the reads how many there were and how many failed; checks what each one gave."""
-    took, reads, failed = [], 0, 0
-    known = done = 0  # the highest that a change or a read has given
+    """Run a reader at each member and one sequence of changes at the same time.
+
+    Checks that no read returns a value older than one returned before the read began.
+
+    :returns: the duration of each change, the number of reads, and the number of failed reads.
+    """
+    durations, reads, failed_reads = [], 0, 0
+    highest_returned = committed = 0  # highest_returned: by any change or read
 
     async def reader(proposer):
-        nonlocal reads, failed, known
+        nonlocal reads, failed_reads, highest_returned
         while True:
-            least, reads = known, reads + 1
+            lower_bound, reads = highest_returned, reads + 1
             try:
                 value = await proposer.read("k", monotonic_us() + 1_200 * MILLISECOND) or 0
-                assert value >= least  # what was given before the read began is in it
-                known = max(known, value)
+                assert value >= lower_bound
+                highest_returned = max(highest_returned, value)
             except (NoQuorum, OutcomeUnknown):
-                failed += 1
+                failed_reads += 1
             await sleep_us(voters.rng.randrange(1, 20) * MILLISECOND)
 
     proposers = [voters.proposer(name) for name in voters.acceptors]
@@ -78,22 +84,25 @@
             nursery.start_soon(reader, proposer)
         await sleep_us(100 * MILLISECOND)
         for number in range(changes):
-            at = monotonic_us()
+            started = monotonic_us()
             proposer = proposers[number % len(proposers)]
             try:
                 deadline = monotonic_us() + 5 * SECOND
-                known = max(known, await proposer.change("k", lambda old: (old or 0) + 1, deadline))
-                done += 1
+                highest_returned = max(
+                    highest_returned,
+                    await proposer.change("k", lambda value: (value or 0) + 1, deadline),
+                )
+                committed += 1
             except (NoQuorum, OutcomeUnknown):
                 pass
-            took.append(monotonic_us() - at)
+            durations.append(monotonic_us() - started)
             await sleep_us(150 * MILLISECOND)
         nursery.cancel_scope.cancel()
-    assert done == changes
-    return took, reads, failed
+    assert committed == changes
+    return durations, reads, failed_reads
 
 
-CASES = {  # disks, how much slower one of them is, dead of 3, of 5
+CASES = {  # disk class, slowdown of one disk, dead members by cluster size
     "busy": (BusyDisk, 1, {}),
     "busy, one slow": (BusyDisk, SLOWDOWN, {}),
     "busy, some dead": (BusyDisk, 1, {3: ["v2"], 5: ["v3", "v4"]}),
@@ -105,17 +114,17 @@
 @pytest.mark.parametrize("case", CASES)
 @pytest.mark.parametrize("size", (3, 5))
 @pytest.mark.parametrize("seed", range(3))
-def test_readers_do_not_outrun_changes(size, seed, case):
-    make_disk, slower, dead = CASES[case]
+def test_readers_do_not_starve_changes(size, seed, case):
+    make_disk, slowdown, dead = CASES[case]
 
     async def scenario(world):
         voters = Voters(world.nursery, random.Random(seed), size, make_disk)
-        voters.disks["v1"].step_us *= slower
-        voters.lossy = case == "answers lost"
+        voters.disks["v1"].step_us *= slowdown
+        voters.loses_answers = case == "answers lost"
         voters.dead = set(dead.get(size, ()))
-        took, reads, failed = await contend(voters)
-        assert max(took) < ANSWER_LIMIT
-        assert failed <= reads // 20
+        durations, reads, failed_reads = await contend(voters)
+        assert max(durations) < CHANGE_DURATION_LIMIT
+        assert failed_reads <= reads // 20
 
     run(scenario, seed)
 
@@ -123,7 +132,7 @@
 FAULTS = ("none", "dead", "cut off", "stalled", "slow")
 
 
-def strike(world, fault, hosts):
+def inject(world, fault, hosts):
     for host in hosts:
         disk = world.disks["mdconf", host]
         if fault == "dead":
@@ -140,37 +149,38 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("core", (3, 5))
-def test_an_operator_is_answered_while_proxies_ask_and_members_fail(core, fault):
-    """Each call is answered well before 4 s, and what was acknowledged is read by the next."""
+def test_operators_are_answered_while_proxies_send_requests_and_members_fail(core, fault):
+    """Each call is answered well within 4 s, and the next call reads each acknowledged change."""
 
     async def scenario(world):
         await configured(world)
         for (role, _), disk in world.disks.items():
             if role == "mdconf":
                 disk.step_us = DISK_STEP
-        struck = world.core[(core + 1) // 2 :]
-        strike(world, fault, struck)
-        took = []
+        faulty_hosts = world.core[(core + 1) // 2 :]
+        inject(world, fault, faulty_hosts)
+        durations = []
 
-        async def call(*terms):
-            at = monotonic_us()
-            status, told = await world.operate(*terms)
-            took.append(monotonic_us() - at)
-            assert status == 200, told
-            return told
+        async def call(*request):
+            started = monotonic_us()
+            status, answer = await world.operate(*request)
+            durations.append(monotonic_us() - started)
+            assert status == 200, answer
+            return answer
 
         version = 1
         for number in range(8):
-            door, next_door = number % 2, (number + 1) % 2
-            plan = await call("POST", "/plan", manifest([way(f"w{number}", "/balances")]), door)
-            told = await call("POST", "/confirm", {"plan": plan["plan"]}, next_door)
+            core_index, other_core_index = number % 2, (number + 1) % 2
+            routes = [way(f"w{number}", "/balances")]
+            plan = await call("POST", "/plan", manifest(routes), core_index)
+            answer = await call("POST", "/confirm", {"plan": plan["plan"]}, other_core_index)
             version += 1
-            assert told["version"] == version
-            assert (await call("GET", "/manifest", None, door))["version"] == version
-        assert max(took) < 2 * SECOND
+            assert answer["version"] == version
+            assert (await call("GET", "/manifest", None, core_index))["version"] == version
+        assert max(durations) < 2 * SECOND
         world.trace.lines.clear()
         await sleep_us(5 * SECOND)
-        away = {f"mdconf@{h}" for h in struck} if fault == "cut off" else set()
-        assert {line["of"] for _, line in world.trace.events(603)} <= away
+        unreachable = {f"mdconf@{h}" for h in faulty_hosts} if fault == "cut off" else set()
+        assert {line["of"] for _, line in world.trace.events(603)} <= unreachable
 
     run(scenario, core + len(fault), core=core, application=(None,) * 20)
--- a/tests/model_checker/test_model_register.py
+++ b/tests/model_checker/test_model_register.py
@@ -56,7 +56,7 @@
     """Planted: a promise is answered and not on the disk."""
 
     async def promise(self, key, ballot):
-        state = self.state_of(key)
+        state = self.key_state(key)
         if ballot <= state.promised:
             return Refusal(state.promised)
         folder = fingerprint(key.encode())
