--- a/packages/consensus/meadowdock/consensus/__init__.py
+++ b/packages/consensus/meadowdock/consensus/__init__.py
@@ -1,8 +1,8 @@
 """A replicated key-value register (CASPaxos), with each value stored on a majority of the disks.
 
-There is no log and no leader. Each change of a key prepares a ballot at a quorum of acceptors, takes
-the highest accepted value from their promises, and writes the new value to a durable quorum under
-the same ballot.
+There is no log and no leader. Each change of a key prepares a ballot at a quorum of acceptors,
+takes the highest accepted value from their promises, and writes the new value to a durable quorum
+under the same ballot.
 """
 
 from meadowdock.consensus.acceptor import Acceptor, AcceptorState
--- a/packages/consensus/meadowdock/consensus/acceptor.py
+++ b/packages/consensus/meadowdock/consensus/acceptor.py
@@ -1,8 +1,8 @@
 """The acceptor of one voter: promises and accepted values of all keys, stored on its own disk.
 
 Each key has a folder, `key/<fingerprint of the key>`, with one file for its newest state. A change
-writes the next file before it removes the previous one, so that at least one of them is intact after
-a power loss. A request is answered only after the new state is on disk.
+writes the next file before it removes the previous one, so that at least one of them is intact
+after a power loss. A request is answered only after the new state is on disk.
 """
 
 from __future__ import annotations
--- a/packages/consensus/meadowdock/consensus/ballot.py
+++ b/packages/consensus/meadowdock/consensus/ballot.py
@@ -1,4 +1,4 @@
-"""Ballot numbers (proposal numbers of Paxos): totally ordered, and never shared by two proposers."""
+"""Ballot numbers (Paxos proposal numbers): totally ordered, and never shared by two proposers."""
 
 from __future__ import annotations
 
--- a/packages/consensus/meadowdock/consensus/quorum.py
+++ b/packages/consensus/meadowdock/consensus/quorum.py
@@ -1,8 +1,8 @@
-"""Quorums: which members have to answer, and which have to accept a write before it is acknowledged.
+"""Quorums: which members have to answer, and which have to accept a write to acknowledge it.
 
-During a membership change the configuration is a joint one, as in Raft (D. Ongaro and J. Ousterhout,
-"In Search of an Understandable Consensus Algorithm", 2014, section 6): a quorum is a majority of the
-old voters and a majority of the new ones.
+During a membership change the configuration is a joint one, as in Raft (D. Ongaro and
+J. Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014, section 6): a quorum is a
+majority of the old voters and a majority of the new ones.
 """
 
 from __future__ import annotations
--- a/packages/registry/meadowdock/registry/__init__.py
+++ b/packages/registry/meadowdock/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry (program mdreg): which nodes are alive, and the load collector among its replicas."""
+"""The registry (program mdreg): tracks which nodes are alive; one of its replicas collects load."""
--- a/packages/registry/meadowdock/registry/election.py
+++ b/packages/registry/meadowdock/registry/election.py
@@ -1,8 +1,8 @@
-"""Which registry is the load collector: the holder of one lease that the config stores grant.
+"""The election of the load collector: the registry that holds a lease granted by the config stores.
 
-A holder renews its lease as long as it can. When there has been no collector for a while, the other
-registries ask for the lease one after another, ranked by rendezvous hashing, so that in most cases
-only one of them asks. The lease alone decides; the ranking saves requests.
+The holder renews its lease as long as it can. When there has been no collector for some time, the
+other registries request the lease one after another, ranked by rendezvous hashing, so that usually
+only one of them does. Safety depends on the lease alone; the ranking only saves requests.
 """
 
 from __future__ import annotations
@@ -20,17 +20,18 @@
 
 COLLECTOR = "collector"  # the singleton role's name in the ranking and in the log
 CHECK_INTERVAL_US = 200 * MILLISECOND
-# Without a collector for this long, the first by rank asks for the lease. Each further one waits
-# for two more of it: the first may be unable to reach the config stores.
+# After this time without a collector, the first registry by rank requests the lease. Each further
+# rank waits twice this time longer, since those before it may be unable to reach the config stores.
 VACANCY_US = 500 * MILLISECOND
 
 
 class CollectorElection:
     """Acquires, renews and releases the collector's lease.
 
-    Invariants: `epoch` is not None iff this process holds the lease at this moment, under that
-    epoch; `highest_epoch` only goes up; `reclaiming` is True from the expiry of an own lease until
-    another holder is known, and meanwhile this process asks again without waiting for its rank.
+    Invariants: `epoch` is not None if and only if this process currently holds the lease, under
+    that epoch; `highest_epoch` only increases; `reclaiming` is True from the expiry of this
+    process' lease until it holds the lease again or another holder is known, and meanwhile this
+    process requests the lease without waiting for its rank.
     """
 
     def __init__(
@@ -39,7 +40,10 @@
         registries: NodeTable[RegistryHeartbeat],
         announce: Callable[[], Awaitable[None]],
     ) -> None:
-        """:param announce: tells the other registries about a lease that was just acquired."""
+        """Create the election.
+
+        :param announce: notifies the other registries of a lease that was just acquired.
+        """
         self.node = node
         self.registries = registries
         self.announce = announce
@@ -50,17 +54,17 @@
 
     @property
     def epoch(self) -> int | None:
-        """The epoch (fencing token) of the lease held at this moment, or None."""
+        """The epoch (fencing token) of the lease that is currently held, or None."""
         return self.lease.epoch
 
     async def run(self) -> None:
-        """Keep the lease, or acquire it when nobody holds it."""
+        """Keep renewing the lease, or acquire it when nobody holds it."""
         while True:
             await self.step()
             await sleep_us(CHECK_INTERVAL_US)
 
     async def step(self) -> None:
-        """Renew or acquire the lease once, if it is time to."""
+        """Renew or acquire the lease once if that is due."""
         self.drop_if_expired()
         if self.node.stopping:
             return
@@ -73,11 +77,11 @@
             await self.acquire()
 
     async def release(self) -> None:
-        """Give the lease back before this process ends, so that nobody waits for its expiry."""
+        """Release the lease before this process ends, so that nobody waits for its expiry."""
         await self.lease.release()
 
     def learn_epoch(self, epoch: int) -> None:
-        """Note an epoch that exists; an own lease of a lower one is dropped."""
+        """Record an epoch that was granted, and drop the lease if it has a lower epoch."""
         self.highest_epoch = max(self.highest_epoch, epoch)
         granted = self.lease.granted
         if granted is not None and self.highest_epoch > granted.epoch:
@@ -94,7 +98,7 @@
             self.reclaiming = True
 
     def collector_known(self) -> bool:
-        """Whether this process holds the lease, or a live registry says that it does."""
+        """Return whether this process holds the lease, or a live registry reports that it does."""
         if self.epoch is not None:
             return True
         return any(
@@ -103,14 +107,14 @@
         )
 
     def is_vacant(self) -> bool:
-        """Whether there was no collector for as long as this process must wait by its rank."""
+        """Return whether the time without a collector has reached the wait for this rank."""
         own_address = self.node.settings.link
         candidates = [*self.registries.live(monotonic_us()), own_address]
         rank = rank_candidates(COLLECTOR, candidates).index(own_address)
         return monotonic_us() - self.collector_seen_at >= VACANCY_US * (1 + 2 * rank)
 
     async def acquire(self) -> None:
-        """Ask for the lease once."""
+        """Request the lease once, and announce it to the other registries if it was granted."""
         self.learn_holder(await self.lease.acquire(self.highest_epoch))
         if self.node.stopping:
             await self.lease.release()
@@ -121,7 +125,7 @@
             await self.announce()
 
     def learn_holder(self, refusal: Rejected | None) -> None:
-        """Learn from a refused request that another process holds the lease, and its epoch."""
+        """Learn from a refusal that another process holds the lease, and under which epoch."""
         if refusal is not None and refusal.details.get("epoch"):
             self.reclaiming = False
             self.learn_epoch(refusal.details["epoch"])
--- a/packages/registry/meadowdock/registry/heartbeats.py
+++ b/packages/registry/meadowdock/registry/heartbeats.py
@@ -1,5 +1,8 @@
-"""Heartbeats of this registry to the others, from which they learn whether it is alive, the highest
-epoch of the collector's lease, and whether this registry holds that lease."""
+"""Heartbeats of this registry to the others.
+
+From them the others learn that this registry is alive, the highest known epoch of the collector's
+lease, and whether this registry holds that lease.
+"""
 
 from __future__ import annotations
 
@@ -15,28 +18,28 @@
 
 
 class HeartbeatSender:
-    """Sends heartbeats at an interval, and at once when a registry is found that had none yet."""
+    """Sends heartbeats at an interval, and at once when a new registry is discovered."""
 
     def __init__(self, node: Node, election: CollectorElection) -> None:
         self.node = node
         self.election = election
-        self.receivers: set[str] = set()  # addresses that the last heartbeat went to
+        self.receivers: set[str] = set()  # addresses that the last heartbeat was sent to
         self.registry_joined = trio.Event()
 
     def on_member(self, entry: MemberEntry) -> None:
-        """Called with each update of the membership view."""
+        """Wake the sender if a membership update shows a registry that had no heartbeat yet."""
         if entry.role == REGISTRY_ROLE and entry.address not in self.receivers:
             self.registry_joined.set()
 
     async def send_and_wait(self) -> None:
-        """Send one heartbeat, then wait until the next is due."""
+        """Send one heartbeat, then wait for the interval or until a registry joins."""
         self.registry_joined = trio.Event()
         await self.send()
         with deadline_scope(monotonic_us() + HEARTBEAT_INTERVAL_US):
             await self.registry_joined.wait()
 
     async def send(self) -> None:
-        """Send one heartbeat to every other registry, and wait for the answers."""
+        """Send one heartbeat to every other registry, and wait for their answers."""
         me = self.node.view.me
         heartbeat = RegistryHeartbeat(
             address=me.address,
--- a/packages/registry/meadowdock/registry/lease_client.py
+++ b/packages/registry/meadowdock/registry/lease_client.py
@@ -1,11 +1,12 @@
 """The client side of a lease that the config stores grant (server side: `config_store/lease.py`).
 
-Trade-off of the duration. It is the longest that nobody holds the lease after its holder died, on
-top of nothing else: while it runs out, the other registries notice the silence (1.25 s) and wait
-for their rank (0.5 s). With 2 s, renewed each second, a dead holder's lease has 1 to 2 s left, so
-that a takeover is hardly later than without a lease, and load lists are stale after 2 s anyway.
-Shorter costs more writes (each renewal is a prepare and a write, two synced files at each voter),
-and a lease lost whenever the store is slow for a moment; longer leaves the mesh without lists.
+The lease duration is a trade-off. It bounds the time without a holder after the holder has died;
+the other delays of a takeover run in parallel: the other registries detect the missing heartbeats
+after 1.25 s and then wait according to their rank (0.5 s). With a duration of 2 s and a renewal
+each second, a dead holder's lease has 1 to 2 s left, so a takeover happens hardly later than it
+would without a lease, and load lists are stale after 2 s in any case. A shorter duration costs more
+writes (each renewal is a prepare and a write, with two synced files at each voter) and loses the
+lease whenever the store is briefly slow. A longer one leaves the mesh without load lists.
 """
 
 from __future__ import annotations
@@ -30,10 +31,10 @@
 from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us
 
 MIN_DURATION_US = SECOND
-MAX_DURATION_US = 2 * SECOND  # load lists are stale after it
+MAX_DURATION_US = 2 * SECOND  # load lists become stale after this time
 ACQUIRE_TIMEOUT_US = SECOND
 RELEASE_TIMEOUT_US = 400 * MILLISECOND
-HEDGES_PER_DURATION = 12  # a further config store is asked each time such a part has passed
+HEDGES_PER_DURATION = 12  # another config store is asked each time 1/12 of the duration has passed
 STORE_ROLE = "mdconf"
 
 LeaseMessage = AcquireLease | RenewLease | ReleaseLease
@@ -41,8 +42,10 @@
 
 
 def lease_duration(contact_us: int) -> int:
-    """The duration in us: two thirds of the time within which processes reach each other again
-    after a fault.
+    """Return the lease duration in microseconds, between its bounds.
+
+    It is two thirds of `contact_us`, the time within which processes reach each other again after a
+    fault.
 
     >>> lease_duration(3_000_000), lease_duration(600_000), lease_duration(30_000_000)
     (2000000, 1000000, 2000000)
@@ -52,8 +55,11 @@
 
 @dataclass(frozen=True)
 class GrantedLease:
-    """A lease as granted. Invariant: times count from before the request was sent, on the monotonic
-    clock in us, so that it ends here before it ends at the config stores."""
+    """A granted lease; times are in microseconds of the monotonic clock.
+
+    Invariant: times are measured from before the request was sent, so that the lease expires at its
+    holder before it expires at the config stores.
+    """
 
     epoch: int
     renew_at: int
@@ -62,29 +68,32 @@
 
 @dataclass
 class LeaseRequest:
-    """One request and what has come of it. Several config stores are asked; each request has a
-    sequence number of its own, so that being done twice makes no difference."""
+    """One request, which may be sent to several config stores, and its result.
+
+    Each request has its own sequence number, so running it at several config stores has the same
+    effect as running it once.
+    """
 
     method: str
     message: LeaseMessage
     deadline: int
     answer: Answer | None = None
-    may_have_run: bool = False  # a store that didn't answer may have done it
+    may_have_run: bool = False  # a store that didn't answer may have executed it
 
 
 class LeaseClient:
     """Acquires, renews and releases one lease, of which this process is a candidate holder.
 
-    Invariants: the epoch is used only while `granted.expires_at` lies ahead, checked at each use on
-    the monotonic clock, so that a process that was paused finds its lease expired; the sequence
-    number only goes up.
+    Invariants: the epoch is valid only before `granted.expires_at`, which is compared with the
+    monotonic clock at each use, so that a process that was paused finds its lease expired; the
+    sequence number only increases.
     """
 
     def __init__(self, node: Node, key: str, duration_us: int) -> None:
         self.node = node
         self.key = key
         self.duration_us = duration_us
-        # a random number: a restarted process is another holder, whatever the wall clock says
+        # the random part makes a restarted process a different holder, whatever the wall clock says
         self.holder = f"{node.settings.link}/{node.runtime.rng.getrandbits(64):016x}"
         self.sequence = 0
         self.granted: GrantedLease | None = None
@@ -106,8 +115,12 @@
 
     @property
     def may_acquire(self) -> bool:
-        """False for a while after a request that may have been done without an answer: each such
-        acquisition would make the others wait for another full duration that nobody uses."""
+        """Whether an acquisition may be attempted now.
+
+        It may not for some time after a request that may have been executed without an answer: a
+        lease granted that way is used by nobody, and the other candidates have to wait for its full
+        duration.
+        """
         return monotonic_us() >= self.acquire_not_before
 
     @property
@@ -116,69 +129,75 @@
         return self.granted is not None and monotonic_us() >= self.granted.renew_at
 
     def drop(self) -> None:
-        """Use the lease no more, without releasing it at the config stores."""
+        """Stop using the lease, without releasing it at the config stores."""
         self.granted = None
 
     async def acquire(self, epoch_floor: int) -> Rejected | None:
-        """Ask for the lease, under an epoch above the floor. Whether it is held then, `epoch` says.
+        """Request the lease under an epoch above the floor; afterwards `epoch` tells if it is held.
 
         :returns: the refusal, if a config store refused.
         """
         message = AcquireLease(
             self.key, self.holder, self.next_sequence(), self.duration_us, epoch_floor
         )
-        asked_at = monotonic_us()
-        answer = await self.send(ACQUIRE, message, asked_at + ACQUIRE_TIMEOUT_US)
+        requested_at = monotonic_us()
+        answer = await self.send(ACQUIRE, message, requested_at + ACQUIRE_TIMEOUT_US)
         if not isinstance(answer, LeaseGranted):
             return answer
-        self.grant(answer.epoch, asked_at)
+        self.record_grant(answer.epoch, requested_at)
         return None
 
     async def renew(self) -> Rejected | None:
-        """Ask for another duration of the granted lease. One that was dropped or replaced while the
-        request was in flight stays as it is.
+        """Extend the granted lease by another duration.
+
+        A lease that was dropped or replaced while the request was in flight is left unchanged.
 
         :returns: the refusal, if a config store refused.
         """
-        granted, asked_at = self.granted, monotonic_us()
+        granted, requested_at = self.granted, monotonic_us()
         if granted is None:
             return None
         message = RenewLease(self.key, self.holder, self.next_sequence(), granted.epoch)
-        deadline = min(asked_at + self.duration_us // 4, granted.expires_at)
+        deadline = min(requested_at + self.duration_us // 4, granted.expires_at)
         answer = await self.send(RENEW, message, deadline)
         if not isinstance(answer, LeaseGranted):
             return answer
         if self.granted is granted:
-            self.grant(granted.epoch, asked_at)
+            self.record_grant(granted.epoch, requested_at)
         return None
 
     async def release(self) -> None:
-        """End the lease here, then at the config stores, so that others need not wait for it."""
+        """Drop the lease, and release it at the config stores so that nobody waits for its expiry.
+
+        It is dropped first, so that this process is no holder any more once others can acquire it.
+        """
         granted, self.granted = self.granted, None
         if granted is None:
             return
         message = ReleaseLease(self.key, self.holder, self.next_sequence(), granted.epoch)
         await self.send(RELEASE, message, monotonic_us() + RELEASE_TIMEOUT_US)
 
-    def grant(self, epoch: int, asked_at: int) -> None:
-        """Take a granted lease, counted from before it was asked for."""
+    def record_grant(self, epoch: int, requested_at: int) -> None:
+        """Record a granted lease, whose times are measured from when it was requested."""
         duration = self.duration_us
-        self.granted = GrantedLease(epoch, asked_at + duration // 2, asked_at + duration)
+        self.granted = GrantedLease(epoch, requested_at + duration // 2, requested_at + duration)
 
     def next_sequence(self) -> int:
-        """The number of the next request."""
+        """Return the sequence number of the next request."""
         self.sequence += 1
         return self.sequence
 
     def stores(self) -> list[str]:
-        """All known config stores in random order, but the preferred one first."""
+        """Return the known config stores in random order, with the preferred one first."""
         addresses = self.node.view.core_members(STORE_ROLE)
         self.node.runtime.rng.shuffle(addresses)
         return sorted(addresses, key=lambda address: address != self.preferred_store)
 
     async def send(self, method: str, message: LeaseMessage, deadline: int) -> Answer | None:
-        """Ask one config store, and a further one each time that the last refused, failed or has
-        been silent for a while.
+        """Send a request to one config store, and hedge it to the others one by one.
+
+        The next config store is asked once the previous one refused, failed, or has not answered
+        for 1/HEDGES_PER_DURATION of the lease duration.
 
         :returns: the grant, a refusal, or None if nobody answered by the deadline.
         """
@@ -206,7 +225,7 @@
         attempt_over: trio.Event,
         all_attempts: trio.CancelScope,
     ) -> None:
-        """Ask one config store. An answer that settles the request cancels all attempts."""
+        """Send a request to one config store; a decisive answer cancels the other attempts."""
         try:
             wire = await self.node.rpc.call(
                 address, request.method, request.message.encode(), request.deadline
@@ -220,7 +239,7 @@
         except Rejected as refusal:
             if not isinstance(request.answer, LeaseGranted):
                 request.answer = refusal
-            if refusal.code in (LEASE_HELD, LEASE_LOST):  # the others know no better
-                self.preferred_store = None  # but one may have seen the record earlier
+            if refusal.code in (LEASE_HELD, LEASE_LOST):  # the other stores would refuse as well
+                self.preferred_store = None  # but another may have seen the lease record earlier
                 all_attempts.cancel()
         attempt_over.set()
--- a/packages/registry/meadowdock/registry/load_collector.py
+++ b/packages/registry/meadowdock/registry/load_collector.py
@@ -1,7 +1,7 @@
-"""The load collector: asks all proxies for their load, and sends all of them one combined list.
+"""The load collector: asks all proxies for their load, and sends the combined list to all of them.
 
-Every registry runs it; only the holder of the collector's lease collects. Lists carry the lease's
-epoch, by which proxies reject those of a former holder.
+Every registry runs it, but only the holder of the collector's lease collects. A list carries the
+epoch of the lease, so that proxies can reject lists from a previous holder.
 """
 
 from __future__ import annotations
@@ -24,8 +24,11 @@
 
 
 class LoadCollector:
-    """Collects load at an interval. Invariants: `sequence` goes up within an epoch; the interval is
-    that of the newest configuration which a proxy reported to be in force."""
+    """Collects load at an interval.
+
+    Invariants: `sequence` increases within an epoch; the interval is the one in the newest
+    configuration that any proxy has reported as active.
+    """
 
     def __init__(
         self, node: Node, proxies: NodeTable[ProxyHeartbeat], election: CollectorElection
@@ -33,15 +36,15 @@
         self.node = node
         self.proxies = proxies
         self.election = election
-        self.configuration_version = 0  # that interval_us is of
+        self.configuration_version = 0  # the configuration that interval_us was taken from
         self.interval_us = DEFAULT_INTERVAL_US
-        self.epoch = 0  # that sequence is of
+        self.epoch = 0  # the epoch that `sequence` belongs to
         self.sequence = 0  # of the last list
-        self.last = CollectionSummary()
-        self.next_at = monotonic_us()
+        self.last_collection = CollectionSummary()
+        self.next_collection_at = monotonic_us()
 
     def learn_interval(self, configuration_version: int, interval_us: int) -> None:
-        """Take the interval of a configuration, if it is the newest."""
+        """Adopt the interval of a configuration if no newer configuration is known."""
         self.configuration_version, self.interval_us = max(
             (self.configuration_version, self.interval_us), (configuration_version, interval_us)
         )
@@ -51,12 +54,14 @@
         while True:
             if self.election.epoch is not None and not self.node.stopping:
                 await self.collect()
-            # after a pause, at most one interval is made up for
-            self.next_at = max(self.next_at + self.interval_us, monotonic_us() - self.interval_us)
-            await sleep_us(self.next_at - monotonic_us())
+            # after a pause, catch up on one missed interval at most
+            self.next_collection_at = max(
+                self.next_collection_at + self.interval_us, monotonic_us() - self.interval_us
+            )
+            await sleep_us(self.next_collection_at - monotonic_us())
 
     async def collect(self) -> None:
-        """Ask every live proxy for its load, then send all of them one list."""
+        """Ask every live proxy for its load, then send the combined list to all of them."""
         interval_us, epoch = self.interval_us, self.election.epoch
         addresses = self.proxies.live(monotonic_us())
         loads = await self.node.rpc.successful_responses(
@@ -75,7 +80,7 @@
             for answer in answers.values()
             if isinstance(answer, Rejected) and answer.code == OLD_EPOCH
         ]
-        self.last = CollectionSummary(
+        self.last_collection = CollectionSummary(
             requested=len(addresses),
             answered=len(loads),
             finished_at=self.node.runtime.wall_us(),
@@ -85,7 +90,7 @@
             self.election.learn_epoch(max(answer.details["epoch"] for answer in rejections))
 
     def next_sequence(self, epoch: int) -> int:
-        """The number of the next list of an epoch."""
+        """Return the sequence number of the next list in an epoch."""
         if epoch != self.epoch:
             self.epoch, self.sequence = epoch, 0
         self.sequence += 1
--- a/packages/registry/meadowdock/registry/messages.py
+++ b/packages/registry/meadowdock/registry/messages.py
@@ -1,7 +1,7 @@
-"""Messages that registries exchange with proxies and with one another, and their form on the wire.
+"""Messages that registries exchange with proxies and with one another, and their encoding.
 
-Field names differ between code and wire in places (`zone` is "hall", `shutting_down` is "leaving");
-`from_wire` and `to_wire` in this module are the only code that knows the names on the wire.
+Some field names differ between code and wire (`zone` is "hall", `shutting_down` is "leaving"). Only
+`from_wire` and `to_wire` in this module know the names on the wire.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 LOAD_REQUEST_METHOD = "load.ask"
 LOAD_LIST_METHOD = "load.list"
 
-OLD_INCARNATION = "old_incarnation"  # a heartbeat of a process that was restarted since then
-OLD_EPOCH = "old_epoch"  # a load list of a former collector
+OLD_INCARNATION = "old_incarnation"  # the heartbeat is from before a restart of the process
+OLD_EPOCH = "old_epoch"  # the load list is from a previous collector
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointLoad:
-    """The load of one endpoint, as load lists give it."""
+    """The load of one endpoint, as contained in load lists."""
 
-    utilization: float  # calls in flight per capacity, at most 1
+    utilization: float  # calls in flight divided by capacity, at most 1
     incarnation: int
     draining: bool
     zone: str
 
     def to_wire(self) -> list[Any]:
-        """As an entry of a load list."""
+        """Encode the load as an entry of a load list."""
         return [self.utilization, self.incarnation, self.draining, self.zone]
 
 
@@ -50,7 +50,7 @@
     configuration_version: int
     collection_interval_us: int | None  # None until the proxy has a configuration
     nodes_known: int | None  # None once the proxy has a load list
-    wire: WireMap  # as received: the config stores get it with all its fields
+    wire: WireMap  # as received, since it is forwarded to the config stores with all its fields
 
     @classmethod
     def from_wire(cls, wire: WireMap) -> ProxyHeartbeat:
@@ -69,7 +69,7 @@
         )
 
     def endpoint_loads(self) -> dict[str, EndpointLoad]:
-        """{service: load} of the endpoints beside the proxy."""
+        """Return the load of the endpoints that the proxy serves, by service."""
         return {
             endpoint["service"]: EndpointLoad(
                 utilization=min(1.0, endpoint["in_flight"] / max(1, endpoint["capacity"])),
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryHeartbeat:
-    """A heartbeat of a registry, for the other registries."""
+    """A heartbeat that a registry sends to the other registries."""
 
     role: ClassVar[str] = REGISTRY_ROLE
 
@@ -91,8 +91,8 @@
     zone: str
     incarnation: int
     shutting_down: bool
-    highest_epoch: int  # of the collector's lease, as far as the sender knows
-    collector_epoch: int | None  # of its own lease; None unless the sender is the collector
+    highest_epoch: int  # highest epoch of the collector's lease that the sender knows
+    collector_epoch: int | None  # epoch of the sender's lease; None unless it is the collector
 
     @classmethod
     def from_wire(cls, wire: WireMap) -> RegistryHeartbeat:
@@ -110,7 +110,7 @@
         )
 
     def to_wire(self) -> WireMap:
-        """Encode it."""
+        """Encode the message."""
         return {
             "address": self.address,
             "role": self.role,
@@ -126,7 +126,7 @@
 
 
 def decode_heartbeat(wire: WireMap) -> Heartbeat:
-    """Decode a heartbeat by the role that it names.
+    """Decode a heartbeat, whose role field tells its type.
 
     :raises KeyError: a field is missing.
     """
@@ -137,13 +137,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """The answer to a heartbeat. Only a proxy without a load list is given more than an empty one."""
+    """The answer to a heartbeat; it is empty unless the sender is a proxy without a load list."""
 
-    epoch: int | None = None  # the highest known: the proxy refuses lists of a lower one
+    epoch: int | None = None  # the highest known; the proxy rejects load lists with a lower epoch
     nodes: NodeLoads | None = None  # a provisional load list
 
     def to_wire(self) -> WireMap:
-        """Encode it: fields without a value are left out."""
+        """Encode the reply, without the fields that have no value."""
         wire: WireMap = {}
         if self.epoch is not None:
             wire["epoch"] = self.epoch
@@ -154,28 +154,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadList:
-    """The combined list that the collector sends. (epoch, sequence) orders all lists ever sent."""
+    """The combined list that the collector sends; (epoch, sequence) totally orders all lists."""
 
     epoch: int
     sequence: int
     nodes: NodeLoads
 
     def to_wire(self) -> WireMap:
-        """Encode it."""
+        """Encode the message."""
         return {"epoch": self.epoch, "seq": self.sequence, "nodes": self.nodes}
 
 
 @dataclass(frozen=True, slots=True)
 class CollectionSummary:
-    """What came of one collection, for operators."""
+    """The result of one collection, shown to operators."""
 
-    requested: int = 0  # proxies that were asked
-    answered: int = 0
+    requested: int = 0  # proxies that were asked for their load
+    answered: int = 0  # proxies that sent it
     finished_at: int = 0  # us, wall clock
-    rejected: int = 0  # proxies that refused the list since they know a later epoch
+    rejected: int = 0  # proxies that rejected the list because they know a later epoch
 
     def to_wire(self) -> WireMap:
-        """Encode it."""
+        """Encode the message."""
         return {
             "asked": self.requested,
             "answered": self.answered,
--- a/packages/registry/meadowdock/registry/node_table.py
+++ b/packages/registry/meadowdock/registry/node_table.py
@@ -1,7 +1,8 @@
-"""The node table: the latest heartbeat of each process, and who is alive by it.
+"""The node table: the latest heartbeat of each process, from which its liveness is derived.
 
-A registry keeps one table of the proxies and one of the other registries, in memory alone: each
-process sends its heartbeat to every registry, so a restarted one knows all after one interval.
+A registry keeps one table of the proxies and one of the other registries. They are in memory only:
+each process sends its heartbeat to every registry, so a restarted registry knows all of them after
+one heartbeat interval.
 """
 
 from __future__ import annotations
@@ -33,8 +34,11 @@
 
 
 class NodeTable(Generic[AnyHeartbeat]):
-    """The nodes of one kind. Invariant: a record has the highest incarnation heard of its address
-    since the address was last removed."""
+    """The nodes of one role.
+
+    Invariant: a record has the highest incarnation received from its address since the address was
+    last removed.
+    """
 
     def __init__(self) -> None:
         self.records: dict[str, NodeRecord[AnyHeartbeat]] = {}
@@ -43,10 +47,10 @@
         return address in self.records
 
     def update(self, heartbeat: AnyHeartbeat, heard_at: int) -> bool:
-        """Take in a heartbeat; that of a process which shuts down removes its record.
+        """Record a heartbeat; the heartbeat of a process that is shutting down removes its record.
 
-        :returns: whether this incarnation was not in the table before, and now is.
-        :raises Rejected: `old_incarnation`, if the address has been taken by a later incarnation.
+        :returns: whether this added an incarnation that was not in the table.
+        :raises Rejected: `old_incarnation`, if a later incarnation of the address is known.
         """
         address = heartbeat.address
         previous = self.records.get(address)
@@ -58,19 +62,20 @@
         self.records[address] = NodeRecord(heartbeat, heard_at)
         return previous is None or previous.heartbeat.incarnation != heartbeat.incarnation
 
-    def live(self, at: int) -> list[str]:
-        """Addresses whose heartbeat is recent, sorted."""
+    def live(self, now_us: int) -> list[str]:
+        """Return the addresses of the nodes that are alive, sorted."""
         return sorted(
             address
             for address, record in self.records.items()
-            if at - record.heard_at <= ALIVE_WITHIN_US
+            if now_us - record.heard_at <= ALIVE_WITHIN_US
         )
 
-    def expire(self, at: int, paused_us: int) -> list[AnyHeartbeat]:
-        """Remove the nodes that fell silent, and give their last heartbeats.
+    def expire(self, now_us: int, paused_us: int) -> list[AnyHeartbeat]:
+        """Remove the nodes whose heartbeats have stopped.
 
-        :param paused_us: how long this process itself was paused just before; that time doesn't
-            count as silence.
+        :param paused_us: how long this process itself was just paused; that time does not count as
+            silence of the nodes.
+        :returns: the last heartbeats of the removed nodes.
         """
         if paused_us:
             for address, record in self.records.items():
@@ -78,26 +83,26 @@
         silent = [
             record.heartbeat
             for record in self.records.values()
-            if at - record.heard_at > ALIVE_WITHIN_US
+            if now_us - record.heard_at > ALIVE_WITHIN_US
         ]
         for heartbeat in silent:
             del self.records[heartbeat.address]
         return silent
 
 
-def node_loads(proxies: NodeTable[ProxyHeartbeat], at: int) -> NodeLoads:
-    """The endpoints of all live proxies by their heartbeats, in the form of a load list."""
+def node_loads(proxies: NodeTable[ProxyHeartbeat], now_us: int) -> NodeLoads:
+    """Return the endpoint loads that live proxies reported in their heartbeats, as a load list."""
     loads: NodeLoads = {}
-    for address in proxies.live(at):
+    for address in proxies.live(now_us):
         endpoints = proxies.records[address].heartbeat.endpoint_loads()
         if endpoints:
             loads[address] = {service: load.to_wire() for service, load in endpoints.items()}
     return loads
 
 
-def proxies_to_wire(proxies: NodeTable[ProxyHeartbeat], at: int) -> dict[str, WireMap]:
-    """All proxies with the heartbeat as received and its age in us, for the config stores."""
+def proxies_to_wire(proxies: NodeTable[ProxyHeartbeat], now_us: int) -> dict[str, WireMap]:
+    """Encode all proxies for the config stores: each heartbeat as received, with its age in us."""
     return {
-        address: {**record.heartbeat.wire, "heard_us_ago": at - record.heard_at}
+        address: {**record.heartbeat.wire, "heard_us_ago": now_us - record.heard_at}
         for address, record in proxies.records.items()
     }
--- a/packages/registry/meadowdock/registry/rendezvous.py
+++ b/packages/registry/meadowdock/registry/rendezvous.py
@@ -1,8 +1,8 @@
 """Rendezvous hashing: an order of candidates for a key that all processes agree on.
 
 Each candidate gets a pseudo-random weight for the key (Thaler and Ravishankar, "Using name-based
-mappings to increase hit rates", 1998). When a candidate joins or fails, only the keys change hands
-for which it has the highest weight.
+mappings to increase hit rates", 1998). When a candidate joins or fails, only the keys for which it
+has the highest weight change their owner.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def rank_candidates(key: str, candidates: Iterable[str]) -> list[str]:
-    """All candidates by falling weight for the key, whatever the order in which they are given.
+    """Return the candidates by decreasing weight for the key, independent of their given order.
 
     >>> rank_candidates("collector", ["a", "b", "c"]) == rank_candidates("collector", ["c", "b", "a"])
     True
--- a/packages/registry/meadowdock/registry/server.py
+++ b/packages/registry/meadowdock/registry/server.py
@@ -1,4 +1,4 @@
-"""The registry daemon: takes heartbeats in, answers about live nodes, and may be load collector."""
+"""The registry daemon: receives heartbeats, reports live nodes, and may be the load collector."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from meadowdock.rpc import Handlers, Peer
 from meadowdock.runtime import PauseDetector, monotonic_us
 
-PAUSE_AFTER_US = 2 * HEARTBEAT_INTERVAL_US + HEARTBEAT_INTERVAL_US // 2  # between two rounds
-# A provisional list is sent again once it has grown by one part in so many.
+# A longer gap between two rounds of the heartbeat loop counts as a pause of this process.
+PAUSE_THRESHOLD_US = 2 * HEARTBEAT_INTERVAL_US + HEARTBEAT_INTERVAL_US // 2
+# A provisional list is sent again once it has grown by more than 1/16.
 PROVISIONAL_GROWTH_DIVISOR = 16
 
 
 class RegistryServer(process.Daemon):
-    """One registry process: its node tables, and the wiring of its heartbeats, election and load
-    collector."""
+    """One registry process: its node tables, heartbeats, collector election and load collector."""
 
     table = RouteTable()
     handlers = Handlers()
@@ -44,15 +44,13 @@
         self.heartbeats = HeartbeatSender(node, self.election)
         node.view.on_updated = self.heartbeats.on_member
 
-    # ------------------------------------------------------------ the daemon's hooks
-
     def rpc_handlers(self) -> Handlers:
-        """The RPC methods that this process answers."""
+        """Return the RPC methods that this process serves."""
         bound: Handlers = RegistryServer.handlers.bind(self)
         return bound
 
     def background_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """The loops that the node keeps running, by the names they have in the log."""
+        """Return the loops that the node keeps running, by their names in the log."""
         return {
             "beat": self.heartbeat_loop,
             "lease": self.election.run,
@@ -60,7 +58,7 @@
         }
 
     def unready_reasons(self) -> list[str]:
-        """Why this process is not ready; empty if it is."""
+        """Return the reasons why this process is not ready; an empty list means that it is."""
         return [] if self.node.view.core_members("mdconf") else ["no mdconf known"]
 
     async def announce_shutdown(self) -> None:
@@ -68,11 +66,9 @@
         await self.election.release()
         await self.send_heartbeats()
 
-    # ------------------------------------------------------------ RPC methods
-
     @handlers.on(HEARTBEAT_METHOD)
     async def on_heartbeat(self, peer: Peer, wire: WireMap) -> WireMap:
-        """A heartbeat of a proxy or of another registry.
+        """Handle a heartbeat of a proxy or of another registry.
 
         :raises Rejected: `old_incarnation`.
         """
@@ -86,11 +82,11 @@
 
     @handlers.on(NODE_TABLE_METHOD)
     async def on_node_table(self, peer: Peer, _: None) -> WireMap:
-        """The heartbeats known here, for the config stores and operators."""
+        """Report the status of this registry to the config stores and operators."""
         return self.status()
 
     def on_proxy_heartbeat(self, heartbeat: ProxyHeartbeat) -> HeartbeatReply:
-        """Record a proxy's heartbeat, and give its answer.
+        """Record a proxy's heartbeat, and return the answer to it.
 
         :raises Rejected: `old_incarnation`.
         """
@@ -104,7 +100,7 @@
         return self.provisional_list(heartbeat.nodes_known)
 
     def record(self, table: NodeTable[AnyHeartbeat], heartbeat: AnyHeartbeat) -> None:
-        """Note a heartbeat, and log a process that wasn't known.
+        """Record a heartbeat, and log a process that was not known yet.
 
         :raises Rejected: `old_incarnation`.
         """
@@ -116,13 +112,11 @@
                 incarnation=heartbeat.incarnation,
             )
 
-    # ------------------------------------------------------------ what is known here
-
     def provisional_list(self, nodes_known: int | None) -> HeartbeatReply:
-        """For a proxy without a load list: the nodes that are alive by their heartbeats.
+        """Return a provisional load list, made from heartbeats, for a proxy without a load list.
 
-        A fleet that starts asks with each heartbeat of each proxy, so the nodes are sent only when
-        there are enough more of them than the proxy knows.
+        While a fleet starts, every proxy requests it with every heartbeat, so the nodes are sent
+        only if there are considerably more of them than the proxy already knows.
 
         :param nodes_known: how many nodes the proxy knows; None if it has a load list.
         """
@@ -133,32 +127,30 @@
         return HeartbeatReply(self.election.highest_epoch, nodes if has_grown else None)
 
     def status(self) -> WireMap:
-        """The node tables, the collector's epoch if it is this process, and its last collection."""
-        at = monotonic_us()
+        """Return the node tables, the epoch if this is the collector, and the last collection."""
+        now_us = monotonic_us()
         return {
             "reg": self.node.settings.link,
-            "proxies": proxies_to_wire(self.proxies, at),
-            "regs": [*self.registries.live(at), self.node.settings.link],
+            "proxies": proxies_to_wire(self.proxies, now_us),
+            "regs": [*self.registries.live(now_us), self.node.settings.link],
             "collector": self.election.epoch,
             "seen_epoch": self.election.highest_epoch,
-            "last": self.collector.last.to_wire(),
+            "last": self.collector.last_collection.to_wire(),
         }
 
-    # ------------------------------------------------------------ heartbeats
-
     async def heartbeat_loop(self) -> None:
-        """Forget nodes that fell silent, and send heartbeats."""
-        pauses = PauseDetector(PAUSE_AFTER_US, monotonic_us())
+        """Remove the nodes that are no longer alive and send heartbeats, at an interval."""
+        pause_detector = PauseDetector(PAUSE_THRESHOLD_US, monotonic_us())
         while True:
-            self.expire_nodes(pauses.look(monotonic_us()))
+            self.expire_nodes(pause_detector.look(monotonic_us()))
             await self.heartbeats.send_and_wait()
 
     def expire_nodes(self, paused_us: int) -> None:
-        """Remove silent nodes from both tables, and log them."""
-        at = monotonic_us()
+        """Remove the nodes that are no longer alive from both tables, and log them."""
+        now_us = monotonic_us()
         expired: list[Heartbeat] = [
-            *self.proxies.expire(at, paused_us),
-            *self.registries.expire(at, paused_us),
+            *self.proxies.expire(now_us, paused_us),
+            *self.registries.expire(now_us, paused_us),
         ]
         for heartbeat in expired:
             self.node.log(302, peer=heartbeat.address, role=heartbeat.role, why="silent")
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -60,7 +60,7 @@
 
 
 def test_a_promise_survives_power_loss_at_every_disk_step():
-    """After a power loss the disk holds the old or the new state intact, and an acknowledged one."""
+    """After a power loss the disk holds an intact state, at least as new as the last answer."""
 
     async def scenario(world):
         for loss_step in range(1, 10):
--- a/tests/consensus/test_register.py
+++ b/tests/consensus/test_register.py
@@ -1,4 +1,4 @@
-"""The register of the simulated config stores: power loss, blank disks, minorities, silent members."""
+"""The register of simulated config stores: power loss, blank disks, minorities, silent members."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
 
 
 def test_a_silent_member_does_not_delay_the_next_attempt_of_a_change():
-    """The first ballot is refused by one of the two members that answer; the third never answers."""
+    """The first ballot is refused by one of the two members that answer; the third is silent."""
 
     async def scenario(world):
         await configured(world)
--- a/tests/registry/test_messages.py
+++ b/tests/registry/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the registry: names on the wire, and what is missing or optional there."""
+"""Messages of the registry: their names on the wire, and missing and optional fields."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
 }
 
 
-def test_a_registrys_heartbeat_is_sent_as_it_is_read():
+def test_a_registrys_heartbeat_is_encoded_as_it_was_decoded():
     heartbeat = decode_heartbeat(REGISTRY)
     assert heartbeat == RegistryHeartbeat("10.0.0.1:7411", "a", 5, False, 3, None)
     assert list(heartbeat.to_wire().items()) == list(REGISTRY.items())
 
 
-def test_a_proxys_heartbeat_keeps_what_was_received():
+def test_a_proxys_heartbeat_keeps_the_received_fields():
     heartbeat = decode_heartbeat(PROXY)
     assert isinstance(heartbeat, ProxyHeartbeat)
     assert heartbeat.wire is PROXY
     assert (heartbeat.shutting_down, heartbeat.configuration_version) == (True, 9)
-    assert heartbeat.nodes_known is None  # a former release doesn't send it
+    assert heartbeat.nodes_known is None  # earlier releases don't send it
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
         (PROXY, "interval_us"),
     ],
 )
-def test_a_heartbeat_without_a_field_is_refused(wire, field):
+def test_a_heartbeat_without_a_required_field_is_refused(wire, field):
     with pytest.raises(KeyError, match=field):
         decode_heartbeat({name: value for name, value in wire.items() if name != field})
 
@@ -74,5 +74,5 @@
         (CollectionSummary(3, 2, 17, 1), {"asked": 3, "answered": 2, "at": 17, "shed": 1}),
     ],
 )
-def test_messages_on_the_wire(message, wire):
+def test_messages_are_encoded_as_specified(message, wire):
     assert list(message.to_wire().items()) == list(wire.items())
