--- a/packages/rpc/meadowdock/rpc/__init__.py
+++ b/packages/rpc/meadowdock/rpc/__init__.py
@@ -1,18 +1,18 @@
 """Remote procedure calls between the processes of a fleet, over TCP.
 
-Messages are encoded as msgpack and sent in frames that are authenticated by the fleet key. Calls go
-one way on a connection: the side that opened it is the client, the other the server.
+Messages are encoded as msgpack and sent in frames that are authenticated with the fleet key. Calls
+go in one direction on a connection: the side that opened it is the client, the other the server.
 
-- exceptions: the errors of a call
+- exceptions: errors of a call
 - frame: authenticated frames
 - handshake: mutual authentication of a new connection
 - messages: requests and responses, and their encoding
-- frame_writer: outgoing frames, with their queue
-- handlers: the methods that a server has
+- frame_writer: outgoing frames and their queue
+- handlers: the methods that a server provides
 - server, client: the two ends of a connection
 - connection_pool: a process' connections to its peers
-- queueing_delay: how long requests were on their way
-- schedule: a common schedule of periodic tasks
+- queueing_delay: an estimate of how long requests were queued in transit
+- schedule: a common schedule for the periodic tasks of a process
 """
 
 from meadowdock.rpc.client import ClientConnection
--- a/packages/rpc/meadowdock/rpc/client.py
+++ b/packages/rpc/meadowdock/rpc/client.py
@@ -1,4 +1,4 @@
-"""The client's end of a connection: sends requests and matches responses to them."""
+"""The client's end of a connection: sends requests and matches the responses to them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from meadowdock.runtime.slab import Slab
 
 MAX_QUEUED_REQUESTS = 4096
-# A connection on which nothing came during a call of at least this length is given up
+# us; a connection that received nothing during a call of at least this length gets no new calls
 SILENCE_LIMIT = 200 * MILLISECOND
 
 
@@ -23,7 +23,7 @@
 class PendingCall:
     """A call that waits for its response.
 
-    Invariant: `sent` is set before the first byte of the request is handed to the socket.
+    Invariant: `sent` is set before the first byte of the request is passed to the socket.
     """
 
     done: trio.Event = field(default_factory=trio.Event)
@@ -32,12 +32,12 @@
     error: RpcError | None = None
 
     def succeed(self, result: Any) -> None:
-        """The response came."""
+        """Complete the call with its result."""
         self.result = result
         self.done.set()
 
     def fail(self, error: RpcError) -> None:
-        """The call was rejected, or the connection broke."""
+        """Complete the call with an error: it was rejected, or the connection broke."""
         self.error = error
         self.done.set()
 
@@ -45,10 +45,10 @@
 class ClientConnection:
     """An authenticated connection to a server.
 
-    Invariant: once `failure` is set no call is accepted and none is pending.
+    Invariant: once `failure` is set, no call is accepted and none is pending.
 
     :ivar failure: why the connection ended, or None.
-    :ivar draining: it takes no new calls from the pool; pending ones may still end.
+    :ivar draining: the pool sends no new calls over it; pending calls may still complete.
     """
 
     def __init__(self, stream: trio.abc.Stream, session: Session) -> None:
@@ -61,7 +61,7 @@
         self.last_received_us = monotonic_us()
 
     def accepts_calls(self) -> bool:
-        """Whether new calls may be sent over it."""
+        """Return whether new calls may be sent over the connection."""
         return self.failure is None and not self.draining
 
     async def run(self) -> None:
@@ -81,47 +81,52 @@
             await trio.aclose_forcefully(self.stream)
 
     def fail(self, cause: object) -> None:
-        """Fail the pending calls and all later ones; only the first cause is kept."""
+        """Fail the pending and all later calls of the connection; only the first cause is kept."""
         if self.failure is None:
             self.failure = cause
             for pending in self.pending:
                 pending.fail(ConnectionFailed(pending.sent, cause))
 
     async def write(self) -> None:
-        """The writer task. Raises EOFError once the connection was drained."""
-        await self.writer.send_queued(self.stream, self.still_wanted)
+        """Run the writer task.
+
+        :raises EOFError: the connection was drained.
+        """
+        await self.writer.send_queued(self.stream, self.mark_pending_as_sent)
         raise EOFError("connection drained")
 
-    def still_wanted(self, batch: list[QueuedFrame]) -> list[QueuedFrame]:
-        """Leave out requests that were given up while queued: they never reach the peer. The
-        others are marked as sent."""
-        wanted = []
+    def mark_pending_as_sent(self, batch: list[QueuedFrame]) -> list[QueuedFrame]:
+        """Mark the requests of a batch as sent, and drop those abandoned while they were queued.
+
+        :returns: the frames to send.
+        """
+        frames_to_send = []
         for frame in batch:
             if frame.call_id is not None:
                 pending = self.pending.get(frame.call_id)
                 if pending is None:
                     continue
                 pending.sent = True
-            wanted.append(frame)
-        return wanted
+            frames_to_send.append(frame)
+        return frames_to_send
 
     async def read(self) -> None:
-        """The reader task: give each response to its call."""
+        """Run the reader task, which passes each response to its call."""
         while True:
             message = decode_from_server(await self.session.receive())
             self.last_received_us = monotonic_us()
             pending = self.pending.get(message.call_id)
             if pending is None:
-                continue  # given up; the slot may belong to a later call already
+                continue  # the call was abandoned; its slot may already belong to a later one
             if isinstance(message, Response):
                 pending.succeed(message.result)
             else:
                 pending.fail(Rejected(message.code, **message.details))
 
     async def call(self, method: str, args: Any, deadline_us: int) -> Any:
-        """Call a method of the server and give its result.
+        """Call a method of the server and return its result.
 
-        :param deadline_us: by the monotonic clock.
+        :param deadline_us: on the monotonic clock.
         :raises Rejected: the server refused.
         :raises ConnectionFailed: there was no response by the deadline.
         """
@@ -154,16 +159,18 @@
         :raises ConnectionFailed: the queue is full.
         """
         body = request.encode()
-        pending.sent = self.writer.can_write_at_once()
+        pending.sent = self.writer.can_write_immediately()
         try:
-            self.writer.put(body, request.call_id)
+            self.writer.put_nowait(body, request.call_id)
         except trio.WouldBlock:
             self.pending.take(request.call_id)
             raise ConnectionFailed(False, "too many requests are queued") from None
 
     def drain_if_silent(self, started_us: int, deadline_us: int) -> None:
-        """After a call without response: a peer that sent nothing during all of it is probably
-        unreachable over this connection, so new calls go over another one."""
+        """Drain the connection after a call that timed out, if the peer sent nothing meanwhile.
+
+        The peer is then probably unreachable over this connection, so new calls use another one.
+        """
         self.draining |= (
             self.last_received_us < started_us
             and deadline_us <= monotonic_us()
@@ -171,8 +178,8 @@
         )
 
     def cancel(self, call_id: CallId) -> None:
-        """Tell the server that nobody waits for the call any longer, if there is space for it."""
+        """Notify the server that nobody waits for the call any longer, unless the queue is full."""
         try:
-            self.writer.put(Cancel(call_id).encode())
+            self.writer.put_nowait(Cancel(call_id).encode())
         except (trio.WouldBlock, trio.ClosedResourceError):
             pass
--- a/packages/rpc/meadowdock/rpc/connection_pool.py
+++ b/packages/rpc/meadowdock/rpc/connection_pool.py
@@ -14,7 +14,7 @@
 from meadowdock.rpc.handshake import Peer, client_handshake
 from meadowdock.runtime import MILLISECOND, Net, deadline_scope, monotonic_us
 
-CONNECT_TIMEOUT = 500 * MILLISECOND
+CONNECT_TIMEOUT = 500 * MILLISECOND  # us
 CONNECTION_ENDED = 202  # number of the log event
 
 Key = TypeVar("Key", bound=Hashable)
@@ -22,12 +22,13 @@
 
 
 class ConnectionPool:
-    """The rpc client of a process: one connection for each address.
+    """The rpc client of a process, with one connection for each address.
 
     Invariant: at most one connection to an address is being opened.
 
     :ivar connections: the newest connection for each address; it may have failed.
-    :ivar opening: for each address that is being connected to, what is set at the end of it.
+    :ivar opening: for each address that is being connected to, an event that is set when the
+        attempt ends.
     """
 
     def __init__(
@@ -36,41 +37,41 @@
         net: Net,
         fleet_key: bytes,
         rng: random.Random,
-        me: Peer,
+        local_peer: Peer,
         log: Callable[..., object],
         connect_timeout: int = CONNECT_TIMEOUT,
     ) -> None:
         self.nursery, self.net, self.fleet_key, self.rng = nursery, net, fleet_key, rng
-        self.me, self.log, self.connect_timeout = me, log, connect_timeout
+        self.local_peer, self.log, self.connect_timeout = local_peer, log, connect_timeout
         self.connections: dict[str, ClientConnection] = {}
         self.opening: dict[str, trio.Event] = {}
 
     async def call(self, address: str, method: str, args: Any, deadline_us: int) -> Any:
-        """Call a method of the process at an address and give its result.
+        """Call a method of the process at an address and return its result.
 
-        :param deadline_us: by the monotonic clock.
+        :param deadline_us: on the monotonic clock.
         :raises Rejected: the peer refused.
         :raises ConnectionFailed: there was no response by the deadline.
         """
-        connection = self.usable(address) or await self.open(address, deadline_us)
+        connection = self.usable_connection(address) or await self.open(address, deadline_us)
         return await connection.call(method, args, deadline_us)
 
-    def usable(self, address: str) -> ClientConnection | None:
-        """The connection to an address, if it accepts calls."""
+    def usable_connection(self, address: str) -> ClientConnection | None:
+        """Return the connection to an address if it accepts calls, else None."""
         connection = self.connections.get(address)
         if connection is None or not connection.accepts_calls():
             return None
         return connection
 
     async def open(self, address: str, deadline_us: int) -> ClientConnection:
-        """A new connection, or one that another task opened meanwhile.
+        """Open a connection, or wait for the one that another task is opening.
 
-        :raises ConnectionFailed: there is none by the deadline.
+        :raises ConnectionFailed: there is no connection by the deadline.
         """
         while address in self.opening:
             with deadline_scope(deadline_us):
                 await self.opening[address].wait()
-            connection = self.usable(address)
+            connection = self.usable_connection(address)
             if connection is not None:
                 return connection
             if monotonic_us() >= deadline_us:
@@ -88,28 +89,28 @@
             self.opening.pop(address).set()
 
     async def connect(self, address: str) -> ClientConnection:
-        """Open a stream and shake hands; the stream is closed if that fails."""
+        """Open a stream and perform the handshake; the stream is closed if that fails."""
         stream = await self.net.open_stream(address)
         try:
-            session = await client_handshake(stream, self.fleet_key, self.rng, self.me)
+            session = await client_handshake(stream, self.fleet_key, self.rng, self.local_peer)
         except BaseException:
             await trio.aclose_forcefully(stream)
             raise
         return ClientConnection(stream, session)
 
     async def run(self, connection: ClientConnection) -> None:
-        """The task that owns a connection."""
+        """Run a connection until it ends, then log why."""
         await connection.run()
         self.log(CONNECTION_ENDED, peer=connection.peer.name, cause=str(connection.failure))
 
     async def call_all(
         self, calls: Mapping[Key, Call], deadline_us: int
     ) -> dict[Key, Any | RpcError]:
-        """Make several calls at the same time.
+        """Make several calls concurrently.
 
         :param calls: (address, method, arguments) by any key.
-        :returns: the result or the error of each, by the same keys, in the order in which they
-            ended.
+        :returns: the result or the error of each call by the same keys, in the order in which the
+            calls ended.
         """
         outcomes: dict[Key, Any | RpcError] = {}
 
@@ -123,13 +124,16 @@
         async with trio.open_nursery() as nursery:
             for key, call in items[:-1]:
                 nursery.start_soon(call_one, key, *call)
-            for key, call in items[-1:]:  # in this task, which would only wait for the others
+            for key, call in items[-1:]:  # runs in this task, which would otherwise only wait
                 await call_one(key, *call)
         return outcomes
 
     async def successful_responses(
         self, calls: Mapping[Key, Call], deadline_us: int
     ) -> dict[Key, Any]:
-        """As `call_all`, without the calls that gave an error."""
+        """Make several calls concurrently, and return the results of those that succeeded.
+
+        Parameters are those of `call_all`.
+        """
         outcomes = await self.call_all(calls, deadline_us)
         return {key: result for key, result in outcomes.items() if not isinstance(result, RpcError)}
--- a/packages/rpc/meadowdock/rpc/exceptions.py
+++ b/packages/rpc/meadowdock/rpc/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the rpc package: what went wrong, and whether a call may have run at the peer."""
+"""Errors of the rpc package: the cause, and whether a call may have been executed by the peer."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class RpcError(Exception):
-    """A call gave no response."""
+    """Base class of the errors of a call that returned no result."""
 
 
 class ConnectionFailed(RpcError):
-    """The connection couldn't be opened, broke, or gave no response by the deadline.
+    """The connection couldn't be opened, broke, or delivered no response by the deadline.
 
-    :ivar sent: False only if no byte of the call was handed to the socket, so that it has
-        certainly not run; True if its outcome is unknown.
+    :ivar sent: False only if no byte of the call was passed to the socket, so that it was
+        certainly not executed; True if its outcome is unknown.
     """
 
     def __init__(self, sent: bool, cause: object) -> None:
@@ -26,8 +26,8 @@
 class Rejected(RpcError):
     """The peer refused the call.
 
-    :ivar code: why, as a word of the method's protocol ("busy", "lease_held", ...).
-    :ivar details: further values that belong to the code.
+    :ivar code: the reason, as defined by the method's protocol ("busy", "lease_held", ...).
+    :ivar details: further values, depending on the code.
     """
 
     def __init__(self, code: str, **details: Any) -> None:
@@ -37,14 +37,14 @@
 
 
 class ProtocolError(ValueError):
-    """The peer sent bytes that are no valid frame or message of this protocol."""
+    """The peer sent bytes that are not a valid frame or message of this protocol."""
 
 
 class AuthenticationFailed(ProtocolError):
-    """A frame or a handshake isn't authenticated by the fleet key."""
+    """A frame or a handshake is not authenticated by the fleet key."""
 
 
-# What reading from or writing to a connection raises when the connection is of no further use.
+# Errors of reading from or writing to a connection after which the connection is unusable.
 # ValueError covers ProtocolError, undecodable bytes and messages with a wrong number of fields.
 CONNECTION_ERRORS = (
     OSError,
--- a/packages/rpc/meadowdock/rpc/frame.py
+++ b/packages/rpc/meadowdock/rpc/frame.py
@@ -20,20 +20,20 @@
 LENGTH_SIZE = 4  # bytes
 TAG_SIZE = 16  # bytes
 MAX_FRAME_SIZE = 32 << 20  # bytes of a body
-RECEIVE_SIZE = 65_536  # bytes asked of the stream at once
-COUNTER_SIZE = 8  # bytes of the frame counter under the tag
+RECEIVE_SIZE = 65_536  # maximum of bytes received from the stream by one call
+COUNTER_SIZE = 8  # bytes of the frame counter, which is covered by the tag
 
 
 def derive_key(key: bytes, *context: bytes) -> bytes:
-    """A key (32 bytes) derived from another by HMAC-SHA256 over the context."""
+    """Derive a key (32 bytes) from another by HMAC-SHA256 over the context."""
     return hmac.digest(key, b"\x00".join(context), hashlib.sha256)
 
 
 class FrameAuthenticator:
     """Seals, or opens, the frames of one direction of a connection with keyed BLAKE2b (RFC 7693).
 
-    Invariant: the counter goes up by one for each frame and is covered by the tag, so that a frame
-    can't be left out, repeated, reordered or moved to another connection.
+    Invariant: the counter increases by one with each frame and is covered by the tag, so that a
+    frame can't be omitted, replayed, reordered or moved to another connection without detection.
     """
 
     def __init__(self, key: bytes, direction: bytes) -> None:
@@ -41,7 +41,7 @@
         self.count = 0
 
     def tag(self, body: bytes) -> bytes:
-        """The authentication tag of the next frame."""
+        """Return the authentication tag of the next frame, and advance the counter."""
         digest = hashlib.blake2b(
             self.count.to_bytes(COUNTER_SIZE, "big"), key=self.key, digest_size=TAG_SIZE
         )
@@ -50,20 +50,20 @@
         return digest.digest()
 
     def seal(self, body: bytes) -> bytes:
-        """The next frame, with its length and tag."""
+        """Return the next frame: length, tag and body."""
         return len(body).to_bytes(LENGTH_SIZE, "big") + self.tag(body) + body
 
     def open(self, sealed: bytes) -> bytes | None:
-        """The body of the next frame (tag and body), or None if its tag is wrong."""
+        """Return the body of the next frame (tag and body), or None if its tag is wrong."""
         tag, body = sealed[:TAG_SIZE], sealed[TAG_SIZE:]
         return body if hmac.compare_digest(tag, self.tag(body)) else None
 
 
 class FrameReader:
-    """Complete frames from a stream.
+    """Reads complete frames from a stream.
 
-    Invariant: after `next_frame` returned, the buffer contains frames not yet asked for and at most
-    one partial frame.
+    Invariant: after `next_frame` has returned, the buffer contains frames that were not requested
+    yet and at most one partial frame.
     """
 
     def __init__(self, stream: trio.abc.ReceiveStream) -> None:
@@ -73,7 +73,7 @@
     async def fill(self, size: int) -> None:
         """Receive until the buffer has at least `size` bytes.
 
-        :raises EOFError: the peer closed the stream before.
+        :raises EOFError: the peer closed the stream first.
         """
         while len(self.buffer) < size:
             chunk = await self.stream.receive_some(RECEIVE_SIZE)
@@ -82,7 +82,7 @@
             self.buffer += chunk
 
     async def next_frame(self) -> bytes:
-        """Tag and body of the next frame, not yet authenticated.
+        """Return tag and body of the next frame, which is not authenticated yet.
 
         :raises ProtocolError: the frame is longer than MAX_FRAME_SIZE.
         :raises EOFError: the peer closed the stream.
@@ -99,10 +99,10 @@
 
 
 async def read_frame(reader: FrameReader, authenticator: FrameAuthenticator) -> bytes:
-    """The body of the next frame.
+    """Read the next frame and return its body.
 
-    :raises AuthenticationFailed: its tag is wrong.
-    :raises ProtocolError: it is too long.
+    :raises AuthenticationFailed: the frame's tag is wrong.
+    :raises ProtocolError: the frame is longer than MAX_FRAME_SIZE.
     :raises EOFError: the peer closed the stream.
     """
     body = authenticator.open(await reader.next_frame())
--- a/packages/rpc/meadowdock/rpc/frame_writer.py
+++ b/packages/rpc/meadowdock/rpc/frame_writer.py
@@ -1,4 +1,4 @@
-"""Outgoing frames of one connection: written to the socket at once if possible, else queued."""
+"""Outgoing frames of one connection: written to the socket immediately if possible, else queued."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from meadowdock.rpc.frame import FrameAuthenticator
 from meadowdock.rpc.messages import CallId
 
-MAX_BATCH = 64  # queued frames that are sent together
+MAX_BATCH = 64  # queued frames that are sent by one call
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedFrame:
     """A frame that waits for the writer task.
 
-    :ivar body: the frame's body; if `sealed`, the end of a frame that the socket took in part.
-    :ivar call_id: the call whose request this is, which may be given up meanwhile.
+    :ivar body: the frame's body; if `sealed`, the remainder of a partially written frame.
+    :ivar call_id: the call whose request this is; it may be abandoned while the frame is queued.
     """
 
     body: bytes
@@ -30,11 +30,11 @@
 class FrameWriter:
     """Sends frames to the peer, in order.
 
-    What the socket takes is written at once by whoever has the frame; the remainder, and everything
-    on streams without a socket, is sent by the task that runs `send_queued`.
+    The caller writes as much of a frame as the socket accepts without blocking. The task that runs
+    `send_queued` sends the remainder, and all frames on streams without a socket.
 
     Invariants: frames are sealed in the order in which they are sent; `idle` means that no frame is
-    queued and the writer task sends nothing.
+    queued and that the writer task is sending nothing.
     """
 
     def __init__(self, authenticator: FrameAuthenticator, capacity: int) -> None:
@@ -44,22 +44,22 @@
         self.idle = True
 
     def attach(self, stream: trio.abc.SendStream) -> None:
-        """The stream whose socket is written to; until this is called, all frames are queued."""
+        """Set the stream whose socket is written to; before this call all frames are queued."""
         self.socket = getattr(stream, "socket", None)
 
-    def can_write_at_once(self) -> bool:
-        """Whether the next frame goes to the socket without being queued."""
+    def can_write_immediately(self) -> bool:
+        """Return whether the next frame is written to the socket without being queued."""
         return self.idle and self.socket is not None
 
-    def put(self, body: bytes, call_id: CallId | None = None) -> None:
-        """Write a frame at once, or queue it.
+    def put_nowait(self, body: bytes, call_id: CallId | None = None) -> None:
+        """Write a frame immediately, or queue it.
 
         :raises trio.WouldBlock: the queue is full.
         :raises trio.ClosedResourceError: the writer is closed.
         """
         if self.idle and self.socket is not None:
             sealed = self.authenticator.seal(body)
-            written = write_some(self.socket, sealed)
+            written = write_nonblocking(self.socket, sealed)
             if written == len(sealed):
                 return
             frame = QueuedFrame(sealed[written:], sealed=True)
@@ -68,15 +68,18 @@
         self.queue.send_nowait(frame)
         self.idle = False
 
-    async def put_when_possible(self, body: bytes) -> None:
-        """As `put`, but waits while the queue is full."""
+    async def put(self, body: bytes) -> None:
+        """Write a frame immediately, or queue it; wait while the queue is full.
+
+        :raises trio.ClosedResourceError: the writer is closed.
+        """
         try:
-            self.put(body)
+            self.put_nowait(body)
         except trio.WouldBlock:
             await self.queue.send(QueuedFrame(body))
 
     def close(self) -> None:
-        """Accept no further frames; `send_queued` returns once the queue is empty."""
+        """Accept no more frames; `send_queued` returns once the queue is empty."""
         self.queue.close()
 
     async def send_queued(
@@ -84,9 +87,9 @@
         stream: trio.abc.SendStream,
         select: Callable[[list[QueuedFrame]], list[QueuedFrame]] | None = None,
     ) -> None:
-        """The writer task: send queued frames until the writer is closed.
+        """Send queued frames until the writer is closed; this is the body of the writer task.
 
-        :param select: called with each batch just before it is sent; gives the frames to send.
+        :param select: called with each batch just before it is sent; returns the frames to send.
         :raises trio.BrokenResourceError, trio.ClosedResourceError: the stream broke.
         """
         async for first in self.queued:
@@ -98,7 +101,7 @@
             self.idle = not self.queued.statistics().current_buffer_used
 
     def next_batch(self, first: QueuedFrame) -> list[QueuedFrame]:
-        """The first frame and those queued behind it, MAX_BATCH at most."""
+        """Return the first frame and those queued behind it, MAX_BATCH at most."""
         batch = [first]
         while len(batch) < MAX_BATCH:
             try:
@@ -108,15 +111,15 @@
         return batch
 
     def seal_batch(self, batch: list[QueuedFrame]) -> bytes:
-        """The bytes of the frames, in order."""
+        """Return the concatenated bytes of the frames, sealed where they are not yet."""
         return b"".join(
             frame.body if frame.sealed else self.authenticator.seal(frame.body) for frame in batch
         )
 
 
-def write_some(socket: trio.socket.SocketType, data: bytes) -> int:
-    """How many bytes the socket took without blocking."""
+def write_nonblocking(socket: trio.socket.SocketType, data: bytes) -> int:
+    """Write as many bytes as the socket accepts without blocking, and return their number."""
     try:
         return os.write(socket.fileno(), data)
-    except OSError:  # full, or broken: the writer task finds out which
+    except OSError:  # the send buffer is full or the socket broken; the writer task finds out
         return 0
--- a/packages/rpc/meadowdock/rpc/handlers.py
+++ b/packages/rpc/meadowdock/rpc/handlers.py
@@ -1,4 +1,4 @@
-"""The table of methods that a process serves to its peers."""
+"""The table of rpc methods that a process provides to its peers."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 class Handlers:
     """Handlers by method name, registered by decorators.
 
-    A handler takes the peer and the arguments of a call and gives a value that msgpack can encode,
-    or raises `Rejected`. In a class body the table contains plain functions; `bind` makes methods
-    of them.
+    A handler takes the peer and the arguments of a call and returns a value that msgpack can
+    encode, or raises `Rejected`. In a class body the table contains plain functions; `bind` turns
+    them into bound methods.
     """
 
     def __init__(self, table: dict[str, Handler] | None = None) -> None:
@@ -30,7 +30,7 @@
         return register
 
     def bind(self, owner: object) -> Handlers:
-        """The table of a class, bound to one of its objects."""
+        """Return a copy of the table with the handlers bound to an object of their class."""
         return Handlers(
             {method: types.MethodType(handler, owner) for method, handler in self.table.items()}
         )
--- a/packages/rpc/meadowdock/rpc/handshake.py
+++ b/packages/rpc/meadowdock/rpc/handshake.py
@@ -1,9 +1,12 @@
-"""The handshake of a new connection: both sides prove that they know the fleet key.
+"""The handshake of a new connection, in which both sides prove that they know the fleet key.
 
-Client to server: protocol name, client's nonce, name and address. Server to client: server's nonce,
-name and proof. Client to server: client's proof. A proof is an HMAC under the fleet key over all
-of these (the transcript), so it can't be replayed on another connection. Both sides then derive
-the same session key, under which all further frames are sealed.
+1. Client to server: the protocol's name, and the client's nonce, name and address.
+2. Server to client: the server's nonce, name and proof.
+3. Client to server: the client's proof.
+
+A proof is an HMAC under the fleet key over both nonces, both names and the address (the
+transcript), so it can't be replayed on another connection. Both sides then derive the same session
+key from the transcript, with which all further frames are sealed.
 """
 
 from __future__ import annotations
@@ -26,9 +29,9 @@
 
 PROTOCOL = "md1"
 NONCE_SIZE = 16  # bytes
-NO_KEY = b"\x00" * 32  # frames of the handshake itself are counted, but not secret-keyed
+NO_KEY = b"\x00" * 32  # frames of the handshake itself are numbered, but not sealed with a secret
 
-# Derivation contexts: part of the protocol
+# Derivation contexts; their values are part of the protocol
 CLIENT_HANDSHAKE, SERVER_HANDSHAKE = b"greeting-out", b"greeting-in"
 CLIENT_SESSION, SERVER_SESSION = b"out", b"in"
 CLIENT_PROOF, SERVER_PROOF, SESSION_KEY = b"opener", b"answerer", b"session"
@@ -38,9 +41,9 @@
 class Peer:
     """The process at the other end of a connection.
 
-    :ivar name: its name.
-    :ivar address: where its own server can be reached, as it says itself under the fleet key; empty
-        if it was this side that opened the connection.
+    :ivar name: the name of the process.
+    :ivar address: the address of its own rpc server, as stated in the handshake; empty if this side
+        opened the connection.
     """
 
     name: str
@@ -49,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """An authenticated connection: its reader, the keys of both directions, and the peer."""
+    """An authenticated connection: its reader, the authenticators of both directions, the peer."""
 
     reader: FrameReader
     outgoing: FrameAuthenticator
@@ -57,13 +60,13 @@
     peer: Peer
 
     async def receive(self) -> bytes:
-        """The body of the next frame. Raises what `read_frame` raises."""
+        """Read the next frame and return its body; errors are those of `read_frame`."""
         return await read_frame(self.reader, self.incoming)
 
 
 @dataclass(frozen=True, slots=True)
 class Transcript:
-    """What both sides said in the handshake."""
+    """The values that both sides sent in the handshake."""
 
     client_nonce: bytes
     server_nonce: bytes
@@ -71,7 +74,7 @@
     server_name: str
 
     def derive(self, fleet_key: bytes, purpose: bytes) -> bytes:
-        """A proof, or the session key, for this handshake."""
+        """Derive a proof or the session key of this handshake."""
         return derive_key(
             fleet_key,
             purpose,
@@ -84,20 +87,22 @@
 
 
 async def client_handshake(
-    stream: trio.abc.Stream, fleet_key: bytes, rng: random.Random, me: Peer
+    stream: trio.abc.Stream, fleet_key: bytes, rng: random.Random, local_peer: Peer
 ) -> Session:
-    """The handshake of the side that opened the connection.
+    """Perform the handshake on the side that opened the connection.
 
     :raises AuthenticationFailed: the server doesn't know the fleet key.
-    :raises ValueError, EOFError, OSError: the server sent something else, or closed the stream.
+    :raises ValueError, EOFError, OSError: the server sent a malformed message, or closed the
+        stream.
     """
     client_nonce = rng.randbytes(NONCE_SIZE)
     reader = FrameReader(stream)
     outgoing = FrameAuthenticator(NO_KEY, CLIENT_HANDSHAKE)
     incoming = FrameAuthenticator(NO_KEY, SERVER_HANDSHAKE)
-    await write_frame(stream, outgoing, pack([PROTOCOL, client_nonce, me.name, me.address]))
+    greeting = [PROTOCOL, client_nonce, local_peer.name, local_peer.address]
+    await write_frame(stream, outgoing, pack(greeting))
     server_nonce, server_name, proof = unpack(await read_frame(reader, incoming))
-    transcript = Transcript(client_nonce, server_nonce, me, server_name)
+    transcript = Transcript(client_nonce, server_nonce, local_peer, server_name)
     if not hmac.compare_digest(proof, transcript.derive(fleet_key, SERVER_PROOF)):
         raise AuthenticationFailed("the server doesn't know the fleet key")
     await write_frame(stream, outgoing, pack(transcript.derive(fleet_key, CLIENT_PROOF)))
@@ -113,18 +118,19 @@
 async def server_handshake(
     stream: trio.abc.Stream, fleet_key: bytes, rng: random.Random, name: str
 ) -> Session:
-    """The handshake of the side that accepted the connection.
+    """Perform the handshake on the side that accepted the connection.
 
     :raises AuthenticationFailed: the client doesn't know the fleet key.
-    :raises ProtocolError: the client speaks another protocol.
-    :raises ValueError, EOFError, OSError: the client sent something else, or closed the stream.
+    :raises ProtocolError: the client uses another protocol.
+    :raises ValueError, EOFError, OSError: the client sent a malformed message, or closed the
+        stream.
     """
     reader = FrameReader(stream)
     outgoing = FrameAuthenticator(NO_KEY, SERVER_HANDSHAKE)
     incoming = FrameAuthenticator(NO_KEY, CLIENT_HANDSHAKE)
     protocol, client_nonce, client_name, address = unpack(await read_frame(reader, incoming))
     if protocol != PROTOCOL:
-        raise ProtocolError(f"the client speaks {protocol!r}, not {PROTOCOL!r}")
+        raise ProtocolError(f"the client uses protocol {protocol!r}, expected {PROTOCOL!r}")
     client = Peer(client_name, address)
     transcript = Transcript(client_nonce, rng.randbytes(NONCE_SIZE), client, name)
     server_proof = transcript.derive(fleet_key, SERVER_PROOF)
--- a/packages/rpc/meadowdock/rpc/messages.py
+++ b/packages/rpc/meadowdock/rpc/messages.py
@@ -1,6 +1,7 @@
-"""The messages of a connection and their encoding: msgpack lists of a kind, a call's id and fields.
+"""The messages of a connection and their encoding.
 
-This is the only module that knows the positions of fields on the wire.
+A message is a msgpack list: the kind, the id of the call, and fields that depend on the kind. Only
+this module knows the positions of the fields.
 """
 
 from __future__ import annotations
@@ -12,30 +13,30 @@
 
 from meadowdock.runtime.slab import Handle
 
-REQUEST, RESPONSE, REJECTION, CANCEL = range(4)  # kinds of messages, on the wire
+REQUEST, RESPONSE, REJECTION, CANCEL = range(4)  # message kinds on the wire
 
-CallId = Handle  # a slot of the client's slab; the server sends it back unchanged
+CallId = Handle  # a slot of the client's slab; the server returns it unchanged
 
 
 def pack(value: Any) -> bytes:
-    """Encode plain values (numbers, texts, bytes, lists, maps) as msgpack."""
+    """Encode plain values (numbers, strings, bytes, lists, maps) as msgpack."""
     return ormsgpack.packb(value, option=ormsgpack.OPT_NON_STR_KEYS)
 
 
 def unpack(data: bytes) -> Any:
     """Decode msgpack.
 
-    :raises ormsgpack.MsgpackDecodeError: the bytes are no valid msgpack.
+    :raises ormsgpack.MsgpackDecodeError: the bytes are not valid msgpack.
     """
     return ormsgpack.unpackb(data, option=ormsgpack.OPT_NON_STR_KEYS)
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client calls a method. Times are microseconds.
+    """A client's call of a method.
 
-    :ivar time_left_us: how long the client still waits for the response.
-    :ivar sent_at_us: the client's monotonic clock; only differences of it have a meaning.
+    :ivar time_left_us: how long the client will still wait for the response.
+    :ivar sent_at_us: the client's monotonic clock, of which only differences are meaningful.
     """
 
     call_id: CallId
@@ -45,7 +46,7 @@
     sent_at_us: int
 
     def encode(self) -> bytes:
-        """The frame's body."""
+        """Encode the message as the body of a frame."""
         return pack(
             [REQUEST, self.call_id, self.method, self.args, self.time_left_us, self.sent_at_us]
         )
@@ -53,44 +54,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A handler's result."""
+    """The result of a handler."""
 
     call_id: CallId
     result: Any
 
     def encode(self) -> bytes:
-        """The frame's body."""
+        """Encode the message as the body of a frame."""
         return pack([RESPONSE, self.call_id, self.result])
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A handler refused, or failed with an unexpected error."""
+    """The answer to a call that a handler refused, or that failed with an unexpected error."""
 
     call_id: CallId
     code: str
     details: dict[str, Any]
 
     def encode(self) -> bytes:
-        """The frame's body."""
+        """Encode the message as the body of a frame."""
         return pack([REJECTION, self.call_id, self.code, self.details])
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """The client doesn't wait for this call any longer."""
+    """A client's notice that it no longer waits for a call."""
 
     call_id: CallId
 
     def encode(self) -> bytes:
-        """The frame's body."""
+        """Encode the message as the body of a frame."""
         return pack([CANCEL, self.call_id])
 
 
 def decode_from_client(body: bytes) -> Request | Cancel | None:
-    """A message that a server received; None for a kind that it doesn't know.
+    """Decode a message received by a server.
 
-    :raises ValueError: the body is no message.
+    :returns: the message, or None if its kind is unknown.
+    :raises ValueError: the body is not a message.
     """
     kind, call_id, *fields = unpack(body)
     if kind == REQUEST:
@@ -102,9 +104,9 @@
 
 
 def decode_from_server(body: bytes) -> Response | Rejection:
-    """A message that a client received.
+    """Decode a message received by a client.
 
-    :raises ValueError: the body is no message.
+    :raises ValueError: the body is not a message.
     """
     kind, call_id, *fields = unpack(body)
     if kind == RESPONSE:
--- a/packages/rpc/meadowdock/rpc/server.py
+++ b/packages/rpc/meadowdock/rpc/server.py
@@ -23,7 +23,7 @@
 from meadowdock.rpc.queueing_delay import QueueingDelayEstimator
 from meadowdock.runtime import SECOND, deadline_scope, monotonic_us
 
-HANDSHAKE_TIMEOUT = SECOND
+HANDSHAKE_TIMEOUT = SECOND  # us
 MAX_QUEUED_RESPONSES = 1024
 
 # Numbers of log events
@@ -40,10 +40,10 @@
     handlers: Handlers,
     log: Callable[..., object],
 ) -> None:
-    """Serve an accepted connection until it ends; its handlers end with it.
+    """Serve an accepted connection until it ends, which cancels its running handlers.
 
     :param key: the fleet key.
-    :param name: this process' name, which the peer is told.
+    :param name: the name of this process, which is sent to the peer.
     """
     async with stream:
         try:
@@ -55,8 +55,8 @@
             TypeError,
             ormsgpack.MsgpackDecodeError,
         ) as cause:
-            # a client that gives up during the handshake, since another server answered it
-            # sooner, failed no authentication
+            # a client that closed the connection during the handshake, because another server
+            # answered sooner, is no failure
             if not isinstance(cause, (EOFError, trio.BrokenResourceError)):
                 log(HANDSHAKE_FAILED, cause=repr(cause))
             return
@@ -66,7 +66,7 @@
 class ServerConnection:
     """An authenticated connection whose peer sends requests.
 
-    Invariant: `running` maps the ids of the calls that are served to their cancel scopes.
+    Invariant: `running_calls` maps the ids of the calls in progress to their cancel scopes.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self.stream = stream
         self.writer = FrameWriter(session.outgoing, MAX_QUEUED_RESPONSES)
         self.writer.attach(stream)
-        self.running: dict[CallId, trio.CancelScope] = {}
+        self.running_calls: dict[CallId, trio.CancelScope] = {}
         self.queueing_delay = QueueingDelayEstimator()
 
     async def run(self) -> None:
@@ -96,29 +96,32 @@
                 nursery.cancel_scope.cancel()
 
     async def write(self, connection_scope: trio.CancelScope) -> None:
-        """The writer task."""
+        """Run the writer task; cancel the connection's tasks when the peer is gone."""
         try:
             await self.writer.send_queued(self.stream)
-        except CONNECTION_ERRORS:  # the peer is gone
+        except CONNECTION_ERRORS:
             connection_scope.cancel()
-            await trio.lowlevel.checkpoint()  # end by the cancellation, as the other tasks do
+            await trio.lowlevel.checkpoint()  # end as cancelled, like the other tasks
 
     async def read(self, nursery: trio.Nursery) -> None:
-        """Start a handler for each request, and cancel those that the client gave up.
+        """Start a handler for each request, and cancel those that the client abandoned.
 
         :raises CONNECTION_ERRORS: the connection ended.
         """
         while True:
             message = decode_from_client(await self.session.receive())
             if isinstance(message, Request):
-                # the scope must exist before the task: a Cancel may follow right behind
-                scope = self.running[message.call_id] = self.scope_of(message)
+                # the scope must exist before the task runs, since a Cancel may follow immediately
+                scope = self.running_calls[message.call_id] = self.call_scope(message)
                 nursery.start_soon(self.serve_call, message, scope)
-            elif isinstance(message, Cancel) and message.call_id in self.running:
-                self.running[message.call_id].cancel()
+            elif isinstance(message, Cancel) and message.call_id in self.running_calls:
+                self.running_calls[message.call_id].cancel()
 
-    def scope_of(self, request: Request) -> trio.CancelScope:
-        """A scope that ends when the client stops waiting; ended already if it waited in vain."""
+    def call_scope(self, request: Request) -> trio.CancelScope:
+        """Return a scope that is cancelled when the client stops waiting.
+
+        It is cancelled from the start if the request arrived after the client's deadline.
+        """
         received_at_us = monotonic_us()
         delay_us = self.queueing_delay.measure(request.sent_at_us, received_at_us)
         time_left_us = request.time_left_us - delay_us
@@ -128,16 +131,16 @@
         return scope
 
     async def serve_call(self, request: Request, scope: trio.CancelScope) -> None:
-        """Run the handler and send its response, unless the scope ends before."""
+        """Run the handler and send its response, unless the scope is cancelled first."""
         with scope:
             await trio.lowlevel.checkpoint_if_cancelled()
             response = await self.handle(request)
-            self.running.pop(request.call_id, None)
-            await self.writer.put_when_possible(response)
-        self.running.pop(request.call_id, None)
+            self.running_calls.pop(request.call_id, None)
+            await self.writer.put(response)
+        self.running_calls.pop(request.call_id, None)
 
     async def handle(self, request: Request) -> bytes:
-        """The encoded response of the method's handler."""
+        """Run the method's handler and return the encoded response or rejection."""
         try:
             handler = self.handlers.table.get(request.method)
             if handler is None:
@@ -146,6 +149,6 @@
             return Response(request.call_id, result).encode()
         except Rejected as rejected:
             return Rejection(request.call_id, rejected.code, rejected.details).encode()
-        except Exception as cause:  # a defect of a handler must not end the connection
+        except Exception as cause:  # a bug in a handler must not end the connection
             self.log(TASK_FAILED, task=f"link:{request.method}", cause=repr(cause))
             return Rejection(request.call_id, "broke", {"cause": repr(cause)}).encode()
--- a/tests/rpc/test_sender.py
+++ b/tests/rpc/test_sender.py
@@ -1,4 +1,4 @@
-"""Frames that go to the socket at once and those that wait for the writer keep their order."""
+"""Frames keep their order, whether written to the socket immediately or queued for the writer."""
 
 from __future__ import annotations
 
@@ -22,48 +22,48 @@
 KEY = b"k" * 32
 
 
-async def streams():
-    here, there = trio.socket.socketpair()
-    here.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    return trio.SocketStream(here), trio.SocketStream(there)
+async def connected_streams():
+    client_socket, server_socket = trio.socket.socketpair()
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    return trio.SocketStream(client_socket), trio.SocketStream(server_socket)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_frames_that_the_socket_takes_in_part_stay_in_order(seed):
+def test_frames_stay_in_order_when_the_socket_accepts_only_part_of_one(seed):
     rng = random.Random(seed)
     bodies = [rng.randbytes(rng.choice((10, 3_000, 90_000))) for _ in range(60)]
 
     async def main():
-        here, there = await streams()
+        client_stream, server_stream = await connected_streams()
         writer, received, batches = FrameWriter(FrameAuthenticator(KEY, b"out"), 1000), [], 0
-        writer.attach(here)
+        writer.attach(client_stream)
 
-        def count(batch):
+        def count_batch(batch):
             nonlocal batches
             batches += 1
             return batch
 
         async def read():
-            reader, into = FrameReader(there), FrameAuthenticator(KEY, b"out")
+            reader, authenticator = FrameReader(server_stream), FrameAuthenticator(KEY, b"out")
             while len(received) < len(bodies):
-                received.append(await read_frame(reader, into))
+                received.append(await read_frame(reader, authenticator))
             nursery.cancel_scope.cancel()
 
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(writer.send_queued, here, count)
+                nursery.start_soon(writer.send_queued, client_stream, count_batch)
                 nursery.start_soon(read)
                 for body in bodies:
-                    writer.put(body)
+                    writer.put_nowait(body)
                     if rng.random() < 0.5:
                         await trio.lowlevel.checkpoint()
         assert received == bodies
-        assert 0 < batches < len(bodies)  # some frames were queued, others written at once
+        assert 0 < batches < len(bodies)  # some frames were queued, others written immediately
 
     trio.run(main)
 
 
-def test_calls_at_the_same_time_over_sockets_get_their_own_answers():
+def test_concurrent_calls_over_sockets_get_their_own_responses():
     handlers = Handlers()
 
     @handlers.on("echo")
@@ -73,20 +73,28 @@
     async def main():
         class Net:
             async def open_stream(self, address):
-                here, there = await streams()
+                client_stream, server_stream = await connected_streams()
                 nursery.start_soon(
-                    serve_connection, there, KEY, random.Random(2), "there", handlers, print
+                    serve_connection,
+                    server_stream,
+                    KEY,
+                    random.Random(2),
+                    "there",
+                    handlers,
+                    print,
                 )
-                return here
+                return client_stream
 
         async with trio.open_nursery() as nursery:
-            me = Peer("here", "10.0.0.8:1")
-            links = ConnectionPool(nursery, Net(), KEY, random.Random(3), me, lambda *_, **__: None)
-            due = round((trio.current_time() + 20) * 1_000_000)
+            client = Peer("here", "10.0.0.8:1")
+            pool = ConnectionPool(
+                nursery, Net(), KEY, random.Random(3), client, lambda *_, **__: None
+            )
+            deadline_us = round((trio.current_time() + 20) * 1_000_000)
             sizes = [random.Random(n).choice((1, 2_000, 200_000)) for n in range(80)]
-            asks = {n: ("a", "echo", [n, b"x" * size]) for n, size in enumerate(sizes)}
-            told = await links.call_all(asks, due)
-            assert told == {n: [n, b"x" * size] for n, size in enumerate(sizes)}
+            calls = {n: ("a", "echo", [n, b"x" * size]) for n, size in enumerate(sizes)}
+            responses = await pool.call_all(calls, deadline_us)
+            assert responses == {n: [n, b"x" * size] for n, size in enumerate(sizes)}
             nursery.cancel_scope.cancel()
 
     trio.run(main)
