--- a/packages/membership/meadowdock/membership/__init__.py
+++ b/packages/membership/meadowdock/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: each process knows some others by a partial view, which peers keep current by gossip."""
+"""Membership: each process has a partial view of the other processes, kept current by gossip."""
 
 from meadowdock.membership.entry import KnownMember, MemberEntry
 from meadowdock.membership.gossip import GossipMembership
--- a/packages/membership/meadowdock/membership/gossip.py
+++ b/packages/membership/meadowdock/membership/gossip.py
@@ -1,8 +1,8 @@
-"""Gossip: samples of the membership views are exchanged between random peers.
+"""Gossip: random peers exchange samples of their membership views.
 
-Each process exchanges a sample with one peer an interval, as in the peer sampling of Jelasity et al.
-("Gossip-based peer sampling", ACM TOCS 2007). Only a member itself raises the heartbeat of its
-entry, so an entry whose heartbeat no longer rises is that of a dead process.
+In each interval a process exchanges samples with one peer, as in the peer sampling service of
+Jelasity et al. ("Gossip-based peer sampling", ACM TOCS 2007). Only the member itself increments the
+heartbeat in its entry, so a heartbeat that no longer increases means that the process is dead.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 EXCHANGE_METHOD = "view.shuffle"  # name on the wire
 GOSSIP_INTERVAL = 500 * MILLISECOND
-FAST_GOSSIP_INTERVAL = GOSSIP_INTERVAL // 5  # while the view fills, and after a peer's silence
+FAST_GOSSIP_INTERVAL = GOSSIP_INTERVAL // 5  # until the view has converged, and after a time-out
 EXCHANGE_TIMEOUT = GOSSIP_INTERVAL // 2
-STARTUP_DURATION = SECOND  # at least so long a view fills: others may have just started too
-CORE_DISCOVERY_TIMEOUT = 5 * SECOND  # and so long while no member of some core role is known
-MEMBERS_MIN = 3  # fewer members are a view that still fills
-LEAVE_FANOUT = 6  # members that are notified by a process that leaves
+STARTUP_DURATION = SECOND  # minimum of fast gossip, since other processes may have just started too
+CORE_DISCOVERY_TIMEOUT = 5 * SECOND  # limit of fast gossip while a core role has no known member
+MEMBERS_MIN = 3  # a view with fewer members has not converged
+LEAVE_FANOUT = 6  # members that a process notifies when it leaves
 LEAVE_TIMEOUT = 300 * MILLISECOND
 
 
@@ -54,23 +54,26 @@
         started = self.pause_detector.last_look_us = monotonic_us()
         while True:
             answered = await self.exchange()
-            settled = answered and self.is_settled(monotonic_us() - started)
-            await self.schedule.sleep(GOSSIP_INTERVAL if settled else FAST_GOSSIP_INTERVAL)
+            converged = answered and self.has_converged(monotonic_us() - started)
+            await self.schedule.sleep(GOSSIP_INTERVAL if converged else FAST_GOSSIP_INTERVAL)
 
-    def is_settled(self, age: int) -> bool:
-        """Whether the view need not be filled fast any more. age: us since the process started."""
-        if len(self.entries) < MEMBERS_MIN or age <= STARTUP_DURATION:
+    def has_converged(self, uptime: int) -> bool:
+        """Return whether the view is complete enough for the normal gossip interval.
+
+        :param uptime: us since the start of the process.
+        """
+        if len(self.entries) < MEMBERS_MIN or uptime <= STARTUP_DURATION:
             return False
-        return age > CORE_DISCOVERY_TIMEOUT or self.is_complete()
+        return uptime > CORE_DISCOVERY_TIMEOUT or self.is_complete()
 
     async def exchange(self) -> bool:
-        """One gossip exchange with a random peer.
+        """Perform one gossip exchange with a random peer.
 
         :returns: False if the peer didn't answer.
         """
         self.advance_heartbeat()
         self.expire(monotonic_us())
-        peer = self.peers.choose(monotonic_us())
+        peer = self.peers.select(monotonic_us())
         if peer is None:
             return True
         message = [entry.to_wire() for entry in self.sample()]
@@ -79,15 +82,15 @@
                 peer, EXCHANGE_METHOD, message, monotonic_us() + EXCHANGE_TIMEOUT
             )
         except (ConnectionFailed, Rejected):
-            self.peers.note_failure(peer, monotonic_us())
+            self.peers.record_failure(peer, monotonic_us())
             return False
-        self.peers.note_success(peer)
+        self.peers.record_success(peer)
         self.merge(map(MemberEntry.from_wire, answer), monotonic_us())
         return True
 
     @handlers.on(EXCHANGE_METHOD)
     async def on_exchange(self, peer: Peer, sent: list[list[Any]]) -> list[list[Any]]:
-        """Answer a peer's sample with one of this view, drawn before the peer's is merged."""
+        """Merge a peer's sample, and answer with a sample that was drawn before the merge."""
         answer = self.sample()
         self.merge(map(MemberEntry.from_wire, sent), monotonic_us())
         return [entry.to_wire() for entry in answer]
--- a/packages/membership/meadowdock/membership/peers.py
+++ b/packages/membership/meadowdock/membership/peers.py
@@ -1,4 +1,4 @@
-"""The choice of the peer of the next gossip exchange."""
+"""The selection of the peer for the next gossip exchange."""
 
 from __future__ import annotations
 
@@ -13,42 +13,47 @@
 
 
 class Backoff(NamedTuple):
-    """A peer that didn't answer is not asked before `until` (us, local clock)."""
+    """The backoff of a peer that didn't answer; times are in us of the local clock."""
 
-    until: int = 0
+    until: int = 0  # the peer is not selected before
     duration: int = BACKOFF_INITIAL
 
 
 class PeerSelector:
-    """Chooses random members of the view, and avoids those that lately didn't answer."""
+    """Selects random members of the view, and avoids those that recently didn't answer."""
 
     def __init__(self, view: MembershipView) -> None:
         self.view = view
         self.last_seed_exchange = 0
         self.backoffs: dict[str, Backoff] = {}  # by address
 
-    def choose(self, at: int) -> str | None:
-        """The address of a random member, or None if none is known. A seed if no member is known,
-        and from time to time in any case, to join views that were partitioned."""
+    def select(self, now: int) -> str | None:
+        """Return the address of a random member, or of a seed.
+
+        Members in backoff are selected only if all are. A seed is selected if no member is known,
+        and otherwise every SEED_INTERVAL, which merges views that were partitioned.
+
+        :returns: None if neither a member nor a seed is known.
+        """
         known = sorted(self.view.entries)
-        members = [address for address in known if self.is_available(address, at)] or known
+        members = [address for address in known if self.is_available(address, now)] or known
         seeds = [seed for seed in self.view.seeds if seed != self.view.me.address]
         if seeds and not members:
             return self.view.rng.choice(seeds)
-        if seeds and at - self.last_seed_exchange > SEED_INTERVAL:
-            self.last_seed_exchange = at
+        if seeds and now - self.last_seed_exchange > SEED_INTERVAL:
+            self.last_seed_exchange = now
             return self.view.rng.choice(seeds)
         return self.view.rng.choice(members) if members else None
 
-    def is_available(self, address: str, at: int) -> bool:
-        """Whether a peer may be asked again."""
-        return self.backoffs.get(address, Backoff()).until <= at
+    def is_available(self, address: str, now: int) -> bool:
+        """Return whether the peer is not in backoff."""
+        return self.backoffs.get(address, Backoff()).until <= now
 
-    def note_failure(self, address: str, at: int) -> None:
-        """A peer didn't answer: avoid it, twice as long as after its failure before."""
+    def record_failure(self, address: str, now: int) -> None:
+        """Start the backoff of a peer that didn't answer, twice as long as its previous one."""
         duration = min(2 * self.backoffs.get(address, Backoff()).duration, BACKOFF_MAX)
-        self.backoffs[address] = Backoff(at + duration, duration)
+        self.backoffs[address] = Backoff(now + duration, duration)
 
-    def note_success(self, address: str) -> None:
-        """A peer answered."""
+    def record_success(self, address: str) -> None:
+        """End the backoff of a peer that answered."""
         self.backoffs.pop(address, None)
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip in the simulated mesh: joining, dying, coming back, seeds that are down."""
+"""Gossip in the simulated mesh: members that join, die, leave or return; seeds that are down."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
         for host in hosts(world):
             await world.start("mdproxy", host)
         proxies = {f"{h}:7401" for h in hosts(world)}
-        left = world.daemon("mdreg", world.core[2])
-        await world.eventually(lambda: proxies <= set(left.proxies.records))
+        remaining_registry = world.daemon("mdreg", world.core[2])
+        await world.eventually(lambda: proxies <= set(remaining_registry.proxies.records))
         for host in hosts(world):
             view = world.node("mdproxy", host).view
             await world.eventually(lambda v=view: len(v.core_members("mdconf")) == 3)
@@ -28,19 +28,19 @@
     run(scenario, application=("desk",) * 12)
 
 
-def test_a_dead_a_leaving_and_a_returning_process_are_noticed():
+def test_a_process_that_dies_returns_or_leaves_is_detected():
     async def scenario(world):
         await configured(world)
         host = hosts(world)[0]
         address = f"{host}:7401"
-        reg = world.daemon("mdreg", world.core[0])
-        first = reg.proxies.records[address].heartbeat.incarnation
+        registry = world.daemon("mdreg", world.core[0])
+        first_incarnation = registry.proxies.records[address].heartbeat.incarnation
         world.kill(f"mdproxy@{host}")
-        assert await world.eventually(lambda: address not in reg.proxies) <= 3 * SECOND
+        assert await world.eventually(lambda: address not in registry.proxies) <= 3 * SECOND
         await world.start("mdproxy", host)
-        await world.eventually(lambda: address in reg.proxies)
-        assert reg.proxies.records[address].heartbeat.incarnation > first
+        await world.eventually(lambda: address in registry.proxies)
+        assert registry.proxies.records[address].heartbeat.incarnation > first_incarnation
         await world.stop(f"mdproxy@{host}")
-        assert address not in reg.proxies  # notified, not timed out
+        assert address not in registry.proxies  # notified, not timed out
 
     run(scenario)
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -1,4 +1,4 @@
-"""Whom the next gossip exchange goes to: seeds, members, and those that lately didn't answer."""
+"""The peer of the next gossip exchange: seeds, members, and members that didn't answer."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
     return PeerSelector(view)
 
 
-def test_without_members_a_seed_is_asked_but_not_oneself(view, peers):
-    assert {peers.choose(at) for at in range(20)} == {"seed"}
+def test_without_members_a_seed_other_than_this_process_is_selected(view, peers):
+    assert {peers.select(now) for now in range(20)} == {"seed"}
     view.seeds = ("me",)
-    assert peers.choose(20) is None
+    assert peers.select(20) is None
 
 
-def test_members_are_asked_and_now_and_then_a_seed(view, peers):
+def test_members_are_selected_and_a_seed_after_each_seed_interval(view, peers):
     view.merge([entry("a"), entry("b")], 0)
-    assert {peers.choose(at) for at in range(20)} == {"a", "b"}
-    assert peers.choose(SEED_INTERVAL + 1) == "seed"
-    assert peers.choose(SEED_INTERVAL + 2) in ("a", "b")
+    assert {peers.select(now) for now in range(20)} == {"a", "b"}
+    assert peers.select(SEED_INTERVAL + 1) == "seed"
+    assert peers.select(SEED_INTERVAL + 2) in ("a", "b")
 
 
-def test_a_silent_peer_is_avoided_for_longer_each_time(view, peers):
+def test_the_backoff_of_a_silent_peer_grows_up_to_its_limit(view, peers):
     view.merge([entry("a"), entry("b")], 0)
-    peers.note_failure("a", 0)
-    assert {peers.choose(at) for at in range(20)} == {"b"}
+    peers.record_failure("a", 0)
+    assert {peers.select(now) for now in range(20)} == {"b"}
     assert peers.backoffs["a"].until == 2 * BACKOFF_INITIAL
     for _ in range(20):
-        peers.note_failure("a", 0)
+        peers.record_failure("a", 0)
     assert peers.backoffs["a"].until == BACKOFF_MAX
-    peers.note_success("a")
-    assert {peers.choose(at) for at in range(20)} == {"a", "b"}
+    peers.record_success("a")
+    assert {peers.select(now) for now in range(20)} == {"a", "b"}
 
 
-def test_if_all_are_silent_they_are_asked_all_the_same(view, peers):
+def test_a_peer_in_backoff_is_selected_if_there_is_no_other(view, peers):
     view.merge([entry("a")], 0)
-    peers.note_failure("a", 0)
-    assert peers.choose(1) == "a"
+    peers.record_failure("a", 0)
+    assert peers.select(1) == "a"
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""The membership view alone: which entries are taken, removed and dropped."""
+"""The membership view alone: which entries are adopted, removed and trimmed."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
     return MembershipView(entry("me"), (), random.Random(1), lambda *_, **__: None)
 
 
-def test_only_newer_entries_count_and_a_removed_member_stays_removed(view):
+def test_only_newer_entries_are_adopted_and_a_removed_member_stays_removed(view):
     view.merge([entry("a", 1, 5)], 0)
     view.merge([entry("a", 1, 4)], 9 * SECOND)
-    for at in range(0, 9 * SECOND, SECOND):
-        view.expire(at)
-    assert "a" not in view.entries  # an old entry did not keep it
+    for now in range(0, 9 * SECOND, SECOND):
+        view.expire(now)
+    assert "a" not in view.entries  # the older entry did not count as a sign of life
     view.merge([entry("a", 1, 5)], 9 * SECOND)
-    assert "a" not in view.entries  # nor brought it back
+    assert "a" not in view.entries  # the last entry before the removal does not bring it back
     view.merge([entry("a", 2, 0)], 9 * SECOND)
-    assert view.entries["a"].entry.incarnation == 2  # a new incarnation is another process
+    assert view.entries["a"].entry.incarnation == 2  # a new incarnation is a new process
     view.merge([entry("a", 2, 1, leaving=True)], 9 * SECOND)
     assert "a" not in view.entries
 
 
-def test_a_pause_of_the_process_itself_expires_nobody(view):
+def test_a_pause_of_the_process_itself_expires_no_member(view):
     view.merge([entry("a", 1, 5)], 0)
     view.expire(60 * SECOND)
     assert "a" in view.entries
-    for at in range(60 * SECOND, 70 * SECOND, SECOND):
-        view.expire(at)
+    for now in range(60 * SECOND, 70 * SECOND, SECOND):
+        view.expire(now)
     assert "a" not in view.entries
 
 
-def test_the_view_is_bounded_and_core_members_have_a_bound_of_their_own(view):
+def test_core_members_and_other_members_have_separate_bounds(view):
     view.merge([entry(f"p{n}") for n in range(50)], 0)
     view.merge([entry(f"c{n}", role="mdreg") for n in range(40)], 0)
-    roles = [s.entry.role for s in view.entries.values()]
+    roles = [known.entry.role for known in view.entries.values()]
     assert (roles.count("mdproxy"), roles.count("mdreg")) == (VIEW_MAX, CORE_VIEW_MAX)
 
 
-def test_a_process_whose_clock_went_back_overtakes_its_former_incarnation(view):
+def test_a_process_whose_clock_was_set_back_supersedes_its_previous_incarnation(view):
     view.merge([entry("me", incarnation=99)], 0)
     assert view.me.incarnation == 100
