--- a/packages/model_checker/meadowdock/model_checker/linearizability.py
+++ b/packages/model_checker/meadowdock/model_checker/linearizability.py
@@ -18,15 +18,18 @@
 
 @dataclass(frozen=True)
 class RecordedCall:
-    """One call, as its caller saw it."""
+    """One call, as its caller saw it.
+
+    :ivar returned: when the call returned, or NEVER if its outcome is unknown: it took effect at
+        some time after it was invoked, or not at all.
+    :ivar observed: what the call returned.
+    """
 
     key: Hashable
     invoked: int
-    returned: (
-        float  # NEVER if the outcome is unknown: it took effect after `invoked`, or not at all
-    )
+    returned: float
     action: Hashable
-    observed: Hashable = None  # what the call returned
+    observed: Hashable = None
 
     @property
     def unknown(self) -> bool:
--- a/packages/registry/meadowdock/registry/lease_client.py
+++ b/packages/registry/meadowdock/registry/lease_client.py
@@ -133,7 +133,7 @@
         self.granted = None
 
     async def acquire(self, epoch_floor: int) -> Rejected | None:
-        """Request the lease under an epoch above the floor; afterwards `epoch` tells if it is held.
+        """Request the lease under an epoch above the floor; `epoch` is set if it was granted.
 
         :returns: the refusal, if a config store refused.
         """
--- a/packages/registry/meadowdock/registry/load_collector.py
+++ b/packages/registry/meadowdock/registry/load_collector.py
@@ -68,7 +68,7 @@
             {address: (address, LOAD_REQUEST_METHOD, None) for address in addresses},
             monotonic_us() + interval_us * 6 // 10,
         )
-        if epoch is None or self.election.epoch != epoch:  # the lease expired meanwhile
+        if epoch is None or self.election.epoch != epoch:  # the lease was lost during the requests
             return
         load_list = LoadList(epoch, self.next_sequence(epoch), loads).to_wire()
         answers = await self.node.rpc.call_all(
--- a/packages/rpc/meadowdock/rpc/client.py
+++ b/packages/rpc/meadowdock/rpc/client.py
@@ -167,7 +167,7 @@
             raise ConnectionFailed(False, "too many requests are queued") from None
 
     def drain_if_silent(self, started_us: int, deadline_us: int) -> None:
-        """Drain the connection after a call that timed out, if the peer sent nothing meanwhile.
+        """Drain the connection after a call that timed out, if the peer sent nothing during it.
 
         The peer is then probably unreachable over this connection, so new calls use another one.
         """
