--- a/packages/load_sharing/meadowdock/load_sharing/__init__.py
+++ b/packages/load_sharing/meadowdock/load_sharing/__init__.py
@@ -1,11 +1,11 @@
-"""The load sharing policy: pure, no I/O.
+"""The load sharing policy, as pure functions without I/O.
 
-It follows Koegel, Wahl, Scharf and Necker (2009), sections IV-C and V-B; docs/design.md says what
-is kept and what is changed.
+The policy follows Koegel, Wahl, Scharf and Necker (2009), sections IV-C and V-B. docs/design.md
+lists where it follows the paper and where it differs.
 
 >>> load_state(0.2, 0.8, 0.9), load_state(0.85, 0.8, 0.9), load_state(0.9, 0.8, 0.9)
 ('accepting', 'passive', 'offloading')
->>> round(best_omega(x=0.5, b=relocation_overhead(e=1000, f=50)), 3)
+>>> round(best_omega(asymmetry=0.5, overhead=relocation_overhead(1000, 50)), 3)
 0.976
 """
 
--- a/packages/load_sharing/meadowdock/load_sharing/gauge.py
+++ b/packages/load_sharing/meadowdock/load_sharing/gauge.py
@@ -1,4 +1,4 @@
-"""The load level of a node: mean occupation over the last interval, from requests in flight.
+"""Measures the load level of a node as the mean occupation over the last interval.
 
 >>> gauge = Gauge(0)
 >>> gauge.set(0, 4); gauge.set(500, 8)
@@ -14,26 +14,26 @@
 
 
 class Gauge:
-    """The time-weighted mean of a level, interval by interval; times are in microseconds.
+    """Computes the time-weighted mean of a level for each interval; times are in microseconds.
 
     Invariants: area is the integral of the level from interval_start to updated_at; updated_at
-    never goes back.
+    never decreases.
     """
 
-    def __init__(self, at: int) -> None:
-        self.interval_start = self.updated_at = at
+    def __init__(self, now: int) -> None:
+        self.interval_start = self.updated_at = now
         self.level: float = 0
         self.area: float = 0
 
-    def set(self, at: int, level: float) -> None:
-        """Record that the level changed at a moment."""
-        self.area += self.level * max(0, at - self.updated_at)
-        self.updated_at = max(at, self.updated_at)
+    def set(self, now: int, level: float) -> None:
+        """Record that the level has changed now."""
+        self.area += self.level * max(0, now - self.updated_at)
+        self.updated_at = max(now, self.updated_at)
         self.level = level
 
-    def take_mean(self, at: int) -> float:
-        """The mean since the last call of this method; begins the next interval."""
-        self.set(at, self.level)
+    def take_mean(self, now: int) -> float:
+        """Return the mean since the last call of this method and start the next interval."""
+        self.set(now, self.level)
         length = self.updated_at - self.interval_start
         mean = self.area / length if length else float(self.level)
         self.interval_start, self.area = self.updated_at, 0
@@ -47,10 +47,11 @@
     forwarded_weight: float,
     reported_load: float | None = None,
 ) -> float:
-    """The load level rho, in 0..1.
+    """Return the load level rho, in 0..1.
 
-    Requests handled here, plus the small share (`forwarded_weight`) that forwarded requests keep
-    costing here, over the capacity in requests; never below what the endpoint reports of itself.
+    It is the number of requests handled here, plus a small share (`forwarded_weight`) of the
+    forwarded requests for what they still cost this node, divided by the capacity in requests.
+    It is never below the load that the endpoint itself reports.
 
     >>> load_level(8, 10, 10, 0.05)
     0.85
--- a/packages/load_sharing/meadowdock/load_sharing/model.py
+++ b/packages/load_sharing/meadowdock/load_sharing/model.py
@@ -1,7 +1,7 @@
-"""The model of the paper's section V, from which omega is chosen: calls, blocking, load lists.
+"""Simulates the model of the paper's section V, from which omega is chosen.
 
-It stands for whole fleets with thousands of calls in flight over simulated hours, which neither the
-daemons nor the simulator reach. The policy in it is the daemons' own `choose`.
+The model covers fleets with thousands of calls in flight over simulated hours, more than the daemons
+or the simulator can run. It places calls with the same `choose` as the daemons.
 `python -m meadowdock.load_sharing.model` prints the tables of docs/measurements.md.
 """
 
@@ -21,56 +21,58 @@
     choose,
 )
 
-# How calls are shared. The paper's way places a call once, and blocks it if the node is full. In the
-# mesh, as the daemons do it, a full node forwards and a full peer rejects; nobody waits. With "even"
-# every call goes to the next node in turn; with "none" every call stays where it arrived.
+# How calls are distributed. "paper" places a call once and blocks it if the chosen node is full.
+# "mesh" is what the daemons do, without queues: a full node forwards, and a full peer rejects.
+# "even" sends calls to all nodes in turn. "none" leaves every call where it arrived.
 Sharing = Literal["paper", "mesh", "even", "none"]
 
 NEVER_STALE_US = 1 << 62
-MAX_PEERS_TRIED = 2  # the first peer and one retry
+MAX_PEERS_TRIED = 2  # the first choice and one retry
 
 
 @dataclass(frozen=True)
 class Setting:
-    """One run of the model; the letters are the paper's. Times are in microseconds."""
+    """The parameters of one run. The comments give the paper's letters; times are in microseconds."""
 
     nodes: int = 2
-    load: float = 0.9  # A: offered over capacity, mean of all nodes
+    load: float = 0.9  # A: offered load relative to capacity, mean over all nodes
     asymmetry: float = 0.5  # x: half of the nodes get (1 + x) A, the others (1 - x) A
     capacity: int = 1_000_000  # c: resources of a node
-    e: int = 1_000  # resources of a call where it is handled
-    f: int = 50  # resources of a relocated call at the node where it arrived
-    holding_us: int = 180_000_000  # h: mean time that a call holds its resources
-    interval_us: int = 1_000_000  # u: between two load lists
+    handling_cost: int = 1_000  # e: resources of a call at the node that handles it
+    forwarding_cost: int = 50  # f: resources of a relocated call at the node where it arrived
+    holding_us: int = 180_000_000  # h: mean time for which a call holds its resources
+    interval_us: int = 1_000_000  # u: time between two load lists
     omega: float = 0.9
     phi: float = 0.9
     sharing: Sharing = "paper"
     calls: int = 100_000
-    warm: float = 0.2  # share of the calls, from the beginning, that isn't counted
+    warm_up_share: float = (
+        0.2  # share of the calls, at the start, that is excluded from the results
+    )
     seed: int = 1
 
 
-class Figures(NamedTuple):
-    """What came of one run."""
+class RunResult(NamedTuple):
+    """The results of one run."""
 
     blocked: float  # share of the calls
     relocated: float  # share of the calls
-    state_changes: float  # between offloading and not, a node per 1000 intervals
+    state_changes: float  # starts and ends of offloading, per node and 1000 intervals
 
 
 class Release(NamedTuple):
-    """When a call gives its resources back; in order of time."""
+    """The end of a call, at which it releases its resources; ordered by time."""
 
-    at: int
+    ends_at: int
     account: int
     amount: int
 
 
 class Accounts:
-    """The resources in use, and their integral over time.
+    """The resources in use and their integral over time.
 
-    Each node has two accounts: `node` for its own resources, and `nodes + node` for what forwarding
-    costs a proxy of the mesh. The latter is not taken from its endpoint, but counts in rho.
+    Each node has two accounts: `node` for the resources of its endpoint, and `nodes + node` for
+    what forwarding costs its proxy. The latter takes nothing from the endpoint, but counts in rho.
     """
 
     def __init__(self, nodes: int, capacity: int) -> None:
@@ -80,31 +82,31 @@
         self.updated_at = [0] * 2 * nodes
         self.releases: list[Release] = []  # a heap
 
-    def use(self, account: int, amount: int, at: int) -> None:
-        """So much more is in use from a moment on."""
-        self.area[account] += self.used[account] * (at - self.updated_at[account])
-        self.updated_at[account] = at
+    def change_usage(self, account: int, amount: int, now: int) -> None:
+        """Add an amount, which may be negative, to the resources in use from now on."""
+        self.area[account] += self.used[account] * (now - self.updated_at[account])
+        self.updated_at[account] = now
         self.used[account] += amount
 
     def fits(self, account: int, amount: int) -> bool:
-        """Whether a node has so much left; forwarding is never refused."""
+        """Return whether an account has an amount left; forwarding is never rejected."""
         return account >= self.nodes or self.used[account] + amount <= self.capacity
 
-    def reserve(self, account: int, amount: int, at: int, until: int) -> None:
-        """Use so much from a moment until another."""
-        self.use(account, amount, at)
+    def reserve(self, account: int, amount: int, now: int, until: int) -> None:
+        """Reserve an amount from now until a later time."""
+        self.change_usage(account, amount, now)
         heapq.heappush(self.releases, Release(until, account, amount))
 
-    def release_until(self, at: int) -> None:
-        """End the calls whose time has come."""
-        while self.releases and self.releases[0].at <= at:
+    def release_ended(self, now: int) -> None:
+        """Release the resources of all calls that have ended by now."""
+        while self.releases and self.releases[0].ends_at <= now:
             release = heapq.heappop(self.releases)
-            self.use(release.account, -release.amount, release.at)
+            self.change_usage(release.account, -release.amount, release.ends_at)
 
-    def take_rho(self, at: int, interval_us: int) -> list[float]:
-        """The load level of each node over the interval that ends now."""
+    def end_interval(self, now: int, interval_us: int) -> list[float]:
+        """End an interval and return each node's load level (rho) over it."""
         for account in range(2 * self.nodes):
-            self.use(account, 0, at)
+            self.change_usage(account, 0, now)
         levels = []
         for node in range(self.nodes):
             area = self.area[node] + self.area[self.nodes + node]
@@ -114,7 +116,10 @@
 
 
 class Model:
-    """One run. Invariant: everything random comes from rng, in the order of the calls."""
+    """Runs the model once.
+
+    Invariant: all random numbers come from rng, in the order of the calls.
+    """
 
     def __init__(self, setting: Setting) -> None:
         self.setting = setting
@@ -124,145 +129,146 @@
         self.accounts = Accounts(setting.nodes, setting.capacity)
         self.rho = [0.0] * setting.nodes
         self.round_robins = [RoundRobin() for _ in self.names]
-        self.even_turn = 0
+        self.last_even_node = 0
         self.load_list = self.new_load_list(1, 0)
         self.next_list_at = setting.interval_us
         self.offloading = [False] * setting.nodes
-        self.state_changes = self.lists = 0
-        self.blocked = self.relocated = self.counted = 0
+        self.state_changes = self.lists_sent = 0
+        self.blocked = self.relocated = self.measured_calls = 0
 
-    def run(self) -> Figures:
-        """Play all calls."""
+    def run(self) -> RunResult:
+        """Simulate all calls and return the results."""
         setting = self.setting
         rates = self.arrival_rates()
         total_rate = sum(rates)
-        at = 0
+        now = 0
         for number in range(setting.calls):
-            at += int(self.rng.expovariate(total_rate))
-            self.send_load_lists(at)
-            self.accounts.release_until(at)
+            now += int(self.rng.expovariate(total_rate))
+            self.send_load_lists(now)
+            self.accounts.release_ended(now)
             origin = self.rng.choices(range(setting.nodes), rates)[0]
-            counts = number >= setting.warm * setting.calls
-            self.play_call(origin, at, counts)
-        return Figures(
-            self.blocked / max(1, self.counted),
-            self.relocated / max(1, self.counted),
-            1000 * self.state_changes / max(1, self.lists) / setting.nodes,
+            is_measured = number >= setting.warm_up_share * setting.calls
+            self.handle_call(origin, now, is_measured)
+        return RunResult(
+            self.blocked / max(1, self.measured_calls),
+            self.relocated / max(1, self.measured_calls),
+            1000 * self.state_changes / max(1, self.lists_sent) / setting.nodes,
         )
 
     def arrival_rates(self) -> list[float]:
-        """Calls per microsecond that arrive at each node."""
-        s = self.setting
+        """Return the rate at which calls arrive at each node, per microsecond."""
+        setting = self.setting
         offered = [
-            s.load * (1 + s.asymmetry * (1 if node < s.nodes / 2 else -1))
-            for node in range(s.nodes)
+            setting.load * (1 + setting.asymmetry * (1 if node < setting.nodes / 2 else -1))
+            for node in range(setting.nodes)
+        ]
+        return [
+            load * setting.capacity / setting.handling_cost / setting.holding_us for load in offered
         ]
-        return [load * s.capacity / s.e / s.holding_us for load in offered]
-
-    # ------------------------------------------------------------ load lists
 
-    def send_load_lists(self, at: int) -> None:
-        """End the intervals that lie before a moment."""
-        while self.next_list_at <= at:
-            self.accounts.release_until(self.next_list_at)
-            self.rho = self.accounts.take_rho(self.next_list_at, self.setting.interval_us)
+    def send_load_lists(self, now: int) -> None:
+        """Send the load list of each interval that has ended by now."""
+        while self.next_list_at <= now:
+            self.accounts.release_ended(self.next_list_at)
+            self.rho = self.accounts.end_interval(self.next_list_at, self.setting.interval_us)
             self.count_state_changes()
-            self.lists += 1
+            self.lists_sent += 1
             self.load_list = self.new_load_list(self.load_list.seq + 1, self.next_list_at)
             self.next_list_at += self.setting.interval_us
 
     def count_state_changes(self) -> None:
-        """Count the nodes that began or ceased to offload."""
+        """Count the nodes that started or stopped offloading."""
         offloading = [rho >= self.setting.omega for rho in self.rho]
         self.state_changes += sum(
             now != before for now, before in zip(offloading, self.offloading, strict=True)
         )
         self.offloading = offloading
 
-    def new_load_list(self, seq: int, at: int) -> LoadList:
-        """The list of the current load levels."""
+    def new_load_list(self, seq: int, now: int) -> LoadList:
+        """Return a load list of the current load levels."""
         nodes = (
             NodeLoad(name, rho, "", False) for name, rho in zip(self.names, self.rho, strict=True)
         )
-        return LoadList(1, seq, at, tuple(nodes))
+        return LoadList(1, seq, now, tuple(nodes))
 
-    # ------------------------------------------------------------ calls
+    def handle_call(self, origin: int, now: int, is_measured: bool) -> None:
+        """Place a call that arrived at a node and reserve its resources, or block it.
 
-    def play_call(self, origin: int, at: int, counts: bool) -> None:
-        """Place one call that arrived at a node, and reserve its resources if there are enough."""
-        target = self.target_of(origin, at)
-        until = at + int(self.rng.expovariate(1 / self.setting.holding_us))
-        self.counted += counts
-        costs = self.costs(origin, target)
+        :param is_measured: whether the call counts in the results; those of the warm-up don't
+        """
+        target = self.choose_target(origin, now)
+        until = now + int(self.rng.expovariate(1 / self.setting.holding_us))
+        self.measured_calls += is_measured
+        costs = self.reservations(origin, target)
         if not all(self.accounts.fits(account, amount) for account, amount in costs):
-            self.blocked += counts
+            self.blocked += is_measured
             return
         for account, amount in costs:
-            self.accounts.reserve(account, amount, at, until)
-        self.relocated += counts and target != origin
+            self.accounts.reserve(account, amount, now, until)
+        self.relocated += is_measured and target != origin
 
-    def costs(self, origin: int, target: int) -> list[tuple[int, int]]:
-        """[(account, amount)] of a call."""
-        s = self.setting
+    def reservations(self, origin: int, target: int) -> list[tuple[int, int]]:
+        """Return the resources that a call needs as (account, amount) pairs."""
+        setting = self.setting
         if target == origin:
-            return [(origin, s.e)]
-        forwarding = origin + s.nodes if s.sharing == "mesh" else origin
-        return [(forwarding, s.f), (target, s.e)]
+            return [(origin, setting.handling_cost)]
+        forwarding = origin + setting.nodes if setting.sharing == "mesh" else origin
+        return [(forwarding, setting.forwarding_cost), (target, setting.handling_cost)]
 
-    def target_of(self, origin: int, at: int) -> int:
-        """The node that a new call goes to."""
+    def choose_target(self, origin: int, now: int) -> int:
+        """Return the node that a new call is sent to."""
         if self.setting.sharing == "none":
             return origin
         if self.setting.sharing == "even":
-            self.even_turn = (self.even_turn + 1) % self.setting.nodes
-            return self.even_turn
-        return self.place(origin, at)
+            self.last_even_node = (self.last_even_node + 1) % self.setting.nodes
+            return self.last_even_node
+        return self.place(origin, now)
 
-    def place(self, origin: int, at: int) -> int:
-        """The node that the policy places a call at; see Sharing."""
-        s = self.setting
+    def place(self, origin: int, now: int) -> int:
+        """Return the node at which the policy places a call; see `Sharing`."""
+        setting = self.setting
         tried: set[str] = set()
         while len(tried) < MAX_PEERS_TRIED:
-            has_capacity = s.sharing == "paper" or self.accounts.fits(origin, s.e)
+            has_capacity = setting.sharing == "paper" or self.accounts.fits(
+                origin, setting.handling_cost
+            )
             chosen = choose(
                 LocalEndpointState(self.rho[origin], has_capacity),
                 self.load_list,
                 self.round_robins[origin],
-                at,
+                now,
                 self.names[origin],
-                s.phi,
-                s.omega,
+                setting.phi,
+                setting.omega,
                 NEVER_STALE_US,
                 tried,
             )
             if chosen.target is None:
                 return origin
             target = self.index_of[chosen.target.address]
-            if s.sharing == "paper" or self.accounts.fits(target, s.e):
+            if setting.sharing == "paper" or self.accounts.fits(target, setting.handling_cost):
                 return target
             tried.add(chosen.target.address)
         return origin
 
 
-def simulate(setting: Setting) -> Figures:
-    """Run the model."""
+def simulate(setting: Setting) -> RunResult:
+    """Run the model with one setting."""
     return Model(setting).run()
 
 
-def simulate_all(settings: list[Setting]) -> list[tuple[Setting, Figures]]:
-    """Run the model with each of the settings, over several processors."""
+def simulate_all(settings: list[Setting]) -> list[tuple[Setting, RunResult]]:
+    """Run the model with each of the settings, in parallel processes."""
     with ProcessPoolExecutor() as pool:
         return list(zip(settings, pool.map(simulate, settings), strict=True))
 
 
-# ------------------------------------------------------------ the tables
-
 PAPER_LOADS = (0.85, 0.9, 0.95)
 PAPER_OMEGAS = (0.80, 0.85, 0.90, 0.93, 0.95, 0.975, 0.99, 1.0)
 PAPER_SEEDS = (1, 2)
 PAPER_CALLS = 150_000
 
-# capacity and effort such that a node holds as many calls as its endpoint's capacity
+# Capacity and handling cost are such that a node holds as many calls as its endpoint's capacity.
 DEPLOYMENTS: dict[str, dict[str, Any]] = {
     "Himal's member desk: 5 nodes of 16 calls, 100 ms": {
         "nodes": 5,
@@ -294,7 +300,7 @@
 
 
 def main() -> None:
-    """Print the tables of the paper's setting and of the deployments."""
+    """Print the tables for the paper's parameters and for the deployments."""
     print("### Two nodes, the paper's parameters: share of calls blocked\n")
     print_paper_table()
     for name, base in DEPLOYMENTS.items():
@@ -303,7 +309,7 @@
 
 
 def print_paper_table() -> None:
-    """The share of calls blocked by load and omega, mean over the seeds."""
+    """Print the share of calls blocked for each load and omega, averaged over the seeds."""
     results = simulate_all(
         [
             Setting(load=load, omega=omega, phi=omega, calls=PAPER_CALLS, seed=seed)
@@ -318,8 +324,8 @@
         cells = []
         for omega in PAPER_OMEGAS:
             blocked = [
-                figures.blocked
-                for setting, figures in results
+                result.blocked
+                for setting, result in results
                 if setting.load == load and setting.omega == omega
             ]
             cells.append(f"{sum(blocked) / len(blocked):.4f}")
@@ -327,7 +333,7 @@
 
 
 def print_deployment_table(base: dict[str, Any]) -> None:
-    """The figures of one deployment by load and way of sharing."""
+    """Print the results for one deployment by load and kind of sharing."""
     print("| load | sharing | omega | phi | interval s | blocked | relocated | flips |")
     print("|---|---|---|---|---|---|---|---|")
     settings = [
@@ -335,12 +341,12 @@
         for load in DEPLOYMENT_LOADS
         for variant in DEPLOYMENT_VARIANTS
     ]
-    for setting, figures in simulate_all(settings):
+    for setting, result in simulate_all(settings):
         by_policy = setting.sharing in ("paper", "mesh")
         thresholds = f"{setting.omega} | {setting.phi}" if by_policy else "- | -"
         print(
             f"| {setting.load} | {setting.sharing} | {thresholds} | {setting.interval_us / 1e6} "
-            f"| {figures.blocked:.4f} | {figures.relocated:.3f} | {figures.state_changes:.0f} |"
+            f"| {result.blocked:.4f} | {result.relocated:.3f} | {result.state_changes:.0f} |"
         )
 
 
--- a/packages/load_sharing/meadowdock/load_sharing/policy.py
+++ b/packages/load_sharing/meadowdock/load_sharing/policy.py
@@ -1,8 +1,9 @@
-"""Where a new request goes: to the local endpoint, to a peer, or nowhere.
+"""Decides whether a new request goes to the local endpoint, to a peer, or is rejected.
 
-The decision is pure: its inputs are the load of the local endpoint and the latest load list, and
-it does no I/O. It follows Koegel, Wahl, Scharf and Necker (2009), section IV-C; docs/design.md
-says what is kept and what is changed. Requests in progress never move and never come here.
+The decision depends only on the load of the local endpoint and on the latest load list; this module
+does no I/O. The policy follows Koegel, Wahl, Scharf and Necker (2009), section IV-C. docs/design.md
+lists where it follows the paper and where it differs. Requests that have already been placed are
+never moved.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 def load_state(rho: float, phi: float, omega: float) -> LoadState:
-    """The state of a node: accepting below phi, passive up to omega, offloading from omega on."""
+    """Return the state of a node: accepting below phi, offloading from omega on, else passive."""
     if rho < phi:
         return ACCEPTING
     return PASSIVE if rho < omega else OFFLOADING
@@ -34,8 +35,8 @@
 class NodeLoad(NamedTuple):
     """The entry of one node in the load list of a service.
 
-    A tuple, because entries are sorted (by address first) for every request. Invariant: rho is in
-    0..1.
+    It is a tuple because entries are sorted (by address first) for every request.
+    Invariant: rho is in 0..1.
     """
 
     address: str
@@ -48,26 +49,25 @@
 
 @dataclass(frozen=True)
 class LoadList:
-    """The combined load list of a service, as a proxy received it last.
+    """The combined load list of a service that a proxy received last.
 
-    Invariant: lists are ordered by (epoch, seq); a process that took one takes no lower one. Epoch
-    0 means that no list has arrived yet.
+    Invariant: lists are ordered by (epoch, seq); a process never replaces its list by a lower one.
+    Epoch 0 means that no list has arrived yet.
     """
 
     epoch: int = 0
     seq: int = 0
-    received_at: int = 0  # by this machine's monotonic clock, in microseconds
+    received_at: int = 0  # on this machine's monotonic clock, in microseconds
     nodes: tuple[NodeLoad, ...] = ()
 
     def stale(self, now: int, stale_after_us: int) -> bool:
-        """Whether no list arrived within the last `stale_after_us` microseconds."""
+        """Return whether no list arrived within the last `stale_after_us` microseconds."""
         return self.epoch == 0 or now - self.received_at > stale_after_us
 
     def accepting(self, own_address: str, max_rho: float) -> list[NodeLoad]:
-        """The other nodes below `max_rho` that don't drain.
+        """Return the other nodes with a load below `max_rho` that are not draining.
 
-        They are in order of address, so that round-robin takes the same turns whatever the order
-        of the list.
+        They are sorted by address so that round-robin does not depend on the order of the list.
         """
         return sorted(
             node
@@ -78,26 +78,26 @@
 
 @dataclass(frozen=True)
 class LocalEndpointState:
-    """What a node knows of its own endpoint of a service.
+    """The state of a service's endpoint on the node that decides.
 
-    Invariant: has_capacity is exact at this moment; rho is the mean of the last interval.
+    Invariant: has_capacity is current and exact; rho is the mean of the last interval.
     """
 
     rho: float
     has_capacity: bool
-    available: bool = True  # an endpoint of the service is registered here and does not drain
+    available: bool = True  # an endpoint of the service is registered here and is not draining
 
 
 class Choice(NamedTuple):
-    """Where a request goes, and the rule that decided it."""
+    """The placement of a request and the rule that decided it."""
 
     placement: Placement
     target: NodeLoad | None
-    rule: str  # counted under this name, and read by tests
+    rule: str  # the name under which the decision is counted
 
 
 class RoundRobin:
-    """Round-robin over a list that changes: the next address after the last one chosen.
+    """Round-robin over a changing list: picks the next address after the last one picked.
 
     >>> round_robin = RoundRobin()
     >>> nodes = [NodeLoad(a, 0.1, "i", False) for a in ("a", "b", "c")]
@@ -113,7 +113,7 @@
         self.last = last
 
     def pick(self, nodes: Sequence[NodeLoad]) -> NodeLoad | None:
-        """The next of the nodes, which are in order of address; None if there is none."""
+        """Return the next of the nodes, which are sorted by address; None if there are none."""
         if not nodes:
             return None
         chosen = next((node for node in nodes if node.address > self.last), nodes[0])
@@ -134,20 +134,21 @@
 ) -> Choice:
     """Decide where a new request goes.
 
-    The ordinary path is the paper's: below omega a request stays local; from omega on, it goes to
-    the next accepting node of the latest list, and stays local if no node accepts.
+    The normal case is the paper's: below omega a request stays local. From omega on it goes to the
+    next accepting node of the latest list, or stays local if no node accepts.
 
-    Each exception has a rule name of its own and applies only where the paper gives no answer or
+    Each exception has its own rule name and applies only where the paper does not cover the case or
     would block the request:
 
-    - "stale": with a stale list a request stays local while there is capacity;
-    - "full": no capacity at all, so the request would be blocked: treated as offloading;
-    - "gone": no local endpoint (or it drains): treated as offloading without a local endpoint;
-    - "any-room": no local endpoint and no accepting node: the next node below omega, then any
-      below full load.
+    - "stale": the list is stale, so a request stays local while there is capacity;
+    - "full": the endpoint has no capacity and the request would be blocked, so the node is treated
+      as offloading;
+    - "gone": there is no local endpoint, or it is draining, so the node is treated as offloading;
+    - "any-room": there is neither a local endpoint nor an accepting node, so the request goes to the
+      next node below omega, or else to the next one below full load.
 
-    `now` and `stale_after_us` are in microseconds; `excluded` holds the addresses of nodes that
-    must not be chosen, such as those that rejected the request before.
+    `now` and `stale_after_us` are in microseconds. `excluded` holds the addresses of nodes that
+    must not be chosen, such as those that have already rejected the request.
     """
     accepting = eligible(load_list, own_address, phi, excluded)
     if local.available and local.has_capacity:
@@ -174,6 +175,6 @@
 def eligible(
     load_list: LoadList, own_address: str, max_rho: float, excluded: Collection[str]
 ) -> list[NodeLoad]:
-    """The accepting nodes below `max_rho` that are not excluded, in order of address."""
+    """Return the nodes below `max_rho` that are neither draining nor excluded, by address."""
     nodes = load_list.accepting(own_address, max_rho)
     return [node for node in nodes if node.address not in excluded]
