--- a/packages/forwarding/meadowdock/forwarding/__init__.py
+++ b/packages/forwarding/meadowdock/forwarding/__init__.py
@@ -1,4 +1,7 @@
-"""The traffic path: calls by host and prefix, as continuations in turns."""
+"""The request path: routes calls by host and path prefix and forwards them to endpoints.
+
+Calls are handled by callbacks that the reactor runs, not by tasks that are awaited.
+"""
 
 from meadowdock.forwarding.dialect import Dialect
 from meadowdock.forwarding.gateway import Gateway
--- a/packages/forwarding/meadowdock/forwarding/admission.py
+++ b/packages/forwarding/meadowdock/forwarding/admission.py
@@ -1,8 +1,9 @@
-"""Which calls may wait for a slot here, and until when. No I/O.
+"""Decides which calls may wait for a slot here and for how long, without I/O.
 
-A call joins the queue if it will likely end within its latency target from there, and keeps its
-position while it can. One that can't any more goes behind all of its priority that can, and is
-rejected once it won't be started in time: work that ends late must not displace work that would not.
+A call may join the queue if it will likely end within its latency target, and it keeps its position
+as long as the target can still be met. After that it goes behind all calls of its priority that can
+meet their targets, and is rejected once it can no longer start in time. Thus calls that end late
+don't displace calls that would be in time.
 """
 
 from __future__ import annotations
@@ -12,88 +13,93 @@
 from meadowdock.forwarding.wait_estimates import WaitEstimates, misses_target, urgency_of
 from meadowdock.forwarding.wait_queue import WaitQueue
 
-INTERVALS = 2  # of the load list, over which the slots held by other calls are averaged
-FIRST_SPAN_US = 500_000  # until a configuration is in force
-ROUTES_REMEMBERED = 1_000  # the latest used, of which the time that callers allow is known
+AVERAGED_INTERVALS = 2  # load list intervals over which the number of slots in use is averaged
+INITIAL_AVERAGING_WINDOW_US = 500_000  # until a configuration is active
+MAX_REMEMBERED_ROUTES = 1_000  # most recently used routes whose caller timeouts are remembered
 
 
 class Admission:
-    """The queues of one node, and the estimates by which calls are let in. Times in microseconds."""
+    """The queues of one node and the estimates for admission; times are in microseconds."""
 
     def __init__(self) -> None:
-        self.span_us = FIRST_SPAN_US
+        self.averaging_window_us = INITIAL_AVERAGING_WINDOW_US
         self.queues: dict[str, WaitQueue] = {}
         self.services: dict[str, WaitEstimates] = {}
         self.routes: dict[str, CallerTimeouts] = {}
 
     def set_load_interval(self, interval_us: int) -> None:
-        """Average the slots in use over a span that fits the interval of load lists."""
-        self.span_us = INTERVALS * interval_us
-        for waits in self.services.values():
-            waits.span_us = self.span_us
+        """Set the window over which slots in use are averaged, from the load list interval."""
+        self.averaging_window_us = AVERAGED_INTERVALS * interval_us
+        for estimates in self.services.values():
+            estimates.averaging_window_us = self.averaging_window_us
 
     def forget_unused(self, routes: set[str], services: set[str]) -> None:
-        """Forget routes and services that are not configured any more, but for services whose slots are
-        in use or waited for."""
+        """Forget routes and services that are no longer configured.
+
+        Services with a slot in use or a queued call are kept.
+        """
         self.routes = {name: known for name, known in self.routes.items() if name in routes}
-        for waits in self.services.values():
-            waits.holds = {route: hold for route, hold in waits.holds.items() if route in routes}
+        for estimates in self.services.values():
+            estimates.hold_times = {
+                route: hold for route, hold in estimates.hold_times.items() if route in routes
+            }
         for service in [s for s in self.services if s not in services]:
             if not self.services[service].any_in_use() and not len(self.queue(service)):
                 del self.services[service], self.queues[service]
 
     def estimates(self, service: str) -> WaitEstimates:
-        """The estimates for a service."""
+        """Return the wait estimates of a service."""
         found = self.services.get(service)
         if found is None:
-            found = self.services[service] = WaitEstimates(self.span_us)
+            found = self.services[service] = WaitEstimates(self.averaging_window_us)
         return found
 
     def queue(self, service: str) -> WaitQueue:
-        """The queue of a service."""
+        """Return the queue of a service."""
         found = self.queues.get(service)
         if found is None:
             found = self.queues[service] = WaitQueue()
         return found
 
     def time_spent_us(self, route: str, left_us: int) -> int:
-        """How much of its time a caller of this route has probably spent on earlier attempts."""
+        """Estimate how long the caller of a request has already spent on earlier attempts.
+
+        :param left_us: how long the caller still waits for a response
+        """
         timeouts = self.routes.pop(route, None) or CallerTimeouts()
         self.routes[route] = timeouts
-        if len(self.routes) > ROUTES_REMEMBERED:
+        if len(self.routes) > MAX_REMEMBERED_ROUTES:
             del self.routes[next(iter(self.routes))]
         return timeouts.time_spent_us(left_us)
 
-    # ------------------------------------------------------------ slots
-
-    def started(self, call: Call, at: int) -> None:
-        """The call takes a slot."""
-        self.estimates(call.service).slot_taken(call.urgency, at)
-
-    def freed(self, call: Call, at: int) -> None:
-        """The call gives its slot back."""
-        self.estimates(call.service).slot_released(call.urgency, at)
+    def slot_acquired(self, call: Call, now: int) -> None:
+        """Record that a call has taken a slot."""
+        self.estimates(call.service).slot_acquired(call.urgency, now)
 
-    def learn(self, call: Call, took_us: int) -> None:
-        """The call held its slot for so long, until its answer or, without one, its deadline."""
-        self.estimates(call.service).hold(call.route).learn(took_us)
+    def slot_released(self, call: Call, now: int) -> None:
+        """Record that a call has released its slot."""
+        self.estimates(call.service).slot_released(call.urgency, now)
 
-    # ------------------------------------------------------------ waiting
+    def observe(self, call: Call, duration_us: int) -> None:
+        """Record for how long a call held its slot, until its response or its deadline."""
+        self.estimates(call.service).hold(call.route).observe(duration_us)
 
-    def estimate(self, call: Call, at: int) -> None:
-        """Set how long the call will hold a slot here, and its urgency, as of now."""
-        call.hold_us, call.likely_hold_us = self.estimates(call.service).expected(call.route)
-        call.urgency = urgency_of(call, at)
+    def estimate(self, call: Call, now: int) -> None:
+        """Set the expected hold time of a call at this node, and its urgency."""
+        call.hold_us, call.likely_hold_us = self.estimates(call.service).expected_hold_us(
+            call.route
+        )
+        call.urgency = urgency_of(call, now)
 
-    def wait_us(self, call: Call, capacity: int, at: int) -> int:
-        """How long the call will likely wait if it joins now."""
+    def wait_us(self, call: Call, capacity: int, now: int) -> int:
+        """Estimate how long a call will wait if it joins the queue now."""
         work_us = self.queue(call.service).work_us
-        waits = self.estimates(call.service)
-        return waits.wait_us(work_us, call.urgency, call.hold_us, capacity, at)
+        estimates = self.estimates(call.service)
+        return estimates.wait_us(work_us, call.urgency, call.hold_us, capacity, now)
 
-    def may_join(self, call: Call, wait_us: int, at: int) -> bool:
-        """Whether the call will likely be served in time if it waits so long."""
-        start = at + wait_us
+    def may_join(self, call: Call, wait_us: int, now: int) -> bool:
+        """Return whether a call will likely be served in time after the given wait."""
+        start = now + wait_us
         if start > call.join_deadline:
             return False
         if misses_target(call.urgency):
@@ -103,20 +109,27 @@
         )
 
     def meets_tight_target(self, call: Call, start: int) -> bool:
-        """Where even a call that starts at once may miss its target, the mean decides."""
+        """Return whether a call with a tight target will meet it at the mean hold time.
+
+        A target is tight if the call may miss it even if it starts at once. `may_join` would then
+        reject every such call, so the mean hold time is used instead of the likely one.
+        """
         alone = call.arrived_at + call.likely_hold_us
         return alone > call.target_deadline and start + call.hold_us <= call.target_deadline
 
-    def position_until(self, call: Call) -> int:
-        """Until when the call keeps its position in the queue."""
+    def position_deadline(self, call: Call) -> int:
+        """Return until when a call keeps its position in the queue."""
         last = min(call.wait_deadline, call.deadline - call.hold_us)
         return (
             last if misses_target(call.urgency) else min(last, call.target_deadline - call.hold_us)
         )
 
-    def may_wait_on(self, call: Call, capacity: int, at: int) -> bool:
-        """Whether a call whose position is lost may wait among those of its priority that will be late."""
-        if misses_target(call.urgency) or at >= call.wait_deadline:
+    def try_demote(self, call: Call, capacity: int, now: int) -> bool:
+        """Demote a call that has lost its position to those of its priority that will be late.
+
+        Return whether it may wait there; if not, it has to be rejected.
+        """
+        if misses_target(call.urgency) or now >= call.wait_deadline:
             return False
         call.urgency += 1
-        return at + self.wait_us(call, capacity, at) <= call.wait_deadline
+        return now + self.wait_us(call, capacity, now) <= call.wait_deadline
--- a/packages/forwarding/meadowdock/forwarding/call.py
+++ b/packages/forwarding/meadowdock/forwarding/call.py
@@ -1,4 +1,4 @@
-"""One request on its way through a node, and the outcomes that it may have."""
+"""The state of a request while a node forwards it, and its possible outcomes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Served(NamedTuple):
-    """An endpoint's complete and checked answer."""
+    """The request ran: an endpoint's complete and checked response."""
 
     head: bytes  # status line and header lines, without the blank line
     body: bytes
@@ -23,14 +23,14 @@
 
 
 class Rejected(NamedTuple):
-    """The request did not run and never will: a promise."""
+    """The request did not run and never will; this is a guarantee."""
 
     code: str
-    retry_after_us: int  # when to come back; 0 if nobody can tell
+    retry_after_us: int  # how long to wait before a retry; 0 if unknown
 
 
 class OutcomeUnknown(NamedTuple):
-    """The request may have run; nobody can tell."""
+    """It is not known whether the request ran."""
 
     code: str
 
@@ -40,59 +40,60 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request. All times are in microseconds, those that end in `_deadline` or `_at` of the
-    monotonic clock.
+    """A request that a node forwards.
 
-    Invariants: deadline never moves; `on_outcome` is called once and is None afterwards; attempts
-    counts the endpoints that a byte of the request may have reached; once may_have_run is True its
-    outcome is not Rejected; it holds a slot of `endpoint` iff that is not None; it is in one place
-    at a time: in `queue`, at `endpoint` or on `peer_link`.
+    All times are in microseconds; those that end in `_deadline` or `_at` are on the monotonic clock.
+
+    Invariants: deadline never changes; `on_outcome` is called once and is None afterwards; attempts
+    counts the endpoints that any byte of the request may have reached; once may_have_run is True
+    the outcome is not Rejected; the call holds a slot of `endpoint` iff that is not None; it is in
+    one place at a time: in `queue`, at `endpoint` or on `peer_link`.
     """
 
-    id: bytes  # the caller's own
-    head: bytes  # request line and header lines to pass on, with the caller's name
+    id: bytes  # as the caller sent it
+    head: bytes  # request line and header lines to forward, with the caller's name
     body: bytes
     service: str
     idempotent: bool
     deadline: int
-    early_deadline: int  # with nobody to serve it, it is rejected by then
-    join_deadline: int  # it joins a queue only if it will likely be served by then
-    wait_deadline: int  # it waits in a queue no longer
-    arrived_at: int = 0  # when it came to this node
-    target_deadline: int = 0  # its latency target: an answer by then earns its full value
-    max_attempts: int = 1  # endpoints it may be sent to
-    route: str = ""  # its route's name, or only its priority if a peer of a former version sent it
-    hold_us: int = 0  # mean time for which calls of its route hold a slot here, when it came
-    likely_hold_us: int = 0  # most of them hold it no longer
-    priority: int = 0  # 0 goes first
-    urgency: int = 0  # among those that wait: by priority, then who can still meet its target
+    no_endpoint_deadline: int  # when it is rejected if no endpoint is known by then
+    join_deadline: int  # it may join a queue only if it will likely start by then
+    wait_deadline: int  # when it must leave the queue
+    arrived_at: int = 0  # when it arrived at this node
+    target_deadline: int = 0  # the end of its latency target
+    max_attempts: int = 1  # endpoints to which it may be sent
+    route: str = ""  # its route's name, or its priority if a peer of the previous version sent it
+    hold_us: int = 0  # on its arrival, the mean time for which calls of its route held a slot here
+    likely_hold_us: int = 0  # an upper bound that most of them kept
+    priority: int = 0  # 0 is the highest
+    urgency: int = 0  # its rank in a queue: by priority, then by whether it can meet its target
     queue_position: int = 0
-    position_until: int = 0  # then it loses its position in the queue
-    admitted: bool = False  # it joined a queue here as one that would meet its target
+    position_deadline: int = 0  # when it loses its position in the queue
+    admitted: bool = False  # it was queued here and expected to meet its target
     is_head: bool = False  # an HTTP HEAD request
-    from_peer: bool = False  # relocated to this node; else it arrived here
-    incarnation: str = ""  # of a relocated call: the endpoint that its peer believes to be here
+    from_peer: bool = False  # a peer relocated it to this node
+    incarnation: str = ""  # of a relocated call: the endpoint that its peer expects at this node
     on_outcome: Callable[[Outcome], None] | None = None
     attempts: int = 0
     may_have_run: bool = False
-    abandoned: bool = False  # its caller has left
-    tried_peers: set[str] = field(default_factory=set)  # that rejected it or could not be reached
-    asked_peers: set[str] = field(default_factory=set)  # that were asked to queue it
-    retry_after_us: int = 0  # when there may be capacity, as far as anybody said
+    cancelled: bool = False  # its caller has disconnected
+    tried_peers: set[str] = field(default_factory=set)  # peers that rejected it or were unreachable
+    queue_peers_tried: set[str] = field(default_factory=set)  # peers that were asked to queue it
+    retry_after_us: int = 0  # expected time until there is capacity, 0 if no node has reported it
     endpoint: Endpoint | None = None
     timer: Timer | None = None
     queue: WaitQueue | None = None
     peer_link: OutgoingLink | None = None
-    dispatched_at: int = 0  # when it was sent to where it is now
-    peer_handle: Handle | None = None  # its number on peer_link
+    dispatched_at: int = 0  # when it was sent to its current endpoint or peer
+    peer_handle: Handle | None = None  # identifies it on peer_link
 
     def stop_timer(self) -> None:
-        """Cancel the timer of the place where it was."""
+        """Cancel the timer that was set where the call is now."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     @property
     def size(self) -> int:
-        """Bytes to pass on."""
+        """The number of bytes to forward."""
         return len(self.head) + len(self.body)
--- a/packages/forwarding/meadowdock/forwarding/caller_timeouts.py
+++ b/packages/forwarding/meadowdock/forwarding/caller_timeouts.py
@@ -1,23 +1,23 @@
-"""How long ago a request's caller first asked, as far as its deadline tells.
+"""Estimates from a request's deadline how much time its caller has spent on earlier attempts.
 
-A caller that retries comes with a new id, and its latency target still counts from its first attempt.
-Callers of one route mostly allow the same time, so one with less of it left has probably spent the
-rest.
+A retry has a new call id, but its latency target still counts from the first attempt. Most callers
+of one route use the same time-out, so one with less time left has probably spent the difference.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-SAMPLES = 64  # latest requests of a route that are looked at
-LOOK_EVERY = 16  # requests
-USUAL = 0.9  # the share of them that has no more time left than is usual: the rest are odd ones
+SAMPLES_MAX = 64  # the latest requests of a route that are considered
+REQUESTS_PER_UPDATE = 16  # between two updates of the usual time-out
+USUAL_QUANTILE = 0.9  # of the remaining times; larger ones are treated as outliers
 
 
 class CallerTimeouts:
-    """The time that callers of one route usually allow, in microseconds. It is near the longest
-    among the latest requests, since a first attempt has more time left than a retry; a few
-    callers with much longer deadlines don't count.
+    """The usual time-out of the callers of one route, in microseconds.
+
+    It is close to the longest remaining time among the latest requests, since a first attempt has
+    more time left than a retry. A few callers with much longer deadlines are ignored.
 
     >>> timeouts = CallerTimeouts()
     >>> timeouts.time_spent_us(1500), timeouts.time_spent_us(1100), timeouts.time_spent_us(1500)
@@ -27,19 +27,19 @@
     (0, 0, 100)
     """
 
-    __slots__ = ("latest", "seen", "usual_us")
+    __slots__ = ("latest", "request_count", "usual_us")
 
     def __init__(self) -> None:
-        self.latest: deque[int] = deque(maxlen=SAMPLES)
-        self.seen = self.usual_us = 0
-
-    def time_spent_us(self, left_us: int) -> int:
-        """How much of its time a request has probably spent when it comes with so much left."""
-        self.latest.append(left_us)
-        self.seen += 1
-        if self.seen % LOOK_EVERY == 0:
+        self.latest: deque[int] = deque(maxlen=SAMPLES_MAX)
+        self.request_count = self.usual_us = 0
+
+    def time_spent_us(self, remaining_us: int) -> int:
+        """Estimate how much of its time-out a request with this remaining time has spent."""
+        self.latest.append(remaining_us)
+        self.request_count += 1
+        if self.request_count % REQUESTS_PER_UPDATE == 0:
             in_order = sorted(self.latest)
-            self.usual_us = in_order[int(USUAL * (len(in_order) - 1))]
-        elif self.seen < LOOK_EVERY:
-            self.usual_us = max(self.usual_us, left_us)
-        return max(0, self.usual_us - left_us)
+            self.usual_us = in_order[int(USUAL_QUANTILE * (len(in_order) - 1))]
+        elif self.request_count < REQUESTS_PER_UPDATE:
+            self.usual_us = max(self.usual_us, remaining_us)
+        return max(0, self.usual_us - remaining_us)
--- a/packages/forwarding/meadowdock/forwarding/dialect.py
+++ b/packages/forwarding/meadowdock/forwarding/dialect.py
@@ -1,4 +1,4 @@
-"""The names of the HTTP headers by which a deployment carries what the mesh has to know."""
+"""The names of the HTTP headers that the mesh uses in a deployment."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 @dataclass(frozen=True)
 class Dialect:
-    """Header names, as bytes; compared without regard to case, sent as written here."""
+    """Header names as bytes; they are compared case-insensitively and sent as given here."""
 
-    call_id: bytes = b"md-call"  # of an attempt; the endpoint sends it back
-    deadline: bytes = b"md-due"  # the time left, in whole units
-    deadline_unit_us: int = 1  # microseconds
-    stamp: bytes = b""  # proves an endpoint's response; b"": there is no such proof
-    target_instance: bytes = b"md-incarnation"  # the endpoint that may run the call; others refuse
-    health_instance: bytes = b"md-incarnation"  # the endpoint that answers a health check
+    call_id: bytes = b"md-call"  # identifies an attempt; the endpoint returns it in its response
+    deadline: bytes = b"md-due"  # the remaining time, in units of deadline_unit_us
+    deadline_unit_us: int = 1
+    stamp: bytes = b""  # on successful responses of endpoints; b"" if the deployment has none
+    target_instance: bytes = b"md-incarnation"  # the only instance that may run the call
+    health_instance: bytes = b"md-incarnation"  # the instance that answers a health check
     load: bytes = b"md-load"  # on responses: "running,waiting,slots"
-    not_run: bytes = b"md-not-run"  # its presence on a response says that the call did not run
+    not_run: bytes = b"md-not-run"  # present on a response if the call did not run
     caller: bytes = b"md-caller"  # the calling service
-    error_field: str = "detail"  # of the JSON bodies of our own errors: says what is wrong
+    error_field: str = "detail"  # the field of the mesh's own JSON error bodies with the reason
 
     @cached_property
     def names(self) -> frozenset[bytes]:
-        """The headers of calls in lower case: what is kept apart from a call's own headers.
+        """The mesh's headers of calls in lower case, which are separated from a call's own headers.
 
         >>> b"md-call" in Dialect().names, b"" in Dialect().names
         (True, False)
--- a/packages/forwarding/meadowdock/forwarding/dispatcher.py
+++ b/packages/forwarding/meadowdock/forwarding/dispatcher.py
@@ -1,8 +1,8 @@
-"""Drives each call from its arrival to its one outcome.
+"""Drives each call from its arrival to its single outcome.
 
-The decisions are made in modules without I/O: where it goes in `placement`, whether it waits in
-`admission`, whether it is sent again in `retries`. They are carried out at the place where the call
-then is: `local_calls`, `peer_calls`, `queueing`.
+Decisions are made in modules without I/O: `placement` chooses the node, `admission` decides whether
+a call may wait, and `retries` whether it is sent again. They are carried out by `local_calls`,
+`peer_calls` and `queueing`, depending on where the call is.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from meadowdock.forwarding.outcome_codes import (
     BUSY,
     CANCELLED,
-    GONE,
-    LATE,
-    LOST,
+    CONNECTION_LOST,
+    DEADLINE_PASSED,
     NO_ANSWER,
+    NO_ENDPOINT,
 )
 from meadowdock.forwarding.peer_calls import PeerCalls
-from meadowdock.forwarding.peer_frames import CALL_SIZE_MAX
+from meadowdock.forwarding.peer_frames import CALL_MAX_BYTES
 from meadowdock.forwarding.placement import Thresholds, ZonePlacement, local_state
 from meadowdock.forwarding.queueing import Queueing
-from meadowdock.forwarding.retries import RetryPolicy, final_rejection, rejection_of_relocated
+from meadowdock.forwarding.retries import RetryPolicy, final_outcome, rejection_for_peer
 from meadowdock.load_sharing import LOCAL, Choice
 from meadowdock.runtime import monotonic_us
 
@@ -37,15 +37,15 @@
     from meadowdock.forwarding.interfaces import Endpoint, EndpointRegistry, Logger, Network
     from meadowdock.forwarding.reactor import Reactor
 
-QUEUE_PEERS_MAX = 2  # peers without capacity that are asked to let a call wait there
-TRIED_PEERS_MAX = 3  # peers without capacity, after which the call waits or is rejected
+QUEUE_PEERS_MAX = 2  # peers that are asked to queue a call
+TRIED_PEERS_MAX = 3  # after so many peers without capacity a call is queued or rejected
 
 
 class Dispatcher:
-    """All calls of this node, of its callers and of its peers.
+    """Handles all calls of this node, those of local callers and those that peers relocated here.
 
-    Invariants: calls holds every call that arrived here or was relocated here and has no outcome
-    yet; a call is in one place at a time: in a queue, at an endpoint here, or at a peer.
+    Invariants: calls holds every call that arrived or was relocated here and has no outcome yet; a
+    call is in one place at a time: in a queue, at a local endpoint, or at a peer.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.network, self.reactor, self.registry = network, reactor, registry
         self.dialect, self.log = dialect, log
         self.placement, self.loads, self.retries = placement, placement.loads, retries
-        self.thresholds = Thresholds(0.0, 0.0, 0)  # until a configuration is in force
+        self.thresholds = Thresholds(0.0, 0.0, 0)  # until a configuration is active
         self.admission = Admission()
         self.figures = FiguresLog(log)
         self.invariants = Invariants(log)
@@ -71,42 +71,43 @@
         self.local_calls = LocalCalls(self)
         self.peer_calls = PeerCalls(self)
 
-    # ------------------------------------------------------------ arrival
-
-    def dispatch(self, call: Call, at: int) -> None:
-        """A call of a caller on this machine."""
-        self.admission.estimate(call, at)
+    def dispatch(self, call: Call, now: int) -> None:
+        """Handle a new call of a local caller."""
+        self.admission.estimate(call, now)
         self.counts["calls"] += 1
-        self.figures.arrived(call)
-        self.retries.budget(call.service).deposit(at)
+        self.figures.count_arrival(call)
+        self.retries.budget(call.service).deposit(now)
         self.calls.add(call)
         self.place(call)
 
-    def relocated_here(self, call: Call) -> None:
-        """A call of a peer's caller: capacity, incarnation and deadline are looked at here again."""
+    def dispatch_relocated(self, call: Call) -> None:
+        """Handle a call that a peer relocated here.
+
+        The endpoint, its capacity and the deadline are checked again, since they may have changed.
+        """
         self.calls.add(call)
         self.counts["taken"] += 1
-        self.figures.arrived(call)
+        self.figures.count_arrival(call)
         if monotonic_us() >= call.deadline:
-            self.finish(call, Rejected(LATE, 0))
+            self.finish(call, Rejected(DEADLINE_PASSED, 0))
             return
         endpoint = self.endpoint_for(call)
         if endpoint is None:
-            self.finish(call, Rejected(GONE, 0))
+            self.finish(call, Rejected(NO_ENDPOINT, 0))
             return
-        at = monotonic_us()
-        self.admission.estimate(call, at)
-        if endpoint.has_capacity:  # then nobody is in the queue
+        now = monotonic_us()
+        self.admission.estimate(call, now)
+        if endpoint.has_capacity:  # so the queue is empty
             self.local_calls.start(call, endpoint)
             return
-        call.retry_after_us = self.admission.wait_us(call, endpoint.capacity, at)
-        if self.admission.may_join(call, call.retry_after_us, at):
+        call.retry_after_us = self.admission.wait_us(call, endpoint.capacity, now)
+        if self.admission.may_join(call, call.retry_after_us, now):
             self.queueing.admit(call)
             return
         self.finish(call, Rejected(BUSY, call.retry_after_us))
 
     def endpoint_for(self, call: Call) -> Endpoint | None:
-        """The endpoint here that its peer meant, or the one that takes the next call."""
+        """Return the local endpoint that the peer selected, or the one that gets the next call."""
         endpoint = self.registry.local_endpoint(call.service)
         if endpoint is None or not call.incarnation or endpoint.incarnation == call.incarnation:
             return endpoint
@@ -115,28 +116,26 @@
                 return other
         return endpoint
 
-    # ------------------------------------------------------------ placement
-
-    def choose(self, call: Call, at: int) -> tuple[Choice, Endpoint | None]:
-        """Where a call goes at a time, and the endpoint here that takes the service's next call."""
+    def choose(self, call: Call, now: int) -> tuple[Choice, Endpoint | None]:
+        """Return where a call goes now, and the local endpoint that gets the service's next call."""
         service = call.service
         endpoint = self.registry.local_endpoint(service)
         local = local_state(endpoint, self.registry.service_loads.get(service))
-        choice = self.placement.choose(service, local, self.thresholds, call.tried_peers, at)
+        choice = self.placement.choose(service, local, self.thresholds, call.tried_peers, now)
         return choice, endpoint
 
     def place(self, call: Call) -> None:
-        """Send a call to where it goes now, or let it wait; it is in no place yet."""
-        if call.abandoned:
+        """Send a call to an endpoint or a peer, or queue or reject it."""
+        if call.cancelled:
             self.finish(call, Rejected(CANCELLED, 0))
             return
-        at = monotonic_us()
-        if at >= call.deadline:
-            late = OutcomeUnknown(NO_ANSWER) if call.may_have_run else Rejected(LATE, 0)
+        now = monotonic_us()
+        if now >= call.deadline:
+            late = OutcomeUnknown(NO_ANSWER) if call.may_have_run else Rejected(DEADLINE_PASSED, 0)
             self.finish(call, late)
             return
         while True:
-            choice, endpoint = self.choose(call, at)
+            choice, endpoint = self.choose(call, now)
             self.counts[f"rule.{choice.rule}"] += 1
             if choice.placement is LOCAL and endpoint is not None:
                 self.local_calls.start(call, endpoint)
@@ -145,83 +144,87 @@
             if node is None or len(call.tried_peers) >= TRIED_PEERS_MAX:
                 self.queue_or_reject(call, endpoint)
                 return
-            if call.size > CALL_SIZE_MAX:  # no link takes it
+            if call.size > CALL_MAX_BYTES:  # too large for a frame of a peer link
                 self.queue_or_reject(call, endpoint)
                 return
             if self.peer_calls.relocate(call, node):
                 return
 
     def queue_or_reject(self, call: Call, endpoint: Endpoint | None) -> None:
-        """No peer is known to have capacity. The call waits here if that will likely be in time;
-        else, or without an endpoint here, at a peer that lets it."""
-        at = monotonic_us()
+        """Queue a call for which no peer is known to have capacity, or reject it.
+
+        It is queued here if it will likely be served in time. If not, or if there is no endpoint
+        here, it is queued at a peer that accepts it.
+        """
+        now = monotonic_us()
         if endpoint is not None:
             if endpoint.has_capacity:
                 self.local_calls.start(call, endpoint)
                 return
-            call.retry_after_us = self.admission.wait_us(call, endpoint.capacity, at)
-            if self.admission.may_join(call, call.retry_after_us, at):
+            call.retry_after_us = self.admission.wait_us(call, endpoint.capacity, now)
+            if self.admission.may_join(call, call.retry_after_us, now):
                 self.queueing.admit(call)
                 return
-        if self.queue_at_peer(call, at):
+        if self.queue_at_peer(call, now):
             return
-        if endpoint is None and at < call.early_deadline:
-            # an endpoint, or a load list, may come any moment
-            call.wait_deadline = min(call.wait_deadline, call.early_deadline)
+        if endpoint is None and now < call.no_endpoint_deadline:
+            # an endpoint may register, or a load list arrive, at any moment
+            call.wait_deadline = min(call.wait_deadline, call.no_endpoint_deadline)
             self.queueing.join(call)
             return
-        self.give_up(call, BUSY if endpoint is not None or call.asked_peers else GONE)
+        self.reject(call, BUSY if endpoint is not None or call.queue_peers_tried else NO_ENDPOINT)
 
-    def queue_at_peer(self, call: Call, at: int) -> bool:
-        """Whether the call is on its way to a peer in whose queue it may wait."""
-        while len(call.asked_peers) < QUEUE_PEERS_MAX and at < call.join_deadline:
-            node = self.placement.peer_to_queue_at(call.service, call.asked_peers)
-            if node is None or call.size > CALL_SIZE_MAX:
+    def queue_at_peer(self, call: Call, now: int) -> bool:
+        """Send the call to a peer that may queue it; return whether there is such a peer."""
+        while len(call.queue_peers_tried) < QUEUE_PEERS_MAX and now < call.join_deadline:
+            node = self.placement.peer_to_queue_at(call.service, call.queue_peers_tried)
+            if node is None or call.size > CALL_MAX_BYTES:
                 return False
-            call.asked_peers.add(node.address)
+            call.queue_peers_tried.add(node.address)
             if self.peer_calls.relocate(call, node, True):
                 return True
         return False
 
     def place_queued(self) -> None:
-        """A new load list came: peers may have capacity for the calls that wait here."""
+        """Place queued calls at peers that have capacity according to a new load list."""
         for service in list(self.admission.queues):
-            self.queueing.place_waiting(service)
-
-    # ------------------------------------------------------------ retries and outcomes
+            self.queueing.place_queued_calls(service)
 
-    def after_not_run(self, call: Call, code: str) -> None:
-        """Place the call again, or reject it."""
+    def on_not_run(self, call: Call, code: str) -> None:
+        """Place a call that did not run again, or reject it."""
         if call.from_peer:
-            self.finish(call, rejection_of_relocated(call, code))
-        elif self.retries.after_not_run(call, monotonic_us()):
+            self.finish(call, rejection_for_peer(call, code))
+        elif self.retries.may_retry_not_run(call, monotonic_us()):
             self.place(call)
         else:
-            self.give_up(call, code)
+            self.reject(call, code)
 
-    def outcome_unknown(self, call: Call, code: str) -> None:
-        """The call may have run: place it again if it is idempotent and may be retried."""
+    def on_outcome_unknown(self, call: Call, code: str) -> None:
+        """Place a call that may have run again if it may be retried, else report its outcome."""
         if call.on_outcome is None:
             return
-        self.peer_calls.leave(call)
+        self.peer_calls.detach(call)
         if code == NO_ANSWER and call.endpoint is not None:
-            # it would have held the slot that long at least
-            self.admission.learn(call, monotonic_us() - call.dispatched_at)
+            # without the deadline it would have held the slot at least that long
+            self.admission.observe(call, monotonic_us() - call.dispatched_at)
         self.local_calls.free_slot(call, monotonic_us())
         self.counts[f"unknown.{code}"] += 1
         call.may_have_run = True
-        if self.retries.after_unknown(call, code, monotonic_us()):
+        if self.retries.may_retry_unknown(call, code, monotonic_us()):
             self.counts["second_try"] += 1
             self.place(call)
         else:
             self.finish(call, OutcomeUnknown(code))
 
-    def cancelled(self, call: Call) -> None:
-        """Nobody needs an answer any more: what has not begun does not begin, and what is idempotent
-        is broken off; anything else that was begun is finished."""
+    def cancel(self, call: Call) -> None:
+        """Cancel a call whose caller has disconnected.
+
+        A call that has not started is dropped. An idempotent call is aborted; any other that has started
+        runs to its end.
+        """
         if call.on_outcome is None:
             return
-        call.abandoned = True
+        call.cancelled = True
         if call.queue is not None:
             call.queue.leave(call)
             self.finish(call, Rejected(CANCELLED, 0))
@@ -230,19 +233,19 @@
         elif call.endpoint is not None:
             self.local_calls.cancel(call, call.endpoint)
 
-    def give_up(self, call: Call, code: str) -> None:
-        """No capacity in time: the final outcome, at once."""
-        self.finish(call, final_rejection(call, code, monotonic_us()))
+    def reject(self, call: Call, code: str) -> None:
+        """Reject a call for which there is no capacity in time."""
+        self.finish(call, final_outcome(call, code, monotonic_us()))
 
     def finish(self, call: Call, outcome: Outcome) -> None:
-        """Report the outcome; a second one is passed over."""
+        """Report the outcome of a call, unless it already has one."""
         on_outcome, call.on_outcome = call.on_outcome, None
         if on_outcome is None:
             return
         call.stop_timer()
         self.calls.discard(call)
         if isinstance(outcome, Rejected) and call.may_have_run:
-            outcome = OutcomeUnknown(LOST)
+            outcome = OutcomeUnknown(CONNECTION_LOST)
         if isinstance(outcome, Served):
             self.counts[f"answer.{outcome.status // 100}xx"] += 1
         else:
@@ -250,19 +253,17 @@
         on_outcome(outcome)
 
     def count_failure(self, call: Call, outcome: Rejected | OutcomeUnknown) -> None:
-        """Count a call that got no endpoint's answer."""
+        """Count a call that got no response of an endpoint."""
         rejected = isinstance(outcome, Rejected)
         if rejected:
-            self.figures.rejected(call, outcome.code)
+            self.figures.count_rejection(call, outcome.code)
         if not call.from_peer:
             self.counts[f"{'refused' if rejected else 'unknown'}.{outcome.code}"] += 1
 
-    # ------------------------------------------------------------ upkeep
-
-    def report(self, at: int, log_fields: Callable[[str], dict[str, object]]) -> None:
-        """Log and check what happened since the last report.
+    def report(self, now: int, log_fields: Callable[[str], dict[str, object]]) -> None:
+        """Log statistics since the last report and check invariants.
 
-        :param log_fields: what is known of a service, as fields of a log event
+        :param log_fields: returns the state of a service as fields of a log event
         """
-        self.figures.report(at, log_fields, self.invariants.check_queue)
-        self.invariants.check_slots(self.admission, self.calls, at)
+        self.figures.report(now, log_fields, self.invariants.check_queue)
+        self.invariants.check_slots(self.admission, self.calls, now)
--- a/packages/forwarding/meadowdock/forwarding/downstream.py
+++ b/packages/forwarding/meadowdock/forwarding/downstream.py
@@ -1,4 +1,4 @@
-"""A caller's connection: requests in, answers out in the same order."""
+"""A caller's connection: reads requests and sends responses in the same order."""
 
 from __future__ import annotations
 
@@ -16,27 +16,28 @@
     from meadowdock.forwarding.gateway import Gateway
     from meadowdock.forwarding.interfaces import Connection
 
-PENDING_MAX = 64  # requests under way on one connection; more wait in the kernel
-UNSENT_MAX = 1 << 20  # bytes that a caller does not read
-KEEP_ALIVE_S = 3  # callers are told not to use a connection that was idle for so long
-KEEP_ALIVE_US = KEEP_ALIVE_S * SECOND + 3 * SECOND // 2  # and so long it is kept
+PENDING_REQUESTS_MAX = 64  # on one connection; further requests stay in the kernel's buffer
+UNSENT_MAX_BYTES = 1 << 20  # of responses that a caller does not read; then it is not read either
+KEEP_ALIVE_S = 3  # the idle time-out that is announced to callers
+KEEP_ALIVE_US = KEEP_ALIVE_S * SECOND + 3 * SECOND // 2  # the idle time-out that is applied
 KEEP_ALIVE_LINE = b"Keep-Alive: timeout=%d\r\n\r\n" % KEEP_ALIVE_S
 CLOSE_LINE = b"Connection: close\r\n\r\n"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-STUCK_MAX_US = 10 * SECOND  # a caller that takes no byte for so long is dropped
+BLOCKED_WRITE_TIMEOUT_US = 10 * SECOND  # a caller that reads nothing for so long is disconnected
 
 
 class PendingAnswer:
-    """The position of one request in the order of answers.
+    """The response that is still due to one request, in the order of requests.
 
-    Invariants: data is None until answered; call is the request's, or None if it never became one.
+    Invariants: data is None until there is a response; call is None if the request was rejected
+    before it became a call.
     """
 
     __slots__ = ("data", "close", "call")
 
     def __init__(self, close: bool) -> None:
         self.data: tuple[bytes, bytes] | None = None  # head and body
-        self.close = close  # the connection, behind it
+        self.close = close  # whether the connection is closed after the response
         self.call: Call | None = None
 
 
@@ -44,7 +45,7 @@
     """One connection of a caller.
 
     Invariants: pending holds an entry for each request that was read and not yet answered, in order;
-    nothing is read any more once `over` is set.
+    no request is read once `reading_ended` is set.
     """
 
     def __init__(self, gateway: Gateway, connection: Connection) -> None:
@@ -52,59 +53,60 @@
         connection.owner = self
         self.requests = RequestParser(gateway.limits, gateway.dialect.names)
         self.pending: deque[PendingAnswer] = deque()
-        self.over = False
-        self.keep_alive_sent = False  # the caller knows for how long the connection is kept
-        self.begun_at = 0  # when the request that is partly read began
-        self.quiet_since = monotonic_us()
-
-    # ------------------------------------------------------------ in
+        self.reading_ended = False
+        self.keep_alive_sent = False  # the idle time-out was announced to the caller
+        self.partial_request_since = 0  # when an incomplete request began to arrive, 0 if none has
+        self.last_activity_at = monotonic_us()
 
     def on_data(self, data: bytes) -> None:
-        """Bytes of the caller."""
-        if self.over:
+        """Handle bytes from the caller."""
+        if self.reading_ended:
             return
         requests = self.requests
         requests.feed(data)
         if requests.complete:
-            self.begun_at = 0  # what is partly read now began just now
+            self.partial_request_since = 0  # the next request has only begun to arrive now
             complete, requests.complete = requests.complete, []
             for request in complete:
-                self.gateway.request_arrived(self, request)
+                self.gateway.on_request(self, request)
         if requests.error_status:
             self.end_with_error(requests.error_status, "the request can't be read")
         self.send_continue()
-        at = monotonic_us()
-        self.quiet_since = at
-        self.begun_at = (self.begun_at or at) if requests.in_progress else 0
-        if len(self.pending) >= PENDING_MAX or self.connection.unsent_size > UNSENT_MAX:
+        now = monotonic_us()
+        self.last_activity_at = now
+        self.partial_request_since = (
+            (self.partial_request_since or now) if requests.in_progress else 0
+        )
+        if (
+            len(self.pending) >= PENDING_REQUESTS_MAX
+            or self.connection.unsent_size > UNSENT_MAX_BYTES
+        ):
             self.connection.pause()
 
     def send_continue(self) -> None:
-        """Let a caller that waits for leave send its body, once all before it is answered."""
+        """Send "100 Continue" to a caller that expects it, once earlier requests are answered."""
         requests = self.requests
         waits = requests.wants_continue and requests.in_progress
-        if waits and not self.pending and not self.over:
+        if waits and not self.pending and not self.reading_ended:
             requests.wants_continue = False
             self.connection.send(CONTINUE)
 
-    def append(self, request: Request) -> PendingAnswer:
-        """The position of a request's answer."""
+    def add_pending(self, request: Request) -> PendingAnswer:
+        """Add a pending answer for a request and return it."""
         pending = PendingAnswer(not request.keep_alive)
         if not request.keep_alive:
-            self.over = True
+            self.reading_ended = True
         self.pending.append(pending)
         return pending
 
-    def expect(self, request: Request, call: Call) -> Callable[[Outcome], None]:
-        """What to call with the outcome of this request's call."""
-        pending = self.append(request)
+    def add_call(self, request: Request, call: Call) -> Callable[[Outcome], None]:
+        """Add a pending answer for a request's call and return the callback for its outcome."""
+        pending = self.add_pending(request)
         pending.call = call
-        return lambda outcome: self.outcome(pending, outcome)
+        return lambda outcome: self.on_outcome(pending, outcome)
 
-    # ------------------------------------------------------------ out
-
-    def outcome(self, pending: PendingAnswer, outcome: Outcome) -> None:
-        """Answer a request with its call's outcome."""
+    def on_outcome(self, pending: PendingAnswer, outcome: Outcome) -> None:
+        """Answer a request with the outcome of its call."""
         if isinstance(outcome, Served):
             self.send(pending, outcome.head, outcome.body)
         elif isinstance(outcome, Rejected):
@@ -113,22 +115,22 @@
             self.send_error(pending, 504 if outcome.code == NO_ANSWER else 502, outcome.code)
 
     def answer_rejected(self, request: Request, rejected: Rejected) -> None:
-        """Answer a request that did not become a call: come again."""
-        self.send_rejected(self.append(request), rejected)
+        """Answer a request that is rejected before it became a call, and may be retried."""
+        self.send_rejected(self.add_pending(request), rejected)
 
     def answer_error(self, request: Request, status: int, detail: str) -> None:
-        """Answer a request that did not become a call."""
-        self.send_error(self.append(request), status, detail)
+        """Answer a request that is invalid with an error."""
+        self.send_error(self.add_pending(request), status, detail)
 
     def end_with_error(self, status: int, detail: str) -> None:
-        """Answer what was no complete request, and close the connection behind it."""
-        self.over = True
+        """Answer an incomplete or malformed request and close the connection afterwards."""
+        self.reading_ended = True
         pending = PendingAnswer(True)
         self.pending.append(pending)
         self.send_error(pending, status, detail)
 
     def send_rejected(self, pending: PendingAnswer, rejected: Rejected) -> None:
-        """An answer that says that the request did not run, and when to come back."""
+        """Send an error response for a request that did not run, with the time for a retry."""
         retry_after = b""
         if rejected.retry_after_us:
             retry_after = b"Retry-After: %.3f\r\n" % (rejected.retry_after_us / SECOND)
@@ -137,7 +139,7 @@
     def send_error(
         self, pending: PendingAnswer, status: int, detail: str, lines: bytes = b""
     ) -> None:
-        """An answer of our own, as JSON."""
+        """Send an error response with a JSON body."""
         body = json.dumps({self.gateway.dialect.error_field: detail}).encode()
         head = b"%s%sContent-Type: application/json\r\nContent-Length: %d\r\n" % (
             status_line(status),
@@ -146,17 +148,17 @@
         )
         self.send(pending, head, body)
 
-    def send(self, answered: PendingAnswer, head: bytes, body: bytes) -> None:
-        """An answer is there: send all that are next in order."""
-        answered.data = head, body
+    def send(self, ready: PendingAnswer, head: bytes, body: bytes) -> None:
+        """Store a response and send all responses that are next in order."""
+        ready.data = head, body
         pending = self.pending
-        if pending[0] is not answered:
+        if pending[0] is not ready:
             return
         out: list[bytes] = []
         closed = False
         while pending and (data := pending[0].data) is not None and not closed:
             answer = pending.popleft()
-            closed = answer.close or self.closes_now()
+            closed = answer.close or self.is_last_answer()
             out += [data[0], CLOSE_LINE if closed else KEEP_ALIVE_LINE, data[1]]
             self.keep_alive_sent = True
         if self.connection.closed:
@@ -164,69 +166,82 @@
         self.connection.send(b"".join(out))
         if closed:
             self.finish()
-        elif len(pending) < PENDING_MAX // 2 and self.connection.unsent_size <= UNSENT_MAX:
+        elif (
+            len(pending) < PENDING_REQUESTS_MAX // 2
+            and self.connection.unsent_size <= UNSENT_MAX_BYTES
+        ):
             self.connection.resume()
         if not closed:
             self.send_continue()
-        self.quiet_since = monotonic_us()
+        self.last_activity_at = monotonic_us()
 
-    def closes_now(self) -> bool:
-        """Whether a gateway that shuts down makes this answer the last one. A caller that sent more
-        behind it would have to send that again, so it is answered first."""
-        return self.gateway.closing and not self.pending and not self.requests.in_progress
+    def is_last_answer(self) -> bool:
+        """Return whether the connection is closed after this response because of a shutdown.
 
-    # ------------------------------------------------------------ time
+        Requests that were already received on the connection are answered first, as their caller
+        would have to send them again.
+        """
+        return self.gateway.closing and not self.pending and not self.requests.in_progress
 
-    def check_timeouts(self, at: int) -> None:
-        """Bounds on what a caller may take: a head in time, an idle connection for so long."""
+    def check_timeouts(self, now: int) -> None:
+        """Enforce the time-outs for request heads, idle connections and blocked writes."""
         limits, connection = self.gateway.limits, self.connection
         idle = not self.pending and not self.requests.in_progress
-        if connection.blocked_since and at - connection.blocked_since > STUCK_MAX_US:
+        if connection.blocked_since and now - connection.blocked_since > BLOCKED_WRITE_TIMEOUT_US:
             self.drop()
-        elif self.begun_at and self.requests.in_head and at - self.begun_at > limits.header_us:
-            self.begun_at = 0
+        elif (
+            self.partial_request_since
+            and self.requests.in_head
+            and now - self.partial_request_since > limits.header_us
+        ):
+            self.partial_request_since = 0
             self.end_with_error(408, "the request's head took too long")
-        elif idle and at - self.quiet_since > self.idle_max_us():
+        elif idle and now - self.last_activity_at > self.idle_max_us():
             self.drop()
         elif (
             connection.read_paused
-            and len(self.pending) < PENDING_MAX // 2
+            and len(self.pending) < PENDING_REQUESTS_MAX // 2
             and connection.unsent_size == 0
         ):
             connection.resume()
 
     def idle_max_us(self) -> int:
-        """How long it may be idle: as configured, but a caller that was sent a shorter time doesn't
-        use it any more."""
+        """Return the idle time-out of the connection.
+
+        It is the configured one, unless a shorter one was announced: then the caller will not use the
+        connection any longer.
+        """
         idle_us = self.gateway.limits.idle_us
         return min(idle_us, KEEP_ALIVE_US) if self.keep_alive_sent else idle_us
 
     def in_use(self) -> bool:
-        """Whether a request is under way, or bytes for the caller are not sent yet."""
+        """Return whether a request is pending or a response is not completely sent."""
         return bool(self.pending or self.connection.unsent_size)
 
     def close_if_idle(self) -> None:
-        """The gateway shuts down: a connection with nothing under way is closed."""
+        """Close the connection if it has no pending request; called at shutdown."""
         if not self.pending and not self.requests.in_progress:
             self.finish()
 
     def finish(self) -> None:
-        """Close once all that was answered is sent."""
-        self.over = True
+        """Close the connection once all responses are sent."""
+        self.reading_ended = True
         self.connection.finish()
         self.gateway.connections.discard(self)
 
     def drop(self) -> None:
-        """Close now."""
-        self.over = True
+        """Close the connection now."""
+        self.reading_ended = True
         self.connection.close()
         self.on_end("dropped")
 
     def on_end(self, cause: object) -> None:
-        """The caller is gone. What was begun is finished, and nobody is answered; what waits for a
-        slot is cancelled."""
-        self.over = True
+        """Cancel the pending calls after the caller has disconnected.
+
+        See `Dispatcher.cancel` for which of them still run to their end.
+        """
+        self.reading_ended = True
         self.gateway.connections.discard(self)
         for pending in list(self.pending):
             if pending.call is not None:
-                self.gateway.dispatcher.cancelled(pending.call)
+                self.gateway.dispatcher.cancel(pending.call)
--- a/packages/forwarding/meadowdock/forwarding/figures.py
+++ b/packages/forwarding/meadowdock/forwarding/figures.py
@@ -1,4 +1,4 @@
-"""What was done for each service and priority since the last report: the figures behind an overload."""
+"""Counts calls by service and priority, and logs the counts of overloaded services."""
 
 from __future__ import annotations
 
@@ -9,34 +9,32 @@
 from meadowdock.forwarding.call import Call
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us
 
-REPORT_EVERY = SECOND
+REPORT_INTERVAL_US = SECOND
 
 
 @dataclass(slots=True)
 class PriorityFigures:
-    """Counts of calls of one service and priority, and sums of times in microseconds."""
+    """Counts of calls and sums of times in microseconds, for one service and priority."""
 
     arrived: int = 0  # from callers on this machine
     relocated_here: int = 0  # from peers
-    left_us: int = 0  # of those arrived: how long their callers still wait
+    left_us: int = 0  # sum over `arrived` of the time until their deadlines
     started: int = 0  # given a slot here
-    start_wait_us: int = 0  # of those started: from their arrival here
-    late_starts: int = 0  # started though their latency target had passed
+    start_wait_us: int = 0  # sum over `started` of the time from arrival to start
+    late_starts: int = 0  # started although their latency target had passed
     in_time: int = 0  # ended here within their latency target
-    late: int = 0  # ended here after it
-    hold_us: int = 0  # of those ended: from their start
-    admitted_in_time: int = 0  # queued here to meet their target, and did
-    admitted_late: int = 0  # queued here to meet their target, and were late or rejected
-    rejected: Counter[str] = field(
-        default_factory=Counter
-    )  # reason -> calls, of callers and of peers
+    late: int = 0  # ended here after their latency target
+    hold_us: int = 0  # sum over `in_time` and `late` of the time from start to end
+    admitted_in_time: int = 0  # queued here to meet their target, and met it
+    admitted_late: int = 0  # queued here to meet their target, but late or rejected
+    rejected: Counter[str] = field(default_factory=Counter)  # by reason, from callers and peers
 
 
 class FiguresLog:
-    """The figures of all services here, reported once an interval for those that ran short of capacity.
+    """Collects the figures of all services and logs those of services that rejected calls.
 
-    Invariants: an interval is REPORT_EVERY long or longer; a call is counted in the interval in
-    which the counted event happened.
+    Invariants: an interval is at least REPORT_INTERVAL_US long; each event of a call is counted in
+    the interval in which it happened.
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
@@ -45,15 +43,15 @@
         self.services: dict[str, dict[int, PriorityFigures]] = {}
 
     def for_call(self, call: Call) -> PriorityFigures:
-        """The figures of a call's service and priority since the last report."""
+        """Return the figures of a call's service and priority since the last report."""
         priorities = self.services.setdefault(call.service, {})
         found = priorities.get(call.priority)
         if found is None:
             found = priorities[call.priority] = PriorityFigures()
         return found
 
-    def arrived(self, call: Call) -> None:
-        """A call came here, from a caller or a peer."""
+    def count_arrival(self, call: Call) -> None:
+        """Count a call that has arrived from a caller or a peer."""
         figures = self.for_call(call)
         if not call.from_peer:
             figures.arrived += 1
@@ -61,47 +59,50 @@
         else:
             figures.relocated_here += 1
 
-    def started(self, call: Call, at: int) -> None:
-        """A call was given a slot."""
+    def count_start(self, call: Call, now: int) -> None:
+        """Count a call that has got a slot."""
         figures = self.for_call(call)
         figures.started += 1
-        figures.start_wait_us += at - call.arrived_at
-        figures.late_starts += at > call.target_deadline
+        figures.start_wait_us += now - call.arrived_at
+        figures.late_starts += now > call.target_deadline
 
-    def ended(self, call: Call, at: int) -> None:
-        """A call left its slot with an answer."""
+    def count_end(self, call: Call, now: int) -> None:
+        """Count a call that has ended with a response."""
         figures = self.for_call(call)
-        if at <= call.target_deadline:
+        if now <= call.target_deadline:
             figures.in_time += 1
             figures.admitted_in_time += call.admitted
         else:
             figures.late += 1
             figures.admitted_late += call.admitted
-        figures.hold_us += at - call.dispatched_at
+        figures.hold_us += now - call.dispatched_at
 
-    def not_served(self, call: Call) -> None:
-        """A queued call is rejected without having been started."""
+    def count_unserved(self, call: Call) -> None:
+        """Count a queued call that is rejected without having started."""
         self.for_call(call).admitted_late += call.admitted
 
-    def rejected(self, call: Call, code: str) -> None:
-        """A call was rejected, not run."""
+    def count_rejection(self, call: Call, code: str) -> None:
+        """Count a call that was rejected without having run."""
         self.for_call(call).rejected[code] += 1
 
     def report(
         self,
-        at: int,
+        now: int,
         log_fields: Callable[[str], dict[str, object]],
-        judge: Callable[[str, int, PriorityFigures, int], None],
+        check_interval: Callable[[str, int, PriorityFigures, int], None],
     ) -> None:
-        """Log the services that ran short of capacity, with what else the caller knows of each, and
-        have the figures of each service and priority judged."""
-        length = at - self.since
-        if length < REPORT_EVERY:
+        """Log the figures of services that rejected calls, and start the next interval.
+
+        :param log_fields: returns additional fields of a service's log event
+        :param check_interval: called with the figures of each service and priority
+        """
+        length = now - self.since
+        if length < REPORT_INTERVAL_US:
             return
-        services, self.services, self.since = self.services, {}, at
+        services, self.services, self.since = self.services, {}, now
         for service, priorities in services.items():
             for priority, figures in priorities.items():
-                judge(service, priority, figures, at)
+                check_interval(service, priority, figures, now)
             if any(figures.rejected for figures in priorities.values()):
                 by_priority = {each: summary(priorities[each]) for each in sorted(priorities)}
                 self.log(
@@ -114,7 +115,7 @@
 
 
 def summary(figures: PriorityFigures) -> dict[str, object]:
-    """The figures as fields of a log event: counts, and mean times in milliseconds."""
+    """Return the figures as fields of a log event: counts, and mean times in milliseconds."""
     ended = figures.in_time + figures.late
     return {
         "arrived": figures.arrived,
--- a/packages/forwarding/meadowdock/forwarding/http.py
+++ b/packages/forwarding/meadowdock/forwarding/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1, parsed by httptools: requests of callers, responses of endpoints. No I/O.
+"""Parses HTTP/1.1 requests of callers and responses of endpoints with httptools. No I/O.
 
-Bytes are fed to a parser; complete messages gather in it. What two readers could take for different
-messages (RFC 9112, section 6.3 and 11.2, request smuggling) is rejected.
+Bytes are fed to a parser, which collects complete messages. Messages that two recipients could
+interpret differently (request smuggling; RFC 9112, sections 6.3 and 11.2) are rejected.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 HeaderLine = tuple[bytes, bytes]
 
-REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 HOP_BY_HOP = {
     b"connection",
     b"keep-alive",
@@ -34,10 +34,10 @@
     b"content-length",
     b"expect",
 }
-FEED_MAX = 262_144  # bytes that are fed at once, at most
-HEADER_OVERHEAD = 4  # ": " and the line's end
+FEED_MAX_BYTES = 262_144  # the largest amount that is fed at once
+HEADER_LINE_OVERHEAD_BYTES = 4  # ": " and the line break
 PARSER_ERRORS = (httptools.HttpParserError, httptools.HttpParserUpgrade)
-WITHOUT_BODY = (204, 304)  # statuses
+STATUSES_WITHOUT_BODY = (204, 304)
 
 
 @dataclass(slots=True)
@@ -47,14 +47,14 @@
     method: bytes
     target: bytes
     host: bytes
-    lines: list[HeaderLine]  # to pass on: end-to-end ones without a length
-    facts: dict[bytes, bytes]  # the dialect's headers that it carries, by lower-case name
+    lines: list[HeaderLine]  # to forward: end-to-end headers without Content-Length
+    mesh_headers: dict[bytes, bytes]  # the dialect's headers in it, by lower-case name
     body: bytes
     keep_alive: bool
 
 
 def end_to_end(lines: Collection[HeaderLine]) -> list[HeaderLine]:
-    """Header lines without the hop-by-hop ones (RFC 9110, section 7.6.1).
+    """Return the header lines without the hop-by-hop ones (RFC 9110, section 7.6.1).
 
     >>> end_to_end([(b"Connection", b"x-a"), (b"X-A", b"1"), (b"X-b", b"2"), (b"TE", b"x")])
     [(b'X-b', b'2')]
@@ -68,18 +68,18 @@
     return [
         (name, value)
         for name, value in lines
-        if (low := name.lower()) not in HOP_BY_HOP and low not in named
+        if (lower_name := name.lower()) not in HOP_BY_HOP and lower_name not in named
     ]
 
 
 class RequestParser:
-    """Feeds one caller's bytes to the parser.
+    """Parses the bytes from one caller into requests.
 
-    Invariants: complete holds complete requests, in order; error_status is 0, or the status that ends
-    the connection, and then nothing more is fed; head_fed is not below the bytes of a head that is
-    being read, as it counts all that came with its beginning.
+    Invariants: complete holds complete requests, in order; error_status is 0, or the status with
+    which the connection ends, and then nothing more is fed; head_fed is an upper bound of the bytes
+    of the head that is being read, since it includes everything that arrived with its beginning.
 
-    :param names: the dialect's own headers in lower case, kept apart in a request's facts
+    :param names: the dialect's headers in lower case, which go to `mesh_headers` of a request
     """
 
     def __init__(self, limits: Limits, names: Collection[bytes]) -> None:
@@ -87,32 +87,30 @@
         self.parser = httptools.HttpRequestParser(self)
         self.complete: list[Request] = []
         self.error_status = 0
-        self.in_progress = False  # a request has begun and is not complete
+        self.in_progress = False  # a request has begun to arrive and is not complete
         self.in_head = False
         self.head_size = self.head_fed = 0
         self.wants_continue = False
 
     def feed(self, data: bytes) -> None:
-        """Bytes came; look at `complete` and `error_status` afterwards."""
+        """Parse more bytes; `complete` and `error_status` have the result."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             if self.in_progress or not self.complete:
                 self.error_status = self.error_status or 400
             else:
-                # answered as any other, and nothing is read behind it
+                # an upgrade request is answered like any other, but the connection is closed after it
                 self.complete[-1].keep_alive = False
         except PARSER_ERRORS:
             self.error_status = self.error_status or 400
-        # the parser doesn't report a line that never ends
+        # the parser does not report an incomplete line, however long it is
         self.head_fed = self.head_fed + len(data) if self.in_head else 0
-        if self.head_fed > self.limits.header_bytes + FEED_MAX:
+        if self.head_fed > self.limits.header_bytes + FEED_MAX_BYTES:
             self.error_status = self.error_status or 431
 
-    # ------------------------------------------------------------ callbacks of httptools
-
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Start a new request."""
         self.in_progress = self.in_head = True
         self.url = b""
         self.lines: list[HeaderLine] = []
@@ -121,56 +119,56 @@
         self.wants_continue = False
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request's target."""
+        """Append a part of the request's target."""
         self.url += url
         if len(self.url) > self.limits.header_bytes:
             raise self.reject(431)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header line."""
+        """Add a header line; trailers are ignored."""
         if not self.in_head:
-            return  # a trailer
-        self.head_size += len(name) + len(value) + HEADER_OVERHEAD
+            return
+        self.head_size += len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES
         if self.head_size > self.limits.header_bytes:
             raise self.reject(431)
         self.lines.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """The head is complete: look at what frames and addresses the request."""
+        """Check the headers that frame and address the request, and take out the mesh's headers."""
         self.in_head = False
         hosts: list[bytes] = []
         encodings: list[bytes] = []
-        self.facts: dict[bytes, bytes] = {}
+        self.mesh_headers: dict[bytes, bytes] = {}
         names = self.names
         for name, value in self.lines:
-            low = name.lower()
-            if low == b"host":
+            lower_name = name.lower()
+            if lower_name == b"host":
                 hosts.append(value)
-            elif low == b"transfer-encoding":
+            elif lower_name == b"transfer-encoding":
                 encodings.append(value.lower())
-            elif low == b"content-length" and value.isdigit():
+            elif lower_name == b"content-length" and value.isdigit():
                 if int(value) > self.limits.body_bytes:
                     raise self.reject(413)
-            elif low == b"expect":
+            elif lower_name == b"expect":
                 self.wants_continue = True
-            elif low in names:
-                if low in self.facts:
-                    raise self.reject(400)  # which of two is meant?
-                self.facts[low] = value
-        # two readers could see its end at different places
+            elif lower_name in names:
+                if lower_name in self.mesh_headers:
+                    raise self.reject(400)  # a repeated header is ambiguous
+                self.mesh_headers[lower_name] = value
+        # recipients could disagree about the target or the end of the request
         if len(hosts) != 1 or (encodings and encodings != [b"chunked"]):
             raise self.reject(400)
         self.host = hosts[0]
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body."""
         self.size += len(body)
         if self.size > self.limits.body_bytes:
             raise self.reject(413)
         self.chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Add the complete request to `complete`."""
         self.in_progress = False
         parser = self.parser
         method = parser.get_method()
@@ -183,14 +181,14 @@
                 self.url,
                 self.host,
                 [line for line in end_to_end(self.lines) if line[0].lower() not in names],
-                self.facts,
+                self.mesh_headers,
                 b"".join(self.chunks),
                 parser.should_keep_alive(),
             )
         )
 
     def reject(self, status: int) -> RequestRejected:
-        """Remember the status that ends the connection; gives what is to be raised."""
+        """Set the status that ends the connection and return the exception to raise."""
         self.error_status = status
         return RequestRejected(status)
 
@@ -200,18 +198,18 @@
     """One complete response."""
 
     status: int
-    lines: list[HeaderLine]  # end-to-end ones without a length
-    facts: dict[bytes, bytes]  # the dialect's headers that it carries, by lower-case name
+    lines: list[HeaderLine]  # end-to-end headers without Content-Length
+    mesh_headers: dict[bytes, bytes]  # the dialect's headers in it, by lower-case name
     body: bytes
     keep_alive: bool
-    keep_alive_s: int | None  # for how long the endpoint keeps an idle connection, if it says so
+    keep_alive_s: int | None  # the idle time-out that the endpoint announced, or None
 
 
 class ResponseParser:
-    """Feeds an endpoint's bytes to the parser.
+    """Parses the bytes from one endpoint into responses.
 
-    Invariants: complete holds complete responses, in order; malformed is set once for good when
-    bytes are no response; in_progress says that a response has begun and is not complete.
+    Invariants: complete holds complete responses, in order; malformed is set for good once the bytes
+    are not a valid response; in_progress is set while a response is incomplete.
     """
 
     def __init__(self, names: Collection[bytes], body_bytes_max: int) -> None:
@@ -219,76 +217,74 @@
         self.parser = httptools.HttpResponseParser(self)
         self.complete: list[Response] = []
         self.in_progress = self.malformed = self.in_head = False
-        self.to_head = False  # the response to a HEAD has no body whatever it says
+        self.for_head_request = False  # a response to HEAD has no body, whatever its headers say
 
     def feed(self, data: bytes) -> None:
-        """Bytes came; look at `complete` and `malformed` afterwards."""
+        """Parse more bytes; `complete` and `malformed` have the result."""
         try:
             self.parser.feed_data(data)
         except PARSER_ERRORS:
             self.malformed = True
 
-    # ------------------------------------------------------------ callbacks of httptools
-
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Start a new response."""
         self.in_progress = self.in_head = True
         self.lines: list[HeaderLine] = []
         self.chunks: list[bytes] = []
         self.size = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header line."""
-        if self.in_head:  # else a trailer
+        """Add a header line; trailers are ignored."""
+        if self.in_head:
             self.lines.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """End the head; without a body this also completes the response."""
         self.in_head = False
-        if self.to_head:
+        if self.for_head_request:
             self.response_complete(False)
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body."""
         self.size += len(body)
         if self.size > self.body_bytes_max:
             raise ResponseTooLarge(self.body_bytes_max)
         self.chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """The response is complete."""
-        if self.in_progress and not self.to_head:
+        """Complete the response."""
+        if self.in_progress and not self.for_head_request:
             self.response_complete(self.parser.should_keep_alive())
 
     def response_complete(self, keep_alive: bool) -> None:
-        """Take the response up, unless it is an interim one or its end is uncertain."""
+        """Add the response to `complete`, unless it is interim or its end is ambiguous."""
         self.in_progress = False
         status = self.parser.get_status_code()
         if status < 200:
             return
-        facts: dict[bytes, bytes] = {}
+        mesh_headers: dict[bytes, bytes] = {}
         keep_alive_s = None
-        framed = status in WITHOUT_BODY or self.to_head
+        framed = status in STATUSES_WITHOUT_BODY or self.for_head_request
         for name, value in self.lines:
-            low = name.lower()
-            if low in self.names:
-                if facts.setdefault(low, value) != value:
-                    self.malformed = True  # which of two is meant?
+            lower_name = name.lower()
+            if lower_name in self.names:
+                if mesh_headers.setdefault(lower_name, value) != value:
+                    self.malformed = True  # different values of a repeated header are ambiguous
                     return
-            elif low in (b"content-length", b"transfer-encoding"):
+            elif lower_name in (b"content-length", b"transfer-encoding"):
                 framed = True
-            elif low == b"keep-alive":
+            elif lower_name == b"keep-alive":
                 keep_alive_s = keep_alive_timeout(value)
         if not framed:
-            self.malformed = True  # nobody knows if it is complete
+            self.malformed = True  # without a length it may be truncated
             return
         body = b"".join(self.chunks)
         lines = end_to_end(self.lines)
-        self.complete.append(Response(status, lines, facts, body, keep_alive, keep_alive_s))
+        self.complete.append(Response(status, lines, mesh_headers, body, keep_alive, keep_alive_s))
 
 
 def keep_alive_timeout(value: bytes) -> int | None:
-    """The seconds that a Keep-Alive header names, if any.
+    """Return the time-out in seconds of a Keep-Alive header, or None if it has none.
 
     >>> keep_alive_timeout(b"timeout=10, max=5"), keep_alive_timeout(b"max=5")
     (10, None)
@@ -300,23 +296,23 @@
     return None
 
 
-def head_of(method: bytes, target: bytes, lines: Iterable[HeaderLine]) -> bytes:
-    """Request line and header lines, without the blank line."""
-    return b"%s %s HTTP/1.1\r\n%s" % (method, target, joined(lines))
+def request_head(method: bytes, target: bytes, lines: Iterable[HeaderLine]) -> bytes:
+    """Return the request line and the header lines, without the blank line."""
+    return b"%s %s HTTP/1.1\r\n%s" % (method, target, encoded_lines(lines))
 
 
-def joined(lines: Iterable[HeaderLine]) -> bytes:
-    """Header lines as they are sent."""
+def encoded_lines(lines: Iterable[HeaderLine]) -> bytes:
+    """Return header lines as they are sent."""
     return b"".join([b"%s: %s\r\n" % line for line in lines])
 
 
 def status_line(status: int) -> bytes:
-    """The first line of a response."""
-    return b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Unknown"))
+    """Return the first line of a response."""
+    return b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Unknown"))
 
 
-def response_head(response: Response, to_head: bool = False) -> bytes:
-    """Status line and header lines with the length of the body, without the blank line."""
-    has_length = not to_head and response.status not in WITHOUT_BODY
+def response_head(response: Response, for_head_request: bool = False) -> bytes:
+    """Return the status line and the header lines with the body's length, without the blank line."""
+    has_length = not for_head_request and response.status not in STATUSES_WITHOUT_BODY
     length = b"Content-Length: %d\r\n" % len(response.body) if has_length else b""
-    return status_line(response.status) + joined(response.lines) + length
+    return status_line(response.status) + encoded_lines(response.lines) + length
--- a/packages/forwarding/meadowdock/forwarding/interfaces.py
+++ b/packages/forwarding/meadowdock/forwarding/interfaces.py
@@ -1,7 +1,7 @@
-"""What forwarding needs of its surroundings, as types alone: no module imports this one at run time.
+"""The interfaces that forwarding requires; used for type checking only, never imported at run time.
 
-`meadowdock.proxy` has the registry of endpoints and the retry budgets; `sockets` has connections
-over the kernel, the simulator has the same in memory.
+`meadowdock.proxy` implements the endpoint registry and the retry budgets. `sockets` implements
+connections over the kernel, and the simulator implements them in memory.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 
 class Logger(Protocol):
-    """Writes one event with its fields."""
+    """Writes one log event with its fields."""
 
     def __call__(self, number: int, /, **fields: Any) -> None:
-        """Write an event of the catalogue in `meadowdock.logs`."""
+        """Write an event of the catalogue in `meadowdock.logs`, identified by its number."""
 
 
 class RandomSource(Protocol):
-    """The part of random.Random that is used here."""
+    """The methods of random.Random that are used here."""
 
     def choice(self, values: str, /) -> str:
-        """One character."""
+        """Return one random character of a string."""
 
     def randbytes(self, size: int, /) -> bytes:
-        """So many random bytes."""
+        """Return a number of random bytes."""
 
 
 class Endpoint(Protocol):
@@ -33,27 +33,27 @@
     service: str
     address: str
     incarnation: str
-    capacity: int  # requests at once
+    capacity: int  # concurrent requests
     in_flight: int
     draining: bool
     removed: bool
-    reported_load: float | None  # its load as it reported it, 0 to 1
+    reported_load: float | None  # the load that it reported itself, 0 to 1
     reported_load_at: int
     slow_start_until: int
 
     @property
     def has_capacity(self) -> bool:
-        """Whether it takes a request now."""
+        """Whether it has a free slot for a request now."""
 
 
 class ServiceOccupation(Protocol):
-    """How busy a service is at this node."""
+    """The load of a service at this node."""
 
-    rho: float  # its load, 0 to 1
+    rho: float  # 0 to 1
 
 
 class EndpointRegistry(Protocol):
-    """The endpoints on this machine, and their slots."""
+    """The endpoints on this machine and their slots."""
 
     service_loads: Mapping[str, ServiceOccupation]
     slot_waiters: dict[
@@ -61,29 +61,29 @@
     ]  # called when a service's endpoint may have a free slot
 
     def local_endpoint(self, service: str) -> Endpoint | None:
-        """The endpoint here that takes the service's next request, or None."""
+        """Return the local endpoint that gets the service's next request, or None."""
 
     def available_endpoints(self, service: str) -> Iterable[Endpoint]:
-        """All endpoints of a service here that take requests."""
+        """Return all local endpoints of a service that accept requests."""
 
     def acquire_slot(self, endpoint: Endpoint, at: int) -> None:
-        """A request takes a slot."""
+        """Reserve a slot for a request."""
 
     def release_slot(self, endpoint: Endpoint, at: int) -> None:
-        """A request gives its slot back."""
+        """Release the slot of a request."""
 
     def adjust_forwarded(self, service: str, change: int, at: int) -> None:
-        """So many more requests of the service are at peers."""
+        """Add a change, which may be negative, to the number of requests that are at peers."""
 
     def mark_unreachable(self, endpoint: Endpoint) -> None:
-        """The endpoint took no connection."""
+        """Record that no connection to the endpoint could be opened."""
 
     def remove(self, endpoint: Endpoint, why: str) -> None:
-        """The endpoint is not there any more."""
+        """Remove an endpoint that no longer exists."""
 
 
 class RetryBudget(Protocol):
-    """The bound on retries of one service."""
+    """Limits the retries of one service."""
 
     def deposit(self, at: int) -> None:
         """Count a request."""
@@ -92,14 +92,14 @@
         """Count a retry, if the budget allows it."""
 
     def share_between(self, nodes: int) -> None:
-        """So many nodes share the fleet's reserve."""
+        """Set the number of nodes that share the fleet's reserve of retries."""
 
 
 class RetryBudgets(Protocol):
-    """Makes the retry budget of a service."""
+    """Creates the retry budgets of services."""
 
     def new_retry_budget(self, gate: Any) -> RetryBudget:
-        """A new budget."""
+        """Return a new budget."""
 
 
 class Connection(Protocol):
@@ -107,28 +107,28 @@
 
     owner: Any
     closed: bool
-    unsent_size: int  # bytes that were not taken by the other side yet
-    blocked_since: int  # when the other side stopped taking bytes, 0 if it takes them
+    unsent_size: int  # bytes that are buffered because the other side does not read
+    blocked_since: int  # since when no byte could be sent, 0 if nothing is buffered
     read_paused: Any  # not None while reading is paused
 
     def send(self, data: bytes) -> None:
-        """Send now, or as soon as the other side takes it."""
+        """Send data now, or buffer it until the other side reads."""
 
     def pause(self) -> None:
-        """Read nothing for now."""
+        """Stop reading."""
 
     def resume(self) -> None:
-        """Read again."""
+        """Continue reading."""
 
     def finish(self) -> None:
-        """Close once everything is sent."""
+        """Close the connection once all buffered data is sent."""
 
     def close(self) -> None:
-        """Close now."""
+        """Close the connection now."""
 
 
 class Network(Protocol):
     """Opens connections."""
 
     def dial(self, address: str, deadline: int, owner: Any, /) -> None:
-        """Connect; the owner's on_open(connection) or on_fail(cause) says how it went."""
+        """Connect and call the owner's on_open(connection) or on_fail(cause)."""
--- a/packages/forwarding/meadowdock/forwarding/invariants.py
+++ b/packages/forwarding/meadowdock/forwarding/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold on the traffic path at all times, checked while it runs; violations are counted."""
+"""Checks invariants of the request path at run time, and counts and logs violations."""
 
 from __future__ import annotations
 
@@ -10,67 +10,74 @@
 from meadowdock.forwarding.figures import PriorityFigures
 from meadowdock.runtime import SECOND
 
-LOG_EVERY = SECOND  # a violation of one kind is logged once in so long
+LOG_INTERVAL_US = SECOND  # violations of one kind are logged at most once per interval
 
 LATE_BEFORE_IN_TIME = "late_before_in_time"
 WAITING_WITH_CAPACITY = "waiting_with_room"
 SLOTS_DIFFER = "held_slots_differ"
 QUEUE_OVERCOMMITTED = "queue_stands"
-JUDGED_FROM = 10  # calls admitted to a queue; fewer in an interval say nothing of it
-INTERVALS = 2  # in a row: after a sudden change of an endpoint's speed estimates need one
+CHECKED_CALLS_MIN = 10  # an interval with fewer admitted calls is not significant
+# Consecutive intervals until an overcommitted queue counts as a violation. A single one is normal:
+# after a sudden change of an endpoint's speed the estimates take one interval to follow.
+OVERCOMMITTED_INTERVALS = 2
 
 
 class Invariants:
-    """Counts of violations by name; each kind is also logged (event 802).
+    """Counts violations by name and logs them as event 802.
 
-    - late_before_in_time: a call from the queue is started after its latency target while one of its
-      priority or a higher one waits that can still meet it.
-    - waiting_with_room: calls wait here though an endpoint here has a slot free.
-    - queue_stands: for some intervals in a row most calls that were queued to meet their
-      target were late or rejected.
-    - held_slots_differ: more or fewer slots are held than there are calls under way that hold one.
+    - late_before_in_time: a queued call was started after its latency target, although a call of
+      the same or a higher priority that could still meet its target was waiting.
+    - waiting_with_room: calls wait here although a local endpoint has a free slot.
+    - queue_stands: for several intervals in a row, most calls that were queued to meet their target
+      were late or rejected.
+    - held_slots_differ: the number of slots in use differs from the number of calls that hold one.
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
         self.log = log
         self.violations: Counter[str] = Counter()
         self.logged_at: dict[str, int] = {}
-        self.overcommitted: Counter[tuple[str, int]] = Counter()  # intervals in a row
+        # consecutive overcommitted intervals by (service, priority)
+        self.overcommitted: Counter[tuple[str, int]] = Counter()
 
-    def violated(self, name: str, at: int, **fields: object) -> None:
-        """Count a violation."""
+    def report_violation(self, name: str, now: int, **fields: object) -> None:
+        """Count a violation and log it, at most once per interval and name."""
         self.violations[name] += 1
-        if at - self.logged_at.get(name, -LOG_EVERY) >= LOG_EVERY:
-            self.logged_at[name] = at
+        if now - self.logged_at.get(name, -LOG_INTERVAL_US) >= LOG_INTERVAL_US:
+            self.logged_at[name] = now
             self.log(802, invariant=name, count=self.violations[name], **fields)
 
-    def check_start(self, call: Call, admission: Admission, at: int) -> None:
-        """A call was taken from the queue and is about to start."""
-        if at > call.target_deadline and admission.queue(call.service).in_time(call.priority):
-            self.violated(LATE_BEFORE_IN_TIME, at, service=call.service, rank=call.priority)
+    def check_start(self, call: Call, admission: Admission, now: int) -> None:
+        """Check that a call which is taken from the queue may start before the remaining ones."""
+        if now > call.target_deadline and admission.queue(call.service).count_in_time(
+            call.priority
+        ):
+            self.report_violation(
+                LATE_BEFORE_IN_TIME, now, service=call.service, rank=call.priority
+            )
 
-    def check_idle_capacity(self, service: str, waiting: int, has_capacity: bool, at: int) -> None:
-        """All that could start has been started."""
+    def check_idle_capacity(self, service: str, waiting: int, has_capacity: bool, now: int) -> None:
+        """Check that no call waits for a free slot after all possible calls were started."""
         if waiting and has_capacity:
-            self.violated(WAITING_WITH_CAPACITY, at, service=service, waiting=waiting)
+            self.report_violation(WAITING_WITH_CAPACITY, now, service=service, waiting=waiting)
 
-    def check_queue(self, service: str, priority: int, figures: PriorityFigures, at: int) -> None:
-        """An interval is over: the figures of a service and priority."""
+    def check_queue(self, service: str, priority: int, figures: PriorityFigures, now: int) -> None:
+        """Check the figures of a service and priority at the end of an interval."""
         in_time, late = figures.admitted_in_time, figures.admitted_late
-        if late <= in_time or in_time + late < JUDGED_FROM:
+        if late <= in_time or in_time + late < CHECKED_CALLS_MIN:
             self.overcommitted.pop((service, priority), None)
             return
         self.overcommitted[service, priority] += 1
-        if self.overcommitted[service, priority] >= INTERVALS:
+        if self.overcommitted[service, priority] >= OVERCOMMITTED_INTERVALS:
             fields = {"service": service, "rank": priority, "kept": in_time, "broken": late}
-            self.violated(QUEUE_OVERCOMMITTED, at, **fields)
+            self.report_violation(QUEUE_OVERCOMMITTED, now, **fields)
 
-    def check_slots(self, admission: Admission, calls: Iterable[Call], at: int) -> None:
-        """Compare the slots that are held, by service, with the calls under way that hold one."""
+    def check_slots(self, admission: Admission, calls: Iterable[Call], now: int) -> None:
+        """Check that the slots in use of each service match the calls that hold one."""
         holding = Counter(call.service for call in calls if call.endpoint is not None)
         for service in {*admission.services, *holding}:
             in_use = sum(slots.level for slots in admission.estimates(service).in_use.values())
             if in_use != holding[service]:
-                self.violated(
-                    SLOTS_DIFFER, at, service=service, held=in_use, holding=holding[service]
+                self.report_violation(
+                    SLOTS_DIFFER, now, service=service, held=in_use, holding=holding[service]
                 )
--- a/packages/forwarding/meadowdock/forwarding/local_calls.py
+++ b/packages/forwarding/meadowdock/forwarding/local_calls.py
@@ -1,11 +1,11 @@
-"""Calls that are at endpoints on this machine: their slots, and what the endpoints say of them."""
+"""Runs calls at the endpoints on this machine: their slots and their results."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from meadowdock.forwarding.call import Call, OutcomeUnknown, Served
-from meadowdock.forwarding.outcome_codes import CANCELLED, UNREACHED
+from meadowdock.forwarding.outcome_codes import CANCELLED, CONNECT_FAILED
 from meadowdock.forwarding.upstream import UpstreamPool
 from meadowdock.runtime import monotonic_us
 
@@ -15,7 +15,7 @@
 
 
 class LocalCalls:
-    """Runs calls at endpoints here, and reports their outcomes to the dispatcher.
+    """Runs calls at local endpoints and reports their outcomes to the dispatcher.
 
     Invariant: a call whose endpoint is not None holds one slot of it.
     """
@@ -24,74 +24,76 @@
         self.dispatcher, self.registry = dispatcher, dispatcher.registry
         self.admission, self.figures = dispatcher.admission, dispatcher.figures
         self.counts, self.log = dispatcher.counts, dispatcher.log
-        self.pools: dict[int, UpstreamPool] = {}  # by the identity of the endpoint's enrolment
+        self.pools: dict[int, UpstreamPool] = {}  # by id() of the endpoint's registration
 
     def start(self, call: Call, endpoint: Endpoint) -> None:
-        """Run a call at an endpoint that has a slot free."""
+        """Run a call at an endpoint that has a free slot."""
         call.endpoint = endpoint
-        at = monotonic_us()
-        self.figures.started(call, at)
-        self.admission.started(call, at)
-        self.registry.acquire_slot(endpoint, at)
-        self.pool(endpoint).run(call, at)
+        now = monotonic_us()
+        self.figures.count_start(call, now)
+        self.admission.slot_acquired(call, now)
+        self.registry.acquire_slot(endpoint, now)
+        self.pool(endpoint).run(call, now)
 
     def pool(self, endpoint: Endpoint) -> UpstreamPool:
-        """The connections to an endpoint. The key is its enrolment: an instance that was lost and
-        comes back is another endpoint here."""
+        """Return the connection pool of an endpoint.
+
+        Each registration has its own pool: an instance that was removed and registers again is
+        another endpoint here.
+        """
         pool = self.pools.get(id(endpoint))
         if pool is None:
             pool = self.pools[id(endpoint)] = UpstreamPool(self, endpoint)
         return pool
 
-    def free_slot(self, call: Call, at: int) -> None:
-        """The call is at its endpoint no more, from a time on."""
+    def free_slot(self, call: Call, now: int) -> None:
+        """Release the slot of a call that has left its endpoint."""
         endpoint, call.endpoint = call.endpoint, None
         call.stop_timer()
         if endpoint is not None:
-            self.admission.freed(call, at)
-            self.registry.release_slot(endpoint, at)
-
-    # ------------------------------------------------------------ what endpoints say
-
-    def answered(self, call: Call, served: Served) -> None:
-        """An endpoint answered."""
-        at = monotonic_us()
-        self.admission.learn(call, at - call.dispatched_at)
-        self.figures.ended(call, at)
-        self.free_slot(call, at)
+            self.admission.slot_released(call, now)
+            self.registry.release_slot(endpoint, now)
+
+    def on_answered(self, call: Call, served: Served) -> None:
+        """Finish a call with the response of its endpoint."""
+        now = monotonic_us()
+        self.admission.observe(call, now - call.dispatched_at)
+        self.figures.count_end(call, now)
+        self.free_slot(call, now)
         self.dispatcher.finish(call, served)
 
-    def no_connection(self, call: Call, endpoint: Endpoint) -> None:
-        """An endpoint took no connection: no byte of the call left."""
+    def on_connect_failed(self, call: Call, endpoint: Endpoint) -> None:
+        """Retry or reject a call after no connection to its endpoint could be opened.
+
+        No byte of the call was sent.
+        """
         self.registry.mark_unreachable(endpoint)
         self.free_slot(call, monotonic_us())
-        self.dispatcher.after_not_run(call, UNREACHED)
+        self.dispatcher.on_not_run(call, CONNECT_FAILED)
 
-    def other_instance(self, endpoint: Endpoint) -> None:
-        """Another endpoint has this address now."""
+    def on_other_instance(self, endpoint: Endpoint) -> None:
+        """Remove an endpoint whose address belongs to another instance now."""
         self.log(405, address=endpoint.address, why="another instance answers")
         self.registry.remove(endpoint, "another instance answers")
 
-    def not_run(self, call: Call, code: str) -> None:
-        """The endpoint says, or it is certain, that the call did not run."""
+    def on_not_run(self, call: Call, code: str) -> None:
+        """Retry or reject a call that certainly did not run."""
         if call.on_outcome is None:
             return
         self.free_slot(call, monotonic_us())
         self.counts[f"endpoint.{code}"] += 1
-        self.dispatcher.after_not_run(call, code)
-
-    # ------------------------------------------------------------ cancelling and upkeep
+        self.dispatcher.on_not_run(call, code)
 
     def cancel(self, call: Call, endpoint: Endpoint) -> None:
-        """Nobody needs an answer any more: break the call off, if it is idempotent."""
+        """Abort a call whose caller has disconnected, if it is idempotent."""
         if call.idempotent:
-            self.pool(endpoint).abandon(call)
+            self.pool(endpoint).abort(call)
             self.free_slot(call, monotonic_us())
             self.dispatcher.finish(call, OutcomeUnknown(CANCELLED))
 
-    def close_expired(self, at: int) -> None:
-        """Close idle connections in time, and forget endpoints that are gone."""
+    def close_expired(self, now: int) -> None:
+        """Close expired idle connections and the pools of removed endpoints."""
         for key, pool in list(self.pools.items()):
-            pool.close_expired(at)
+            pool.close_expired(now)
             if pool.endpoint.removed and not pool.connections and not pool.opening:
                 del self.pools[key]
--- a/packages/forwarding/meadowdock/forwarding/peer_calls.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls of this node that are at peers: sending them there, and what the peers say of them."""
+"""Relocates calls of this node to peers and handles the outcomes that the peers report."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     from meadowdock.forwarding.peer_link import OutgoingLink
     from meadowdock.forwarding.peers import Peers
 
-GRACE_US = 60 * MILLISECOND  # after the deadline, a peer's answer is no longer waited for
+GRACE_US = 60 * MILLISECOND  # the time after the deadline for a peer's answer to arrive
 
 
 class PeerCalls:
-    """Relocates calls, and reports their outcomes to the dispatcher.
+    """Relocates calls and reports their outcomes to the dispatcher.
 
-    Invariant: a call whose peer_link is not None has a timer that ends the waiting for the peer, and
-    is counted as relocated in the registry of endpoints.
+    Invariant: a call whose peer_link is not None has a timer that limits the wait for the peer, and
+    is counted as forwarded in the endpoint registry.
     """
 
     peers: Peers  # set by the gateway
@@ -31,86 +31,83 @@
         self.reactor, self.loads = dispatcher.reactor, dispatcher.loads
         self.counts = dispatcher.counts
 
-    # ------------------------------------------------------------ sending
-
     def relocate(self, call: Call, node: NodeLoad, may_queue: bool = False) -> bool:
         """Send a call to a peer.
 
-        :param may_queue: it may wait in the peer's queue
-        :returns: whether it is on its way; if not, the peer is not chosen for it again
+        :param may_queue: the call may wait in the peer's queue
+        :returns: whether the call was passed to a link; if not, the peer is excluded for it
         """
         link = self.peers.link(self.peers.link_address(node.address))
         if link is None:
             self.exclude(call, node.address)
             return False
         self.counts["spilled"] += 1
-        at = monotonic_us()
-        call.peer_link, call.incarnation, call.dispatched_at = link, node.incarnation, at
-        self.registry.adjust_forwarded(call.service, 1, at)
-        call.timer = self.reactor.at(call.deadline + GRACE_US, lambda: self.overdue(call))
-        link.run(call, may_queue)
+        now = monotonic_us()
+        call.peer_link, call.incarnation, call.dispatched_at = link, node.incarnation, now
+        self.registry.adjust_forwarded(call.service, 1, now)
+        call.timer = self.reactor.at(call.deadline + GRACE_US, lambda: self.on_deadline(call))
+        link.submit(call, may_queue)
         return True
 
     def exclude(self, call: Call, address: str) -> None:
-        """A peer has no capacity: not for this call, and for the service until the next list."""
+        """Exclude a peer for a call, and for the call's service until the next load list."""
         call.tried_peers.add(address)
         self.loads.exclude(call.service, address)
 
-    def sent(self, call: Call) -> None:
-        """The call's frame goes out with the end of this turn."""
+    def on_sent(self, call: Call) -> None:
+        """Count an attempt for a call whose frame is sent at the end of this turn."""
         call.attempts += 1
 
-    def leave(self, call: Call) -> OutgoingLink | None:
-        """The call is at its peer no more; gives the link on which it was."""
+    def detach(self, call: Call) -> OutgoingLink | None:
+        """Detach a call from its peer; return the link on which it was."""
         link, call.peer_link = call.peer_link, None
         if link is not None:
             self.registry.adjust_forwarded(call.service, -1, monotonic_us())
         call.stop_timer()
         return link
 
-    # ------------------------------------------------------------ what peers say
-
-    def answered(self, call: Call, served: Served) -> None:
-        """An endpoint of the peer answered."""
-        self.leave(call)
+    def on_answered(self, call: Call, served: Served) -> None:
+        """Finish a call with the response of the peer's endpoint."""
+        self.detach(call)
         self.dispatcher.finish(call, served)
 
-    def rejected(self, call: Call, address: str, rejected: Rejected) -> None:
-        """A peer promises that it did not run the call."""
-        self.leave(call)
+    def on_rejected(self, call: Call, address: str, rejected: Rejected) -> None:
+        """Retry or place a call again after a peer has guaranteed that it did not run."""
+        self.detach(call)
         self.exclude(call, address)
         retry_after_us = rejected.retry_after_us
         if retry_after_us:
             call.retry_after_us = min(call.retry_after_us or retry_after_us, retry_after_us)
         self.counts[f"spill.refused.{rejected.code}"] += 1
         if rejected.code == REJECTED_BY_ENDPOINT:
-            self.dispatcher.after_not_run(call, BUSY)
+            self.dispatcher.on_not_run(call, BUSY)
         else:
             call.attempts -= 1
             self.dispatcher.place(call)
 
-    def unreached(self, call: Call, address: str) -> None:
-        """No byte of the call left for the peer."""
-        self.leave(call)
+    def on_unreached(self, call: Call, address: str) -> None:
+        """Place a call again of which no byte was sent to the peer."""
+        self.detach(call)
         self.exclude(call, address)
         self.counts["spill.unreached"] += 1
         self.dispatcher.place(call)
 
-    def overdue(self, call: Call) -> None:
-        """A peer says nothing by the deadline."""
+    def on_deadline(self, call: Call) -> None:
+        """Give up waiting for the peer's answer after the deadline."""
         link = call.peer_link
         if link is not None:
-            link.give_up(call)
-            self.dispatcher.outcome_unknown(call, NO_ANSWER)
-
-    # ------------------------------------------------------------ cancelling
+            link.abandon(call)
+            self.dispatcher.on_outcome_unknown(call, NO_ANSWER)
 
     def cancel(self, call: Call, link: OutgoingLink) -> None:
-        """Nobody needs an answer any more. What may have begun and can't be repeated is waited for."""
+        """Cancel a call whose caller has disconnected.
+
+        If the call may have started and is not idempotent, its outcome is still awaited.
+        """
         if call.idempotent:
-            self.leave(call)
-            link.give_up(call)
+            self.detach(call)
+            link.abandon(call)
             self.dispatcher.finish(call, OutcomeUnknown(CANCELLED))
         elif link.cancel(call):
-            self.leave(call)
+            self.detach(call)
             self.dispatcher.finish(call, Rejected(CANCELLED, 0))
--- a/packages/forwarding/meadowdock/forwarding/peer_frames.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_frames.py
@@ -1,11 +1,12 @@
-"""The frames of a link between gateways: the one place that knows their layout.
+"""Encodes and decodes the frames of a link between gateways.
 
-A frame is a msgpack list, kind first, sealed with a proof of the fleet key (`meadowdock.rpc.frame`):
+A frame is a msgpack list that starts with its kind. It is authenticated with a key that is derived
+from the fleet key (`meadowdock.rpc.frame`):
 
     HELLO, magic, nonce, name                 the opener
-    PROVED, nonce, name, proof                the other side
+    PROVED, nonce, name, proof                the answerer
     PROVED, proof, time                       the opener
-    CALL, slot, generation, ...               see call_frame
+    CALL, slot, generation, ...               see encode_call
     SERVED, slot, generation, status, head, body
     REJECTED, slot, generation, code, retry_after_us
     UNKNOWN, slot, generation, code
@@ -13,8 +14,8 @@
     PING / PONG
     READS_TARGET                              the sender reads the last two fields of a CALL
 
-Slot and generation are the sender's handle of a call. Times are sent as what is left of them, in
-microseconds. A side passes over kinds that it doesn't know.
+Slot and generation are the handle that the opener gave to a call. Deadlines are sent as the remaining
+time in microseconds. Frames of an unknown kind are ignored.
 """
 
 from __future__ import annotations
@@ -33,26 +34,30 @@
 
 MAGIC = "mdg1"
 HELLO, PROVED, CALL, SERVED, REJECTED, UNKNOWN, CANCEL, PING, PONG, READS_TARGET = range(10)
-CALL_SIZE_MAX = MAX_FRAME_SIZE - 65_536  # bytes of a call's or answer's head and body
-DEADLINE_MARGIN_US = 15 * MILLISECOND  # a peer ends a call this much before the caller's deadline
-FIELDS_WITHOUT_TARGET = 15  # of a CALL of the former version
+CALL_MAX_BYTES = MAX_FRAME_SIZE - 65_536  # head and body of a call or of a response
+DEADLINE_MARGIN_US = 15 * MILLISECOND  # how much earlier than the caller's a peer's deadline is
+FIELDS_WITHOUT_TARGET = 15  # of a CALL of the previous version
 
 Frame = list[Any]
 
 
 class FrameReader:
-    """Complete frames of a byte stream. Invariant: partial holds at most one incomplete frame between
-    two calls of feed()."""
+    """Splits a byte stream into frames.
 
-    def __init__(self, proof: FrameAuthenticator) -> None:
-        self.proof = proof
+    Invariant: between two calls of feed(), partial holds at most one incomplete frame.
+    """
+
+    def __init__(self, authenticator: FrameAuthenticator) -> None:
+        self.authenticator = authenticator
         self.partial = b""
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """The proved frames in data. Each is opened once those before it are dealt with, since they
-        may change the proof.
+        """Yield the complete and authenticated frames.
+
+        Each frame is opened only after the previous one was handled, since that may have changed
+        the authenticator.
 
-        :raises PeerProtocolError: a frame is too long or fails its proof
+        :raises PeerProtocolError: a frame is too long or fails authentication
         """
         data = self.partial + data if self.partial else data
         start, size = 0, len(data)
@@ -63,63 +68,66 @@
             end = start + LENGTH_SIZE + TAG_SIZE + length
             if end > size:
                 break
-            body = self.proof.open(data[start + LENGTH_SIZE : end])
+            body = self.authenticator.open(data[start + LENGTH_SIZE : end])
             if body is None:
-                raise PeerProtocolError("frame fails its proof")
+                raise PeerProtocolError(f"frame of {length} bytes fails authentication")
             start = end
             yield ormsgpack.unpackb(body)
         self.partial = data[start:] if start else data
 
 
-def call_frame(handle: Handle, call: Call, may_queue: bool, with_target: bool, at: int) -> Frame:
-    """A call as it is sent to a peer at a time.
+def encode_call(handle: Handle, call: Call, may_queue: bool, with_target: bool, now: int) -> Frame:
+    """Return the CALL frame of a call that is sent now.
 
-    :param may_queue: it may wait in the peer's queue
+    :param may_queue: the call may wait in the peer's queue
     :param with_target: the peer reads the latency target and the route
     """
     frame: Frame = [
         CALL,
         handle[0],
         handle[1],
-        max(0, call.deadline - at - DEADLINE_MARGIN_US),
-        at,
+        max(0, call.deadline - now - DEADLINE_MARGIN_US),
+        now,
         call.service,
         call.incarnation,
         call.idempotent,
         call.priority,
-        max(0, call.join_deadline - at) if may_queue else 0,
-        max(0, call.wait_deadline - at),
+        max(0, call.join_deadline - now) if may_queue else 0,
+        max(0, call.wait_deadline - now),
         call.is_head,
         call.id,
         call.head,
         call.body,
     ]
     if with_target:
-        frame += [call.target_deadline - at, call.route]
+        frame += [call.target_deadline - now, call.route]
     return frame
 
 
-def sent_at_of(frame: Frame) -> int:
-    """When a CALL was sent, by the sender's clock."""
+def frame_sent_at(frame: Frame) -> int:
+    """Return when a CALL was sent, on the sender's clock."""
     sent_at: int = frame[4]
     return sent_at
 
 
-def handle_of(frame: Frame) -> Handle:
-    """The sender's handle of the call that a frame is about."""
+def call_handle(frame: Frame) -> Handle:
+    """Return the handle of the call to which a frame belongs."""
     return frame[1], frame[2]
 
 
-def call_of(frame: Frame, lag_us: int, at: int, on_outcome: Callable[[Outcome], None]) -> Call:
-    """The call of a CALL frame that came at a time.
+def decode_call(
+    frame: Frame, queueing_delay_us: int, now: int, on_outcome: Callable[[Outcome], None]
+) -> Call:
+    """Return the call of a CALL frame that has arrived now.
 
-    :param lag_us: how long the frame was on its way, which is taken off the call's times
+    :param queueing_delay_us: how long the frame was delayed, which is subtracted from the
+        remaining times
     """
     _, _, _, left_us, _, service, incarnation, idempotent, priority = frame[:9]
     join_us, wait_us, is_head, call_id, head, body = frame[9:FIELDS_WITHOUT_TARGET]
-    left_us -= lag_us
+    left_us -= queueing_delay_us
     if len(frame) > FIELDS_WITHOUT_TARGET:
-        target_us, route = frame[15] - lag_us, frame[16]
+        target_us, route = frame[15] - queueing_delay_us, frame[16]
     else:
         target_us, route = left_us, f"rank {priority}"
     return Call(
@@ -128,13 +136,13 @@
         body=body,
         service=service,
         idempotent=idempotent,
-        deadline=at + left_us,
-        arrived_at=at,
-        target_deadline=at + target_us,
+        deadline=now + left_us,
+        arrived_at=now,
+        target_deadline=now + target_us,
         route=route,
-        early_deadline=at,
-        join_deadline=at + join_us,
-        wait_deadline=at + min(left_us, wait_us),
+        no_endpoint_deadline=now,
+        join_deadline=now + join_us,
+        wait_deadline=now + min(left_us, wait_us),
         priority=priority,
         is_head=is_head,
         from_peer=True,
@@ -143,10 +151,10 @@
     )
 
 
-def outcome_frame(handle: Handle, outcome: Outcome) -> Frame:
-    """What became of a peer's call."""
+def encode_outcome(handle: Handle, outcome: Outcome) -> Frame:
+    """Return the frame that reports the outcome of a peer's call."""
     if isinstance(outcome, Served):
-        if len(outcome.head) + len(outcome.body) > CALL_SIZE_MAX:
+        if len(outcome.head) + len(outcome.body) > CALL_MAX_BYTES:
             return [UNKNOWN, *handle, TOO_LARGE]
         return [SERVED, *handle, outcome.status, outcome.head, outcome.body]
     if isinstance(outcome, Rejected):
@@ -154,8 +162,8 @@
     return [UNKNOWN, *handle, outcome.code]
 
 
-def outcome_of(frame: Frame) -> Outcome | None:
-    """The outcome that a frame reports; None if it is a frame of another kind."""
+def decode_outcome(frame: Frame) -> Outcome | None:
+    """Return the outcome that a frame reports; None if it is a frame of another kind."""
     kind = frame[0]
     if kind == SERVED:
         return Served(frame[4], frame[5], frame[3])
--- a/packages/forwarding/meadowdock/forwarding/placement.py
+++ b/packages/forwarding/meadowdock/forwarding/placement.py
@@ -1,9 +1,9 @@
-"""Where a request goes: to the local endpoint, to a peer, or to neither. No I/O.
+"""Chooses the local endpoint or a peer for each request, without I/O.
 
-Both front ends decide here: the one for calls by host and prefix, and that of `meadowdock.proxy`.
-The rules are those of `meadowdock.load_sharing`, after Koegel, Wahl, Scharf, Necker (2009). What
-this module adds is the state that the rules look at: the latest load list, and the peers that had no
-capacity since it came.
+Both front ends use this module: the gateway for calls by host and prefix, and `meadowdock.proxy`.
+The rules are those of `meadowdock.load_sharing`, after Koegel, Wahl, Scharf and Necker (2009). This
+module keeps the state to which the rules are applied: the latest load list, and the peers that had
+no capacity since that list arrived.
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
 if TYPE_CHECKING:
     from meadowdock.forwarding.interfaces import Endpoint, ServiceOccupation
 
-FULL_ANY_CAPACITY = "full-any-room"  # the rule's name in the counters and in docs/design.md
+FULL_ANY_CAPACITY = "full-any-room"  # the name of the rule in the counters and in docs/design.md
 
 
 class Thresholds(NamedTuple):
-    """The bounds of the load sharing policy that are in force."""
+    """The active thresholds of the load sharing policy."""
 
-    phi: float  # a node whose load is below accepts relocated requests
-    omega: float  # a node whose load is not below relocates its new requests
-    stale_us: int  # an older load list is not relied on
+    phi: float  # a node with a lower load accepts relocated requests
+    omega: float  # a node with this load or a higher one relocates new requests
+    stale_us: int  # a load list older than this is not used
 
 
 class PeerLoads:
-    """What this node knows of the load of its peers.
+    """The load of the peers, as this node knows it.
 
-    Invariants: nodes is of the same list as latest; without_capacity names the peers that turned a
-    request of a service away, or could not be reached, since that list came.
+    Invariants: nodes is from the same list as latest; without_capacity holds the peers that have
+    rejected a request of a service, or could not be reached, since that list arrived.
     """
 
     __slots__ = ("latest", "nodes", "without_capacity")
@@ -53,40 +53,47 @@
         self.without_capacity: set[tuple[str, str]] = set()  # (service, address)
 
     def update(self, latest: LoadList, nodes: Mapping[str, Sequence[NodeLoad]]) -> None:
-        """A new load list came: every peer on it may have capacity again."""
+        """Use a new load list; every peer on it may have capacity again."""
         self.latest, self.nodes = latest, nodes
         self.without_capacity = set()
 
     def exclude(self, service: str, address: str) -> None:
-        """Choose the peer for no request of the service until the next list."""
+        """Exclude a peer for requests of a service until the next list arrives."""
         self.without_capacity.add((service, address))
 
-    def of(self, service: str) -> LoadList:
-        """The latest list, of one service."""
+    def for_service(self, service: str) -> LoadList:
+        """Return the entries of one service on the latest list."""
         latest = self.latest
         return LoadList(
             latest.epoch, latest.seq, latest.received_at, tuple(self.nodes.get(service, ()))
         )
 
-    def avoided(self, service: str, tried: AbstractSet[str]) -> AbstractSet[str]:
-        """The peers to which a request is not sent that was at the ones in `tried` before."""
+    def excluded(self, service: str, tried: AbstractSet[str]) -> AbstractSet[str]:
+        """Return the peers to which a request must not be sent.
+
+        :param tried: the peers that the request has already tried
+        """
         if not self.without_capacity:
             return tried
-        full = {address for of, address in self.without_capacity if of == service}
+        full = {
+            address
+            for excluded_service, address in self.without_capacity
+            if excluded_service == service
+        }
         return tried | full if full else tried
 
     def addresses(self) -> set[str]:
-        """The nodes on the list, of whatever service."""
+        """Return the addresses of all nodes on the list."""
         return {node.address for nodes in self.nodes.values() for node in nodes}
 
 
 def local_state(
     endpoint: Endpoint | None, occupation: ServiceOccupation | None
 ) -> LocalEndpointState:
-    """What the policy has to know of a service's endpoint on this machine.
+    """Return the state of a service's local endpoint as the policy needs it.
 
-    :param endpoint: the one that takes the next request; None if there is none
-    :param occupation: the service's load here, if it was ever known
+    :param endpoint: the endpoint that gets the next request, or None
+    :param occupation: the service's load here, or None if it was never measured
     """
     return LocalEndpointState(
         rho=occupation.rho if occupation else 0.0,
@@ -96,27 +103,25 @@
 
 
 class Placement:
-    """Chooses a node for each request, as the paper does it.
+    """Chooses a node for each request according to the paper.
 
-    :param own_address: this node's on the load list
-    :param first_address: gives the address after which the first peer of a service is chosen, so
-        that nodes which started together don't all begin with the same peer
+    :param own_address: the address of this node on the load list
+    :param initial_address: returns the address after which the first peer of a service is chosen,
+        so that nodes that start at the same time don't all choose the same peer first
     """
 
-    def __init__(self, own_address: str, first_address: Callable[[], str] = str) -> None:
+    def __init__(self, own_address: str, initial_address: Callable[[], str] = str) -> None:
         self.own_address = own_address
-        self.first_address = first_address
+        self.initial_address = initial_address
         self.loads = PeerLoads()
-        self.rotations: dict[
-            Hashable, RoundRobin
-        ] = {}  # the order of peers, by service and purpose
+        self.round_robins: dict[Hashable, RoundRobin] = {}  # by service, or by service and purpose
 
-    def rotation(self, key: Hashable) -> RoundRobin:
-        """The round-robin state of a service, or of one purpose of it."""
-        rotation = self.rotations.get(key)
-        if rotation is None:
-            rotation = self.rotations[key] = RoundRobin(self.first_address())
-        return rotation
+    def round_robin(self, key: Hashable) -> RoundRobin:
+        """Return the round-robin state for a key, which is a service or (service, purpose)."""
+        round_robin = self.round_robins.get(key)
+        if round_robin is None:
+            round_robin = self.round_robins[key] = RoundRobin(self.initial_address())
+        return round_robin
 
     def choose(
         self,
@@ -124,46 +129,51 @@
         local: LocalEndpointState,
         thresholds: Thresholds,
         tried: AbstractSet[str],
-        at: int,
+        now: int,
     ) -> Choice:
-        """Where a request goes now.
+        """Choose where a request goes now.
 
-        :param local: the state of the endpoint here
-        :param tried: addresses of the peers that it must not be sent to any more
-        :param at: the time, in microseconds
+        :param local: the state of the local endpoint
+        :param tried: addresses of the peers to which the request must not be sent again
+        :param now: the time in microseconds
         """
-        avoided = self.loads.avoided(service, tried)
-        return self.choose_from(self.loads.of(service), service, local, thresholds, avoided, at)
+        excluded = self.loads.excluded(service, tried)
+        return self.apply_policy(
+            self.loads.for_service(service), service, local, thresholds, excluded, now
+        )
 
-    def choose_from(
+    def apply_policy(
         self,
         load_list: LoadList,
         service: str,
         local: LocalEndpointState,
         thresholds: Thresholds,
-        avoided: AbstractSet[str],
-        at: int,
+        excluded: AbstractSet[str],
+        now: int,
     ) -> Choice:
-        """The policy's choice among the nodes of a list."""
+        """Apply the load sharing policy to the nodes of a list."""
         return choose(
             local,
             load_list,
-            self.rotation(service),
-            at,
+            self.round_robin(service),
+            now,
             self.own_address,
             thresholds.phi,
             thresholds.omega,
             thresholds.stale_us,
-            avoided,
+            excluded,
         )
 
 
 class ZonePlacement(Placement):
-    """As Placement, with two exceptions: a request without a local endpoint stays in the zone where
-    it can, and one whose local endpoint is full goes to any peer that may have a slot free."""
+    """Extends Placement by zones and by a last resort for full endpoints.
 
-    def __init__(self, own_address: str, zone: str, first_address: Callable[[], str]) -> None:
-        super().__init__(own_address, first_address)
+    A request without a local endpoint stays in this zone if possible. A request whose local endpoint
+    is full goes to any peer that may have a free slot.
+    """
+
+    def __init__(self, own_address: str, zone: str, initial_address: Callable[[], str]) -> None:
+        super().__init__(own_address, initial_address)
         self.zone = zone
 
     def choose(
@@ -172,18 +182,18 @@
         local: LocalEndpointState,
         thresholds: Thresholds,
         tried: AbstractSet[str],
-        at: int,
+        now: int,
     ) -> Choice:
-        """As Placement.choose, with the exceptions of this class."""
-        load_list = self.loads.of(service)
-        avoided = self.loads.avoided(service, tried)
+        """Choose where a request goes now; see Placement.choose and this class."""
+        load_list = self.loads.for_service(service)
+        excluded = self.loads.excluded(service, tried)
         if not local.available:
-            accepting = self.below(thresholds.phi, load_list, avoided)
+            accepting = self.peers_below(thresholds.phi, load_list, excluded)
             if accepting:
-                load_list = replace(load_list, nodes=tuple(self.nearby(accepting)))
-        choice = self.choose_from(load_list, service, local, thresholds, avoided, at)
+                load_list = replace(load_list, nodes=tuple(self.same_zone_or_all(accepting)))
+        choice = self.apply_policy(load_list, service, local, thresholds, excluded, now)
         if choice.placement is REJECT and local.available:
-            return self.any_with_capacity(load_list, service, thresholds, avoided) or choice
+            return self.any_with_capacity(load_list, service, thresholds, excluded) or choice
         return choice
 
     def any_with_capacity(
@@ -191,36 +201,41 @@
         load_list: LoadList,
         service: str,
         thresholds: Thresholds,
-        avoided: AbstractSet[str],
+        excluded: AbstractSet[str],
     ) -> Choice | None:
-        """A peer that may have a slot free, where the paper would block the request: the endpoint
-        here is full, and nobody accepts. First those below omega, then any below 1."""
-        for ceiling in (thresholds.omega, 1.0):
-            node = self.rotation(service).pick(self.below(ceiling, load_list, avoided))
+        """Choose a peer that may have a free slot, where the paper would block the request.
+
+        This is when the local endpoint is full and no peer accepts. Peers below omega are
+        preferred to other peers below full load.
+        """
+        for max_rho in (thresholds.omega, 1.0):
+            node = self.round_robin(service).pick(self.peers_below(max_rho, load_list, excluded))
             if node is not None:
                 return Choice(FORWARD, node, FULL_ANY_CAPACITY)
         return None
 
-    def below(
-        self, ceiling: float, load_list: LoadList, avoided: AbstractSet[str]
+    def peers_below(
+        self, max_rho: float, load_list: LoadList, excluded: AbstractSet[str]
     ) -> list[NodeLoad]:
-        """The peers of a list whose load is below a ceiling, in order of address."""
-        peers = load_list.accepting(self.own_address, ceiling)
-        return [node for node in peers if node.address not in avoided]
+        """Return the peers on a list with a load below max_rho, sorted by address."""
+        peers = load_list.accepting(self.own_address, max_rho)
+        return [node for node in peers if node.address not in excluded]
 
-    def nearby(self, nodes: Iterable[NodeLoad]) -> list[NodeLoad]:
-        """Those in this zone, or all if there are none."""
+    def same_zone_or_all(self, nodes: Iterable[NodeLoad]) -> list[NodeLoad]:
+        """Return the nodes in this zone, or all nodes if none is in this zone."""
         nodes = list(nodes)
         return [node for node in nodes if node.zone == self.zone] or nodes
 
-    def peer_to_queue_at(self, service: str, asked: AbstractSet[str]) -> NodeLoad | None:
-        """The next peer that is asked to let a request wait in its queue.
+    def peer_to_queue_at(self, service: str, already_tried: AbstractSet[str]) -> NodeLoad | None:
+        """Return the next peer that is asked to queue a request, or None.
 
-        :param asked: addresses of those that were asked before
+        :param already_tried: addresses of the peers that were already asked
         """
         candidates = [
             node
             for node in self.loads.nodes.get(service, ())
-            if node.address != self.own_address and not node.draining and node.address not in asked
+            if node.address != self.own_address
+            and not node.draining
+            and node.address not in already_tried
         ]
-        return self.rotation((service, "waits")).pick(self.nearby(candidates))
+        return self.round_robin((service, "waits")).pick(self.same_zone_or_all(candidates))
--- a/packages/forwarding/meadowdock/forwarding/queueing.py
+++ b/packages/forwarding/meadowdock/forwarding/queueing.py
@@ -1,6 +1,6 @@
-"""Calls that wait here for a slot, or for a peer that has one: timers and wake-ups.
+"""Timers and wake-ups of the calls that wait here for a slot or for a peer with a free slot.
 
-`admission` decides who may wait and until when; `wait_queue` keeps the order.
+`admission` decides which calls may wait and until when; `wait_queue` keeps their order.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from meadowdock.forwarding.call import Call, Rejected
-from meadowdock.forwarding.outcome_codes import BUSY, GONE
+from meadowdock.forwarding.outcome_codes import BUSY, NO_ENDPOINT
 from meadowdock.forwarding.wait_estimates import misses_target
 from meadowdock.load_sharing import FORWARD
 from meadowdock.runtime import monotonic_us
@@ -19,9 +19,9 @@
 
 
 class Queueing:
-    """Puts calls into the queues of `admission` and takes them out again.
+    """Adds calls to the queues of `admission` and removes them.
 
-    Invariant: a call in a queue has a timer that ends its waiting.
+    Invariant: each call in a queue has a timer that limits its wait.
     """
 
     def __init__(self, dispatcher: Dispatcher) -> None:
@@ -30,77 +30,77 @@
         self.figures, self.invariants = dispatcher.figures, dispatcher.invariants
 
     def admit(self, call: Call) -> None:
-        """Into the queue, as one that will likely be served in time."""
+        """Queue a call that will likely be served in time."""
         call.admitted = not misses_target(call.urgency)
         self.join(call)
 
     def join(self, call: Call) -> None:
-        """Into the queue."""
+        """Queue a call."""
         service = call.service
         self.registry.slot_waiters.setdefault(service, partial(self.wake, service))
         self.admission.queue(service).join(call)
-        call.position_until = self.admission.position_until(call)
-        call.timer = self.reactor.at(call.position_until, lambda: self.position_timer(call))
+        call.position_deadline = self.admission.position_deadline(call)
+        call.timer = self.reactor.at(call.position_deadline, lambda: self.on_position_timeout(call))
 
-    def position_timer(self, call: Call) -> None:
-        """The time of the call's position is over."""
+    def on_position_timeout(self, call: Call) -> None:
+        """Handle the end of the time for which a call keeps its position."""
         if call.queue is not None:
             call.queue.leave(call)
-            self.position_lost(call)
+            self.on_position_lost(call)
 
-    def position_lost(self, call: Call) -> None:
-        """The call goes behind those that can still meet their target, or is rejected."""
+    def on_position_lost(self, call: Call) -> None:
+        """Queue a call behind those that can still meet their target, or reject it."""
         endpoint = self.registry.local_endpoint(call.service)
-        if endpoint is not None and self.admission.may_wait_on(
+        if endpoint is not None and self.admission.try_demote(
             call, endpoint.capacity, monotonic_us()
         ):
             self.join(call)
         else:
-            self.figures.not_served(call)
-            self.dispatcher.give_up(call, BUSY)
+            self.figures.count_unserved(call)
+            self.dispatcher.reject(call, BUSY)
 
     def wake(self, service: str) -> None:
-        """The endpoint here may have slots free: the first in the queue start."""
+        """Start the first calls in the queue if the local endpoint has free slots."""
         queue = self.admission.queue(service)
         while len(queue):
             endpoint = self.registry.local_endpoint(service)
             if endpoint is None or not endpoint.has_capacity:
                 break
-            call = queue.next()
+            call = queue.pop()
             assert call is not None
             call.stop_timer()
-            at = monotonic_us()
-            if at > call.position_until:  # its timer comes late: this process was paused
-                self.position_lost(call)
+            now = monotonic_us()
+            if now > call.position_deadline:  # its timer is late because this process was paused
+                self.on_position_lost(call)
                 continue
-            self.invariants.check_start(call, self.admission, at)
+            self.invariants.check_start(call, self.admission, now)
             self.dispatcher.local_calls.start(call, endpoint)
         endpoint = self.registry.local_endpoint(service)
         has_room = endpoint is not None and endpoint.has_capacity
         self.invariants.check_idle_capacity(service, len(queue), has_room, monotonic_us())
         if len(queue) and endpoint is None:
-            self.place_waiting(service)
+            self.place_queued_calls(service)
 
-    def place_waiting(self, service: str) -> None:
-        """Peers may have capacity now: calls in the queue that may go there, go."""
+    def place_queued_calls(self, service: str) -> None:
+        """Place queued calls at peers that may have capacity now."""
         queue = self.admission.queue(service)
         for call in queue.in_order():
             if call.queue is not queue:
-                continue  # one before it made room for it
+                continue  # placing an earlier call freed a slot, in which this one has started
             no_endpoint = self.registry.local_endpoint(service) is None
-            if call.from_peer:  # it is never relocated again: its own node looks further
+            if call.from_peer:  # never relocated twice: the node where it arrived tries other peers
                 if no_endpoint:
-                    self.take_out(call)
-                    self.dispatcher.finish(call, Rejected(GONE, 0))
+                    self.remove(call)
+                    self.dispatcher.finish(call, Rejected(NO_ENDPOINT, 0))
                 continue
             call.tried_peers.clear()
-            call.asked_peers.clear()
+            call.queue_peers_tried.clear()
             if no_endpoint or self.dispatcher.choose(call, monotonic_us())[0].placement is FORWARD:
-                self.take_out(call)
+                self.remove(call)
                 self.dispatcher.place(call)
 
-    def take_out(self, call: Call) -> None:
-        """Out of its queue, from whatever position."""
+    def remove(self, call: Call) -> None:
+        """Remove a call from its queue, whatever its position is."""
         assert call.queue is not None
         call.queue.leave(call)
         call.stop_timer()
--- a/packages/forwarding/meadowdock/forwarding/reactor.py
+++ b/packages/forwarding/meadowdock/forwarding/reactor.py
@@ -1,7 +1,7 @@
-"""Timers, and turns.
+"""Runs the timers and turns of the request path.
 
-Everything of the traffic path runs in turns: a socket's data or a timer calls plain functions,
-nothing is awaited in between, and what goes out is flushed at the end.
+All code of the request path runs in turns: the data of a socket or a timer calls plain functions
+that never await, and output is flushed at the end of the turn.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 if TYPE_CHECKING:
     from meadowdock.forwarding.interfaces import Logger
 
-NEVER = 1 << 62
+NEVER_US = 1 << 62
 
 
 class Flushable(Protocol):
-    """What gathers bytes during a turn."""
+    """Something that buffers output during a turn."""
 
     def flush(self) -> None:
-        """Send them."""
+        """Send the buffered output."""
 
 
 class Timer:
-    """A function that is called at a time, in microseconds of the monotonic clock.
+    """A function that is called at a given time, in microseconds on the monotonic clock.
 
-    Invariant: callback is None once it was called or cancelled; it is called at most once.
+    Invariant: callback is called at most once, and is None once it was called or cancelled.
     """
 
     __slots__ = ("when", "callback", "number")
@@ -43,27 +43,29 @@
         return (self.when, self.number) < (other.when, other.number)
 
     def cancel(self) -> None:
-        """Don't call it any more."""
+        """Cancel the timer."""
         self.callback = None
 
 
 class Reactor:
-    """Invariants: timers is a heap, the earliest first; dirty holds each sender that has something
-    to send, once.
+    """Runs timers, and flushes buffered output at the end of each turn.
 
-    :param log: writes an event about a defect; without it, defects are raised
+    Invariants: timers is a heap with the earliest first; dirty holds each sender with buffered
+    output once.
+
+    :param log: writes an event if a callback raises; without it the exception is propagated
     """
 
     def __init__(self, log: Logger | None = None) -> None:
         self.log = log
         self.timers: list[Timer] = []
         self.dirty: list[Flushable] = []
-        self.number = 0  # of the latest timer: of two for one time, the older goes first
+        self.number = 0  # of the latest timer; timers for the same time run in the order of numbers
         self.sleeping_until = 0
         self.earlier_timer = trio.Event()
 
     def at(self, when: int, callback: Callable[[], object]) -> Timer:
-        """Call a function in a turn of its own, not before a time."""
+        """Call a function in its own turn, not before the given time."""
         self.number += 1
         timer = Timer(when, callback, self.number)
         heapq.heappush(self.timers, timer)
@@ -72,10 +74,12 @@
         return timer
 
     def turn(self, callback: Callable[..., object], *args: object) -> bool:
-        """One turn: call, then flush. A defect in the callback is logged and ends the turn, not the
-        process: every other call here goes on.
+        """Run one turn: call the callback, then flush.
+
+        An exception in the callback is logged and ends the turn but not the process, so that all other
+        calls continue.
 
-        :returns: whether the callback returned
+        :returns: whether the callback returned without an exception
         """
         try:
             callback(*args)
@@ -89,28 +93,28 @@
             self.end_turn()
 
     def end_turn(self) -> None:
-        """Flush what was gathered in this turn; each sender writes once."""
+        """Flush the output that was buffered in this turn; each sender writes once."""
         while self.dirty:
             dirty, self.dirty = self.dirty, []
             for sender in dirty:
                 sender.flush()
 
-    def run_timers(self, at: int) -> None:
-        """Call every timer whose time has come."""
+    def run_timers(self, now: int) -> None:
+        """Call the timers that have expired."""
         timers = self.timers
-        while timers and timers[0].when <= at:
+        while timers and timers[0].when <= now:
             timer = heapq.heappop(timers)
             callback, timer.callback = timer.callback, None
             if callback is not None:
                 self.turn(callback)
 
     async def run(self) -> None:
-        """Call the timers, until cancelled."""
+        """Call timers as they expire, until cancelled."""
         while True:
             self.run_timers(monotonic_us())
             while self.timers and self.timers[0].callback is None:
                 heapq.heappop(self.timers)
-            self.sleeping_until = self.timers[0].when if self.timers else NEVER
+            self.sleeping_until = self.timers[0].when if self.timers else NEVER_US
             self.earlier_timer = trio.Event()
             with deadline_scope(self.sleeping_until):
                 await self.earlier_timer.wait()
@@ -119,7 +123,7 @@
 
 
 def origin(error: BaseException) -> str:
-    """The function and line in which an exception was raised."""
+    """Return the function and line in which an exception was raised."""
     frame = error.__traceback__
     assert frame is not None
     while frame.tb_next is not None:
--- a/packages/forwarding/meadowdock/forwarding/response_check.py
+++ b/packages/forwarding/meadowdock/forwarding/response_check.py
@@ -1,8 +1,8 @@
-"""What an endpoint's response says of the request that was sent to it. No I/O.
+"""Checks whether an endpoint's response belongs to the request that was sent to it. No I/O.
 
-A response is passed on only if it is certain to be this request's. Connections are reused, so it
-could also be a second response to an earlier one; and an address may have been taken by another
-instance, or by a process that is no endpoint.
+A response is forwarded only if it certainly belongs to the request. Connections are reused, so it
+could also be a duplicate response to an earlier request. The address of the endpoint may also have
+been taken over by another instance, or by a process that is not an endpoint.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 
 
 class Verdict(Enum):
-    """What is known after a response."""
+    """The result of the check."""
 
-    VALID = "valid"  # it is the request's
-    NOT_RUN = "not run"  # the endpoint says that it did not run the request
+    VALID = "valid"  # the response belongs to the request
+    NOT_RUN = "not run"  # the endpoint did not run the request and says so
     OTHER_INSTANCE = (
-        "other instance"  # another instance has the address; it did not run the request
+        "other instance"  # another instance has the address, and did not run the request
     )
     UNCERTAIN = "uncertain"  # the request may have run
-    FOREIGN = "foreign"  # as UNCERTAIN, and nothing on the connection can be relied on
+    FOREIGN = "foreign"  # as UNCERTAIN, and the connection can't be trusted any more
 
 
 VALID, NOT_RUN, OTHER_INSTANCE = Verdict.VALID, Verdict.NOT_RUN, Verdict.OTHER_INSTANCE
 UNCERTAIN, FOREIGN = Verdict.UNCERTAIN, Verdict.FOREIGN
 
 MISDIRECTED = 421  # RFC 9110, section 15.5.20
-# statuses by which a caller would believe that the request did not run, which nobody promised
+# A caller would conclude from these statuses that the request did not run, which is not certain.
 SOUNDS_NOT_RUN = (408, 429, 503)
 
 
 class ResponseCheck:
-    """Judges responses, and rewrites their header lines for callers.
+    """Checks responses and rewrites their header lines for callers.
 
-    :param dialect: the names of the headers by which a response proves itself
+    :param dialect: the names of the headers that identify and authenticate a response
     """
 
     __slots__ = ("call_id", "call_id_name", "stamp", "stamp_name", "not_run_name", "names")
@@ -48,24 +48,24 @@
         self.names = dialect.names
 
     def verdict(self, response: Response, call_id: bytes, first_on_connection: bool) -> Verdict:
-        """Whether a response is that of a request.
+        """Return whether a response belongs to a request, and whether the request ran.
 
-        :param call_id: the request's
-        :param first_on_connection: no other request was sent on the connection before
+        :param call_id: the call id of the request
+        :param first_on_connection: the request is the first one on its connection
         """
-        facts, status = response.facts, response.status
-        response_id = facts.get(self.call_id_name)
+        headers, status = response.mesh_headers, response.status
+        response_id = headers.get(self.call_id_name)
         if response_id is not None and response_id != call_id:
             return FOREIGN
         if response_id is None and not first_on_connection:
-            return FOREIGN  # it may be the second response to an earlier request
+            return FOREIGN  # it may be a duplicate response to an earlier request
         if status == MISDIRECTED:
             return OTHER_INSTANCE
-        if self.not_run_name in facts:
+        if self.not_run_name in headers:
             return NOT_RUN
         if response_id is None:
             return FOREIGN
-        if status < 300 and self.stamp_name and self.stamp_name not in facts:
+        if status < 300 and self.stamp_name and self.stamp_name not in headers:
             return FOREIGN
         if status in SOUNDS_NOT_RUN:
             return UNCERTAIN
@@ -74,8 +74,8 @@
         return VALID
 
     def lines_for_caller(self, response: Response, call_id: bytes) -> list[HeaderLine]:
-        """The header lines that a caller gets: the proofs first, then the endpoint's own."""
-        stamp = response.facts.get(self.stamp_name)
+        """Return the header lines for the caller: call id and stamp, then the endpoint's own."""
+        stamp = response.mesh_headers.get(self.stamp_name)
         proofs = [(self.call_id, call_id)]
         if stamp is not None:
             proofs.append((self.stamp, stamp))
@@ -84,8 +84,9 @@
 
 
 def reported_load(value: bytes | None) -> float | None:
-    """The load that an endpoint reports as "running,waiting,slots": 0 to 1, or None if the header
-    is missing or unreadable.
+    """Return the load in 0..1 that an endpoint reports as "running,waiting,slots".
+
+    Return None if the header is missing or malformed.
 
     >>> reported_load(b"3,1,16"), reported_load(b"20,9,16"), reported_load(b"1,2"), reported_load(None)
     (0.25, 1.0, None, None)
--- a/packages/forwarding/meadowdock/forwarding/retries.py
+++ b/packages/forwarding/meadowdock/forwarding/retries.py
@@ -1,8 +1,8 @@
-"""Whether a request that did not run, or may not have run, is sent again. No I/O.
+"""Decides whether a request is sent again after a failure, without I/O.
 
-A request that surely did not run may go to a further endpoint; one whose outcome is unknown only if
-it is idempotent. Retries are bounded for each request (its route's attempts) and for each service
-(a budget, so that a fault of an endpoint is not made worse by them).
+A request that certainly did not run may go to another endpoint; one whose outcome is unknown may do
+so only if it is idempotent. Retries are limited for each request (by its route's attempts) and for
+each service (by a retry budget, so that they don't amplify the failure of an endpoint).
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from meadowdock.forwarding.call import Call, Outcome, OutcomeUnknown, Rejected
-from meadowdock.forwarding.outcome_codes import LOST, NO_ANSWER, REJECTED_BY_ENDPOINT
+from meadowdock.forwarding.outcome_codes import CONNECTION_LOST, NO_ANSWER, REJECTED_BY_ENDPOINT
 
 if TYPE_CHECKING:
     from meadowdock.forwarding.interfaces import RetryBudget
@@ -20,9 +20,9 @@
 
 
 class RetryPolicy:
-    """Decides on retries, and counts them against the budget of their service.
+    """Decides on retries and counts them against the budget of their service.
 
-    :param new_budget: makes the budget of a service that had no request yet
+    :param new_budget: creates the budget of a service at its first request
     """
 
     def __init__(self, new_budget: Callable[[], RetryBudget]) -> None:
@@ -30,50 +30,57 @@
         self.budgets: dict[str, RetryBudget] = {}
 
     def budget(self, service: str) -> RetryBudget:
-        """The budget of a service."""
+        """Return the retry budget of a service."""
         budget = self.budgets.get(service)
         if budget is None:
             budget = self.budgets[service] = self.new_budget()
         return budget
 
-    def shared_by(self, nodes: int) -> None:
-        """So many nodes share the fleet's reserve of retries now."""
+    def set_node_count(self, nodes: int) -> None:
+        """Set the number of nodes that share the fleet's reserve of retries."""
         for budget in self.budgets.values():
             budget.share_between(nodes)
 
-    def permits(self, call: Call, at: int) -> bool:
-        """Whether a request may be sent once more; counts the retry if so."""
-        in_bounds = call.attempts < call.max_attempts and at < call.deadline
-        return in_bounds and self.budget(call.service).try_withdraw(at)
+    def permits(self, call: Call, now: int) -> bool:
+        """Return whether a request may be retried, and count the retry if so."""
+        in_bounds = call.attempts < call.max_attempts and now < call.deadline
+        return in_bounds and self.budget(call.service).try_withdraw(now)
 
-    def after_not_run(self, call: Call, at: int) -> bool:
-        """Whether a request of this node that did not run is placed again. One that reached no
-        endpoint yet is no retry."""
-        return call.attempts == 0 or self.permits(call, at)
+    def may_retry_not_run(self, call: Call, now: int) -> bool:
+        """Return whether a request of this node that did not run may be placed again.
 
-    def after_unknown(self, call: Call, code: str, at: int) -> bool:
-        """Whether a request that may have run is placed again."""
-        repeatable = not call.from_peer and call.idempotent and not call.abandoned
-        return repeatable and code != NO_ANSWER and self.permits(call, at)
+        If it has not reached any endpoint, this does not count as a retry.
+        """
+        return call.attempts == 0 or self.permits(call, now)
 
+    def may_retry_unknown(self, call: Call, code: str, now: int) -> bool:
+        """Return whether a request that may have run may be placed again."""
+        repeatable = not call.from_peer and call.idempotent and not call.cancelled
+        return repeatable and code != NO_ANSWER and self.permits(call, now)
 
-def rejection_of_relocated(call: Call, code: str) -> Rejected:
-    """What a peer is told of its request that did not run here: if an endpoint saw it, a further
-    one would be a retry."""
+
+def rejection_for_peer(call: Call, code: str) -> Rejected:
+    """Return the rejection that is sent to a peer whose request did not run here.
+
+    If an endpoint has received the request, the peer must count a further attempt as a retry.
+    """
     return Rejected(REJECTED_BY_ENDPOINT if call.attempts else code, 0)
 
 
-def final_rejection(call: Call, code: str, at: int) -> Outcome:
-    """The outcome of a request that is given up without an answer."""
+def final_outcome(call: Call, code: str, now: int) -> Outcome:
+    """Return the outcome of a request for which there will be no further attempt."""
     if call.may_have_run:
-        return OutcomeUnknown(LOST)
+        return OutcomeUnknown(CONNECTION_LOST)
     if call.from_peer:
         return Rejected(code, call.retry_after_us)
-    return Rejected(code, retry_after_us(call, at))
+    return Rejected(code, retry_after_us(call, now))
 
 
-def retry_after_us(call: Call, at: int) -> int:
-    """When its caller is to come back: once those in the queue have probably been served, but
-    early enough for another attempt before the deadline."""
-    left_us = call.deadline - at
+def retry_after_us(call: Call, now: int) -> int:
+    """Return after which time the caller should retry.
+
+    By then the calls in the queue have probably been served, but there is still time for another
+    attempt before the deadline.
+    """
+    left_us = call.deadline - now
     return max(RETRY_AFTER_MIN_US, min(call.retry_after_us or call.hold_us, left_us // 4))
--- a/packages/forwarding/meadowdock/forwarding/slowness.py
+++ b/packages/forwarding/meadowdock/forwarding/slowness.py
@@ -1,4 +1,4 @@
-"""How slow the endpoints here are compared with those of the peers, as the load list reports it."""
+"""Estimates how slow the local endpoints are, compared with those of the peers."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
     from meadowdock.forwarding.interfaces import EndpointRegistry
 
 SLOWNESS_MAX = 4.0
-SLOWNESS_WARMING_UP = 1.5  # at least, while an endpoint is warming up
+SLOWNESS_MIN_WARMING_UP = 1.5  # the least factor while an endpoint is warming up
 
 
 class SlownessEstimator:
-    """Compares the endpoints here with those of the peers. Times in microseconds."""
+    """Compares the hold times of the local endpoints with those on the load list."""
 
     def __init__(self, registry: EndpointRegistry, admission: Admission, loads: PeerLoads) -> None:
         self.registry, self.admission, self.loads = registry, admission, loads
-        self.fleet_hold_us: dict[str, float] = {}  # by service, the mean over the latest list
+        self.fleet_hold_us: dict[str, float] = {}  # by service: the mean over the latest load list
 
     def update_fleet(self, nodes: Mapping[str, Sequence[NodeLoad]]) -> None:
-        """A new load list came."""
+        """Update the mean hold time of each service from a new load list."""
         self.fleet_hold_us = {
             service: sum(known) / len(known)
             for service, listed in nodes.items()
@@ -33,24 +33,28 @@
         }
 
     def hold_us(self, service: str) -> int:
-        """The mean time for which a call holds a slot here, as reported on the load list; 0 if it is
-        unknown."""
+        """Return the mean time for which a call holds a slot here; 0 if it is unknown.
+
+        This is what the node reports on the load list.
+        """
         return self.admission.estimates(service).mean_us()
 
-    def factor(self, service: str, at: int) -> float:
-        """How much longer calls take here than over all nodes of the service, from 1 to
-        SLOWNESS_MAX: the factor by which the reported load grows."""
+    def factor(self, service: str, now: int) -> float:
+        """Return the factor, from 1 to SLOWNESS_MAX, by which the reported load is increased.
+
+        It is the square of the ratio of the mean hold time here to that over all nodes.
+        """
         own_us, fleet_us = self.hold_us(service), self.fleet_hold_us.get(service, 0)
         warming_up = any(
-            endpoint.slow_start_until > at
+            endpoint.slow_start_until > now
             for endpoint in self.registry.available_endpoints(service)
         )
         ratio = own_us / fleet_us if fleet_us else 1.0
-        least = SLOWNESS_WARMING_UP if warming_up else 1.0
-        return min(SLOWNESS_MAX, max(least, ratio * ratio))
+        minimum = SLOWNESS_MIN_WARMING_UP if warming_up else 1.0
+        return min(SLOWNESS_MAX, max(minimum, ratio * ratio))
 
     def log_fields(self, service: str) -> dict[str, object]:
-        """What this node knows of a service now, as fields of a log event."""
+        """Return the state of a service at this node as fields of a log event."""
         endpoint = self.registry.local_endpoint(service)
         occupation = self.registry.service_loads.get(service)
         peers = self.loads.nodes.get(service, ())
--- a/packages/forwarding/meadowdock/forwarding/sockets.py
+++ b/packages/forwarding/meadowdock/forwarding/sockets.py
@@ -1,7 +1,8 @@
-"""Sockets as events: each has one reading task; writing goes straight to the kernel.
+"""Event-driven TCP connections.
 
-An owner has on_data(data) and on_end(cause); who dials also has on_open(connection) and
-on_fail(cause). Each is called in a turn of its own.
+Each connection has one task that reads; writes go directly to the kernel. The owner of a connection
+has on_data(data) and on_end(cause), and on_open(connection) and on_fail(cause) if it dials. Each
+of them is called in its own turn of the reactor.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
 if TYPE_CHECKING:
     from meadowdock.forwarding.reactor import Reactor
 
-READ_SIZE = 16_384  # bytes; a larger buffer is taken from the system anew at each read
-LINGER_US = 2 * SECOND  # after our end was sent, the other side has so long to read it
-BACKLOG = 1024  # connections that the kernel takes before they are accepted
-ACCEPT_PAUSE_US = 20 * MILLISECOND  # when out of descriptors: others must close first
+READ_SIZE = 16_384  # bytes; a larger buffer would be allocated by the system at each read
+LINGER_US = 2 * SECOND  # from the end of our output to the close, for the other side to read it
+LISTEN_BACKLOG = 1024  # connections that the kernel keeps until they are accepted
+ACCEPT_PAUSE_US = 20 * MILLISECOND  # after running out of descriptors, until some are closed
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class SocketConnection:
     """One TCP connection.
 
-    Invariants: unsent holds the bytes that the kernel did not take yet, in order, unsent_size of
-    them; on_end is called once, and not after close().
+    Invariants: unsent holds the bytes that the kernel has not accepted yet, in order, and
+    unsent_size is their number; on_end is called at most once, and never after close().
     """
 
     __slots__ = (
@@ -53,13 +54,13 @@
         self.unsent: list[bytes] = []
         self.unsent_size = 0
         self.writing = self.closed = self.finishing = False
-        self.read_paused: trio.Event | None = None  # set when reading goes on
-        self.blocked_since = 0  # when the kernel last stopped taking bytes, 0 if it takes them
-
-    # ------------------------------------------------------------ writing
+        self.read_paused: trio.Event | None = None  # set when reading continues
+        self.blocked_since = (
+            0  # when bytes were last accepted or first refused; 0 if none are unsent
+        )
 
     def send(self, data: bytes) -> None:
-        """Send now what the kernel takes, and the rest as soon as it does."""
+        """Send what the kernel accepts now, and the rest as soon as it does."""
         if self.closed or self.finishing:
             return
         if not self.unsent:
@@ -68,7 +69,7 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                return  # the reading task meets the same end
+                return  # the reading task will get the same error
             if sent == len(data):
                 return
             data = data[sent:]
@@ -80,7 +81,7 @@
             self.network.nursery.start_soon(self.drain)
 
     async def drain(self) -> None:
-        """Send what the kernel did not take at once."""
+        """Send the bytes that the kernel did not accept at once."""
         try:
             while self.unsent and not self.closed:
                 await wait_writable(self.sock)
@@ -104,10 +105,8 @@
             if self.finishing:
                 self.half_close()
 
-    # ------------------------------------------------------------ closing
-
     def finish(self) -> None:
-        """Close once all that was sent is out; what still comes is not read as requests."""
+        """Close once all output is sent; input that still arrives is discarded."""
         if not self.finishing and not self.closed:
             self.finishing = True
             self.resume()
@@ -115,7 +114,7 @@
                 self.half_close()
 
     def half_close(self) -> None:
-        """Send our end; close later, so that the other side can read everything."""
+        """Shut down writing; close later, so that the other side can read everything."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -123,7 +122,7 @@
         self.network.reactor.at(monotonic_us() + LINGER_US, self.close)
 
     def close(self) -> None:
-        """Close now."""
+        """Close the connection now."""
         if not self.closed:
             self.closed = True
             self.unsent, self.unsent_size = [], 0
@@ -132,21 +131,19 @@
             self.sock.close()
             self.network.open.discard(self)
 
-    # ------------------------------------------------------------ reading
-
     def pause(self) -> None:
-        """Read nothing for now."""
+        """Stop reading."""
         if self.read_paused is None:
             self.read_paused = trio.Event()
 
     def resume(self) -> None:
-        """Read again."""
+        """Continue reading."""
         if self.read_paused is not None:
             self.read_paused.set()
             self.read_paused = None
 
     async def read(self) -> None:
-        """Give the owner what comes, until the connection ends."""
+        """Pass received data to the owner until the connection ends, then report the end."""
         cause: object = "closed by the peer"
         try:
             await self.read_until_end()
@@ -157,10 +154,10 @@
             self.network.reactor.turn(self.owner.on_end, cause)
 
     async def read_until_end(self) -> None:
-        """Give the owner what comes, until the other side ends it or this side closes.
+        """Pass received data to the owner until either side closes the connection.
 
         :raises OSError: the connection broke
-        :raises trio.ClosedResourceError: it was closed here meanwhile
+        :raises trio.ClosedResourceError: the connection was closed here meanwhile
         """
         sock, reactor = self.sock, self.network.reactor
         while True:
@@ -178,16 +175,16 @@
             if self.finishing:
                 continue
             if not reactor.turn(self.owner.on_data, data):
-                return  # the owner's state is unknown
+                return  # the owner raised an exception, so its state is unknown
             if self.closed:
                 return
 
 
 class SocketNetwork:
-    """The real network of one process.
+    """The network of one process, over the kernel's sockets.
 
     :param host: the address from which connections are opened; "" leaves it to the kernel
-    :param connection_type: the class of its connections
+    :param connection_type: the class of the connections
     """
 
     def __init__(
@@ -202,15 +199,13 @@
         self.open: set[SocketConnection] = set()
 
     def adopt(self, sock: socket.socket, peer: str = "") -> SocketConnection:
-        """A connection over an open socket."""
+        """Return a connection over an open socket."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = self.connection_type(sock, self, peer)
         self.open.add(connection)
         return connection
 
-    # ------------------------------------------------------------ listening
-
     async def listen(
         self,
         address: str,
@@ -218,10 +213,11 @@
         closing: trio.Event | None = None,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept connections until cancelled, or until `closing` is set: those that the kernel has
-        taken by then are accepted first.
+        """Accept connections until cancelled, or until `closing` is set.
+
+        Connections that are in the kernel's backlog when `closing` is set are still accepted.
 
-        :param accept: called with each connection, to give it its owner
+        :param accept: called with each connection, to set its owner
         :raises OSError: the address can't be bound
         """
         host_and_port = Address(address)
@@ -230,7 +226,7 @@
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.setblocking(False)
             listener.bind((host_and_port.host, host_and_port.port))
-            listener.listen(BACKLOG)
+            listener.listen(LISTEN_BACKLOG)
             task_status.started()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.accept_forever, listener, accept)
@@ -241,14 +237,14 @@
             self.accept_all(listener, accept)
 
     async def accept_forever(self, listener: socket.socket, accept: Callable[[Any], None]) -> None:
-        """Accept connections as they come."""
+        """Accept connections until cancelled."""
         while True:
             await wait_readable(listener)
             if not self.accept_all(listener, accept):
                 await sleep_us(ACCEPT_PAUSE_US)
 
     def accept_all(self, listener: socket.socket, accept: Callable[[Any], None]) -> bool:
-        """Accept all connections that the kernel has; False if it ran out of descriptors."""
+        """Accept all waiting connections; return False if the process is out of descriptors."""
         while True:
             try:
                 sock, peer = listener.accept()
@@ -262,11 +258,8 @@
             accept(connection)
             self.nursery.start_soon(connection.read)
 
-    # ------------------------------------------------------------ dialling
-
     def dial(self, address: str, deadline: int, owner: Any) -> None:
-        """Connect by the deadline; the owner's on_open(connection) or on_fail(cause) says how it
-        went."""
+        """Connect by the deadline and call the owner's on_open(connection) or on_fail(cause)."""
         self.nursery.start_soon(self.dial_and_read, Address(address), deadline, owner)
 
     async def dial_and_read(self, address: Address, deadline: int, owner: Any) -> None:
@@ -281,7 +274,7 @@
             await connection.read()
 
     async def connect(self, address: Address, deadline: int) -> SocketConnection | OSError | str:
-        """An open connection, or why there is none."""
+        """Return an open connection, or the reason why none could be opened."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         failure: OSError | str = "no connection in time"
         try:
--- a/packages/forwarding/meadowdock/forwarding/traffic_split.py
+++ b/packages/forwarding/meadowdock/forwarding/traffic_split.py
@@ -1,4 +1,4 @@
-"""The parts of a route's requests that go to each of its services, by weight. No I/O."""
+"""Distributes a route's requests over its services by weight, without I/O."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 
 
 class TrafficSplit:
-    """Smooth weighted round-robin, as nginx has it: in any run of requests each service gets its
-    share to within one request.
+    """Smooth weighted round-robin as in nginx.
 
-    Invariant: credits has at most one entry a route, that of the version that was used last; the
-    credits of an entry sum up to 0 between two requests.
+    In any sequence of requests each service gets its share to within one request.
+
+    Invariants: credits has at most one entry per route, for the version that was used last; the
+    credits of an entry add up to 0 between two requests.
     """
 
     def __init__(self) -> None:
         self.credits: dict[tuple[str, int], dict[str, float]] = {}
 
     def service_for(self, route: ItemRoute) -> str | None:
-        """The service of the route's next request; None if no service has a weight above 0."""
+        """Return the service of the route's next request; None if all weights are 0."""
         split = route.split
         if len(split) == 1:
             only: tuple[str, float] = split[0]
             return only[0] if only[1] > 0 else None
-        credit = self.credits_of(route)
+        credit = self.route_credits(route)
         total = sum(weight for _, weight in split)
         if total <= 0:
             return None
@@ -37,8 +38,8 @@
         credit[chosen] -= total
         return chosen
 
-    def credits_of(self, route: ItemRoute) -> dict[str, float]:
-        """The credit of each service of a route; those of another version are forgotten."""
+    def route_credits(self, route: ItemRoute) -> dict[str, float]:
+        """Return the credit of each service of a route, and forget those of other versions."""
         credit = self.credits.get((route.name, route.version))
         if credit is None:
             for key in [key for key in self.credits if key[0] == route.name]:
--- a/packages/forwarding/meadowdock/forwarding/upstream.py
+++ b/packages/forwarding/meadowdock/forwarding/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to the endpoints on this machine: one call at a time on each."""
+"""Connections to the endpoints on this machine; each carries one call at a time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,14 @@
 
 from meadowdock.forwarding.call import Call, Served
 from meadowdock.forwarding.http import Response, ResponseParser, response_head
-from meadowdock.forwarding.outcome_codes import BAD_ANSWER, BUSY, GONE, LATE, LOST, NO_ANSWER
+from meadowdock.forwarding.outcome_codes import (
+    BAD_ANSWER,
+    BUSY,
+    CONNECTION_LOST,
+    DEADLINE_PASSED,
+    NO_ANSWER,
+    NO_ENDPOINT,
+)
 from meadowdock.forwarding.response_check import (
     FOREIGN,
     NOT_RUN,
@@ -22,53 +29,53 @@
     from meadowdock.forwarding.interfaces import Connection, Endpoint
     from meadowdock.forwarding.local_calls import LocalCalls
 
-KEEP_ALIVE_US = 8 * SECOND  # an idle connection is used no longer, if the endpoint says nothing
-KEEP_ALIVE_MARGIN_US = 700 * MILLISECOND  # before an endpoint closes an idle connection by itself
+KEEP_ALIVE_US = 8 * SECOND  # the idle time-out if the endpoint does not announce one
+KEEP_ALIVE_MARGIN_US = 700 * MILLISECOND  # subtracted from an announced idle time-out
 CONNECT_TIMEOUT_US = 500 * MILLISECOND
-BODY_MAX = 64 << 20  # bytes of a response
-EARLIER_CALLS_MAX = 32  # calls of a connection whose second responses are recognized
+RESPONSE_BODY_MAX_BYTES = 64 << 20
+ANSWERED_IDS_MAX = 32  # earlier calls of a connection whose duplicate responses are recognized
 GRACE_US = (
     25 * MILLISECOND
-)  # an endpoint ends its work at the deadline by itself; its answer follows
+)  # an endpoint stops at the deadline by itself; this is the time for its response to arrive
 
 
 class UpstreamConnection:
     """One connection to an endpoint.
 
-    Invariants: call is the one that was sent and not answered; earlier_ids holds the ids of the latest
-    calls answered before it, whose second responses may still come; a connection is in its pool's
-    idle list iff it is open, in order and has no call.
+    Invariants: call is the one that was sent and not yet answered; answered_ids holds the ids of
+    the latest calls before it, whose duplicate responses may still arrive; a connection is in its
+    pool's idle list iff it is open, can be reused and has no call.
     """
 
-    __slots__ = ("pool", "connection", "responses", "call", "earlier_ids", "idle_until")
+    __slots__ = ("pool", "connection", "responses", "call", "answered_ids", "idle_until")
 
     def __init__(self, pool: UpstreamPool, call: Call) -> None:
         self.pool = pool
         self.connection: Connection | None = None  # until it is open
         self.call: Call | None = call
-        self.earlier_ids: deque[bytes] = deque(maxlen=EARLIER_CALLS_MAX)
-        self.responses = ResponseParser(pool.check.names, BODY_MAX)
+        self.answered_ids: deque[bytes] = deque(maxlen=ANSWERED_IDS_MAX)
+        self.responses = ResponseParser(pool.check.names, RESPONSE_BODY_MAX_BYTES)
         self.idle_until = 0
 
     def on_open(self, connection: Connection) -> None:
-        """The endpoint took the connection."""
+        """Report the open connection to the pool."""
         self.connection = connection
-        self.pool.opened(self)
+        self.pool.on_connected(self)
 
     def on_fail(self, cause: object) -> None:
-        """The endpoint took no connection."""
+        """Report to the pool that no connection could be opened."""
         call, self.call = self.call, None
-        self.pool.not_opened(call)
+        self.pool.on_connect_failed(call)
 
     def send(self, call: Call) -> None:
         """Send a call to the endpoint."""
         assert self.connection is not None
         self.call = call
-        self.responses.to_head = call.is_head
+        self.responses.for_head_request = call.is_head
         self.connection.send(self.pool.request_bytes(call))
 
     def on_data(self, data: bytes) -> None:
-        """Bytes of the endpoint."""
+        """Handle bytes from the endpoint."""
         responses, call = self.responses, self.call
         if call is None:
             self.drop()  # bytes that belong to no call
@@ -77,38 +84,38 @@
         response = self.next_response()
         if response is not None:
             self.call = None
-            self.earlier_ids.append(call.id)
-            self.pool.answered(self, call, response)
+            self.answered_ids.append(call.id)
+            self.pool.on_response(self, call, response)
         elif responses.malformed:
             self.call = None
             self.drop()
-            self.pool.dispatcher.outcome_unknown(call, BAD_ANSWER)
+            self.pool.dispatcher.on_outcome_unknown(call, BAD_ANSWER)
 
     def next_response(self) -> Response | None:
-        """The first response that came, but for late second ones to earlier calls."""
+        """Return the next response, skipping duplicate responses to earlier calls."""
         complete = self.responses.complete
         while complete:
             response = complete.pop(0)
-            if response.facts.get(self.pool.check.call_id_name) not in self.earlier_ids:
+            if response.mesh_headers.get(self.pool.check.call_id_name) not in self.answered_ids:
                 return response
         return None
 
     def reusable(self, call: Call) -> bool:
-        """Whether nothing but the call's response came."""
+        """Return whether nothing but the call's response was received."""
         responses = self.responses
         excess = responses.complete or responses.in_progress or responses.malformed
         return not (excess or call.is_head)
 
     def on_end(self, cause: object) -> None:
-        """The connection broke."""
-        self.pool.forget(self)
+        """Report the outcome of the call as unknown after the connection has ended."""
+        self.pool.discard(self)
         call, self.call = self.call, None
         if call is not None:
-            self.pool.dispatcher.outcome_unknown(call, LOST)
+            self.pool.dispatcher.on_outcome_unknown(call, CONNECTION_LOST)
 
     def drop(self) -> None:
-        """Close it."""
-        self.pool.forget(self)
+        """Close the connection."""
+        self.pool.discard(self)
         if self.connection is not None:
             self.connection.close()
 
@@ -116,8 +123,9 @@
 class UpstreamPool:
     """The connections to one endpoint.
 
-    Invariants: open connections are in `connections` until they end; idle is a part of it, the last
-    used last; nothing is idle once the endpoint is gone; opening counts those that are dialled.
+    Invariants: open connections are in `connections` until they end; idle is a subset of them, the
+    most recently used last; no connection is idle once the endpoint is removed; opening is the
+    number of connections that are being opened.
     """
 
     def __init__(self, local_calls: LocalCalls, endpoint: Endpoint) -> None:
@@ -130,55 +138,55 @@
         self.idle: list[UpstreamConnection] = []
         self.opening = 0
 
-    # ------------------------------------------------------------ sending
-
-    def run(self, call: Call, at: int) -> None:
-        """Send a call, which holds a slot since a time."""
-        call.dispatched_at = at
-        # a call that comes again goes over another connection: on its former one a late second
-        # response couldn't be told from the new one
-        for idle in [each for each in reversed(self.idle) if call.id not in each.earlier_ids]:
+    def run(self, call: Call, now: int) -> None:
+        """Send a call that has taken a slot now."""
+        call.dispatched_at = now
+        # A retry must use another connection: on the former one a late duplicate of the first
+        # response could not be distinguished from the new response.
+        for idle in [each for each in reversed(self.idle) if call.id not in each.answered_ids]:
             self.idle.remove(idle)
-            if idle.idle_until > at:
+            if idle.idle_until > now:
                 self.send(idle, call)
                 return
             idle.drop()
         self.opening += 1
-        deadline = min(call.deadline, at + CONNECT_TIMEOUT_US)
+        deadline = min(call.deadline, now + CONNECT_TIMEOUT_US)
         opening = UpstreamConnection(self, call)
         self.dispatcher.network.dial(self.endpoint.address, deadline, opening)
 
     def send(self, upstream: UpstreamConnection, call: Call) -> None:
-        """Send a call on an open connection."""
+        """Send a call on an open connection and set its timer."""
         call.attempts += 1
         call.timer = self.dispatcher.reactor.at(
-            call.deadline + GRACE_US, lambda: self.overdue(call)
+            call.deadline + GRACE_US, lambda: self.on_deadline(call)
         )
         upstream.send(call)
 
-    def opened(self, upstream: UpstreamConnection) -> None:
-        """A connection is open: send its call, if that may still run here."""
+    def on_connected(self, upstream: UpstreamConnection) -> None:
+        """Send the call for which a connection was opened, if it may still run here."""
         self.opening -= 1
         self.connections.add(upstream)
-        call, at = upstream.call, monotonic_us()
+        call, now = upstream.call, monotonic_us()
         if call is None or call.on_outcome is None:
             upstream.call = None
-            self.keep(upstream, KEEP_ALIVE_US, at)
-        elif self.endpoint.removed or self.endpoint.draining or at >= call.deadline:
+            self.add_idle(upstream, KEEP_ALIVE_US, now)
+        elif self.endpoint.removed or self.endpoint.draining or now >= call.deadline:
             upstream.call = None
-            self.keep(upstream, KEEP_ALIVE_US, at)
-            self.local_calls.not_run(call, LATE if at >= call.deadline else GONE)
+            self.add_idle(upstream, KEEP_ALIVE_US, now)
+            self.local_calls.on_not_run(
+                call, DEADLINE_PASSED if now >= call.deadline else NO_ENDPOINT
+            )
         else:
             self.send(upstream, call)
 
-    def not_opened(self, call: Call | None) -> None:
-        """A connection could not be opened."""
+    def on_connect_failed(self, call: Call | None) -> None:
+        """Report that the connection for a call could not be opened."""
         self.opening -= 1
         if call is not None and call.on_outcome is not None:
-            self.local_calls.no_connection(call, self.endpoint)
+            self.local_calls.on_connect_failed(call, self.endpoint)
 
     def request_bytes(self, call: Call) -> bytes:
-        """A call as it is sent to the endpoint now."""
+        """Return a call as it is sent to the endpoint now, with its remaining time."""
         dialect = self.dialect
         left = max(0, call.deadline - monotonic_us()) // dialect.deadline_unit_us
         return b"".join(
@@ -195,51 +203,54 @@
             ]
         )
 
-    # ------------------------------------------------------------ responses
-
-    def answered(self, upstream: UpstreamConnection, call: Call, response: Response) -> None:
-        """A response to a call came: is it the call's, and did the call run?"""
-        at = monotonic_us()
-        load = reported_load(response.facts.get(self.load_name))
+    def on_response(self, upstream: UpstreamConnection, call: Call, response: Response) -> None:
+        """Handle a response, after checking that it belongs to the call and whether the call ran."""
+        now = monotonic_us()
+        load = reported_load(response.mesh_headers.get(self.load_name))
         if load is not None:
-            self.endpoint.reported_load, self.endpoint.reported_load_at = load, at
-        self.keep_or_drop(upstream, call, response, at)
-        verdict = self.check.verdict(response, call.id, len(upstream.earlier_ids) == 1)
+            self.endpoint.reported_load, self.endpoint.reported_load_at = load, now
+        self.reuse_or_close(upstream, call, response, now)
+        verdict = self.check.verdict(response, call.id, len(upstream.answered_ids) == 1)
         if verdict is VALID:
             response.lines = self.check.lines_for_caller(response, call.id)
             head = response_head(response, call.is_head)
-            self.local_calls.answered(call, Served(head, response.body, response.status))
+            self.local_calls.on_answered(call, Served(head, response.body, response.status))
         elif verdict is NOT_RUN:
-            self.local_calls.not_run(call, BUSY)
+            self.local_calls.on_not_run(call, BUSY)
         elif verdict is OTHER_INSTANCE:
-            self.local_calls.other_instance(self.endpoint)
-            self.local_calls.not_run(call, GONE)
+            self.local_calls.on_other_instance(self.endpoint)
+            self.local_calls.on_not_run(call, NO_ENDPOINT)
         else:
             if verdict is FOREIGN:
                 upstream.drop()
-            self.dispatcher.outcome_unknown(call, BAD_ANSWER)
+            self.dispatcher.on_outcome_unknown(call, BAD_ANSWER)
 
-    def keep_or_drop(
-        self, upstream: UpstreamConnection, call: Call, response: Response, at: int
+    def reuse_or_close(
+        self, upstream: UpstreamConnection, call: Call, response: Response, now: int
     ) -> None:
-        """Use the connection again, unless a later response on it could be mistaken for another:
-        one without an id can't be told from another call's when it comes again."""
-        has_id = self.check.call_id_name in response.facts
+        """Reuse the connection, unless a later response on it could be attributed wrongly.
+
+        A response without an id can't be distinguished from that of another call if a duplicate of it
+        arrives later.
+        """
+        has_id = self.check.call_id_name in response.mesh_headers
         if not has_id or not response.keep_alive or not upstream.reusable(call):
             upstream.drop()
         elif response.keep_alive_s is None:
-            self.keep(upstream, KEEP_ALIVE_US, at)
+            self.add_idle(upstream, KEEP_ALIVE_US, now)
         else:
-            self.keep(upstream, response.keep_alive_s * SECOND - KEEP_ALIVE_MARGIN_US, at)
+            self.add_idle(upstream, response.keep_alive_s * SECOND - KEEP_ALIVE_MARGIN_US, now)
+
+    def on_deadline(self, call: Call) -> None:
+        """Give up waiting for a response after the deadline, and close the connection."""
+        if self.abort(call):
+            self.dispatcher.on_outcome_unknown(call, NO_ANSWER)
 
-    def overdue(self, call: Call) -> None:
-        """The endpoint says nothing by the deadline: its connection can't be used again."""
-        if self.abandon(call):
-            self.dispatcher.outcome_unknown(call, NO_ANSWER)
+    def abort(self, call: Call) -> bool:
+        """Abort a call by closing its connection, at which the endpoint stops working on it.
 
-    def abandon(self, call: Call) -> bool:
-        """Break a call off: an endpoint ends its work when the connection closes. Gives whether the
-        call was on an open connection."""
+        Return whether the call was on an open connection.
+        """
         for upstream in self.connections:
             if upstream.call is call:
                 upstream.call = None
@@ -247,24 +258,22 @@
                 return True
         return False
 
-    # ------------------------------------------------------------ idle connections
-
-    def keep(self, upstream: UpstreamConnection, keep_alive_us: int, at: int) -> None:
-        """The connection has no call since a time; use it again within so long."""
+    def add_idle(self, upstream: UpstreamConnection, keep_alive_us: int, now: int) -> None:
+        """Keep a connection that has no call for reuse within the given time."""
         assert upstream.connection is not None
         if self.endpoint.removed or keep_alive_us <= 0 or upstream.connection.closed:
             upstream.drop()
             return
-        upstream.idle_until = at + keep_alive_us
+        upstream.idle_until = now + keep_alive_us
         self.idle.append(upstream)
 
-    def forget(self, upstream: UpstreamConnection) -> None:
-        """The connection is closed, or about to be."""
+    def discard(self, upstream: UpstreamConnection) -> None:
+        """Remove a connection that is closed or about to be closed."""
         self.connections.discard(upstream)
         if upstream in self.idle:
             self.idle.remove(upstream)
 
-    def close_expired(self, at: int) -> None:
-        """Close idle connections that the endpoint is about to close, or all once it is gone."""
-        for idle in [o for o in self.idle if o.idle_until <= at or self.endpoint.removed]:
+    def close_expired(self, now: int) -> None:
+        """Close idle connections that have expired, or all if the endpoint was removed."""
+        for idle in [o for o in self.idle if o.idle_until <= now or self.endpoint.removed]:
             idle.drop()
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -7,7 +7,7 @@
 from gates import all_done, asked, gate_of, gated, items
 from item_builders import route
 
-from meadowdock.forwarding.admission import ROUTES_REMEMBERED, Admission
+from meadowdock.forwarding.admission import MAX_REMEMBERED_ROUTES, Admission
 from meadowdock.forwarding.call import Call
 from meadowdock.forwarding.caller_timeouts import CallerTimeouts
 from meadowdock.forwarding.figures import PriorityFigures
@@ -28,7 +28,7 @@
         "join_deadline": SECOND,
         "wait_deadline": SECOND,
         "deadline": 2 * SECOND,
-        "early_deadline": 0,
+        "no_endpoint_deadline": 0,
         **facts,
     }
     return Call(
@@ -45,16 +45,13 @@
     )
 
 
-# ---------------------------------------------------------------- the queue
-
-
 def test_the_queue_goes_by_urgency_then_by_arrival():
     queue, calls = WaitQueue(), [call(urgency=u) for u in (3, 2, 2, 0)]
     for each in calls:
         queue.join(each)
     assert queue.waiting == {3: 1, 2: 2, 0: 1} and len(queue) == 4
     assert queue.in_order() == [calls[3], calls[1], calls[2], calls[0]]
-    assert [queue.next() for _ in range(5)] == [calls[3], calls[1], calls[2], calls[0], None]
+    assert [queue.pop() for _ in range(5)] == [calls[3], calls[1], calls[2], calls[0], None]
     assert len(queue) == 0
 
 
@@ -65,7 +62,7 @@
     queue.leave(first)
     queue.join(first)
     assert queue.in_order() == [second, first] and len(queue) == 2
-    assert [queue.next(), queue.next(), queue.next()] == [second, first, None]
+    assert [queue.pop(), queue.pop(), queue.pop()] == [second, first, None]
 
 
 def test_the_work_that_waits_is_summed_up_by_urgency():
@@ -82,54 +79,50 @@
     queue = WaitQueue()
     for urgency in (0, 1, 2, 4):
         queue.join(call(urgency=urgency))
-    assert [queue.in_time(priority) for priority in (0, 1, 2)] == [1, 2, 3]
-
-
-# ---------------------------------------------------------------- the estimate
+    assert [queue.count_in_time(priority) for priority in (0, 1, 2)] == [1, 2, 3]
 
 
 def test_slots_that_greater_urgencies_hold_are_not_counted_on():
-    waits, work = WaitEstimates(500 * MILLISECOND), {4: 10 * 150 * MILLISECOND}
+    estimates, work = WaitEstimates(500 * MILLISECOND), {4: 10 * 150 * MILLISECOND}
     for _ in range(12):
-        waits.slot_taken(2, 0)
-    alone = waits.wait_us(work, 4, 150 * MILLISECOND, 16, 10 * SECOND)
+        estimates.slot_acquired(2, 0)
+    alone = estimates.wait_us(work, 4, 150 * MILLISECOND, 16, 10 * SECOND)
     assert alone == pytest.approx(11 * 150 * MILLISECOND / 4, rel=0.01)
     for _ in range(12):
-        waits.slot_released(2, 10 * SECOND)
+        estimates.slot_released(2, 10 * SECOND)
     # ten seconds later nobody of rank 1 has held a slot for long
-    idle = waits.wait_us(work, 4, 150 * MILLISECOND, 16, 20 * SECOND)
+    idle = estimates.wait_us(work, 4, 150 * MILLISECOND, 16, 20 * SECOND)
     assert idle == pytest.approx(11 * 150 * MILLISECOND / 16, rel=0.01)
 
 
 def test_a_greater_urgency_does_not_wait_for_lesser_ones():
-    waits = WaitEstimates(500 * MILLISECOND)
-    assert waits.wait_us({0: 0, 2: 5 * SECOND}, 0, 100 * MILLISECOND, 10, 0) == 10 * MILLISECOND
+    estimates = WaitEstimates(500 * MILLISECOND)
+    assert estimates.wait_us({0: 0, 2: 5 * SECOND}, 0, 100 * MILLISECOND, 10, 0) == 10 * MILLISECOND
 
 
 def test_with_all_slots_taken_by_greater_urgencies_the_wait_is_long_but_has_an_end():
-    waits = WaitEstimates(500 * MILLISECOND)
+    estimates = WaitEstimates(500 * MILLISECOND)
     for _ in range(10):
-        waits.slot_taken(0, 0)
-    assert waits.wait_us({}, 2, 50 * MILLISECOND, 10, 60 * SECOND) == 50 * MILLISECOND / (0.05 * 10)
+        estimates.slot_acquired(0, 0)
+    assert estimates.wait_us({}, 2, 50 * MILLISECOND, 10, 60 * SECOND) == 50 * MILLISECOND / (
+        0.05 * 10
+    )
 
 
 def test_endpoints_are_compared_whatever_mix_of_calls_they_had():
     busy_with_short, busy_with_long = WaitEstimates(1), WaitEstimates(1)
     assert busy_with_long.mean_us() == 0
-    for waits, short, long in ((busy_with_short, 50, 1), (busy_with_long, 1, 50)):
+    for estimates, short, long in ((busy_with_short, 50, 1), (busy_with_long, 1, 50)):
         for kind, took, times in (("short", 15, short), ("long", 150, long)):
             for _ in range(times):
-                waits.hold(kind).learn(took * MILLISECOND)
+                estimates.hold(kind).observe(took * MILLISECOND)
     assert busy_with_short.mean_us() == busy_with_long.mean_us()
     busy_with_short.hold("never ran")
-    assert busy_with_short.expected("never seen") == (busy_with_short.mean_us(),) * 2
-    assert busy_with_short.expected("short")[0] == 15 * MILLISECOND
+    assert busy_with_short.expected_hold_us("never seen") == (busy_with_short.mean_us(),) * 2
+    assert busy_with_short.expected_hold_us("short")[0] == 15 * MILLISECOND
     assert busy_with_short.mean_us() == busy_with_long.mean_us()
 
 
-# ---------------------------------------------------------------- who may join
-
-
 def admission(hold_us, deviation_us=0):
     made = Admission()
     hold = made.estimates("desk").hold("k")
@@ -174,7 +167,8 @@
         ({"urgency": 1, "deadline": 700 * MILLISECOND}, 300),
     ):
         assert (
-            made.position_until(call(hold_us=400 * MILLISECOND, **facts)) == until_ms * MILLISECOND
+            made.position_deadline(call(hold_us=400 * MILLISECOND, **facts))
+            == until_ms * MILLISECOND
         )
 
 
@@ -183,30 +177,30 @@
     assert made.time_spent_us("r", 1500) == 0
     assert made.time_spent_us("r", 1100) == 400
     assert made.time_spent_us("other", 1100) == 0
-    made.estimates("desk").hold("r").learn(9)
-    made.estimates("desk").hold("other").learn(9)
+    made.estimates("desk").hold("r").observe(9)
+    made.estimates("desk").hold("other").observe(9)
     made.forget_unused({"other"}, {"desk"})
     assert made.time_spent_us("r", 1100) == 0
-    assert set(made.estimates("desk").holds) == {"other"}
+    assert set(made.estimates("desk").hold_times) == {"other"}
 
 
 def test_the_routes_used_last_are_remembered():
     made = Admission()
-    for number in range(ROUTES_REMEMBERED):
+    for number in range(MAX_REMEMBERED_ROUTES):
         made.time_spent_us(str(number), 1500)
     made.time_spent_us("0", 1500)
     made.time_spent_us("one more", 1500)
     assert made.time_spent_us("0", 1100) == 400
     assert made.time_spent_us("1", 1100) == 0
-    assert len(made.routes) == ROUTES_REMEMBERED
+    assert len(made.routes) == MAX_REMEMBERED_ROUTES
 
 
 def test_a_service_is_forgotten_once_nobody_waits_for_it_or_holds_a_slot():
     made, one = Admission(), call()
-    made.started(one, 0)
+    made.slot_acquired(one, 0)
     made.forget_unused(set(), set())
     assert "desk" in made.services
-    made.freed(one, 1)
+    made.slot_released(one, 1)
     made.queue("desk").join(one)
     made.forget_unused(set(), set())
     assert "desk" in made.services
@@ -238,9 +232,6 @@
         assert spent == 0
 
 
-# ---------------------------------------------------------------- in the gate
-
-
 LONG_LOW = route("longlow", prefix="/longlow/", priority=3, timeout_us=20 * SECOND)
 ONE_SLOT = {"slots": 1, "work_us": works(longlow=300, low=10)}
 
@@ -325,9 +316,6 @@
     gated(scenario, application=("desk",), endpoint={"slots": 1, "work_us": 10 * MILLISECOND})
 
 
-# ---------------------------------------------------------------- the invariants
-
-
 def test_each_violation_is_counted_and_logged_once_a_second():
     logged = []
     found = Invariants(lambda number, **facts: logged.append((number, facts["invariant"])))
@@ -343,7 +331,7 @@
     found.check_idle_capacity("desk", 0, True, 8)
     found.check_idle_capacity("desk", 1, False, 8)
     found.check_idle_capacity("desk", 1, True, 8)
-    made.started(call(), 9)
+    made.slot_acquired(call(), 9)
     found.check_slots(made, [call()], 10)
     assert found.violations == {LATE_BEFORE_IN_TIME: 2, WAITING_WITH_CAPACITY: 1, SLOTS_DIFFER: 1}
     assert logged == [(802, LATE_BEFORE_IN_TIME), (802, WAITING_WITH_CAPACITY), (802, SLOTS_DIFFER)]
@@ -355,11 +343,11 @@
     async def scenario(world):
         host = list(world.application)[0]
         gate = gate_of(world, host)
-        gate.admission.started(call(), monotonic_us())  # a slot that nobody holds
+        gate.admission.slot_acquired(call(), monotonic_us())  # a slot that nobody holds
         await sleep_us(300 * MILLISECOND)
         assert gate.dispatcher.invariants.violations[SLOTS_DIFFER] >= 1
         assert len(world.trace.events(802)) == 1
-        gate.admission.freed(call(), monotonic_us())
+        gate.admission.slot_released(call(), monotonic_us())
         world.trace.lines.clear()
 
     gated(scenario, application=("desk",), items=items(HIGH))
--- a/tests/forwarding/test_arrivals.py
+++ b/tests/forwarding/test_arrivals.py
@@ -6,11 +6,11 @@
 
 from meadowdock.configuration.items import ItemRoute
 from meadowdock.forwarding.arrivals import (
-    EARLY,
-    JOIN,
-    JOIN_ABOVE_LOWEST,
-    WAIT,
-    head_to_pass_on,
+    NO_ENDPOINT_WAIT_SHARE,
+    QUEUE_JOIN_SHARE,
+    QUEUE_JOIN_SHARE_ABOVE_LOWEST,
+    QUEUE_WAIT_SHARE,
+    forwarded_head,
     new_call,
     total_time_us,
 )
@@ -64,7 +64,7 @@
 )
 def test_an_endpoint_gets_the_host_the_id_and_the_caller_first(method, body, length):
     lines = [(b"HOST", b"h.example"), (b"X-A", b"1")]
-    head = head_to_pass_on(request(method, lines, body=body), b"c-1", b"ledger", Dialect())
+    head = forwarded_head(request(method, lines, body=body), b"c-1", b"ledger", Dialect())
     assert head == (
         b"%s /x HTTP/1.1\r\nHost: h.example\r\nmd-call: c-1\r\nmd-caller: ledger\r\nX-A: 1\r\n%s"
         % (method, length)
@@ -76,14 +76,14 @@
     target_us = 1_000_000
     assert call.deadline == ARRIVED_AT + 2_000_000
     assert call.target_deadline == ARRIVED_AT + target_us
-    assert call.early_deadline == ARRIVED_AT + EARLY * target_us
-    assert call.join_deadline == ARRIVED_AT + JOIN * target_us
-    assert call.wait_deadline == ARRIVED_AT + WAIT * target_us
+    assert call.no_endpoint_deadline == ARRIVED_AT + NO_ENDPOINT_WAIT_SHARE * target_us
+    assert call.join_deadline == ARRIVED_AT + QUEUE_JOIN_SHARE * target_us
+    assert call.wait_deadline == ARRIVED_AT + QUEUE_WAIT_SHARE * target_us
 
 
 def test_above_the_lowest_priority_a_call_may_join_a_longer_queue():
     call = arrived(route(priority=LOWEST_PRIORITY - 1))
-    assert call.join_deadline == ARRIVED_AT + JOIN_ABOVE_LOWEST * 1_000_000
+    assert call.join_deadline == ARRIVED_AT + QUEUE_JOIN_SHARE_ABOVE_LOWEST * 1_000_000
 
 
 def test_a_call_waits_for_a_third_of_its_time_where_its_target_is_short():
--- a/tests/forwarding/test_cancellation.py
+++ b/tests/forwarding/test_cancellation.py
@@ -83,7 +83,7 @@
         for link in list(peers.outgoing.values()):
             link.connection.close()
             link.on_end("the test")
-        peers.quiet_until.clear()
+        peers.backoff_until.clear()
         caller = await world.caller(host)
         at = monotonic_us()
         caller.ask(target)
--- a/tests/forwarding/test_endpoint_faults.py
+++ b/tests/forwarding/test_endpoint_faults.py
@@ -216,9 +216,6 @@
     gated(scenario, seed, application=("desk",), items=items(short))
 
 
-# ---------------------------------------------------------------- neighbours
-
-
 def killed(world, host):
     world.kill(f"mdproxy@{host}")
 
@@ -350,7 +347,7 @@
             LoadList(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()),
             {"desk": (*nodes, *real)},
         )
-        gate.peers.quiet_until = {
+        gate.peers.backoff_until = {
             gate.peers.link_address(n.address): monotonic_us() + SECOND for n in nodes
         }
         exchange = await asked(world, local)
--- a/tests/forwarding/test_gateway.py
+++ b/tests/forwarding/test_gateway.py
@@ -156,9 +156,6 @@
     gated(scenario, seed, application=("desk", "paper"))
 
 
-# ---------------------------------------------------------------- the policy
-
-
 def nodes_of(world, rhos):
     by_host = {host: world.ends[host].instance.decode() for host in rhos}
     return tuple(NodeLoad(f"{h}:7401", rho, by_host[h], False) for h, rho in rhos.items())
@@ -215,9 +212,6 @@
     gated(scenario, seed, application=("desk",) * 4, endpoint={"slots": 50})
 
 
-# ---------------------------------------------------------------- room
-
-
 @pytest.mark.parametrize("seed", SEEDS)
 def test_what_no_slot_is_free_for_waits_and_is_then_rejected_as_not_run(seed):
     async def scenario(world):
@@ -312,9 +306,6 @@
     gated(scenario, application=("desk", "paper"), endpoint={"work_us": 200 * MILLISECOND})
 
 
-# ---------------------------------------------------------------- leaving
-
-
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_call_reaches_an_endpoint_that_drains_and_waiting_ones_go_elsewhere(seed):
     async def scenario(world):
--- a/tests/forwarding/test_gateway_http.py
+++ b/tests/forwarding/test_gateway_http.py
@@ -276,9 +276,6 @@
     gated(scenario, application=("desk",))
 
 
-# ---------------------------------------------------------------- the parsers alone
-
-
 def test_a_head_of_answers_is_not_changed_by_its_trailer():
     answers = ResponseParser(frozenset({b"md-call"}), 1000)
     answers.feed(
@@ -287,7 +284,7 @@
     )
     (answer,) = answers.complete
     assert (
-        answer.facts == {b"md-call": b"a"}
+        answer.mesh_headers == {b"md-call": b"a"}
         and answer.lines == [(b"md-call", b"a")]
         and answer.body == b"x"
     )
