--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -8,7 +8,7 @@
 from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items
 from item_builders import route, service
 
-from meadowdock.forwarding.arrivals import EARLY
+from meadowdock.forwarding.arrivals import NO_ENDPOINT_WAIT_SHARE
 from meadowdock.forwarding.downstream import KEEP_ALIVE_S, KEEP_ALIVE_US
 from meadowdock.load_sharing import LoadList, NodeLoad
 from meadowdock.runtime import MILLISECOND, SECOND, Address, monotonic_us, sleep_us
@@ -61,9 +61,6 @@
     return calls
 
 
-# ---------------------------------------------------------------- zones
-
-
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_call_without_a_local_endpoint_goes_round_the_accepting_nodes_of_its_zone(seed):
     async def scenario(world):
@@ -102,9 +99,6 @@
     gated(scenario, seed, application=("desk",) * 5)
 
 
-# ---------------------------------------------------------------- no room at home
-
-
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_full_endpoint_with_nobody_accepting_gives_a_call_to_a_peer_with_a_free_slot(seed):
     async def scenario(world):
@@ -159,9 +153,6 @@
     )
 
 
-# ---------------------------------------------------------------- slowness
-
-
 @pytest.mark.parametrize(
     ("own", "fleet", "index"),
     [(100, 100, 1.0), (50, 100, 1.0), (150, 100, 2.25), (190, 100, 3.61), (900, 100, 4.0)],
@@ -265,9 +256,6 @@
     gated(scenario, seed)
 
 
-# ---------------------------------------------------------------- the line
-
-
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_queue_at_a_peer_is_ordered_by_priority(seed):
     async def scenario(world):
@@ -314,7 +302,7 @@
                 assert not ran_at(world, exchange)
                 # without a home it may wait a little for better news, but is in no line there
                 assert exchange.took < (
-                    EARLY * SECOND + 10 * MILLISECOND if away else 20 * MILLISECOND
+                    NO_ENDPOINT_WAIT_SHARE * SECOND + 10 * MILLISECOND if away else 20 * MILLISECOND
                 )
                 assert not away or gate_of(world, guest).counts["spill.refused.busy"] >= 1
                 again = float(exchange.line(b"Retry-After"))
@@ -373,7 +361,7 @@
         gate.dispatcher.peer_calls.relocate = noted
         exchange = await asked(world, guest, target=b"/once/x")
         assert exchange.status == 503 and exchange.line(b"Retry-After")
-        assert exchange.took < EARLY * 2 * SECOND + 20 * MILLISECOND
+        assert exchange.took < NO_ENDPOINT_WAIT_SHARE * 2 * SECOND + 20 * MILLISECOND
         waits = [address for address, may_wait in sent if may_wait]
         assert len(waits) == len(set(waits)) == 2 == len(sent)
         await all_done(occupying)
@@ -462,9 +450,6 @@
     )
 
 
-# ---------------------------------------------------------------- a start
-
-
 def health(world, host, status, slots=b"0,0,4"):
     """The endpoint's answer to a health call, in its process."""
     end = world.ends[host]
@@ -588,9 +573,6 @@
     gated(scenario, application=("", "desk", "desk"))
 
 
-# ---------------------------------------------------------------- links
-
-
 async def steady(world, host, calls, over, every=20 * MILLISECOND):
     """A call each 20 ms, each on a connection of its own."""
     while not over.is_set():
@@ -613,7 +595,7 @@
             world.web.cut(guest, bad)
         else:
             world.kill(f"mdproxy@{bad}")
-        await world.eventually(lambda: link in gate.peers.quiet_until)
+        await world.eventually(lambda: link in gate.peers.backoff_until)
         broke = monotonic_us()
         dialled = []
 
@@ -653,9 +635,6 @@
     )
 
 
-# ---------------------------------------------------------------- stops
-
-
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_stopping_node_stays_on_the_list_while_its_doors_are_open(seed):
     async def scenario(world):
@@ -753,9 +732,6 @@
     )
 
 
-# ---------------------------------------------------------------- idle connections
-
-
 def test_the_announced_keep_alive_is_kept_and_no_connection_with_a_call_is_closed():
     patient = {**LIMITS, "spec": {**LIMITS["spec"], "idle_us": 60 * SECOND}}
 
--- a/tests/forwarding/test_peer_frames.py
+++ b/tests/forwarding/test_peer_frames.py
@@ -7,17 +7,17 @@
 from meadowdock.forwarding.call import Call, OutcomeUnknown, Rejected, Served
 from meadowdock.forwarding.exceptions import PeerProtocolError
 from meadowdock.forwarding.peer_frames import (
-    CALL_SIZE_MAX,
+    CALL_MAX_BYTES,
     DEADLINE_MARGIN_US,
     FIELDS_WITHOUT_TARGET,
     PING,
     FrameReader,
-    call_frame,
-    call_of,
-    handle_of,
-    outcome_frame,
-    outcome_of,
-    sent_at_of,
+    call_handle,
+    decode_call,
+    decode_outcome,
+    encode_call,
+    encode_outcome,
+    frame_sent_at,
 )
 from meadowdock.rpc.frame import FrameAuthenticator
 
@@ -30,7 +30,7 @@
     service="desk",
     idempotent=True,
     deadline=SENT_AT + 500_000,
-    early_deadline=0,
+    no_endpoint_deadline=0,
     join_deadline=SENT_AT + 100_000,
     wait_deadline=SENT_AT + 700_000,
     target_deadline=SENT_AT + 300_000,
@@ -42,12 +42,12 @@
 
 
 def relocated(frame):
-    return call_of(frame, LAG_US, RECEIVED_AT, print)
+    return decode_call(frame, LAG_US, RECEIVED_AT, print)
 
 
 def test_a_call_is_the_same_at_the_peer_with_what_is_left_of_its_times():
-    frame = call_frame(HANDLE, CALL, True, True, SENT_AT)
-    assert (handle_of(frame), sent_at_of(frame)) == (HANDLE, SENT_AT)
+    frame = encode_call(HANDLE, CALL, True, True, SENT_AT)
+    assert (call_handle(frame), frame_sent_at(frame)) == (HANDLE, SENT_AT)
     call = relocated(frame)
     for name in [
         "id",
@@ -70,12 +70,12 @@
 
 
 def test_a_call_that_must_not_wait_joins_no_queue():
-    call = relocated(call_frame(HANDLE, CALL, False, True, SENT_AT))
+    call = relocated(encode_call(HANDLE, CALL, False, True, SENT_AT))
     assert call.join_deadline == RECEIVED_AT
 
 
 def test_a_call_of_the_former_version_has_its_deadline_as_target_and_its_priority_as_route():
-    frame = call_frame(HANDLE, CALL, True, False, SENT_AT)
+    frame = encode_call(HANDLE, CALL, True, False, SENT_AT)
     assert len(frame) == FIELDS_WITHOUT_TARGET
     call = relocated(frame)
     assert (call.target_deadline, call.route) == (call.deadline, "rank 2")
@@ -85,18 +85,18 @@
     "outcome", [Served(b"head", b"body", 200), Rejected("busy", 7), OutcomeUnknown("lost")]
 )
 def test_an_outcome_is_the_same_at_the_peer(outcome):
-    frame = outcome_frame(HANDLE, outcome)
-    assert handle_of(frame) == HANDLE
-    assert outcome_of(frame) == outcome
+    frame = encode_outcome(HANDLE, outcome)
+    assert call_handle(frame) == HANDLE
+    assert decode_outcome(frame) == outcome
 
 
 def test_an_answer_that_no_frame_takes_is_an_unknown_outcome():
-    frame = outcome_frame(HANDLE, Served(b"", bytes(CALL_SIZE_MAX + 1), 200))
-    assert outcome_of(frame) == OutcomeUnknown("too_large")
+    frame = encode_outcome(HANDLE, Served(b"", bytes(CALL_MAX_BYTES + 1), 200))
+    assert decode_outcome(frame) == OutcomeUnknown("too_large")
 
 
 def test_other_frames_are_no_outcome():
-    assert outcome_of([PING]) is None
+    assert decode_outcome([PING]) is None
 
 
 def sealed(*bodies):
--- a/tests/forwarding/test_response_matching.py
+++ b/tests/forwarding/test_response_matching.py
@@ -43,9 +43,6 @@
     return exchange
 
 
-# ---------------------------------------------------------------- gate to endpoint
-
-
 @pytest.mark.parametrize("others", (0, 1, 2, 5, 31))
 @pytest.mark.parametrize("torn", (0, 7))
 def test_a_second_answer_any_number_of_answers_later_is_passed_over(others, torn):
@@ -182,9 +179,6 @@
     gated(scenario, application=("desk", "desk"), tries=TRIES)
 
 
-# ---------------------------------------------------------------- gate to gate
-
-
 @pytest.mark.parametrize("due_ms", (1000, 4000))
 @pytest.mark.parametrize("still_ms", (1500, 3000))
 @pytest.mark.parametrize("seed", SEEDS)
@@ -352,9 +346,6 @@
     gated(scenario, application=("", "desk"), tries=TRIES)
 
 
-# ---------------------------------------------------------------- client to gate
-
-
 @pytest.mark.parametrize("seed", SEEDS)
 def test_answers_come_in_the_order_of_the_requests(seed):
     async def scenario(world):
@@ -444,8 +435,6 @@
     gated(scenario, seed, application=("desk", "desk", "desk"), tries=TRIES, endpoint=terms)
 
 
-# ---------------------------------------------------------------- everything at once
-
 SPAN = 20 * SECOND
 RANDOM = [None] * 40 + [fault for fault in FAULTS if fault != "silence"]
 
@@ -587,9 +576,6 @@
     gated(scenario, seed, application=services, tries=TRIES, endpoint={"slots": 8})
 
 
-# ---------------------------------------------------------------- control links
-
-
 @pytest.mark.parametrize("seed", SEEDS)
 def test_every_control_call_may_come_again_late_and_in_any_order(seed, monkeypatch):
     """Each changes nothing the second time: it is bound to a ballot, a version or its content."""
--- a/tests/forwarding/test_retries.py
+++ b/tests/forwarding/test_retries.py
@@ -7,16 +7,16 @@
 from meadowdock.forwarding.call import Call, OutcomeUnknown, Rejected
 from meadowdock.forwarding.outcome_codes import (
     BUSY,
-    LOST,
+    CONNECT_FAILED,
+    CONNECTION_LOST,
     NO_ANSWER,
     REJECTED_BY_ENDPOINT,
-    UNREACHED,
 )
 from meadowdock.forwarding.retries import (
     RETRY_AFTER_MIN_US,
     RetryPolicy,
-    final_rejection,
-    rejection_of_relocated,
+    final_outcome,
+    rejection_for_peer,
     retry_after_us,
 )
 
@@ -39,15 +39,15 @@
 
 def call(**facts):
     defaults = {"idempotent": True, "max_attempts": 3, "attempts": 1}
-    deadlines = {"early_deadline": 0, "join_deadline": 0, "wait_deadline": 0}
+    deadlines = {"no_endpoint_deadline": 0, "join_deadline": 0, "wait_deadline": 0}
     known = {**defaults, **deadlines, **facts}
     return Call(id=b"x", head=b"", body=b"", service="desk", deadline=DEADLINE, **known)
 
 
 def test_what_reached_no_endpoint_is_placed_again_without_a_retry():
     policy = RetryPolicy(lambda: Budget(0))
-    assert policy.after_not_run(call(attempts=0), 0)
-    assert not policy.after_not_run(call(), 0)
+    assert policy.may_retry_not_run(call(attempts=0), 0)
+    assert not policy.may_retry_not_run(call(), 0)
 
 
 @pytest.mark.parametrize(
@@ -60,24 +60,24 @@
     ],
 )
 def test_retries_after_not_run_are_bounded_by_attempts_and_deadline(facts, at, expected):
-    assert RetryPolicy(lambda: Budget(1)).after_not_run(call(**facts), at) is expected
+    assert RetryPolicy(lambda: Budget(1)).may_retry_not_run(call(**facts), at) is expected
 
 
 @pytest.mark.parametrize(
     ("facts", "code", "expected"),
     [
-        ({}, LOST, True),
+        ({}, CONNECTION_LOST, True),
         ({}, NO_ANSWER, False),
-        ({"idempotent": False}, LOST, False),
-        ({"from_peer": True}, LOST, False),
-        ({"abandoned": True}, LOST, False),
-        ({"attempts": 3}, LOST, False),
+        ({"idempotent": False}, CONNECTION_LOST, False),
+        ({"from_peer": True}, CONNECTION_LOST, False),
+        ({"cancelled": True}, CONNECTION_LOST, False),
+        ({"attempts": 3}, CONNECTION_LOST, False),
     ],
 )
 def test_only_an_idempotent_request_of_this_node_is_sent_again_when_it_may_have_run(
     facts, code, expected
 ):
-    assert RetryPolicy(lambda: Budget(1)).after_unknown(call(**facts), code, 0) is expected
+    assert RetryPolicy(lambda: Budget(1)).may_retry_unknown(call(**facts), code, 0) is expected
 
 
 def test_each_service_has_a_budget_of_its_own():
@@ -85,7 +85,7 @@
     other = call()
     other.service = "paper"
     assert [policy.permits(each, 0) for each in (call(), call(), other)] == [True, False, True]
-    policy.shared_by(7)
+    policy.set_node_count(7)
     assert {budget.nodes for budget in policy.budgets.values()} == {7}
 
 
@@ -96,20 +96,20 @@
 
 
 def test_a_peer_learns_whether_an_endpoint_saw_its_request():
-    assert rejection_of_relocated(call(attempts=0), UNREACHED) == Rejected(UNREACHED, 0)
-    assert rejection_of_relocated(call(), UNREACHED) == Rejected(REJECTED_BY_ENDPOINT, 0)
+    assert rejection_for_peer(call(attempts=0), CONNECT_FAILED) == Rejected(CONNECT_FAILED, 0)
+    assert rejection_for_peer(call(), CONNECT_FAILED) == Rejected(REJECTED_BY_ENDPOINT, 0)
 
 
 @pytest.mark.parametrize(
     ("facts", "expected"),
     [
-        ({"may_have_run": True}, OutcomeUnknown(LOST)),
+        ({"may_have_run": True}, OutcomeUnknown(CONNECTION_LOST)),
         ({"from_peer": True, "retry_after_us": 7}, Rejected(BUSY, 7)),
         ({"retry_after_us": 100_000}, Rejected(BUSY, 100_000)),
     ],
 )
 def test_a_request_that_is_given_up(facts, expected):
-    assert final_rejection(call(**facts), BUSY, 0) == expected
+    assert final_outcome(call(**facts), BUSY, 0) == expected
 
 
 def test_callers_come_back_in_time_for_another_attempt():
