--- a/packages/forwarding/meadowdock/forwarding/admission.py
+++ b/packages/forwarding/meadowdock/forwarding/admission.py
@@ -38,7 +38,7 @@
 
         Services with a slot in use or a queued call are kept.
         """
-        self.routes = {name: known for name, known in self.routes.items() if name in routes}
+        self.routes = {name: timeouts for name, timeouts in self.routes.items() if name in routes}
         for estimates in self.services.values():
             estimates.hold_times = {
                 route: hold for route, hold in estimates.hold_times.items() if route in routes
@@ -114,14 +114,18 @@
         A target is tight if the call may miss it even if it starts at once. `may_join` would then
         reject every such call, so the mean hold time is used instead of the likely one.
         """
-        alone = call.arrived_at + call.likely_hold_us
-        return alone > call.target_deadline and start + call.hold_us <= call.target_deadline
+        end_without_wait = call.arrived_at + call.likely_hold_us
+        return (
+            end_without_wait > call.target_deadline and start + call.hold_us <= call.target_deadline
+        )
 
     def position_deadline(self, call: Call) -> int:
         """Return until when a call keeps its position in the queue."""
-        last = min(call.wait_deadline, call.deadline - call.hold_us)
+        latest = min(call.wait_deadline, call.deadline - call.hold_us)
         return (
-            last if misses_target(call.urgency) else min(last, call.target_deadline - call.hold_us)
+            latest
+            if misses_target(call.urgency)
+            else min(latest, call.target_deadline - call.hold_us)
         )
 
     def try_demote(self, call: Call, capacity: int, now: int) -> bool:
--- a/packages/forwarding/meadowdock/forwarding/call.py
+++ b/packages/forwarding/meadowdock/forwarding/call.py
@@ -64,7 +64,7 @@
     max_attempts: int = 1  # endpoints to which it may be sent
     route: str = ""  # its route's name, or its priority if a peer of the previous version sent it
     hold_us: int = 0  # on its arrival, the mean time for which calls of its route held a slot here
-    likely_hold_us: int = 0  # an upper bound that most of them kept
+    likely_hold_us: int = 0  # an upper bound for most of them
     priority: int = 0  # 0 is the highest
     urgency: int = 0  # its rank in a queue: by priority, then by whether it can meet its target
     queue_position: int = 0
--- a/packages/forwarding/meadowdock/forwarding/dispatcher.py
+++ b/packages/forwarding/meadowdock/forwarding/dispatcher.py
@@ -186,12 +186,12 @@
         return False
 
     def place_queued(self) -> None:
-        """Place queued calls at peers that have capacity according to a new load list."""
+        """Place queued calls at peers that have capacity according to the new load list."""
         for service in list(self.admission.queues):
             self.queueing.place_queued_calls(service)
 
     def on_not_run(self, call: Call, code: str) -> None:
-        """Place a call that did not run again, or reject it."""
+        """Retry a call that did not run, or reject it."""
         if call.from_peer:
             self.finish(call, rejection_for_peer(call, code))
         elif self.retries.may_retry_not_run(call, monotonic_us()):
@@ -200,7 +200,7 @@
             self.reject(call, code)
 
     def on_outcome_unknown(self, call: Call, code: str) -> None:
-        """Place a call that may have run again if it may be retried, else report its outcome."""
+        """Retry a call that may have run if that is allowed, else report its outcome as unknown."""
         if call.on_outcome is None:
             return
         self.peer_calls.detach(call)
@@ -219,8 +219,8 @@
     def cancel(self, call: Call) -> None:
         """Cancel a call whose caller has disconnected.
 
-        A call that has not started is dropped. An idempotent call is aborted; any other that has started
-        runs to its end.
+        A call that has not started is dropped, and an idempotent one is aborted. Any other call runs to
+        its end.
         """
         if call.on_outcome is None:
             return
--- a/packages/forwarding/meadowdock/forwarding/downstream.py
+++ b/packages/forwarding/meadowdock/forwarding/downstream.py
@@ -17,7 +17,7 @@
     from meadowdock.forwarding.interfaces import Connection
 
 PENDING_REQUESTS_MAX = 64  # on one connection; further requests stay in the kernel's buffer
-UNSENT_MAX_BYTES = 1 << 20  # of responses that a caller does not read; then it is not read either
+UNSENT_MAX_BYTES = 1 << 20  # of unread responses; beyond that no further requests are read
 KEEP_ALIVE_S = 3  # the idle time-out that is announced to callers
 KEEP_ALIVE_US = KEEP_ALIVE_S * SECOND + 3 * SECOND // 2  # the idle time-out that is applied
 KEEP_ALIVE_LINE = b"Keep-Alive: timeout=%d\r\n\r\n" % KEEP_ALIVE_S
@@ -27,7 +27,7 @@
 
 
 class PendingAnswer:
-    """The response that is still due to one request, in the order of requests.
+    """The response to one request, which is sent after those to all earlier requests.
 
     Invariants: data is None until there is a response; call is None if the request was rejected
     before it became a call.
@@ -115,11 +115,11 @@
             self.send_error(pending, 504 if outcome.code == NO_ANSWER else 502, outcome.code)
 
     def answer_rejected(self, request: Request, rejected: Rejected) -> None:
-        """Answer a request that is rejected before it became a call, and may be retried."""
+        """Reject a request that did not become a call and may be retried."""
         self.send_rejected(self.add_pending(request), rejected)
 
     def answer_error(self, request: Request, status: int, detail: str) -> None:
-        """Answer a request that is invalid with an error."""
+        """Answer an invalid request with an error."""
         self.send_error(self.add_pending(request), status, detail)
 
     def end_with_error(self, status: int, detail: str) -> None:
--- a/packages/forwarding/meadowdock/forwarding/interfaces.py
+++ b/packages/forwarding/meadowdock/forwarding/interfaces.py
@@ -56,9 +56,8 @@
     """The endpoints on this machine and their slots."""
 
     service_loads: Mapping[str, ServiceOccupation]
-    slot_waiters: dict[
-        str, Callable[[], None]
-    ]  # called when a service's endpoint may have a free slot
+    # by service: called when one of its endpoints may have a free slot
+    slot_waiters: dict[str, Callable[[], None]]
 
     def local_endpoint(self, service: str) -> Endpoint | None:
         """Return the local endpoint that gets the service's next request, or None."""
--- a/packages/forwarding/meadowdock/forwarding/peer_link.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_link.py
@@ -161,9 +161,8 @@
         super().__init__(peers)
         self.address = address
         self.pending: Slab[Call] = Slab()
-        self.unsent: dict[
-            Handle, tuple[Call, bool]
-        ] = {}  # the flag is whether the peer may queue it
+        # the calls that wait for the link to be ready, with whether the peer may queue them
+        self.unsent: dict[Handle, tuple[Call, bool]] = {}
         self.reads_target = False  # the peer reads the latency target and the route of a call
         self.ended = False
         peers.network.dial(address, monotonic_us() + CONNECT_TIMEOUT_US, self)
--- a/packages/forwarding/meadowdock/forwarding/queueing.py
+++ b/packages/forwarding/meadowdock/forwarding/queueing.py
@@ -76,8 +76,8 @@
             self.invariants.check_start(call, self.admission, now)
             self.dispatcher.local_calls.start(call, endpoint)
         endpoint = self.registry.local_endpoint(service)
-        has_room = endpoint is not None and endpoint.has_capacity
-        self.invariants.check_idle_capacity(service, len(queue), has_room, monotonic_us())
+        has_capacity = endpoint is not None and endpoint.has_capacity
+        self.invariants.check_idle_capacity(service, len(queue), has_capacity, monotonic_us())
         if len(queue) and endpoint is None:
             self.place_queued_calls(service)
 
--- a/packages/forwarding/meadowdock/forwarding/response_check.py
+++ b/packages/forwarding/meadowdock/forwarding/response_check.py
@@ -18,9 +18,7 @@
 
     VALID = "valid"  # the response belongs to the request
     NOT_RUN = "not run"  # the endpoint did not run the request and says so
-    OTHER_INSTANCE = (
-        "other instance"  # another instance has the address, and did not run the request
-    )
+    OTHER_INSTANCE = "other instance"  # the address belongs to another; the request did not run
     UNCERTAIN = "uncertain"  # the request may have run
     FOREIGN = "foreign"  # as UNCERTAIN, and the connection can't be trusted any more
 
--- a/packages/forwarding/meadowdock/forwarding/sockets.py
+++ b/packages/forwarding/meadowdock/forwarding/sockets.py
@@ -55,9 +55,8 @@
         self.unsent_size = 0
         self.writing = self.closed = self.finishing = False
         self.read_paused: trio.Event | None = None  # set when reading continues
-        self.blocked_since = (
-            0  # when bytes were last accepted or first refused; 0 if none are unsent
-        )
+        # since when the kernel has accepted no more bytes; 0 if none are unsent
+        self.blocked_since = 0
 
     def send(self, data: bytes) -> None:
         """Send what the kernel accepts now, and the rest as soon as it does."""
--- a/packages/forwarding/meadowdock/forwarding/upstream.py
+++ b/packages/forwarding/meadowdock/forwarding/upstream.py
@@ -34,9 +34,8 @@
 CONNECT_TIMEOUT_US = 500 * MILLISECOND
 RESPONSE_BODY_MAX_BYTES = 64 << 20
 ANSWERED_IDS_MAX = 32  # earlier calls of a connection whose duplicate responses are recognized
-GRACE_US = (
-    25 * MILLISECOND
-)  # an endpoint stops at the deadline by itself; this is the time for its response to arrive
+# An endpoint stops by itself at the deadline; this is the time after it for the response to arrive.
+GRACE_US = 25 * MILLISECOND
 
 
 class UpstreamConnection:
--- a/packages/forwarding/meadowdock/forwarding/wait_estimates.py
+++ b/packages/forwarding/meadowdock/forwarding/wait_estimates.py
@@ -16,10 +16,8 @@
 from meadowdock.forwarding.call import Call
 
 INITIAL_HOLD_US = 50_000  # assumed time for which a call holds a slot, until one has ended
-MEAN_GAIN_DIVISOR, DEVIATION_GAIN_DIVISOR = (
-    16,
-    8,
-)  # exponential smoothing as in RFC 6298 for the round-trip time, but slower
+# Exponential smoothing as RFC 6298 does it for the round-trip time, but slower.
+MEAN_GAIN_DIVISOR, DEVIATION_GAIN_DIVISOR = 16, 8
 LIKELY_DEVIATIONS = 2  # a call likely ends within so many mean deviations above the mean
 # The share of the slots that is assumed to be free for an urgency, whatever greater urgencies use.
 FREE_SLOTS_MIN_SHARE = 0.05
@@ -75,7 +73,7 @@
 
     @property
     def likely_us(self) -> int:
-        """The time after which most calls have released their slot."""
+        """The hold time that most calls don't exceed."""
         return self.mean_us + LIKELY_DEVIATIONS * self.deviation_us
 
 
