--- a/packages/forwarding/meadowdock/forwarding/arrivals.py
+++ b/packages/forwarding/meadowdock/forwarding/arrivals.py
@@ -16,7 +16,7 @@
 QUEUE_JOIN_SHARE = 0.3  # the longest expected wait with which a call joins a queue
 # The same for calls above the lowest priority; lower ones wait in their place.
 QUEUE_JOIN_SHARE_ABOVE_LOWEST = 0.6
-QUEUE_WAIT_SHARE = 0.8  # the longest time in a queue
+QUEUE_WAIT_SHARE = 0.8  # the longest wait in a queue, unless a third of the total time is longer
 
 DEADLINE_DIGITS_MAX = 15  # a deadline header with a longer number is ignored
 BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")
--- a/packages/forwarding/meadowdock/forwarding/peer_calls.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_calls.py
@@ -72,7 +72,7 @@
         self.dispatcher.finish(call, served)
 
     def on_rejected(self, call: Call, address: str, rejected: Rejected) -> None:
-        """Retry or place a call again after a peer has guaranteed that it did not run."""
+        """Place a call again after a peer has guaranteed that it did not run, or reject it."""
         self.detach(call)
         self.exclude(call, address)
         retry_after_us = rejected.retry_after_us
--- a/packages/forwarding/meadowdock/forwarding/slowness.py
+++ b/packages/forwarding/meadowdock/forwarding/slowness.py
@@ -42,7 +42,8 @@
     def factor(self, service: str, now: int) -> float:
         """Return the factor, from 1 to SLOWNESS_MAX, by which the reported load is increased.
 
-        It is the square of the ratio of the mean hold time here to that over all nodes.
+        It is the square of the ratio of the mean hold time here to that over all nodes, and at least
+        SLOWNESS_MIN_WARMING_UP while an endpoint is warming up.
         """
         own_us, fleet_us = self.hold_us(service), self.fleet_hold_us.get(service, 0)
         warming_up = any(
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -46,9 +46,9 @@
 
 
 def test_queue_is_ordered_by_urgency_then_by_arrival():
-    queue, calls = WaitQueue(), [make_call(urgency=u) for u in (3, 2, 2, 0)]
-    for each in calls:
-        queue.join(each)
+    queue, calls = WaitQueue(), [make_call(urgency=urgency) for urgency in (3, 2, 2, 0)]
+    for call in calls:
+        queue.join(call)
     assert queue.waiting == {3: 1, 2: 2, 0: 1} and len(queue) == 4
     assert queue.in_order() == [calls[3], calls[1], calls[2], calls[0]]
     assert [queue.pop() for _ in range(5)] == [calls[3], calls[1], calls[2], calls[0], None]
@@ -86,13 +86,13 @@
     estimates, work = WaitEstimates(500 * MILLISECOND), {4: 10 * 150 * MILLISECOND}
     for _ in range(12):
         estimates.slot_acquired(2, 0)
-    alone = estimates.wait_us(work, 4, 150 * MILLISECOND, 16, 10 * SECOND)
-    assert alone == pytest.approx(11 * 150 * MILLISECOND / 4, rel=0.01)
+    while_in_use = estimates.wait_us(work, 4, 150 * MILLISECOND, 16, 10 * SECOND)
+    assert while_in_use == pytest.approx(11 * 150 * MILLISECOND / 4, rel=0.01)
     for _ in range(12):
         estimates.slot_released(2, 10 * SECOND)
     # ten seconds later the mean number of slots that priority 1 uses is close to 0
-    idle = estimates.wait_us(work, 4, 150 * MILLISECOND, 16, 20 * SECOND)
-    assert idle == pytest.approx(11 * 150 * MILLISECOND / 16, rel=0.01)
+    while_idle = estimates.wait_us(work, 4, 150 * MILLISECOND, 16, 20 * SECOND)
+    assert while_idle == pytest.approx(11 * 150 * MILLISECOND / 16, rel=0.01)
 
 
 def test_greater_urgency_does_not_wait_for_lesser_ones():
@@ -113,9 +113,9 @@
     busy_with_short, busy_with_long = WaitEstimates(1), WaitEstimates(1)
     assert busy_with_long.mean_us() == 0
     for estimates, short, long in ((busy_with_short, 50, 1), (busy_with_long, 1, 50)):
-        for kind, took, times in (("short", 15, short), ("long", 150, long)):
+        for kind, held_ms, times in (("short", 15, short), ("long", 150, long)):
             for _ in range(times):
-                estimates.hold(kind).observe(took * MILLISECOND)
+                estimates.hold(kind).observe(held_ms * MILLISECOND)
     assert busy_with_short.mean_us() == busy_with_long.mean_us()
     busy_with_short.hold("never ran")
     assert busy_with_short.expected_hold_us("never seen") == (busy_with_short.mean_us(),) * 2
@@ -124,10 +124,10 @@
 
 
 def new_admission(hold_us, deviation_us=0):
-    made = Admission()
-    hold = made.estimates("desk").hold("k")
+    admission = Admission()
+    hold = admission.estimates("desk").hold("k")
     hold.known, hold.mean_us, hold.deviation_us = True, hold_us, deviation_us
-    return made
+    return admission
 
 
 @pytest.mark.parametrize(
@@ -135,31 +135,31 @@
     [(590, 0, True), (610, 0, False), (490, 50, True), (510, 50, False)],
 )
 def test_call_joins_if_it_will_likely_meet_its_target(wait_ms, deviation_ms, expected):
-    made = new_admission(400 * MILLISECOND, deviation_ms * MILLISECOND)
+    admission = new_admission(400 * MILLISECOND, deviation_ms * MILLISECOND)
     queued_call = make_call()
-    made.estimate(queued_call, 0)
-    assert made.may_join(queued_call, wait_ms * MILLISECOND, 0) is expected
+    admission.estimate(queued_call, 0)
+    assert admission.may_join(queued_call, wait_ms * MILLISECOND, 0) is expected
 
 
 def test_tight_target_is_judged_by_the_mean_hold_time():
-    made = new_admission(800 * MILLISECOND, 300 * MILLISECOND)
+    admission = new_admission(800 * MILLISECOND, 300 * MILLISECOND)
     tight = make_call()
-    made.estimate(tight, 0)
-    assert made.may_join(tight, 190 * MILLISECOND, 0)
-    assert not made.may_join(tight, 210 * MILLISECOND, 0)
+    admission.estimate(tight, 0)
+    assert admission.may_join(tight, 190 * MILLISECOND, 0)
+    assert not admission.may_join(tight, 210 * MILLISECOND, 0)
 
 
 def test_call_that_will_be_late_joins_by_its_join_deadline_alone():
-    made, late = (
+    admission, late = (
         new_admission(800 * MILLISECOND),
         make_call(urgency=1, target_deadline=0, join_deadline=300 * MILLISECOND),
     )
-    assert made.may_join(late, 290 * MILLISECOND, 0)
-    assert not made.may_join(late, 310 * MILLISECOND, 0)
+    assert admission.may_join(late, 290 * MILLISECOND, 0)
+    assert not admission.may_join(late, 310 * MILLISECOND, 0)
 
 
 def test_position_deadline_of_calls_in_time_and_late():
-    made = new_admission(400 * MILLISECOND)
+    admission = new_admission(400 * MILLISECOND)
     for overrides, until_ms in (
         ({}, 600),
         ({"urgency": 1}, 1000),
@@ -167,68 +167,68 @@
         ({"urgency": 1, "deadline": 700 * MILLISECOND}, 300),
     ):
         assert (
-            made.position_deadline(make_call(hold_us=400 * MILLISECOND, **overrides))
+            admission.position_deadline(make_call(hold_us=400 * MILLISECOND, **overrides))
             == until_ms * MILLISECOND
         )
 
 
 def test_time_spent_is_estimated_by_route_and_forgotten_with_it():
-    made = Admission()
-    assert made.time_spent_us("r", 1500) == 0
-    assert made.time_spent_us("r", 1100) == 400
-    assert made.time_spent_us("other", 1100) == 0
-    made.estimates("desk").hold("r").observe(9)
-    made.estimates("desk").hold("other").observe(9)
-    made.forget_unused({"other"}, {"desk"})
-    assert made.time_spent_us("r", 1100) == 0
-    assert set(made.estimates("desk").hold_times) == {"other"}
+    admission = Admission()
+    assert admission.time_spent_us("r", 1500) == 0
+    assert admission.time_spent_us("r", 1100) == 400
+    assert admission.time_spent_us("other", 1100) == 0
+    admission.estimates("desk").hold("r").observe(9)
+    admission.estimates("desk").hold("other").observe(9)
+    admission.forget_unused({"other"}, {"desk"})
+    assert admission.time_spent_us("r", 1100) == 0
+    assert set(admission.estimates("desk").hold_times) == {"other"}
 
 
 def test_most_recently_used_routes_are_remembered():
-    made = Admission()
+    admission = Admission()
     for number in range(MAX_REMEMBERED_ROUTES):
-        made.time_spent_us(str(number), 1500)
-    made.time_spent_us("0", 1500)
-    made.time_spent_us("one more", 1500)
-    assert made.time_spent_us("0", 1100) == 400
-    assert made.time_spent_us("1", 1100) == 0
-    assert len(made.routes) == MAX_REMEMBERED_ROUTES
+        admission.time_spent_us(str(number), 1500)
+    admission.time_spent_us("0", 1500)
+    admission.time_spent_us("one more", 1500)
+    assert admission.time_spent_us("0", 1100) == 400
+    assert admission.time_spent_us("1", 1100) == 0
+    assert len(admission.routes) == MAX_REMEMBERED_ROUTES
 
 
 def test_service_is_forgotten_once_no_call_waits_or_holds_a_slot():
-    made, queued_call = Admission(), make_call()
-    made.slot_acquired(queued_call, 0)
-    made.forget_unused(set(), set())
-    assert "desk" in made.services
-    made.slot_released(queued_call, 1)
-    made.queue("desk").join(queued_call)
-    made.forget_unused(set(), set())
-    assert "desk" in made.services
-    made.queue("desk").leave(queued_call)
-    made.forget_unused(set(), {"desk"})
-    assert "desk" in made.services
-    made.forget_unused(set(), set())
-    assert not made.services and not made.queues
+    admission, queued_call = Admission(), make_call()
+    admission.slot_acquired(queued_call, 0)
+    admission.forget_unused(set(), set())
+    assert "desk" in admission.services
+    admission.slot_released(queued_call, 1)
+    admission.queue("desk").join(queued_call)
+    admission.forget_unused(set(), set())
+    assert "desk" in admission.services
+    admission.queue("desk").leave(queued_call)
+    admission.forget_unused(set(), {"desk"})
+    assert "desk" in admission.services
+    admission.forget_unused(set(), set())
+    assert not admission.services and not admission.queues
 
 
 def test_few_long_deadlines_do_not_affect_the_time_spent_of_others():
     timeouts = CallerTimeouts()
-    spent = [timeouts.time_spent_us(60_000 if n % 20 == 5 else 1500) for n in range(200)]
+    spent = [timeouts.time_spent_us(60_000 if number % 20 == 5 else 1500) for number in range(200)]
     assert spent[100:] == [0] * 100
 
 
 def test_retries_are_recognized_while_one_request_in_five_is_a_first_attempt():
     timeouts = CallerTimeouts()
-    for n in range(200):
-        spent = timeouts.time_spent_us(1500 if n % 5 == 0 else 900)
-        assert n < 20 or spent == (0 if n % 5 == 0 else 600)
+    for number in range(200):
+        spent = timeouts.time_spent_us(1500 if number % 5 == 0 else 900)
+        assert number < 20 or spent == (0 if number % 5 == 0 else 600)
 
 
 def test_usual_timeout_follows_a_change():
     timeouts = CallerTimeouts()
-    for left in (1500, 700):
+    for left_us in (1500, 700):
         for _ in range(100):
-            spent = timeouts.time_spent_us(left)
+            spent = timeouts.time_spent_us(left_us)
         assert spent == 0
 
 
@@ -248,7 +248,7 @@
         await sleep_us(5 * MILLISECOND)
         calls.append((await world.caller(host)).ask(b"/low/fresh", due_ms=2000))
         await all_done([first, *calls])
-        assert [made.status for made in calls] == [200, 200]
+        assert [exchange.status for exchange in calls] == [200, 200]
         order = [ran.target for ran in world.ends[host].journal]
         assert order == [b"/longlow/x", b"/low/fresh", b"/low/again"]
 
@@ -269,7 +269,7 @@
         assert gate.admission.queue("desk").waiting == {6: 0, 7: 1}
         new = (await world.caller(host)).ask(b"/low/new", due_ms=2000)
         await all_done([first, old, new])
-        assert [made.status for made in (old, new)] == [200, 200]
+        assert [exchange.status for exchange in (old, new)] == [200, 200]
         order = [ran.target for ran in world.ends[host].journal]
         assert order == [b"/longlow/x", b"/low/new", b"/low/old"]
 
@@ -287,7 +287,7 @@
         await sleep_us(20 * MILLISECOND)
         calls.append((await world.caller(local)).ask(b"/low/fresh", due_ms=2000))
         await all_done([first, *calls])
-        assert [made.status for made in calls] == [200, 200]
+        assert [exchange.status for exchange in calls] == [200, 200]
         order = [ran.target for ran in world.ends[peer].journal]
         assert order == [b"/longlow/x", b"/low/fresh", b"/low/again"]
 
@@ -302,15 +302,15 @@
         assert gate.slowness.hold_us("desk") < 50 * MILLISECOND
         end.faults["*"] = ["silence"] * 30
         for _ in range(30):
-            made = await asked(world, host, due_ms=300)
-            assert made.status == 504
+            exchange = await asked(world, host, due_ms=300)
+            assert exchange.status == 504
         assert gate.slowness.hold_us("desk") > 200 * MILLISECOND
         # a call that would be late is not queued for such a slot
         end.faults["*"] = ["silence"]
         occupying = (await world.caller(host)).ask(due_ms=300)
         await sleep_us(10 * MILLISECOND)
-        made = await asked(world, host, due_ms=300)
-        assert made.status == 503 and made.took < 20 * MILLISECOND
+        exchange = await asked(world, host, due_ms=300)
+        assert exchange.status == 503 and exchange.took < 20 * MILLISECOND
         await all_done([occupying])
 
     gated(scenario, application=("desk",), endpoint={"slots": 1, "work_us": 10 * MILLISECOND})
@@ -319,27 +319,26 @@
 def test_violations_are_counted_and_logged_once_a_second():
     logged = []
     invariants = Invariants(lambda number, **fields: logged.append((number, fields["invariant"])))
-    made = Admission()
-    made.queue("desk").join(make_call(priority=1))
-    invariants.check_start(make_call(priority=1, target_deadline=5), made, 4)
-    invariants.check_start(
-        make_call(priority=0, target_deadline=5), made, 6
-    )  # of a higher rank than who waits
+    admission = Admission()
+    admission.queue("desk").join(make_call(priority=1))
+    invariants.check_start(make_call(priority=1, target_deadline=5), admission, 4)
+    # this call has a higher priority than the waiting one
+    invariants.check_start(make_call(priority=0, target_deadline=5), admission, 6)
     assert not invariants.violations
-    invariants.check_start(make_call(priority=1, target_deadline=5), made, 6)
-    invariants.check_start(make_call(priority=1, target_deadline=5), made, 7)
+    invariants.check_start(make_call(priority=1, target_deadline=5), admission, 6)
+    invariants.check_start(make_call(priority=1, target_deadline=5), admission, 7)
     invariants.check_idle_capacity("desk", 0, True, 8)
     invariants.check_idle_capacity("desk", 1, False, 8)
     invariants.check_idle_capacity("desk", 1, True, 8)
-    made.slot_acquired(make_call(), 9)
-    invariants.check_slots(made, [make_call()], 10)
+    admission.slot_acquired(make_call(), 9)
+    invariants.check_slots(admission, [make_call()], 10)
     assert invariants.violations == {
         LATE_BEFORE_IN_TIME: 2,
         WAITING_WITH_CAPACITY: 1,
         SLOTS_DIFFER: 1,
     }
     assert logged == [(802, LATE_BEFORE_IN_TIME), (802, WAITING_WITH_CAPACITY), (802, SLOTS_DIFFER)]
-    invariants.check_start(make_call(priority=1, target_deadline=5), made, 6 + SECOND)
+    invariants.check_start(make_call(priority=1, target_deadline=5), admission, 6 + SECOND)
     assert len(logged) == 4
 
 
@@ -357,10 +356,10 @@
     gated(scenario, application=("desk",), items=items(HIGH))
 
 
-def figures(in_time, late):
-    invariants = PriorityFigures()
-    invariants.admitted_in_time, invariants.admitted_late = in_time, late
-    return invariants
+def new_figures(in_time, late):
+    figures = PriorityFigures()
+    figures.admitted_in_time, figures.admitted_late = in_time, late
+    return figures
 
 
 def test_queue_whose_calls_mostly_end_late_for_two_intervals_is_a_violation():
@@ -373,7 +372,7 @@
         (5, 6, 1),
         (5, 6, 2),
     ):
-        invariants.check_queue("desk", 2, figures(in_time, late), 0)
+        invariants.check_queue("desk", 2, new_figures(in_time, late), 0)
         assert invariants.violations[QUEUE_OVERCOMMITTED] == violations
 
 
--- a/tests/forwarding/test_endpoint_faults.py
+++ b/tests/forwarding/test_endpoint_faults.py
@@ -148,7 +148,7 @@
         for target in (b"/p/x", b"/once/x"):
             exchange = await asked(world, first, target=target)
             assert exchange.status == 200
-            assert [r.service for r in world.request_audit.runs(exchange.id)] == ["desk"]
+            assert [run.service for run in world.request_audit.runs(exchange.id)] == ["desk"]
         assert not new_endpoint.journal and new_endpoint.turned
 
     gated(scenario, seed, application=("desk", "desk"), tries=TRIES)
--- a/tests/forwarding/test_gateway.py
+++ b/tests/forwarding/test_gateway.py
@@ -67,7 +67,7 @@
         ]
         for name, target, expected_service in cases:
             exchange = await asked(world, host, host=name, target=target)
-            assert [r.service for r in world.request_audit.runs(exchange.id)] == (
+            assert [run.service for run in world.request_audit.runs(exchange.id)] == (
                 [expected_service] if expected_service else []
             )
             assert exchange.status == (200 if expected_service else 404)
@@ -85,12 +85,14 @@
         calls = [caller.ask(b"/split/%d" % number) for number in range(40)]
         await all_done(calls)
         assert {exchange.status for exchange in calls} == {200}
-        ran = [r.service for r in world.request_audit.runs()]
+        ran = [run.service for run in world.request_audit.runs()]
         assert (ran.count("desk"), ran.count("paper")) == (30, 10)
         # the split is smooth: each service gets a call within every five
-        order = sorted(world.request_audit.runs(), key=lambda r: int(r.target.rpartition(b"/")[2]))
+        order = sorted(
+            world.request_audit.runs(), key=lambda run: int(run.target.rpartition(b"/")[2])
+        )
         assert all(
-            "paper" in [r.service for r in order[number : number + 5]] for number in range(36)
+            "paper" in [run.service for run in order[number : number + 5]] for number in range(36)
         )
 
     gated(
@@ -156,7 +158,7 @@
 
         world.ends[first].inner = inner
         exchange = await asked(world, first)
-        assert exchange.status == 200 and [peer_c.status for peer_c in inner_calls] == [200]
+        assert exchange.status == 200 and [exchange.status for exchange in inner_calls] == [200]
         assert len(world.request_audit.runs(inner_calls[0].id)) == 1
         world.ends[second].faults["*"] = ["close"] * 3
         exchange = await asked(world, first)
@@ -168,7 +170,7 @@
 
 def nodes_of(world, rhos):
     by_host = {host: world.ends[host].instance.decode() for host in rhos}
-    return tuple(NodeLoad(f"{h}:7401", rho, by_host[h], False) for h, rho in rhos.items())
+    return tuple(NodeLoad(f"{host}:7401", rho, by_host[host], False) for host, rho in rhos.items())
 
 
 async def batch(world, host, rho, rhos, count=6):
@@ -188,8 +190,8 @@
     calls = [caller.ask(b"/p/%d" % number) for number in range(count)]
     await all_done(calls)
     assert {exchange.status for exchange in calls} == {200}
-    ran = {r.id: r.instance for r in world.request_audit.runs()}
-    host_of = {e.instance: h for h, e in world.ends.items()}
+    ran = {run.id: run.instance for run in world.request_audit.runs()}
+    host_of = {end.instance: host for host, end in world.ends.items()}
     return [host_of[ran[exchange.id]] for exchange in calls]
 
 
@@ -279,7 +281,8 @@
         assert order == [b"/p/0", b"/p/1", b"/p/2", b"/low/0", b"/low/1"]
         begun = [ran.begun for ran in world.ends[host].journal]
         assert all(
-            peer_b - a < 110 * MILLISECOND for a, peer_b in zip(begun, begun[1:], strict=False)
+            later - earlier < 110 * MILLISECOND
+            for earlier, later in zip(begun, begun[1:], strict=False)
         )
 
     gated(
@@ -333,12 +336,12 @@
         local, other = hosts(world)
         endpoints = world.ends
         callers = [await world.caller(local) for _ in range(12)]
-        calls = [peer_c.ask(b"/p/%d" % number) for number, peer_c in enumerate(callers)]
+        calls = [caller.ask(b"/p/%d" % number) for number, caller in enumerate(callers)]
         await sleep_us(30 * MILLISECOND)
         endpoints[local].draining = True
         world.heartbeat(local, endpoints[local], 1000)
         heartbeat_at = monotonic_us()
-        calls += [peer_c.ask(b"/p/late%d" % number) for number, peer_c in enumerate(callers)]
+        calls += [caller.ask(b"/p/late%d" % number) for number, caller in enumerate(callers)]
         await all_done(calls)
         # calls that were already sent may still arrive
         assert [
--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -304,9 +304,12 @@
     ("mean_ms", "low", "high"), [(290, 200, 200), (310, 503, 200), (490, 503, 200), (510, 503, 503)]
 )
 def test_call_joins_a_queue_only_if_it_will_likely_be_served_in_time(mean_ms, low, high, relocated):
-    """The expected wait must be within 0.3 of the latency target of 1 s at the lowest priority and
-    within 0.6 above, and the call must end within the target. With a wait as long as the hold time
-    this holds up to 500 ms. Otherwise the call is rejected at once."""
+    """The expected wait must be short enough, and the call must end within its latency target.
+
+    The wait may be 0.3 of the target of 1 s at the lowest priority and 0.6 above. Here the wait is
+    as long as the hold time, so that the call ends in time up to 500 ms. Otherwise it is rejected at
+    once.
+    """
 
     async def scenario(world):
         caller_host, endpoint_host = hosts(world)
--- a/tests/forwarding/test_response_matching.py
+++ b/tests/forwarding/test_response_matching.py
@@ -69,8 +69,10 @@
 
 @pytest.mark.parametrize("status", (200, 421, 429, 503))
 def test_duplicate_response_without_a_call_id_is_not_used_for_the_next_call(status):
-    """The duplicate could be taken for the response to the next call. That call runs all the same, so
-    it is not retried and its outcome is reported as unknown."""
+    """The duplicate could be taken for the response to the next call.
+
+    That call runs all the same, so it is not retried and its outcome is reported as unknown.
+    """
 
     async def scenario(world):
         end, late = world.ends[hosts(world)[0]], []
@@ -208,7 +210,7 @@
         for exchange in calls:
             assert world.request_audit.arrivals(exchange.id) <= 1
             if exchange.status == 502:  # its deadline or its link ended before the gateway resumed
-                assert not [r for r in world.ends[good].journal if r.id == exchange.id]
+                assert not [run for run in world.ends[good].journal if run.id == exchange.id]
             for ran in world.request_audit.runs(exchange.id):
                 assert ran.begun <= exchange.at + due_ms * MILLISECOND
 
@@ -472,13 +474,13 @@
 
         end.answer_of = answer_of
 
-    async def run(self, end_at):
+    async def run(self, deadline):
         faults = [
             *(self.freeze_gate, self.freeze_endpoint, self.reset_gate, self.reset_endpoint),
             *(self.cut, self.slow, self.restart_gate, self.reuse_address),
         ]
         async with trio.open_nursery() as nursery:
-            while monotonic_us() < end_at:
+            while monotonic_us() < deadline:
                 await sleep_us(self.rng.randrange(100, 600) * MILLISECOND)
                 nursery.start_soon(self.rng.choice(faults), self.rng.choice(self.application))
 
@@ -507,7 +509,7 @@
             process.net.reset()
 
     async def cut(self, host):
-        other = self.rng.choice([h for h in self.application if h != host])
+        other = self.rng.choice([other for other in self.application if other != host])
         pairs = [(host, other), (other, host)][: self.rng.randrange(1, 3)]
         self.world.web.cuts |= set(pairs)
         await sleep_us(self.random_duration_us())
@@ -537,9 +539,9 @@
         self.make_faulty(end)
 
 
-async def calls_until(world, host, end_at, calls):
+async def calls_until(world, host, deadline, calls):
     rng, caller = world.rng, None
-    while monotonic_us() < end_at:
+    while monotonic_us() < deadline:
         if caller is None or caller.closed_at or caller.wire.closed:
             caller = await world.caller(host)
             if caller.failed:
@@ -565,15 +567,15 @@
 def test_random_faults_of_gateways_endpoints_and_network(seed):
     async def scenario(world):
         await budgeted(world)
-        injector, calls, end_at = FaultInjector(world), [], monotonic_us() + DURATION_US
+        injector, calls, deadline = FaultInjector(world), [], monotonic_us() + DURATION_US
         world.web.tear = 3000
         for end in world.ends.values():
             injector.make_faulty(end)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(injector.run, end_at)
+            nursery.start_soon(injector.run, deadline)
             for host in hosts(world):
                 for _ in range(4):
-                    nursery.start_soon(calls_until, world, host, end_at, calls)
+                    nursery.start_soon(calls_until, world, host, deadline, calls)
         world.web.heal()
         await sleep_us(8 * SECOND)
         statuses = [exchange.status for exchange in calls]
--- a/tests/load_sharing/test_proxy_load_sharing.py
+++ b/tests/load_sharing/test_proxy_load_sharing.py
@@ -169,9 +169,11 @@
 
 
 def test_throughput_does_not_collapse_under_overload():
-    """Processing takes time in this test, and all machines share the processors. Without excluding
-    peers that had no capacity and rejecting calls when behind, a load of 3 times the capacity gave a
-    throughput of 0.07 of it, with 1.1 forwards per call."""
+    """Processing takes time in this test, and all machines share the processors.
+
+    Without excluding peers that had no capacity and rejecting calls when behind, a load of 3 times
+    the capacity gave a throughput of 0.07 of it, with 1.1 forwards per call.
+    """
     by_load = curve((1.0, 3.0), shared=True, span=SECOND)
     full_load, overload = by_load[1.0], by_load[3.0]
     assert overload["offered"] > 2.8 * full_load["offered"]
