--- a/packages/forwarding/meadowdock/forwarding/admission.py
+++ b/packages/forwarding/meadowdock/forwarding/admission.py
@@ -49,17 +49,17 @@
 
     def estimates(self, service: str) -> WaitEstimates:
         """Return the wait estimates of a service."""
-        found = self.services.get(service)
-        if found is None:
-            found = self.services[service] = WaitEstimates(self.averaging_window_us)
-        return found
+        estimates = self.services.get(service)
+        if estimates is None:
+            estimates = self.services[service] = WaitEstimates(self.averaging_window_us)
+        return estimates
 
     def queue(self, service: str) -> WaitQueue:
         """Return the queue of a service."""
-        found = self.queues.get(service)
-        if found is None:
-            found = self.queues[service] = WaitQueue()
-        return found
+        queue = self.queues.get(service)
+        if queue is None:
+            queue = self.queues[service] = WaitQueue()
+        return queue
 
     def time_spent_us(self, route: str, left_us: int) -> int:
         """Estimate how long the caller of a request has already spent on earlier attempts.
--- a/packages/forwarding/meadowdock/forwarding/dialect.py
+++ b/packages/forwarding/meadowdock/forwarding/dialect.py
@@ -22,10 +22,10 @@
     error_field: str = "detail"  # the field of the mesh's own JSON error bodies with the reason
 
     @cached_property
-    def names(self) -> frozenset[bytes]:
+    def header_names(self) -> frozenset[bytes]:
         """The mesh's headers of calls in lower case, which are separated from a call's own headers.
 
-        >>> b"md-call" in Dialect().names, b"" in Dialect().names
+        >>> b"md-call" in Dialect().header_names, b"" in Dialect().header_names
         (True, False)
         """
         headers = (
--- a/packages/forwarding/meadowdock/forwarding/downstream.py
+++ b/packages/forwarding/meadowdock/forwarding/downstream.py
@@ -51,7 +51,7 @@
     def __init__(self, gateway: Gateway, connection: Connection) -> None:
         self.gateway, self.connection = gateway, connection
         connection.owner = self
-        self.requests = RequestParser(gateway.limits, gateway.dialect.names)
+        self.requests = RequestParser(gateway.limits, gateway.dialect.header_names)
         self.pending: deque[PendingAnswer] = deque()
         self.reading_ended = False
         self.keep_alive_sent = False  # the idle time-out was announced to the caller
--- a/packages/forwarding/meadowdock/forwarding/figures.py
+++ b/packages/forwarding/meadowdock/forwarding/figures.py
@@ -45,10 +45,10 @@
     def for_call(self, call: Call) -> PriorityFigures:
         """Return the figures of a call's service and priority since the last report."""
         priorities = self.services.setdefault(call.service, {})
-        found = priorities.get(call.priority)
-        if found is None:
-            found = priorities[call.priority] = PriorityFigures()
-        return found
+        figures = priorities.get(call.priority)
+        if figures is None:
+            figures = priorities[call.priority] = PriorityFigures()
+        return figures
 
     def count_arrival(self, call: Call) -> None:
         """Count a call that has arrived from a caller or a peer."""
--- a/packages/forwarding/meadowdock/forwarding/http.py
+++ b/packages/forwarding/meadowdock/forwarding/http.py
@@ -79,11 +79,11 @@
     which the connection ends, and then nothing more is fed; head_fed is an upper bound of the bytes
     of the head that is being read, since it includes everything that arrived with its beginning.
 
-    :param names: the dialect's headers in lower case, which go to `mesh_headers` of a request
+    :param mesh_header_names: the dialect's headers in lower case, which go to `mesh_headers` of a request
     """
 
-    def __init__(self, limits: Limits, names: Collection[bytes]) -> None:
-        self.limits, self.names = limits, names
+    def __init__(self, limits: Limits, mesh_header_names: Collection[bytes]) -> None:
+        self.limits, self.mesh_header_names = limits, mesh_header_names
         self.parser = httptools.HttpRequestParser(self)
         self.complete: list[Request] = []
         self.error_status = 0
@@ -139,7 +139,7 @@
         hosts: list[bytes] = []
         encodings: list[bytes] = []
         self.mesh_headers: dict[bytes, bytes] = {}
-        names = self.names
+        mesh_header_names = self.mesh_header_names
         for name, value in self.lines:
             lower_name = name.lower()
             if lower_name == b"host":
@@ -151,7 +151,7 @@
                     raise self.reject(413)
             elif lower_name == b"expect":
                 self.wants_continue = True
-            elif lower_name in names:
+            elif lower_name in mesh_header_names:
                 if lower_name in self.mesh_headers:
                     raise self.reject(400)  # a repeated header is ambiguous
                 self.mesh_headers[lower_name] = value
@@ -174,13 +174,17 @@
         method = parser.get_method()
         if method == b"CONNECT":
             raise self.reject(400)
-        names = self.names
+        mesh_header_names = self.mesh_header_names
         self.complete.append(
             Request(
                 method,
                 self.url,
                 self.host,
-                [line for line in end_to_end(self.lines) if line[0].lower() not in names],
+                [
+                    line
+                    for line in end_to_end(self.lines)
+                    if line[0].lower() not in mesh_header_names
+                ],
                 self.mesh_headers,
                 b"".join(self.chunks),
                 parser.should_keep_alive(),
@@ -212,8 +216,8 @@
     are not a valid response; in_progress is set while a response is incomplete.
     """
 
-    def __init__(self, names: Collection[bytes], body_bytes_max: int) -> None:
-        self.names, self.body_bytes_max = names, body_bytes_max
+    def __init__(self, mesh_header_names: Collection[bytes], body_bytes_max: int) -> None:
+        self.mesh_header_names, self.body_bytes_max = mesh_header_names, body_bytes_max
         self.parser = httptools.HttpResponseParser(self)
         self.complete: list[Response] = []
         self.in_progress = self.malformed = self.in_head = False
@@ -267,7 +271,7 @@
         framed = status in STATUSES_WITHOUT_BODY or self.for_head_request
         for name, value in self.lines:
             lower_name = name.lower()
-            if lower_name in self.names:
+            if lower_name in self.mesh_header_names:
                 if mesh_headers.setdefault(lower_name, value) != value:
                     self.malformed = True  # different values of a repeated header are ambiguous
                     return
--- a/packages/forwarding/meadowdock/forwarding/peer_frames.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_frames.py
@@ -4,8 +4,8 @@
 from the fleet key (`meadowdock.rpc.frame`):
 
     HELLO, magic, nonce, name                 the opener
-    PROVED, nonce, name, proof                the answerer
-    PROVED, proof, time                       the opener
+    PROOF, nonce, name, proof                 the answerer
+    PROOF, proof, time                        the opener
     CALL, slot, generation, ...               see encode_call
     SERVED, slot, generation, status, head, body
     REJECTED, slot, generation, code, retry_after_us
@@ -33,7 +33,7 @@
 from meadowdock.runtime.slab import Handle
 
 MAGIC = "mdg1"
-HELLO, PROVED, CALL, SERVED, REJECTED, UNKNOWN, CANCEL, PING, PONG, READS_TARGET = range(10)
+HELLO, PROOF, CALL, SERVED, REJECTED, UNKNOWN, CANCEL, PING, PONG, READS_TARGET = range(10)
 CALL_MAX_BYTES = MAX_FRAME_SIZE - 65_536  # head and body of a call or of a response
 DEADLINE_MARGIN_US = 15 * MILLISECOND  # how much earlier than the caller's a peer's deadline is
 FIELDS_WITHOUT_TARGET = 15  # of a CALL of the previous version
--- a/packages/forwarding/meadowdock/forwarding/peer_link.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_link.py
@@ -22,7 +22,7 @@
     MAGIC,
     PING,
     PONG,
-    PROVED,
+    PROOF,
     READS_TARGET,
     Frame,
     FrameReader,
@@ -190,7 +190,7 @@
         if not hmac.compare_digest(proof, derive_key(self.peers.key, b"answerer", *transcript)):
             raise PeerProtocolError("the peer doesn't know the fleet key")
         self.send_handshake_frame(
-            [PROVED, derive_key(self.peers.key, b"opener", *transcript), monotonic_us()]
+            [PROOF, derive_key(self.peers.key, b"opener", *transcript), monotonic_us()]
         )
         self.complete_handshake(transcript)
         self.peers.on_link_ready(self)
@@ -341,7 +341,7 @@
         self.transcript = (peer_nonce, self.nonce, name.encode(), own_name.encode())
         proof = derive_key(self.peers.key, b"answerer", *self.transcript)
         self.hello_answered_at = monotonic_us()
-        self.send_handshake_frame([PROVED, self.nonce, own_name, proof])
+        self.send_handshake_frame([PROOF, self.nonce, own_name, proof])
 
     def on_frame(self, frame: Frame) -> None:
         """Handle a call, the cancellation of one, or a ping."""
--- a/packages/forwarding/meadowdock/forwarding/response_check.py
+++ b/packages/forwarding/meadowdock/forwarding/response_check.py
@@ -37,13 +37,20 @@
     :param dialect: the names of the headers that identify and authenticate a response
     """
 
-    __slots__ = ("call_id", "call_id_name", "stamp", "stamp_name", "not_run_name", "names")
+    __slots__ = (
+        "call_id",
+        "call_id_name",
+        "stamp",
+        "stamp_name",
+        "not_run_name",
+        "mesh_header_names",
+    )
 
     def __init__(self, dialect: Dialect) -> None:
         self.call_id, self.call_id_name = dialect.call_id, dialect.call_id.lower()
         self.stamp, self.stamp_name = dialect.stamp, dialect.stamp.lower()
         self.not_run_name = dialect.not_run.lower()
-        self.names = dialect.names
+        self.mesh_header_names = dialect.header_names
 
     def verdict(self, response: Response, call_id: bytes, first_on_connection: bool) -> Verdict:
         """Return whether a response belongs to a request, and whether the request ran.
@@ -77,8 +84,10 @@
         proofs = [(self.call_id, call_id)]
         if stamp is not None:
             proofs.append((self.stamp, stamp))
-        names = self.names
-        return proofs + [line for line in response.lines if line[0].lower() not in names]
+        mesh_header_names = self.mesh_header_names
+        return proofs + [
+            line for line in response.lines if line[0].lower() not in mesh_header_names
+        ]
 
 
 def reported_load(value: bytes | None) -> float | None:
--- a/packages/forwarding/meadowdock/forwarding/slowness.py
+++ b/packages/forwarding/meadowdock/forwarding/slowness.py
@@ -27,9 +27,9 @@
     def update_fleet(self, nodes: Mapping[str, Sequence[NodeLoad]]) -> None:
         """Update the mean hold time of each service from a new load list."""
         self.fleet_hold_us = {
-            service: sum(known) / len(known)
+            service: sum(hold_times) / len(hold_times)
             for service, listed in nodes.items()
-            if (known := [node.slot_us for node in listed if node.slot_us])
+            if (hold_times := [node.slot_us for node in listed if node.slot_us])
         }
 
     def hold_us(self, service: str) -> int:
--- a/packages/forwarding/meadowdock/forwarding/upstream.py
+++ b/packages/forwarding/meadowdock/forwarding/upstream.py
@@ -53,7 +53,7 @@
         self.connection: Connection | None = None  # until it is open
         self.call: Call | None = call
         self.answered_ids: deque[bytes] = deque(maxlen=ANSWERED_IDS_MAX)
-        self.responses = ResponseParser(pool.check.names, RESPONSE_BODY_MAX_BYTES)
+        self.responses = ResponseParser(pool.check.mesh_header_names, RESPONSE_BODY_MAX_BYTES)
         self.idle_until = 0
 
     def on_open(self, connection: Connection) -> None:
--- a/packages/forwarding/meadowdock/forwarding/wait_estimates.py
+++ b/packages/forwarding/meadowdock/forwarding/wait_estimates.py
@@ -113,19 +113,19 @@
 
     def hold(self, route: str) -> HoldTime:
         """Return the hold time of a route's calls."""
-        found = self.hold_times.get(route)
-        if found is None:
-            found = self.hold_times[route] = HoldTime()
-        return found
+        hold_time = self.hold_times.get(route)
+        if hold_time is None:
+            hold_time = self.hold_times[route] = HoldTime()
+        return hold_time
 
     def expected_hold_us(self, route: str) -> tuple[int, int]:
         """Return the mean and the likely hold time of a route's next call.
 
         A route without any observed call gets the mean of the other routes for both.
         """
-        found = self.hold_times.get(route)
-        if found is not None and found.known:
-            return found.mean_us, found.likely_us
+        hold_time = self.hold_times.get(route)
+        if hold_time is not None and hold_time.known:
+            return hold_time.mean_us, hold_time.likely_us
         mean_us = self.mean_us() or INITIAL_HOLD_US
         return mean_us, mean_us
 
@@ -140,10 +140,10 @@
 
     def slot_acquired(self, urgency: int, now: int) -> None:
         """Record that a call has taken a slot."""
-        found = self.in_use.get(urgency)
-        if found is None:
-            found = self.in_use[urgency] = SlotsInUse(now)
-        found.adjust(now, self.averaging_window_us, 1)
+        slots = self.in_use.get(urgency)
+        if slots is None:
+            slots = self.in_use[urgency] = SlotsInUse(now)
+        slots.adjust(now, self.averaging_window_us, 1)
 
     def slot_released(self, urgency: int, now: int) -> None:
         """Record that a call has released its slot."""
