--- a/packages/forwarding/meadowdock/forwarding/admission.py
+++ b/packages/forwarding/meadowdock/forwarding/admission.py
@@ -120,7 +120,7 @@
         )
 
     def position_deadline(self, call: Call) -> int:
-        """Return until when a call keeps its position in the queue."""
+        """Return the time until which a call keeps its position in the queue."""
         latest = min(call.wait_deadline, call.deadline - call.hold_us)
         return (
             latest
@@ -129,9 +129,10 @@
         )
 
     def try_demote(self, call: Call, capacity: int, now: int) -> bool:
-        """Demote a call that has lost its position to those of its priority that will be late.
+        """Give a call that has lost its position the urgency of late calls.
 
-        Return whether it may wait there; if not, it has to be rejected.
+        Its priority stays the same. Return whether it may wait behind the calls that can meet their
+        targets; if not, it has to be rejected.
         """
         if misses_target(call.urgency) or now >= call.wait_deadline:
             return False
--- a/packages/forwarding/meadowdock/forwarding/arrivals.py
+++ b/packages/forwarding/meadowdock/forwarding/arrivals.py
@@ -1,4 +1,4 @@
-"""Makes a Call of a caller's request: its deadlines and the head to forward. No I/O."""
+"""Creates the Call for a caller's request, with its deadlines and the head to forward. No I/O."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     from meadowdock.forwarding.dialect import Dialect
 
 # These are shares of a route's latency target.
-NO_ENDPOINT_WAIT_SHARE = 0.22  # the wait for an endpoint; a rejection up to then costs little
+NO_ENDPOINT_WAIT_SHARE = 0.22  # the longest wait for an endpoint; an early rejection costs little
 QUEUE_JOIN_SHARE = 0.3  # the longest expected wait with which a call joins a queue
-# The same for calls above the lowest priority; lower ones wait in their place.
+# The same for calls above the lowest priority; it is longer, as lower calls wait behind them.
 QUEUE_JOIN_SHARE_ABOVE_LOWEST = 0.6
-QUEUE_WAIT_SHARE = 0.8  # the longest wait in a queue, unless a third of the total time is longer
+QUEUE_WAIT_SHARE = 0.8  # the longest wait in a queue, unless a third of total_us is longer
 
 DEADLINE_DIGITS_MAX = 15  # a deadline header with a longer number is ignored
 BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")
--- a/packages/forwarding/meadowdock/forwarding/call.py
+++ b/packages/forwarding/meadowdock/forwarding/call.py
@@ -45,7 +45,7 @@
     All times are in microseconds; those that end in `_deadline` or `_at` are on the monotonic clock.
 
     Invariants: deadline never changes; `on_outcome` is called once and is None afterwards; attempts
-    counts the endpoints that any byte of the request may have reached; once may_have_run is True
+    counts how often any byte of the request may have reached an endpoint; once may_have_run is True
     the outcome is not Rejected; the call holds a slot of `endpoint` iff that is not None; it is in
     one place at a time: in `queue`, at `endpoint` or on `peer_link`.
     """
@@ -61,7 +61,7 @@
     wait_deadline: int  # when it must leave the queue
     arrived_at: int = 0  # when it arrived at this node
     target_deadline: int = 0  # the end of its latency target
-    max_attempts: int = 1  # endpoints to which it may be sent
+    max_attempts: int = 1  # how often it may be sent to an endpoint
     route: str = ""  # its route's name, or its priority if a peer of the previous version sent it
     hold_us: int = 0  # on its arrival, the mean time for which calls of its route held a slot here
     likely_hold_us: int = 0  # an upper bound for most of them
@@ -72,7 +72,7 @@
     admitted: bool = False  # it was queued here and expected to meet its target
     is_head: bool = False  # an HTTP HEAD request
     from_peer: bool = False  # a peer relocated it to this node
-    incarnation: str = ""  # of a relocated call: the endpoint that its peer expects at this node
+    incarnation: str = ""  # of a relocated call: the endpoint instance that is expected to run it
     on_outcome: Callable[[Outcome], None] | None = None
     attempts: int = 0
     may_have_run: bool = False
@@ -88,7 +88,7 @@
     peer_handle: Handle | None = None  # identifies it on peer_link
 
     def stop_timer(self) -> None:
-        """Cancel the timer that was set where the call is now."""
+        """Cancel the timer of the queue, endpoint or peer at which the call is now."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/packages/forwarding/meadowdock/forwarding/dialect.py
+++ b/packages/forwarding/meadowdock/forwarding/dialect.py
@@ -23,7 +23,7 @@
 
     @cached_property
     def header_names(self) -> frozenset[bytes]:
-        """The mesh's headers of calls in lower case, which are separated from a call's own headers.
+        """The mesh's headers, in lower case; parsers separate them from a message's other headers.
 
         >>> b"md-call" in Dialect().header_names, b"" in Dialect().header_names
         (True, False)
--- a/packages/forwarding/meadowdock/forwarding/dispatcher.py
+++ b/packages/forwarding/meadowdock/forwarding/dispatcher.py
@@ -37,8 +37,8 @@
     from meadowdock.forwarding.interfaces import Endpoint, EndpointRegistry, Logger, Network
     from meadowdock.forwarding.reactor import Reactor
 
-QUEUE_PEERS_MAX = 2  # peers that are asked to queue a call
-TRIED_PEERS_MAX = 3  # after so many peers without capacity a call is queued or rejected
+QUEUE_PEERS_MAX = 2  # how many peers at most are asked to queue a call
+TRIED_PEERS_MAX = 3  # after this many peers without capacity a call is queued or rejected
 
 
 class Dispatcher:
@@ -97,7 +97,7 @@
             return
         now = monotonic_us()
         self.admission.estimate(call, now)
-        if endpoint.has_capacity:  # so the queue is empty
+        if endpoint.has_capacity:  # then the queue is empty: queued calls take free slots at once
             self.local_calls.start(call, endpoint)
             return
         call.retry_after_us = self.admission.wait_us(call, endpoint.capacity, now)
@@ -205,7 +205,7 @@
             return
         self.peer_calls.detach(call)
         if code == NO_ANSWER and call.endpoint is not None:
-            # without the deadline it would have held the slot at least that long
+            # without its deadline the call would have held the slot for at least this long
             self.admission.observe(call, monotonic_us() - call.dispatched_at)
         self.local_calls.free_slot(call, monotonic_us())
         self.counts[f"unknown.{code}"] += 1
--- a/packages/forwarding/meadowdock/forwarding/downstream.py
+++ b/packages/forwarding/meadowdock/forwarding/downstream.py
@@ -19,11 +19,13 @@
 PENDING_REQUESTS_MAX = 64  # on one connection; further requests stay in the kernel's buffer
 UNSENT_MAX_BYTES = 1 << 20  # of unread responses; beyond that no further requests are read
 KEEP_ALIVE_S = 3  # the idle time-out that is announced to callers
-KEEP_ALIVE_US = KEEP_ALIVE_S * SECOND + 3 * SECOND // 2  # the idle time-out that is applied
+# The idle time-out that is applied: longer, so that a request sent just before the announced
+# time-out still arrives on an open connection.
+KEEP_ALIVE_US = KEEP_ALIVE_S * SECOND + 3 * SECOND // 2
 KEEP_ALIVE_LINE = b"Keep-Alive: timeout=%d\r\n\r\n" % KEEP_ALIVE_S
 CLOSE_LINE = b"Connection: close\r\n\r\n"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-BLOCKED_WRITE_TIMEOUT_US = 10 * SECOND  # a caller that reads nothing for so long is disconnected
+BLOCKED_WRITE_TIMEOUT_US = 10 * SECOND  # a caller that reads nothing for this long is disconnected
 
 
 class PendingAnswer:
@@ -208,8 +210,8 @@
     def idle_max_us(self) -> int:
         """Return the idle time-out of the connection.
 
-        It is the configured one, unless a shorter one was announced: then the caller will not use the
-        connection any longer.
+        It is the configured one, unless a shorter one was announced to the caller, which does not use
+        the connection after that time.
         """
         idle_us = self.gateway.limits.idle_us
         return min(idle_us, KEEP_ALIVE_US) if self.keep_alive_sent else idle_us
@@ -236,7 +238,7 @@
         self.on_end("dropped")
 
     def on_end(self, cause: object) -> None:
-        """Cancel the pending calls after the caller has disconnected.
+        """Cancel the pending calls after the connection has ended.
 
         See `Dispatcher.cancel` for which of them still run to their end.
         """
--- a/packages/forwarding/meadowdock/forwarding/gateway.py
+++ b/packages/forwarding/meadowdock/forwarding/gateway.py
@@ -40,7 +40,7 @@
 
 NO_CONFIGURATION_RETRY_US = 200 * MILLISECOND
 DEFAULT_CALLER_NAME = "guest"  # of the calling service if the settings don't name it
-# Addresses begin with a digit, so a random one is a random starting point for round-robin.
+# Addresses begin with a digit, so a random digit is a random starting point for round-robin.
 ADDRESS_FIRST_CHARACTERS = "0123456789"
 
 
--- a/packages/forwarding/meadowdock/forwarding/interfaces.py
+++ b/packages/forwarding/meadowdock/forwarding/interfaces.py
@@ -98,7 +98,7 @@
     """Creates the retry budgets of services."""
 
     def new_retry_budget(self, gate: Any) -> RetryBudget:
-        """Return a new budget."""
+        """Return a new budget for one service of a gateway."""
 
 
 class Connection(Protocol):
--- a/packages/forwarding/meadowdock/forwarding/invariants.py
+++ b/packages/forwarding/meadowdock/forwarding/invariants.py
@@ -48,7 +48,7 @@
             self.log(802, invariant=name, count=self.violations[name], **fields)
 
     def check_start(self, call: Call, admission: Admission, now: int) -> None:
-        """Check that a call which is taken from the queue may start before the remaining ones."""
+        """Check that a call taken from the queue may start before those that still wait in it."""
         if now > call.target_deadline and admission.queue(call.service).count_in_time(
             call.priority
         ):
@@ -57,7 +57,7 @@
             )
 
     def check_idle_capacity(self, service: str, waiting: int, has_capacity: bool, now: int) -> None:
-        """Check that no call waits for a free slot after all possible calls were started."""
+        """Check that no call is left waiting although a local endpoint has a free slot."""
         if waiting and has_capacity:
             self.report_violation(WAITING_WITH_CAPACITY, now, service=service, waiting=waiting)
 
--- a/packages/forwarding/meadowdock/forwarding/peer_calls.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_calls.py
@@ -14,7 +14,7 @@
     from meadowdock.forwarding.peer_link import OutgoingLink
     from meadowdock.forwarding.peers import Peers
 
-GRACE_US = 60 * MILLISECOND  # the time after the deadline for a peer's answer to arrive
+GRACE_US = 60 * MILLISECOND  # how long after the deadline a peer's answer may still arrive
 
 
 class PeerCalls:
@@ -59,7 +59,7 @@
         call.attempts += 1
 
     def detach(self, call: Call) -> OutgoingLink | None:
-        """Detach a call from its peer; return the link on which it was."""
+        """Detach a call from its peer; return the link that it was on, if any."""
         link, call.peer_link = call.peer_link, None
         if link is not None:
             self.registry.adjust_forwarded(call.service, -1, monotonic_us())
@@ -86,7 +86,7 @@
             self.dispatcher.place(call)
 
     def on_unreached(self, call: Call, address: str) -> None:
-        """Place a call again of which no byte was sent to the peer."""
+        """Place a call again because none of its bytes were sent to the peer."""
         self.detach(call)
         self.exclude(call, address)
         self.counts["spill.unreached"] += 1
--- a/packages/forwarding/meadowdock/forwarding/peer_frames.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_frames.py
@@ -35,8 +35,9 @@
 MAGIC = "mdg1"
 HELLO, PROOF, CALL, SERVED, REJECTED, UNKNOWN, CANCEL, PING, PONG, READS_TARGET = range(10)
 CALL_MAX_BYTES = MAX_FRAME_SIZE - 65_536  # head and body of a call or of a response
-DEADLINE_MARGIN_US = 15 * MILLISECOND  # how much earlier than the caller's a peer's deadline is
-FIELDS_WITHOUT_TARGET = 15  # of a CALL of the previous version
+# The deadline that is sent to a peer is this long before the caller's.
+DEADLINE_MARGIN_US = 15 * MILLISECOND
+FIELDS_WITHOUT_TARGET = 15  # the number of fields in a CALL of the previous version
 
 Frame = list[Any]
 
--- a/packages/forwarding/meadowdock/forwarding/peer_link.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_link.py
@@ -47,7 +47,7 @@
 CONNECT_TIMEOUT_US = 400 * MILLISECOND
 HANDSHAKE_TIMEOUT_US = 2 * CONNECT_TIMEOUT_US  # since the dial, or since HELLO was answered
 PING_INTERVAL_US = 200 * MILLISECOND
-# A link with pending calls on which nothing was received for so long is closed.
+# A link with pending calls is closed if nothing was received on it for this long.
 SILENCE_TIMEOUT_US = 600 * MILLISECOND
 NONCE_BYTES = 16
 
@@ -210,7 +210,7 @@
             self.unsent[handle] = call, may_queue
 
     def send_call(self, handle: Handle, call: Call, may_queue: bool) -> None:
-        """Send a call's frame, with the times that are left now."""
+        """Send a call's frame, with the time that is left now until each of its deadlines."""
         self.send(encode_call(handle, call, may_queue, self.reads_target, monotonic_us()))
         self.peers.calls.on_sent(call)
 
@@ -317,12 +317,12 @@
             raise PeerProtocolError("the opener doesn't know the fleet key")
         now = monotonic_us()
         if now - self.hello_answered_at > HANDSHAKE_TIMEOUT_US:
-            # the calls that follow were delayed as long
+            # the calls that follow on the link were delayed just as long
             raise PeerProtocolError(
                 f"handshake took {now - self.hello_answered_at} us, {HANDSHAKE_TIMEOUT_US} us at most"
             )
         if len(frame) > 2:  # the previous version sent no time here
-            # with this sample the delay of the first call can be measured, too
+            # with this sample the delay can be measured from the first call on
             self.queueing_delay.measure(frame[2], now)
         self.complete_handshake(self.transcript)
         self.send([READS_TARGET])
--- a/packages/forwarding/meadowdock/forwarding/peers.py
+++ b/packages/forwarding/meadowdock/forwarding/peers.py
@@ -65,7 +65,7 @@
         self.incoming.add(IncomingLink(self, connection))
 
     def link(self, address: str) -> OutgoingLink | None:
-        """Return the link to an address, or None if it can't take a call now."""
+        """Return the link to an address, opening it if needed; None if it can't take a call now."""
         link = self.outgoing.get(address)
         if address in self.backoff_until:
             return None
@@ -88,7 +88,8 @@
 
     def check_links(self, now: int) -> None:
         """Close silent links and reopen ended ones; called periodically."""
-        paused_us = self.pause_detector.look(now)  # peers may have sent something unread meanwhile
+        # what peers sent during a pause of this process may still be unread
+        paused_us = self.pause_detector.look(now)
         for link in list(self.outgoing.values()):
             link.received_at += paused_us
             link.check_silence(now)
--- a/packages/forwarding/meadowdock/forwarding/queueing.py
+++ b/packages/forwarding/meadowdock/forwarding/queueing.py
@@ -1,4 +1,4 @@
-"""Timers and wake-ups of the calls that wait here for a slot or for a peer with a free slot.
+"""Sets timers for calls that wait here and starts them once they get a slot, here or at a peer.
 
 `admission` decides which calls may wait and until when; `wait_queue` keeps their order.
 """
@@ -86,7 +86,7 @@
         queue = self.admission.queue(service)
         for call in queue.in_order():
             if call.queue is not queue:
-                continue  # placing an earlier call freed a slot, in which this one has started
+                continue  # it has left the queue: placing an earlier call freed a slot for it
             no_endpoint = self.registry.local_endpoint(service) is None
             if call.from_peer:  # never relocated twice: the node where it arrived tries other peers
                 if no_endpoint:
--- a/packages/forwarding/meadowdock/forwarding/retries.py
+++ b/packages/forwarding/meadowdock/forwarding/retries.py
@@ -77,10 +77,10 @@
 
 
 def retry_after_us(call: Call, now: int) -> int:
-    """Return after which time the caller should retry.
+    """Return how long the caller should wait before it retries.
 
-    By then the calls in the queue have probably been served, but there is still time for another
-    attempt before the deadline.
+    After that time the calls in the queue have probably been served, but there is still time for
+    another attempt before the deadline.
     """
     left_us = call.deadline - now
     return max(RETRY_AFTER_MIN_US, min(call.retry_after_us or call.hold_us, left_us // 4))
--- a/packages/forwarding/meadowdock/forwarding/slowness.py
+++ b/packages/forwarding/meadowdock/forwarding/slowness.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from meadowdock.forwarding.interfaces import EndpointRegistry
 
-SLOWNESS_MAX = 4.0
+SLOWNESS_MAX = 4.0  # the greatest factor by which the reported load is increased
 SLOWNESS_MIN_WARMING_UP = 1.5  # the least factor while an endpoint is warming up
 
 
--- a/packages/forwarding/meadowdock/forwarding/sockets.py
+++ b/packages/forwarding/meadowdock/forwarding/sockets.py
@@ -21,7 +21,7 @@
     from meadowdock.forwarding.reactor import Reactor
 
 READ_SIZE = 16_384  # bytes; a larger buffer would be allocated by the system at each read
-LINGER_US = 2 * SECOND  # from the end of our output to the close, for the other side to read it
+LINGER_US = 2 * SECOND  # between the end of output and the close, for the other side to read it
 LISTEN_BACKLOG = 1024  # connections that the kernel keeps until they are accepted
 ACCEPT_PAUSE_US = 20 * MILLISECOND  # after running out of descriptors, until some are closed
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
@@ -55,7 +55,7 @@
         self.unsent_size = 0
         self.writing = self.closed = self.finishing = False
         self.read_paused: trio.Event | None = None  # set when reading continues
-        # since when the kernel has accepted no more bytes; 0 if none are unsent
+        # when the kernel last accepted or first refused bytes; 0 if none are unsent
         self.blocked_since = 0
 
     def send(self, data: bytes) -> None:
--- a/packages/forwarding/meadowdock/forwarding/wait_estimates.py
+++ b/packages/forwarding/meadowdock/forwarding/wait_estimates.py
@@ -15,16 +15,16 @@
 
 from meadowdock.forwarding.call import Call
 
-INITIAL_HOLD_US = 50_000  # assumed time for which a call holds a slot, until one has ended
+INITIAL_HOLD_US = 50_000  # the hold time that is assumed until a call has ended
 # Exponential smoothing as RFC 6298 does it for the round-trip time, but slower.
 MEAN_GAIN_DIVISOR, DEVIATION_GAIN_DIVISOR = 16, 8
-LIKELY_DEVIATIONS = 2  # a call likely ends within so many mean deviations above the mean
-# The share of the slots that is assumed to be free for an urgency, whatever greater urgencies use.
+LIKELY_DEVIATIONS = 2  # most hold times are at most this many mean deviations above the mean
+# At least this share of the slots is assumed to be free, however many slots greater urgencies use.
 FREE_SLOTS_MIN_SHARE = 0.05
 
 
 def urgency_of(call: Call, now: int) -> int:
-    """Return a call's rank in a queue: 0 is the first.
+    """Return a call's rank in a queue; 0 is the most urgent.
 
     It is even while the call can meet its target and odd afterwards.
 
@@ -121,7 +121,8 @@
     def expected_hold_us(self, route: str) -> tuple[int, int]:
         """Return the mean and the likely hold time of a route's next call.
 
-        A route without any observed call gets the mean of the other routes for both.
+        A route without any observed call gets the mean of the other routes for both, or
+        INITIAL_HOLD_US if there is none either.
         """
         hold_time = self.hold_times.get(route)
         if hold_time is not None and hold_time.known:
--- a/tests/forwarding/test_arrivals.py
+++ b/tests/forwarding/test_arrivals.py
@@ -1,4 +1,4 @@
-"""The call that is made of a caller's request: its time, its deadlines and the forwarded head."""
+"""The call of a caller's request: its total time, its deadlines and the forwarded head."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_endpoint_faults.py
+++ b/tests/forwarding/test_endpoint_faults.py
@@ -60,7 +60,7 @@
 
 
 def fault_once(ends, id, fault):
-    """Let only the first endpoint that the call reaches fail."""
+    """Make only the first endpoint that the call reaches fail."""
     left = [fault]
     for end in ends:
         original = type(end).fault_of
@@ -308,7 +308,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_paused_gateway_does_not_close_links_as_silent(seed):
     async def scenario(world):
-        local, ids_at_bad = hosts(world)
+        local, _ = hosts(world)
         exchange = (await world.caller(local)).ask(b"/once/x", due_ms=5000)
         await sleep_us(100 * MILLISECOND)
         world.processes[f"mdproxy@{local}"].freeze()
--- a/tests/forwarding/test_gateway_http.py
+++ b/tests/forwarding/test_gateway_http.py
@@ -105,7 +105,7 @@
 def test_response_to_head_has_no_body():
     async def scenario(world):
         caller = await world.caller(hosts(world)[0])
-        calls = [caller.ask(method=exchange) for exchange in (b"HEAD", b"GET", b"HEAD", b"GET")]
+        calls = [caller.ask(method=method) for method in (b"HEAD", b"GET", b"HEAD", b"GET")]
         await all_done(calls)
         assert [exchange.status for exchange in calls] == [200] * 4
         assert [bool(exchange.answer) for exchange in calls] == [False, True, False, True]
@@ -285,16 +285,16 @@
 
 
 def test_response_headers_are_not_changed_by_a_trailer():
-    answers = ResponseParser(frozenset({b"md-call"}), 1000)
-    answers.feed(
+    parser = ResponseParser(frozenset({b"md-call"}), 1000)
+    parser.feed(
         b"HTTP/1.1 200 OK\r\nmd-call: a\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"1\r\nx\r\n0\r\nmd-call: b\r\nX: 1\r\n\r\n"
     )
-    (answer,) = answers.complete
+    (response,) = parser.complete
     assert (
-        answer.mesh_headers == {b"md-call": b"a"}
-        and answer.lines == [(b"md-call", b"a")]
-        and answer.body == b"x"
+        response.mesh_headers == {b"md-call": b"a"}
+        and response.lines == [(b"md-call", b"a")]
+        and response.body == b"x"
     )
 
 
--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -191,7 +191,7 @@
 
 
 async def report_load(world, reported, stopped):
-    """Let each endpoint report a load until the event is set."""
+    """Make each endpoint report the load in `reported[0]` until the event is set."""
     while not stopped.is_set():
         for host in hosts(world):
             for endpoint in world.daemon("mdproxy", host).endpoints.by_address.values():
