--- a/packages/load_sharing/meadowdock/load_sharing/model.py
+++ b/packages/load_sharing/meadowdock/load_sharing/model.py
@@ -1,4 +1,4 @@
-"""Simulates the model of the paper's section V, from which omega is chosen.
+"""Simulates the model of Koegel, Wahl, Scharf and Necker (2009), section V, to choose omega.
 
 The model covers fleets with thousands of calls in flight over simulated hours, more than the daemons
 or the simulator can run. It places calls with the same `choose` as the daemons.
@@ -46,9 +46,7 @@
     phi: float = 0.9
     sharing: Sharing = "paper"
     calls: int = 100_000
-    warm_up_share: float = (
-        0.2  # share of the calls, at the start, that is excluded from the results
-    )
+    warm_up_share: float = 0.2  # this share of the calls, at the start, is left out of the results
     seed: int = 1
 
 
@@ -57,7 +55,7 @@
 
     blocked: float  # share of the calls
     relocated: float  # share of the calls
-    state_changes: float  # starts and ends of offloading, per node and 1000 intervals
+    state_changes: float  # how often a node started or stopped offloading, per 1000 intervals
 
 
 class Release(NamedTuple):
--- a/packages/load_sharing/meadowdock/load_sharing/policy.py
+++ b/packages/load_sharing/meadowdock/load_sharing/policy.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class LoadList:
-    """The combined load list of a service that a proxy received last.
+    """The latest load list of a service that a proxy has received, over all nodes.
 
     Invariant: lists are ordered by (epoch, seq); a process never replaces its list by a lower one.
     Epoch 0 means that no list has arrived yet.
--- a/tests/load_sharing/test_policy.py
+++ b/tests/load_sharing/test_policy.py
@@ -149,9 +149,9 @@
 
 
 def test_model_reproduces_the_shape_of_the_papers_curve():
-    """Sharing is better than none, and a too high omega costs more than one as much too low.
+    """Sharing is better than none, and an omega 0.05 too high costs more than one 0.05 too low.
 
-    See the paper's section V-D.
+    See section V-D of Koegel, Wahl, Scharf and Necker (2009).
     """
     setting = {"capacity": 200_000, "load": 0.9, "calls": 30_000, "interval_us": 1_000_000}
     lost = {w: simulate(Setting(**setting, omega=w, phi=w)).blocked for w in (0.90, 0.95, 1.0)}
--- a/tests/load_sharing/test_proxy_load_sharing.py
+++ b/tests/load_sharing/test_proxy_load_sharing.py
@@ -1,4 +1,4 @@
-"""Load sharing between proxies: forwarding, the load list, its collector, and operation without."""
+"""Load sharing between proxies: forwarding, the load list, and its collector or the lack of one."""
 
 from __future__ import annotations
 
@@ -103,10 +103,10 @@
         other = next(h for h in world.core if h != holder)
         links = world.node("mdreg", other).rpc
         reported = {"epoch": old_epoch, "seq": 10**6, "nodes": {}}
-        request = await links.call_all(
+        replies = await links.call_all(
             {0: (f"{hosts(world)[0]}:7401", "load.list", reported)}, monotonic_us() + SECOND
         )
-        assert request[0].code == "old_epoch"
+        assert replies[0].code == "old_epoch"
         assert proxy.forwarder.load_list.seq < 10**6
 
     run(scenario)
@@ -171,8 +171,8 @@
 def test_throughput_does_not_collapse_under_overload():
     """Processing takes time in this test, and all machines share the processors.
 
-    Without excluding peers that had no capacity and rejecting calls when behind, a load of 3 times
-    the capacity gave a throughput of 0.07 of it, with 1.1 forwards per call.
+    At a load of 3 times the capacity, throughput fell to 0.07 of the capacity, with 1.1 forwards per
+    call, when proxies neither excluded peers without capacity nor rejected calls while overloaded.
     """
     by_load = curve((1.0, 3.0), shared=True, span=SECOND)
     full_load, overload = by_load[1.0], by_load[3.0]
