--- a/packages/proxy/meadowdock/proxy/call.py
+++ b/packages/proxy/meadowdock/proxy/call.py
@@ -62,7 +62,7 @@
     excluded_peers: set[str] = field(default_factory=set)  # peers that rejected it or failed
     sends: int = 0  # attempts sent to peers and endpoints
     endpoint_sends: int = 0  # attempts that an endpoint may have received
-    queue_waits: int = 0  # times that it waited in the slot queue in vain
+    queue_waits: int = 0  # how often it left the slot queue without a slot
     peer_attempts: int = 0
     endpoint_attempts: int = 0
     endpoint: Endpoint | None = None  # the endpoint whose slot it holds
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -99,7 +99,7 @@
         self.update_available.set()
 
     def on_version_seen(self, version, in_force):
-        """Handle news that a version exists, and whether it is in force at a peer.
+        """Handle a report that a version exists, and whether it is in force at a peer.
 
         A version that is in force at a peer is activated as soon as it is staged.
         """
@@ -109,16 +109,17 @@
             self.request_update()
 
     async def run(self):
-        """Confirm the version periodically, and whenever a newer one is heard of."""
+        """Confirm the version periodically, and whenever a newer one is reported."""
         while True:
             self.update_available = trio.Event()
             await self.confirm()
             with deadline_scope(self.next_confirm_at()):
                 await self.update_available.wait()
+                # one query serves all notices that arrive meanwhile
                 await sleep_us(20 * MILLISECOND)
 
     def next_confirm_at(self):
-        """Return when to confirm the version next, unless a newer one is heard of."""
+        """Return when to confirm the version next, unless a newer one is reported earlier."""
         if self.retry_soon:
             return monotonic_us() + self.fraction_of_apply_us(RETRY_INTERVAL_DIVISOR)
         return self.node.view.schedule.next_wakeup(
--- a/packages/proxy/meadowdock/proxy/forwarder.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -198,7 +198,7 @@
         return self.reject(call, "busy")
 
     def slot_queue(self, service: str) -> SlotQueue:
-        """Return the slot queue of a service; it is created and notified from its first use on."""
+        """Return the slot queue of a service, which is created at its first use."""
         queue = self.slot_queues.get(service)
         if queue is None:
             queue = SlotQueue(service, self.endpoints, self.assign_slot)
@@ -303,8 +303,8 @@
         if not endpoint.available:
             self.release_slot(call)
             return self.after_not_run(call)
-        # A call that only peers rejected has reached no endpoint, so sending it here is no retry:
-        # in the policy of Koegel et al. (2009), too, such a call stays at its own node.
+        # A call that only peers rejected has reached no endpoint, so sending it here is not a retry.
+        # In the policy of Koegel et al. (2009), such a call also stays at its own node.
         if call.endpoint_sends and not self.retry_budget.try_withdraw(monotonic_us()):
             return self.reject(call, "busy", "no second tries left")
         call.sends += 1
@@ -394,7 +394,7 @@
     def after_not_sent(self, call: Call, endpoint: Endpoint) -> Step | None:
         """Choose anew after no byte of the call could be sent to the endpoint.
 
-        The attempt doesn't count as sent, so the next one is no retry.
+        The attempt doesn't count as sent, so the next one is not a retry.
         """
         call.sends -= 1
         call.endpoint_sends -= 1
--- a/packages/proxy/meadowdock/proxy/gateway.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -22,10 +22,10 @@
 from meadowdock.proxy.server import ProxyServer
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
-MAX_MISSED_HEARTBEATS = 3  # an endpoint is removed a third of an interval after missing these
+# An endpoint that misses this many heartbeats in a row is removed a third of an interval later.
+MAX_MISSED_HEARTBEATS = 3
 LISTENER_COUNT = 2  # one for callers, one for peers
-# Load parameters of gateways, unless the operators' configuration sets its own: gateways route by
-# host and prefix.
+# Load parameters for calls by host and prefix, unless the operators' configuration sets its own.
 GATEWAY_LOAD_PARAMETERS = {"omega": 0.8, "phi": 0.7, "interval_us": 250 * MILLISECOND}
 # The part of the configured retry budget that the gateways use. The nodes' windows don't begin
 # together, and callers retry as well, so the full budget would let the fleet exceed its limit.
@@ -35,13 +35,13 @@
 QUIET_US = 200 * MILLISECOND
 DRAIN_POLL_US = 10 * MILLISECOND
 FLUSH_US = 50 * MILLISECOND  # for the last responses to be sent
-STOP_MARGIN_US = SECOND
+STOP_MARGIN_US = SECOND  # the wait for quiet ends this long before the shutdown deadline
 
 
 class GatewayProxy(ProxyServer):
     """One proxy process with a gateway.
 
-    Invariant: gate.configuration is the items of delivery's active version.
+    Invariant: gate.table holds the items of delivery's active version.
     """
 
     dialect: Dialect  # the platform's header names, set by a subclass
@@ -72,7 +72,7 @@
     def make_sockets(self) -> SocketNetwork:
         """Create the socket network.
 
-        A simulated network brings its own; otherwise it is one over real sockets.
+        A simulated network provides its own; otherwise real sockets are used.
         """
         node = self.node
         make_network = getattr(node.runtime.net, "wires", None)
@@ -180,7 +180,7 @@
         )
 
     def new_retry_budget(self, gate: Gateway) -> RetryBudget:
-        """Return a new retry budget for a service."""
+        """Return a new retry budget for one service of the gateway."""
         limits = self.node.settings.retry_budget
         ratio = RETRY_BUDGET_SHARE * limits.ratio
         reserve = int(RETRY_BUDGET_SHARE * limits.reserve)
@@ -197,7 +197,7 @@
     def endpoint_heartbeat(self, fields: Mapping[str, Any]) -> None:
         """Process a heartbeat of the local endpoint; its fields are those of EndpointHeartbeat.
 
-        :raises RegistrationDenied: the endpoint is of another machine.
+        :raises RegistrationDenied: the endpoint is on another machine.
         """
         self.gateway_endpoints.heartbeat(EndpointHeartbeat.from_fields(fields))
 
--- a/packages/proxy/meadowdock/proxy/gateway_endpoints.py
+++ b/packages/proxy/meadowdock/proxy/gateway_endpoints.py
@@ -68,14 +68,14 @@
     def __init__(self, server: GatewayProxy, on_change: Callable[[], None]) -> None:
         self.server = server
         self.node, self.registry = server.node, server.endpoints
-        self.on_change = on_change  # ends the reactor's turn, so that waiting calls start at once
+        self.on_change = on_change  # ends the reactor's turn, so that buffered output is sent
         self.last_sequence: dict[str, int] = {}
         self.departed: OrderedDict[str, bool] = OrderedDict()
 
     def heartbeat(self, heartbeat: EndpointHeartbeat) -> None:
         """Process a heartbeat; one that is late changes nothing.
 
-        :raises RegistrationDenied: the endpoint is of another machine.
+        :raises RegistrationDenied: the endpoint is on another machine.
         """
         now_us = monotonic_us()
         if self.is_late(heartbeat):
--- a/packages/proxy/meadowdock/proxy/heartbeats.py
+++ b/packages/proxy/meadowdock/proxy/heartbeats.py
@@ -29,7 +29,7 @@
 
 HEARTBEAT_INTERVAL_US = 500 * MILLISECOND
 STARTUP_HEARTBEAT_INTERVAL_US = 150 * MILLISECOND  # until the first load list
-# From the discovery of a registry to its first heartbeat: others are usually discovered with it.
+# Delay of the first heartbeat to a new registry, as others are usually discovered together with it.
 DISCOVERY_DELAY_US = 10 * MILLISECOND
 
 
@@ -124,9 +124,9 @@
     def use_provisional_list(self, lists: list[WireMap]) -> None:
         """Use a list of the nodes that send heartbeats to a registry, until the first load list.
 
-        The list counts as stale from the beginning. Of several, the one with the most nodes is
-        used. Each heartbeat requests it anew, because registries that have just started learn of
-        the proxies one by one.
+        The list counts as stale from the beginning. If several registries sent one, that with the
+        most nodes is used. Each heartbeat requests it anew, because registries that have just
+        started learn of the proxies one by one.
         """
         if lists and not self.server.forwarder.load_list.seq:
             self.server.use_load_list(LoadList(), nodes_from_wire(max(lists, key=len)))
--- a/packages/proxy/meadowdock/proxy/load_reporting.py
+++ b/packages/proxy/meadowdock/proxy/load_reporting.py
@@ -74,8 +74,8 @@
     async def on_load_list(self, peer: Peer, wire: WireMap) -> WireMap:
         """Use the collector's combined list, if it is newer than the current one.
 
-        :raises Rejected: `epoch_unknown` until a registry reported the highest epoch, since the
-            list may come from a former collector that was paused; `old_epoch` if it does.
+        :raises Rejected: `epoch_unknown` until a registry has reported the highest epoch, since the
+            list may come from a former collector that was paused; `old_epoch` if it comes from one.
         """
         epoch_floor = self.server.heartbeats.epoch_floor
         if epoch_floor is None:
--- a/packages/proxy/meadowdock/proxy/messages.py
+++ b/packages/proxy/meadowdock/proxy/messages.py
@@ -33,10 +33,10 @@
     zone: str
     incarnation: int
     version: int  # of the configuration in force
-    newest_version: int  # in force or staged
+    newest_version: int  # the highest that is in force or staged
     cut_off: bool  # whether the config stores are unreachable
     shutting_down: bool
-    nodes_known: int | None  # None once there is a load list
+    nodes_known: int | None  # on the provisional load list; None once there is a real one
     collection_interval_us: int | None  # None until there is a configuration
     endpoints: list[Endpoint]
     counts: dict[str, int]
--- a/packages/proxy/meadowdock/proxy/registration.py
+++ b/packages/proxy/meadowdock/proxy/registration.py
@@ -21,8 +21,8 @@
     from meadowdock.proxy.server import ProxyServer
 
 MAX_BODY_BYTES = 65536
-MAX_TOKEN_LENGTH = 1023
-MAX_CAPACITY = 100_000
+MAX_TOKEN_LENGTH = 1023  # characters
+MAX_CAPACITY = 100_000  # concurrent calls of one endpoint
 NAME_FORMAT = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
 IP_ADDRESS_AND_PORT = re.compile(r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
 
--- a/packages/proxy/meadowdock/proxy/request_handling.py
+++ b/packages/proxy/meadowdock/proxy/request_handling.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from meadowdock.proxy.server import ProxyServer
 
-MAX_TIMEOUT_DIGITS = 15
+MAX_TIMEOUT_DIGITS = 15  # a longer md-due header is malformed
 STOP_MARGIN_US = 100 * MILLISECOND  # a stopping process ends its calls this long before it exits
 
 routes = RouteTable()
@@ -33,7 +33,7 @@
 
 @routes.otherwise
 async def handle_request(server: ProxyServer, request: Request) -> Response:
-    """Handle a call: a request whose path no other handler has."""
+    """Handle a call, which is any request whose path has no other handler."""
     call: Call | None = None
     outcome: Outcome
     try:
--- a/packages/proxy/meadowdock/proxy/server.py
+++ b/packages/proxy/meadowdock/proxy/server.py
@@ -32,6 +32,8 @@
 # row: a single late start means that the process was paused, several that it has too much work.
 LATE_AFTER_US = 100 * MILLISECOND
 MAX_LATE_TICKS = 1
+# How long after the first heartbeat interval a started proxy is not ready yet, so that it has
+# received a heartbeat of each local endpoint.
 FIRST_HEARTBEATS_MARGIN_US = 200 * MILLISECOND
 FIRST_LOAD_LIST_WAIT_US = 2 * SECOND  # after this, a proxy is ready without a load list
 DRAIN_POLL_US = 10 * MILLISECOND
@@ -165,7 +167,7 @@
         return f"{self.node.incarnation:x}-{self.node.settings.host}-{self.last_call_number}"
 
     def require_local_address(self, address: str) -> None:
-        """Check that an endpoint's address is of this machine.
+        """Check that an endpoint's address belongs to this machine.
 
         :raises RegistrationDenied: not_local.
         """
--- a/packages/proxy/meadowdock/proxy/slot_queue.py
+++ b/packages/proxy/meadowdock/proxy/slot_queue.py
@@ -78,7 +78,7 @@
     def record_slot_time(self, call: Call, took_us: int) -> None:
         """Update the route's mean by the time that a call held its slot.
 
-        Only the routes measured last are remembered.
+        Only the MAX_ROUTES most recently measured routes are remembered.
         """
         route = call.route.name
         mean_us = self.slot_time_us.pop(route, DEFAULT_SLOT_TIME_US)
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -430,7 +430,7 @@
 
 
 def largest_chunk(count, extra_source_length=0):
-    """Return (name, body) of the largest chunk of so many routes."""
+    """Return (name, body) of the largest chunk of a configuration with this many routes."""
     items = [
         {**item, "source": item["source"] + "x" * extra_source_length}
         for item in many_routes(count)
