--- a/packages/client/meadowdock/client/client.py
+++ b/packages/client/meadowdock/client/client.py
@@ -1,4 +1,4 @@
-"""Requests through the proxy on this machine.
+"""Sends requests through the proxy on this machine.
 
 The client never retries by itself: the proxy retries, within its retry budget.
 """
@@ -52,8 +52,8 @@
         """Send a request once; the verdict of a Failure says whether it may have run.
 
         due_us: microseconds after which a response is of no use any more. key: the idempotency key.
-        repeat: the key may have been sent before by another client; repeats of its own keys this
-        client detects itself.
+        repeat: the key may have been sent before by another client; this client detects repeats of
+        its own keys itself.
         """
         repeat = repeat or key in self.sent
         outcome = await self.send(method, path, body, due_us, key, repeat)
--- a/packages/client/meadowdock/client/execution_record.py
+++ b/packages/client/meadowdock/client/execution_record.py
@@ -27,7 +27,7 @@
 from meadowdock.client.messages import EndpointRequest
 from meadowdock.runtime import MemoryDisk, add_checksum, fingerprint, verify_checksum
 
-DEFAULT_CAPACITY = 10_000
+DEFAULT_CAPACITY = 10_000  # keys
 FOLDER = "key"
 
 # Returns a status and a body; a body that isn't bytes is sent as JSON.
@@ -91,8 +91,8 @@
     async def run_once(self, request: EndpointRequest, work: Handler) -> Response:
         """Return the response to a request with a key.
 
-        It is that of `work`, which runs now; the recorded one, if it ran before; or a rejection:
-        the key was used for another request, or its request may have run.
+        This is the response of `work`, which is run now, or the recorded response if it ran before.
+        It is a rejection if the key was used for another request, or if its request may have run.
         """
         if not self.loaded:
             await self.load()
