--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -178,7 +178,7 @@
 
 
 class ConfigStoreStub:
-    """A config store whose register is a dict of this process."""
+    """A config store that keeps its items in a dict."""
 
     def __init__(self, error_type=None):
         self.store = SimpleNamespace(membership=object())
