--- a/packages/admin_http/meadowdock/admin_http/messages.py
+++ b/packages/admin_http/meadowdock/admin_http/messages.py
@@ -31,13 +31,13 @@
     body_max: int = DEFAULT_BODY_MAX_BYTES
 
     def header(self, name: bytes) -> str | None:
-        """Return the value of the first header of a name in lower case, or None."""
+        """Return the value of the first header with a name, given in lower case; None without one."""
         return next((v.decode("latin-1") for n, v in self.headers if n == name), None)
 
     async def body(self, limit: int | None = None) -> bytes:
         """Return the complete body, of at most `limit` bytes.
 
-        :raises BodyTooLarge: by its content-length, or as soon as more than the limit was read.
+        :raises BodyTooLarge: the content-length or the part read so far exceeds the limit.
         :raises ClientDisconnected: the connection ended first.
         """
         limit = limit or self.body_max
