--- a/packages/configuration/meadowdock/configuration/chunk_codec.py
+++ b/packages/configuration/meadowdock/configuration/chunk_codec.py
@@ -27,7 +27,7 @@
 COMPLETE_FORM, ROUTING_FORM = "whole", "routing"  # values on the wire
 ROUTING_FIELDS = ("kind", "name", "spec", "version")
 CHECKSUM_BYTES = 16
-MAX_BODY_BYTES = 32 << 20
+MAX_BODY_BYTES = 32 << 20  # of an unpacked chunk
 
 
 def checksum(name: str, body: bytes, form: str) -> bytes:
--- a/packages/configuration/meadowdock/configuration/chunk_fetch.py
+++ b/packages/configuration/meadowdock/configuration/chunk_fetch.py
@@ -56,6 +56,7 @@
 
     Invariants: found contains only verified chunks; complete is set once found has every wanted
     name; no request goes to a member in failed, nor for a name to a member in missing[name].
+    disk_read is set by a config store once it has looked for the chunks on its own disk.
     """
 
     def __init__(self, names: Iterable[str], members: list[str], found: Bodies) -> None:
@@ -86,7 +87,7 @@
         return batch
 
     def requeue(self, names: list[str]) -> None:
-        """Put names back into the queue that a request didn't return."""
+        """Put the names that a request didn't return back into the queue."""
         self.queue += [name for name in names if name not in self.found]
 
     def members_for(self, name: str) -> list[str]:
@@ -120,7 +121,7 @@
         return sorted(members, key=lambda member: fingerprint(f"{self.address} {member}".encode()))
 
     async def run(self, fetch: ChunkFetch, deadline: int) -> None:
-        """Fetch until every chunk is found, no member has another one, or the deadline passes."""
+        """Fetch until all chunks are found, no member has any of the rest, or the deadline passes."""
         self.frame_bytes = min(self.frame_bytes, INITIAL_FRAME_BYTES)
         with deadline_scope(deadline):
             async with trio.open_nursery() as fetch_nursery:
--- a/packages/configuration/meadowdock/configuration/chunk_server.py
+++ b/packages/configuration/meadowdock/configuration/chunk_server.py
@@ -21,7 +21,7 @@
     """Answer a request for chunks; request and response are in their wire format.
 
     Chunks that don't fit into the response are omitted, except that the first one may be sent in
-    parts: the requester continues it by its offset.
+    parts: the requester asks for the rest of it with an offset.
 
     :param packed_chunk: returns the packed chunk for a name and form, or None if it isn't here.
     """
--- a/packages/configuration/meadowdock/configuration/items/exceptions.py
+++ b/packages/configuration/meadowdock/configuration/items/exceptions.py
@@ -1,4 +1,4 @@
-"""Reasons for which a change of items is rejected; no part of a rejected change takes effect."""
+"""Reasons why a change of items is rejected; no part of a rejected change takes effect."""
 
 from __future__ import annotations
 
--- a/packages/configuration/meadowdock/configuration/items/item_table.py
+++ b/packages/configuration/meadowdock/configuration/items/item_table.py
@@ -20,7 +20,7 @@
     timeout_us: int
     aim_us: int  # latency target; 0 for none
     priority: int  # 0 is the highest
-    tries: int  # maximum of attempts of one call, each at another endpoint
+    tries: int  # maximum number of attempts of one call
     split: tuple[tuple[str, float], ...]  # services with their weights
 
 
--- a/packages/configuration/meadowdock/configuration/schema.py
+++ b/packages/configuration/meadowdock/configuration/schema.py
@@ -2,7 +2,8 @@
 
 The field names are those of configuration files, stored chunks and messages: "ways" are routes,
 "spill" is the relocation of a call to a peer, "tries" are retries, and "repeat" states whether the
-calls of a route are idempotent ("safe") or must run at most once ("once").
+calls of a route are idempotent ("safe") or must run at most once ("once"). "share" is the weight of
+a relocated call in the load of the node that relocated it.
 """
 
 from __future__ import annotations
--- a/packages/configuration/meadowdock/configuration/validation.py
+++ b/packages/configuration/meadowdock/configuration/validation.py
@@ -105,7 +105,7 @@
 
 
 def with_distinct_routes(configuration: ConfigurationMap) -> ConfigurationMap | None:
-    """Return the configuration with a single route for each set that differs only in name and path.
+    """Return the configuration without routes that differ from another only in name and path.
 
     A configuration may have tens of thousands of routes, but only dozens that differ otherwise, and
     the schema validator is slow. The names and paths of all routes are checked here; if one of them
@@ -208,7 +208,7 @@
 def path_errors(configuration: ConfigurationMap) -> list[str]:
     """Report routes with the same caller, method and path, and routes with a reserved path.
 
-    A path below that of another route is no overlap, since the longest matching path decides.
+    A path below that of another route is not an overlap, since the longest matching path decides.
     """
     match_counts = Counter(
         (caller, method, route["path"])
