--- a/packages/cli/meadowdock/cli/__main__.py
+++ b/packages/cli/meadowdock/cli/__main__.py
@@ -67,7 +67,7 @@
     def items(self, what, file=None) -> None:
         """Configure by items: `items get`, or `items set FILE`; repeat it if the outcome is unknown."""
         if (what, bool(file)) not in (("get", False), ("set", True)):
-            print("mdctl: say `items get` or `items set FILE`", file=sys.stderr)
+            print("mdctl: use `items get` or `items set FILE`", file=sys.stderr)
             sys.exit(EXIT_USAGE)
         if what == "get":
             _print(self._request("GET", "/items"))
@@ -126,7 +126,7 @@
     def _request(self, method: str, path: str, body: bytes = b"", plan: str | None = None) -> Any:
         """Send a request and return the content of its 200 response; exit on any other outcome."""
         if not any(self._members):
-            print("mdctl: say where the core is: --core=IP:PORT,... or MD_CORE", file=sys.stderr)
+            print("mdctl: no core given: set --core=IP:PORT,... or MD_CORE", file=sys.stderr)
             sys.exit(EXIT_USAGE)
         hint = f"mdctl settle {plan}" if plan else "ask again"
         try:
