--- a/packages/config_store/meadowdock/config_store/audit_log.py
+++ b/packages/config_store/meadowdock/config_store/audit_log.py
@@ -60,10 +60,7 @@
 
 @dataclass
 class AuditLogState:
-    """Which records one member has.
-
-    These are the digests of its sealed segments, and the versions of its tail.
-    """
+    """Which records one member has, as digests of its sealed segments and versions of its tail."""
 
     first_version: int = 1  # of the retained chain
     previous_hash: str = ""  # of the record before the first; empty if the chain is complete
@@ -134,8 +131,8 @@
     async def load(self) -> None:
         """Read the checkpoint and the single records; of segments only the names.
 
-        In the former layout each version has a single file; these form a long tail, which seal()
-        shortens.
+        A folder that an older release wrote has a single file for each version (the former layout).
+        These records form a long tail, which seal() shortens.
         """
         body = verify_checksum(await self.files.read(CHECKPOINT_FILE))
         if body is not None:
--- a/packages/config_store/meadowdock/config_store/audit_log_transfer.py
+++ b/packages/config_store/meadowdock/config_store/audit_log_transfer.py
@@ -120,7 +120,7 @@
 
     @handlers.on("trail.read")
     async def on_read(self, peer: object, versions: list[int]) -> Records:
-        """Return the records of these versions, at most one segment."""
+        """Return the records of these versions, at most as many as one segment has."""
         return await self.audit_log.read(versions[:RECORDS_PER_SEGMENT])
 
     async def catch_up(self, state: AuditLogState, deadline: int) -> int:
@@ -216,8 +216,9 @@
     async def transfer_to_quorum(self, run_on_quorum: RunOnQuorum, deadline: int) -> None:
         """Let a quorum of all members pull what a majority of the current voters has.
 
-        Each record before the current revision's is on such a majority. Newcomers are waited for
-        beyond the quorum, but only for NEWCOMER_TIMEOUT_US, as one of them may be lost permanently.
+        Each record before the current revision's is on such a majority. When a quorum is complete,
+        the remaining newcomers get NEWCOMER_TIMEOUT_US more; the wait is limited because one of
+        them may be lost permanently.
 
         :param run_on_quorum: runs the first function locally, and the second with each other
             member's address
--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -19,7 +19,7 @@
     from meadowdock.config_store.store import Store
     from meadowdock.process import Node
 
-DISK_IDLE_US = 30 * MILLISECOND  # a disk idle for this long is stalled: ask other members
+DISK_IDLE_US = 30 * MILLISECOND  # if the disk delivers nothing for this long, members are asked
 CACHE_MAX_BYTES = 1 << 20
 HEDGE_DELAY_DIVISOR = 20  # the next member is asked too after apply_us divided by this
 FETCH_TIMEOUT_DIVISOR = 2  # one fetch takes at most apply_us divided by this
@@ -61,8 +61,8 @@
     async def fetch(self, names: Sequence[str], deadline: int | None = None) -> dict[str, bytes]:
         """Return {name: body} of the chunks that can be found in time.
 
-        The time ends at the deadline, or earlier after half of apply_us. Neither a disk nor a
-        member that stalls delays it.
+        The time ends at the deadline, and after half of apply_us at the latest. While the chunks
+        are available elsewhere, a stalled disk or member doesn't use up that time.
         """
         limit = monotonic_us() + self.node.settings.apply_us // FETCH_TIMEOUT_DIVISOR
         deadline = limit if deadline is None else min(deadline, limit)
@@ -75,7 +75,7 @@
         if not fetch.complete.is_set():
             await self.fetcher.run(fetch, deadline)
         if not fetch.complete.is_set() and not fetch.disk_read.is_set():
-            with deadline_scope(deadline):  # the members don't have the rest, the disk may
+            with deadline_scope(deadline):  # no member has the rest, but the disk may have it
                 await fetch.disk_read.wait()
         return {name: fetch.found[name] for name in names if name in fetch.found}
 
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -82,7 +82,7 @@
                     is_durable, min(deadline, monotonic_us() + SECURE_TIMEOUT_US)
                 )
             except (NoQuorum, OutcomeUnknown):
-                pass  # it stops all the same, as the platform would soon kill the process
+                pass  # the process stops anyway, since the platform would soon kill it
 
     async def secure_keys(self, is_durable: IsDurable, deadline: int) -> None:
         """Write the latest accepted pair of each key to a durable quorum without this member."""
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -1,4 +1,6 @@
-"""Changes of the configuration by items, made on the same revisions as operators' plans.
+"""Changes of single items of the configuration.
+
+They and the operators' plans lead to one common sequence of revisions.
 
 A change is a plan and its commit in one: it is merged into the items of the current revision, its
 new chunks are written to a durable quorum, then the revision is changed if it is still the same;
@@ -141,7 +143,8 @@
     async def make_batch(self, batch: list[PendingChange]) -> list[Outcome]:
         """Return the outcome of each change, in order.
 
-        Each is validated separately, after those before it.
+        Each is merged into the result of those before it; an invalid or conflicting change is
+        rejected alone.
 
         :raises NoQuorum: no new revision was sent to any member
         :raises OutcomeUnknown: one was sent, and may be committed
@@ -220,7 +223,10 @@
     async def replicate(
         self, bodies: Mapping[str, bytes], records: Mapping[int, str], deadline: int
     ) -> None:
-        """Write chunks and audit records to a durable quorum with one message. Raises NoQuorum."""
+        """Write chunks and audit records to a durable quorum. Raises NoQuorum.
+
+        Each message has at most CHUNKS_PER_MESSAGE chunks; the last one has the audit records too.
+        """
 
         async def write_remotely(address: str) -> None:
             chunks = list(bodies.values())
--- a/packages/config_store/meadowdock/config_store/lease.py
+++ b/packages/config_store/meadowdock/config_store/lease.py
@@ -201,7 +201,7 @@
     def checked_holder(
         self, record: LeaseRecord | None, request: RenewLease | ReleaseLease
     ) -> LeaseRecord:
-        """Return the record if the requester holds the lease by the acquisition that it names.
+        """Return the record if the requester holds the lease under the epoch that it names.
 
         :raises Rejected: LEASE_LOST, with the current epoch.
         """
--- a/packages/config_store/meadowdock/config_store/lease_messages.py
+++ b/packages/config_store/meadowdock/config_store/lease_messages.py
@@ -11,7 +11,7 @@
 
 ACQUIRE, RENEW, RELEASE = "lease.acquire", "lease.renew", "lease.release"
 LEASE_HELD = "lease_held"  # another holder's lease may still be valid
-LEASE_LOST = "lease_lost"  # the requester no longer holds the lease to renew or release
+LEASE_LOST = "lease_lost"  # a renewal or release by a process that no longer holds the lease
 NO_MAJORITY = "no_majority"
 COLLECTOR_KEY = "duty/collector"  # consensus key of the load collector's lease
 
@@ -47,7 +47,7 @@
 
     holder: str
     epoch: int  # the fencing token
-    # of the request that acquired or last renewed it; 0 in a record of an older release
+    # the number of the request that last changed the record; 0 in a record of an older release
     sequence: int = 0
     duration_us: int = 0  # the holder counts it from before it sent that request
     released: bool = False
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -31,8 +31,8 @@
 class MembershipManager(Liveness, VotingMember, StateTransfer, MembershipChange):
     """The part of a configuration store that decides who should vote, and which member acts.
 
-    A base class of the server, which provides node, store and proposer. changes_in_progress counts
-    the changes that this process is making.
+    It is a base class of the server, which provides node, store and proposer. changes_in_progress
+    counts the changes that this process is making.
     """
 
     def init_membership(self):
@@ -68,8 +68,8 @@
     def loss_tolerance(self, settings):
         """Return the losses that an acknowledged write must survive.
 
-        Where operators choose the members, these are the losses that a majority of those members
-        survives.
+        Where operators choose the members, a majority of them is enough, without further
+        requirements.
         """
         if self.operator_managed:
             return Tolerance()
@@ -88,16 +88,17 @@
         voters = set(membership.voters.values())
         if len(membership.voters) >= wanted_voters(len({*reachable, *voters}), self.tolerance):
             return True
-        # The policy chooses fewer voters than it could where that lets a zone or region be lost.
+        # The policy leaves a process without a vote where only that lets the voters tolerate the
+        # loss of a zone or region.
         observed_enough = monotonic_us() - self.started_at >= 2 * self.timing.stable_after_us
         return observed_enough and own_address not in self.policy_choice(voters, reachable)
 
     def has_too_few_voters(self):
         """Whether there are too few voters to accept changes.
 
-        That is so if no write of these voters could survive the tolerated losses. It is also so for
-        a while after the start, as long as there are fewer voters than that requires and more may
-        still join.
+        It is true if no write to these voters could survive the tolerated losses. For
+        bootstrap_wait_us after the configuration became known, it is also true if there are fewer
+        voters than those losses require, since more may still join.
         """
         membership = self.store.membership
         if membership is None or self.operator_managed:
@@ -112,9 +113,9 @@
     def target_voters(self):
         """Return the addresses of the wanted voters, or None if nothing is to be changed.
 
-        That is so if the wanted voters vote already, under the same disks and in the recorded
-        failure domains; if this process is neither a voter nor at the address of one; or if no
-        quorum of the voters answers.
+        It is None if the wanted voters vote already, with the same disks and the recorded failure
+        domains; if this process is neither a voter nor at the address of one; or if no quorum of
+        the voters answers.
         """
         reachable = self.reachable()
         voters = {address: disk for disk, address in self.store.membership.voters.items()}
@@ -207,7 +208,11 @@
         )
 
     def takeover_rank(self):
-        """Return how many members act before this one."""
+        """Return how many members act before this one.
+
+        The eligible members (voters that answer, have a writable disk and are not leaving) act in
+        the order of their addresses. Any other process acts after them, but its rank is at most 2.
+        """
         reachable = self.reachable()
         eligible = sorted(
             address
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -100,7 +100,7 @@
     def is_stuck(self, membership: MembershipConfiguration) -> bool:
         """Whether the change in progress can't be completed.
 
-        That is so if a newcomer failed, or the transfer to it takes longer than MAX_ATTEMPTS
+        It is stuck if a newcomer failed, or if the transfer to it takes longer than MAX_ATTEMPTS
         attempts.
         """
         newcomers = membership.newcomers
--- a/packages/config_store/meadowdock/config_store/membership_configuration.py
+++ b/packages/config_store/meadowdock/config_store/membership_configuration.py
@@ -84,9 +84,10 @@
     def change_begun(
         self, disks: Disks, failure_domains: Mapping[str, FailureDomain]
     ) -> MembershipConfiguration:
-        """Return the joint configuration that leads to these disks.
+        """Return the joint configuration in which these disks are the new voters.
 
-        It is this same configuration if nothing changes, or if another change is in progress.
+        If only failure domains change, it is a successor with the same voters instead. If nothing
+        changes, or another change is in progress, this same configuration is returned.
         """
         if self.is_joint:
             return self
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -76,7 +76,10 @@
 
 @dataclass(frozen=True)
 class CommittedConfiguration:
-    """The configuration in force, with the items beside it; None if there never were any items."""
+    """The configuration in force.
+
+    items: the items in force; None if there never were any items.
+    """
 
     revision: Revision
     configuration: dict[str, Any]
@@ -174,7 +177,7 @@
     async def replicate_files(
         self, current: Revision, plan_id: str, plan: Plan, deadline: int
     ) -> None:
-        """Write everything that the new revision refers to, to a durable quorum.
+        """Write to a durable quorum everything that the new revision refers to.
 
         :raises NoQuorum: too few members have it, or a chunk is missing
         """
@@ -263,9 +266,9 @@
         return version if await self.plan_id_at(current, version, deadline) == plan_id else 0
 
     async def plan_id_at(self, current: Revision, version: int, deadline: int) -> str | None:
-        """Return the plan that became a version up to the current one.
+        """Return the id of the plan that became a version, which is at most the current one.
 
-        None if the version is older than the audit log.
+        None if the version is older than the retained audit log.
 
         :raises NoQuorum: this can't be determined now
         """
--- a/packages/config_store/meadowdock/config_store/policy.py
+++ b/packages/config_store/meadowdock/config_store/policy.py
@@ -52,7 +52,7 @@
     candidates = list(observed.candidates)
     chosen = replace_failed(observed, candidates)
     if not observed.suspected & chosen:
-        # While a voter has failed, an additional one makes a majority harder to reach.
+        # A suspected voter may have failed; an additional one then makes a majority harder to reach.
         add_voters(chosen, candidates, observed, tolerance)
         if not observed.failed and not observed.leaving:
             chosen = spread_out(chosen, candidates, observed, tolerance)
@@ -99,7 +99,7 @@
 
 
 def wanted_voters(known: int, tolerance: Tolerance) -> int:
-    """Return how many of so many known processes should vote.
+    """Return how many voters a deployment with this number of known processes should have.
 
     >>> [wanted_voters(n, Tolerance(1)) for n in (1, 4, 5, 6)], wanted_voters(9, Tolerance(2))
     ([1, 4, 5, 3], 5)
@@ -122,8 +122,8 @@
 ) -> set[str]:
     """Exchange or remove voters until they survive the tolerated losses of zones and regions.
 
-    That is so when the remaining voters are a majority. It stops early if no exchange or removal
-    improves the spread.
+    A loss is survived if the remaining voters are a majority. The function stops early if no
+    exchange or removal improves the spread.
 
     >>> x, y, z = FailureDomain("x"), FailureDomain("y"), FailureDomain("z")
     >>> zones = {"a": x, "b": x, "c": y, "d": z}
@@ -149,9 +149,9 @@
 def alternatives(
     chosen: frozenset[str], candidates: Collection[str], fewest: int
 ) -> Iterator[frozenset[str]]:
-    """Yield the sets of voters that one exchange, or the removal of one or two voters, leads to.
+    """Yield the sets of voters that result from one exchange, or from removing one or two voters.
 
-    A removal leaves at least the fewest voters that are needed.
+    :param fewest: a removal leaves at least this many voters
     """
     for removed in chosen:
         for added in candidates:
@@ -163,7 +163,7 @@
 
 
 def excess(chosen: Collection[str], observed: ObservedMembers, tolerance: Tolerance) -> int:
-    """Return how many voters too many are in the most crowded zones and regions.
+    """Return by how many voters the most crowded zones and regions exceed a minority.
 
     >>> x, y = FailureDomain("x"), FailureDomain("y")
     >>> zones = {"a": x, "b": x, "c": y}
--- a/packages/config_store/meadowdock/config_store/quorum_monitor.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -24,7 +24,7 @@
 
 FRESH_ROUNDS = 2  # an answer counts for this many poll rounds, then members are polled again
 CHECK_INTERVAL_US = 50 * MILLISECOND  # while an operator's request is in progress
-POLL_TIMEOUT_DIVISOR = 12  # a check waits for members for contact_us divided by this
+POLL_TIMEOUT_DIVISOR = 12  # a check waits for answers no longer than contact_us divided by this
 
 Result = TypeVar("Result")
 
--- a/packages/config_store/meadowdock/config_store/rescue.py
+++ b/packages/config_store/meadowdock/config_store/rescue.py
@@ -17,7 +17,7 @@
     """
     store = Store(disk, None, lambda *_, **__: None)
     if await disk.read("disk") is None:
-        raise SystemExit("there is no member's disk here")
+        raise SystemExit("this data folder does not belong to a member of the config store")
     await store.load()
     state = store.acceptor.states.get(fingerprint(CURRENT_REVISION_KEY.encode()))
     version = state.value["version"] if state and state.value else 0
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -148,15 +148,15 @@
             await self.handover.leave_membership(self.node.shutdown.deadline - reserve)
 
     async def drain(self) -> None:
-        """Write state that may be on this disk alone to other members."""
+        """Write to other members the state that may be on this disk alone."""
         if self.store.membership:
             await self.handover.secure_state(self.node.shutdown.deadline - DRAIN_RESERVE_US)
 
     async def transfer_files(self, deadline: int, enough: IsEnough | None = None) -> None:
         """Transfer the audit log and the chunks of the current revision to the other members.
 
-        It returns once enough(disk ids of the members that have them) holds. Without `enough`, all
-        newcomers and a quorum of both sides are required.
+        It returns once `enough` is true of the disk ids of the members that have these files.
+        Without it, the condition is that of `transferred`.
 
         :raises NoQuorum: they are on too few members by the deadline
         """
--- a/packages/config_store/meadowdock/config_store/state_transfer.py
+++ b/packages/config_store/meadowdock/config_store/state_transfer.py
@@ -43,7 +43,7 @@
     def transferred(self, membership):
         """Return the predicate for completing the change in progress.
 
-        As transferred_to, and all newcomers must have the state too.
+        It requires that all newcomers have the state, in addition to what transferred_to requires.
         """
         side = membership.next_voters or membership.voters
         return self.transferred_to(side, membership, membership.newcomers)
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -50,7 +50,7 @@
         A disk that has lost state gets a new id.
         """
         versions = await self.files.names("members")
-        # The newest readable one. Even an older one is useful for the addresses of the members.
+        # Takes the newest readable one: even an older one has useful addresses of the members.
         for version in reversed(versions):
             body = verify_checksum(await self.files.read(f"members/{version}"))
             if body is not None:
@@ -63,8 +63,9 @@
         lost = self.acceptor.lost_keys()
         self.blank_at_start = not versions and not self.acceptor.states
         if disk_id is None or lost or lost_configuration:
-            # The disk counts as lost: its id is unreadable, or an older file of a key would forget
-            # promises, or an older configuration would let replaced voters vote. It continues under
+            # The disk is new, or it counts as lost: its id is unreadable, the newest file of a key
+            # is damaged (an older one would lack later promises), or the newest configuration is
+            # damaged (under an older one, replaced voters would vote). A lost disk continues under
             # a new id and keeps the configuration, to apply for the place of the old disk.
             disk_id = f"{self.rng.getrandbits(64):016x}".encode()
             await self.files.write("disk", add_checksum(disk_id))
@@ -145,11 +146,7 @@
         return body if body is not None and fingerprint(body) == name else None
 
     async def touch_chunk(self, name: str) -> bytes | None:
-        """Read a chunk, and protect it from removal for a while.
-
-        It is removed only after it was idle for as long as the caller of `remove_idle_chunk`
-        requires.
-        """
+        """Read a chunk, and restart its idle time, which protects it from `remove_idle_chunk`."""
         async with self.chunk_lock:
             self.chunk_used_at[name] = monotonic_us()
             return await self.read_chunk(name)
--- a/packages/config_store/meadowdock/config_store/timing.py
+++ b/packages/config_store/meadowdock/config_store/timing.py
@@ -136,7 +136,11 @@
 
     @property
     def read_us(self) -> int:
-        """How long an operator waits for a read: the read in flight and the next one."""
+        """How long an operator waits for a read.
+
+        It is enough for two quorum reads: the one in flight, and the next one, which serves this
+        request.
+        """
         return self.ack_us // 2
 
     @property
