--- a/packages/consensus/meadowdock/consensus/exceptions.py
+++ b/packages/consensus/meadowdock/consensus/exceptions.py
@@ -28,9 +28,9 @@
 
 
 class NoQuorum(ConsensusError):
-    """No quorum answered, and no acceptor was asked to accept the change.
+    """No ballot was granted by a quorum in time, so no acceptor was asked to accept the change.
 
-    The change was not applied and never will be.
+    The change was not applied and never will be. For a read, it means that no quorum agreed.
     """
 
     explanation = "no quorum answered in time; nothing was written"
--- a/packages/consensus/meadowdock/consensus/read.py
+++ b/packages/consensus/meadowdock/consensus/read.py
@@ -15,17 +15,17 @@
 
 READ_TIMEOUT = 100 * MILLISECOND  # us, for each broadcast of a read
 POLL_INTERVAL_MIN = 4 * MILLISECOND  # us, between the broadcasts of one read
-POLL_INTERVAL_MAX = 80 * MILLISECOND
+POLL_INTERVAL_MAX = 80 * MILLISECOND  # us
 
 
 class QuorumRead:
     """One read. If a quorum agrees on the highest accepted pair, one broadcast is enough.
 
     Members that diverge usually agree soon: a write is on its way to them, and a ballot at this
-    moment would preempt it. So the read polls them at increasing intervals. Only if their answers
-    stay the same for longer than a write takes does it start a ballot that writes the highest
-    accepted value again (read repair). It starts none while this process is changing the key, since
-    the change has the same effect.
+    moment would preempt it. So the read polls them at increasing intervals. If their answers stay
+    the same for longer than a write takes, it starts a ballot that writes the highest accepted
+    value again (read repair). It starts none while this process is changing the key, since the
+    change has the same effect.
     """
 
     def __init__(self, proposer: Proposer, key: str, deadline: int) -> None:
