--- a/packages/registry/meadowdock/registry/lease_client.py
+++ b/packages/registry/meadowdock/registry/lease_client.py
@@ -117,9 +117,9 @@
     def may_acquire(self) -> bool:
         """Whether an acquisition may be attempted now.
 
-        It may not for some time after a request that may have been executed without an answer: a
-        lease granted that way is used by nobody, and the other candidates have to wait for its full
-        duration.
+        It may not be for some time after a request that may have been executed but was not
+        answered: a lease granted that way is used by nobody, and the other candidates have to wait
+        for its full duration.
         """
         return monotonic_us() >= self.acquire_not_before
 
@@ -239,7 +239,9 @@
         except Rejected as refusal:
             if not isinstance(request.answer, LeaseGranted):
                 request.answer = refusal
-            if refusal.code in (LEASE_HELD, LEASE_LOST):  # the other stores would refuse as well
-                self.preferred_store = None  # but another may have seen the lease record earlier
+            if refusal.code in (LEASE_HELD, LEASE_LOST):
+                # The other stores would refuse this request as well. The next request may begin
+                # with another store, which may have seen the lease record earlier and grant sooner.
+                self.preferred_store = None
                 all_attempts.cancel()
         attempt_over.set()
