--- a/packages/rpc/meadowdock/rpc/client.py
+++ b/packages/rpc/meadowdock/rpc/client.py
@@ -128,7 +128,8 @@
 
         :param deadline_us: on the monotonic clock.
         :raises Rejected: the server refused.
-        :raises ConnectionFailed: there was no response by the deadline.
+        :raises ConnectionFailed: the connection broke, the queue of requests is full, or there was
+            no response by the deadline.
         """
         if self.failure is not None:
             raise ConnectionFailed(False, self.failure)
--- a/packages/rpc/meadowdock/rpc/connection_pool.py
+++ b/packages/rpc/meadowdock/rpc/connection_pool.py
@@ -51,7 +51,8 @@
 
         :param deadline_us: on the monotonic clock.
         :raises Rejected: the peer refused.
-        :raises ConnectionFailed: there was no response by the deadline.
+        :raises ConnectionFailed: there is no connection, it broke, or there was no response by the
+            deadline.
         """
         connection = self.usable_connection(address) or await self.open(address, deadline_us)
         return await connection.call(method, args, deadline_us)
@@ -66,7 +67,7 @@
     async def open(self, address: str, deadline_us: int) -> ClientConnection:
         """Open a connection, or wait for the one that another task is opening.
 
-        :raises ConnectionFailed: there is no connection by the deadline.
+        :raises ConnectionFailed: the connection couldn't be opened, or not by the deadline.
         """
         while address in self.opening:
             with deadline_scope(deadline_us):
