--- a/packages/membership/meadowdock/membership/gossip.py
+++ b/packages/membership/meadowdock/membership/gossip.py
@@ -21,6 +21,8 @@
     from meadowdock.rpc import ConnectionPool, Peer
 
 EXCHANGE_METHOD = "view.shuffle"  # name on the wire
+
+# Durations are in microseconds.
 GOSSIP_INTERVAL = 500 * MILLISECOND
 FAST_GOSSIP_INTERVAL = GOSSIP_INTERVAL // 5  # until the view has converged, and after a time-out
 EXCHANGE_TIMEOUT = GOSSIP_INTERVAL // 2
--- a/packages/membership/meadowdock/membership/peers.py
+++ b/packages/membership/meadowdock/membership/peers.py
@@ -7,7 +7,8 @@
 from meadowdock.membership.view import MembershipView
 from meadowdock.runtime import MILLISECOND, SECOND
 
-BACKOFF_INITIAL = 500 * MILLISECOND
+# Durations are in microseconds.
+BACKOFF_INITIAL = 500 * MILLISECOND  # the backoff after the first failure is twice this
 BACKOFF_MAX = 30 * SECOND
 SEED_INTERVAL = 5 * SECOND  # between exchanges with a seed, while other members are known
 
--- a/packages/membership/meadowdock/membership/view.py
+++ b/packages/membership/meadowdock/membership/view.py
@@ -22,9 +22,8 @@
 SAMPLE_SIZE = 5  # members that are not core, in each gossip message
 SILENCE_TIMEOUT = 4 * SECOND  # a member whose heartbeat has not increased for this time is dead
 REMOVED_RETENTION = 10 * SILENCE_TIMEOUT
-PAUSE_THRESHOLD = (
-    2 * SECOND
-)  # a longer gap between two calls of `expire` is a pause of this process
+# A longer gap between two calls of `expire` counts as a pause of this process.
+PAUSE_THRESHOLD = 2 * SECOND
 LOGGED_INCARNATIONS_MAX = 2_000
 
 NEVER_REMOVED = RemovedMember((-1, -1), 0)
