--- a/packages/model_checker/meadowdock/model_checker/choices.py
+++ b/packages/model_checker/meadowdock/model_checker/choices.py
@@ -16,7 +16,8 @@
         """Return all choices, the default one first.
 
         There are none once every actor has ended, since the messages that are left can't change an
-        outcome.
+        outcome. An actor that exceeds its number of rounds, or that waits while none of its
+        requests is left to be answered in time, expires: that is then the only choice.
         """
         running = state.running_actors()
         if not running:
--- a/packages/model_checker/meadowdock/model_checker/operation_run.py
+++ b/packages/model_checker/meadowdock/model_checker/operation_run.py
@@ -22,7 +22,7 @@
 )
 from meadowdock.runtime import SECOND, monotonic_us
 
-OPERATION_TIMEOUT = 2 * SECOND
+OPERATION_TIMEOUT = 2 * SECOND  # us
 
 Broadcast = Callable[..., Awaitable[Any]]
 
