--- a/packages/audit/meadowdock/audit/keys.py
+++ b/packages/audit/meadowdock/audit/keys.py
@@ -1,8 +1,8 @@
 """The Ed25519 key that signs audit records, with its public key as a JWK.
 
-Signing uses only the Ed25519 implementation of a library. The complete JOSE library, which
-verification uses, would take 3 MB of memory in each member of the config store. The library for
-signing is also imported only when the first key is created.
+Signing uses only the Ed25519 implementation of the cryptography library, which is imported when the
+first key is created. The complete JOSE library, which verification uses, would take 3 MB of memory
+in each member of the config store.
 """
 
 from __future__ import annotations
--- a/packages/audit/meadowdock/audit/verification.py
+++ b/packages/audit/meadowdock/audit/verification.py
@@ -73,8 +73,9 @@
 class ChainVerifier:
     """Checks a chain record by record and collects its faults.
 
-    Invariants: position is the expected version of the last record that was checked, or None before
-    the first; former is the hash of that record.
+    Invariants: position is the version in the chain of the last record that was checked, and former
+    is the hash of that record. Before the first record, both are those of the record that precedes
+    the anchor; without an anchor, position is None and former is empty.
     """
 
     def __init__(self, key: OKPKey, versions: set[int], anchor: Anchor | None) -> None:
