--- a/packages/runtime/meadowdock/runtime/exceptions.py
+++ b/packages/runtime/meadowdock/runtime/exceptions.py
@@ -16,7 +16,7 @@
 
 
 class InvalidHttpMessage(Exception):
-    """The received bytes are no valid HTTP/1.1 message, or a too long or ambiguously framed one.
+    """The received message isn't valid HTTP/1.1, is too long, or has ambiguous framing.
 
     :ivar status: the status of the server's response to it.
     """
--- a/packages/runtime/meadowdock/runtime/http_client.py
+++ b/packages/runtime/meadowdock/runtime/http_client.py
@@ -22,7 +22,7 @@
 )
 from meadowdock.runtime.http_response_reader import ResponseReader
 
-IP_BIND_ADDRESS_NO_PORT = 24  # of Linux; the socket module doesn't define it
+IP_BIND_ADDRESS_NO_PORT = 24  # a socket option of Linux that the socket module doesn't define
 
 # The exceptions with which a request fails, in addition to HttpConnectionFailed.
 REQUEST_ERRORS = (
@@ -50,7 +50,7 @@
     def stale(self) -> bool:
         """Return whether no further request can be sent.
 
-        This is so if either side closed the connection, or the server sent bytes that belong to no
+        It can't if either side closed the connection, or if the server sent bytes that belong to no
         request.
         """
         if self.closed or self.stream is None:
@@ -142,9 +142,9 @@
                 continue
             closed = True
             if not reader.end():
-                raise HttpConnectionFailed(True, "closed within the response")
+                raise HttpConnectionFailed(True, "connection closed before the end of the response")
         if reader.has_surplus:
-            raise HttpConnectionFailed(True, "bytes behind the response's end")
+            raise HttpConnectionFailed(True, "unexpected bytes after the end of the response")
         return reader.reusable and sent_to_end and not closed
 
     async def send(self, stream: trio.SocketStream, data: bytes) -> bool:
--- a/packages/runtime/meadowdock/runtime/http_connection.py
+++ b/packages/runtime/meadowdock/runtime/http_connection.py
@@ -126,7 +126,8 @@
     async def wait_for_disconnect(self) -> None:
         """Wait until the client disconnects.
 
-        Of a request that the client sends ahead, at most one read is buffered meanwhile.
+        If the client sends another request meanwhile (pipelining), at most one read of it is
+        buffered. The disconnection is then not noticed, and this waits until it is cancelled.
 
         :raises ConnectionEnded: the client disconnected, or the request is invalid.
         """
--- a/packages/runtime/meadowdock/runtime/pause_detector.py
+++ b/packages/runtime/meadowdock/runtime/pause_detector.py
@@ -23,6 +23,9 @@
         self.last_look_us = now_us
 
     def look(self, now_us: int) -> int:
-        """Return the duration of the pause that ended just now, or 0 if there was none."""
+        """Return the duration of the pause that ended just now, or 0 if there was none.
+
+        The complete time since the previous call counts as the pause.
+        """
         interval_us, self.last_look_us = now_us - self.last_look_us, now_us
         return interval_us if interval_us > self.expected_interval_us else 0
