--- a/tests/config_store/test_audit_log.py
+++ b/tests/config_store/test_audit_log.py
@@ -240,7 +240,7 @@
             durable = set(on_disk(disk, SEGMENT_FOLDER))
             # the catch-up is in progress
             assert 3 <= len(durable) < 600 // audit_log.RECORDS_PER_SEGMENT
-            # a simulated write ends, and is logged, after its process
+            # a simulated write that was in progress still ends, and is logged, after the power loss
             await sleep_us(5 * MILLISECOND)
             world.trace.lines.clear()
             await world.start("mdconf", host)
--- a/tests/config_store/test_item_change_times.py
+++ b/tests/config_store/test_item_change_times.py
@@ -37,10 +37,7 @@
 
 
 async def one_member_partitioned(world):
-    """Cut one member off for 20 s, and heal the network.
-
-    Ten more changes follow without a fault, after the one that was in flight.
-    """
+    """Make changes while one member is cut off for 20 s, and ten more after the network healed."""
     absent = world.core[world.rng.randrange(3)]
     links = [(a, b) for a in world.core for b in world.core if absent in (a, b) and a != b]
     outcomes = [await order(world, new_version(0), 0)]
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_an_acknowledged_change_is_on_more_disks_than_may_be_lost(seed):
-    """Three voters where two losses are tolerated: two acceptances are no acknowledgement."""
+    """With three voters and two tolerated losses, two voters are not enough to acknowledge."""
 
     async def scenario(world):
         fleet = Fleet(world, core=3, losses=2)
@@ -385,7 +385,7 @@
         assert len(voters(world, fleet)) == 3
         assert host not in voters(world, fleet)
         assert fleet.store(fleet.running()[0]).membership.next_voters is None
-        # so a loss right afterwards is tolerated
+        # the next loss is tolerated already
         lost = sorted(voters(world, fleet))[which]
         world.power_off("mdconf", lost)
         world.lose_disk("mdconf", lost)
--- a/tests/config_store/test_quorum_monitor.py
+++ b/tests/config_store/test_quorum_monitor.py
@@ -1,4 +1,4 @@
-"""A member without a quorum says so quickly, or redirects to a member with a quorum."""
+"""A member without a quorum rejects requests quickly, or redirects to a member with a quorum."""
 
 from __future__ import annotations
 
@@ -38,6 +38,7 @@
     return status, response, monotonic_us() - begun_at_us
 
 
+# Whether the messages to the member are lost, and whether those from it are.
 DIRECTIONS = {"whole": (True, True), "hears": (True, False), "is heard": (False, True)}
 REQUESTS = [
     ("POST", "/items", {"items": [service("late")]}),
@@ -55,8 +56,8 @@
     async def scenario(world):
         await configured(world)
         await accepted(world, [service("desk")])
-        heard, hears = DIRECTIONS[direction]
-        partition(world, world.core[0], world.core, heard, hears)
+        inward, outward = DIRECTIONS[direction]
+        partition(world, world.core[0], world.core, inward, outward)
         await sleep_us(DETECTION_US)
         for method, path, body in REQUESTS:
             status, response, elapsed_us = await timed(world.operate(method, path, body))
@@ -231,7 +232,7 @@
 
 
 def test_backoff_after_lost_ballots_is_proportional_to_the_duration_of_an_attempt():
-    """Other proposers are ahead thirty times; an attempt takes a millisecond."""
+    """Thirty prepares are refused because of higher ballots; each takes a millisecond."""
 
     async def scenario(world):
         await founded(world)
