--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -132,9 +132,10 @@
         """Replace the value of a key by update(value).
 
         :param update: called with the current value, or None if the key has none; it may raise to
-            leave the key unchanged. It may run several times, also on a value that already contains
-            its effect, since another proposer may complete an attempt that it preempted. So it has
-            to be idempotent.
+            end the change without a write in this attempt. It may run several times, also on a
+            value that already contains its effect, since another proposer may complete an attempt
+            that it preempted. So it has to be idempotent, and after it has raised in a second or
+            later attempt, an earlier one may still be applied.
         :param rule: which members have to accept the change; they must always include a quorum.
         :returns: the new value.
         :raises NoQuorum: the change was not and will not be applied.
