--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,8 +1,9 @@
 """A pytest plugin that passes over the tests that KNOWN-RED.txt lists, and prints them.
 
-Each line of the file is `TEST | CAUSE | ISSUE`, TEST being a pytest name such as
-`tests/test_x.py::test_y`; all parameters of that test are meant. `.ci/run` loads the plugin;
-DEVELOPERS.md says when a test may be listed.
+Each line of the file is `TEST | COMMAND AND SEED | SEEN | ISSUE`. TEST is a pytest name such as
+`tests/test_x.py::test_y` and stands for all parameters of that test; COMMAND AND SEED repeat the
+failure; SEEN says what was observed. `.ci/run` loads the plugin; DEVELOPERS.md says when a test may
+be listed.
 """
 
 from __future__ import annotations
@@ -15,7 +16,8 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-MOST = 3
+LINE_FORM = "TEST | COMMAND AND SEED | SEEN | ISSUE"
+MAX_ENTRIES = 3
 TEST_NAME = re.compile(r"(?P<path>[\w./-]+\.py)::(?:\w+::)*(?P<function>test_\w+)")
 
 
@@ -24,7 +26,8 @@
     """One line of the file."""
 
     test: str
-    cause: str
+    command: str
+    seen: str
     issue: str
 
     def matches(self, node_id: str) -> bool:
@@ -32,14 +35,17 @@
         return node_id == self.test or node_id.startswith(self.test + "[")
 
     def __str__(self) -> str:
-        return f"{self.test} | {self.cause} | {self.issue}"
+        return f"{self.test} | {self.command} | {self.seen} | {self.issue}"
 
 
 def parse_line(line: str, root: Path) -> KnownFailure:
-    """One known failure; raises UsageError for a line that names no test, cause or issue."""
+    """Return the known failure that a line describes.
+
+    :raises pytest.UsageError: a field is missing or empty, or TEST names no test.
+    """
     parts = [part.strip() for part in line.split("|")]
-    if len(parts) != 3 or not all(parts):
-        raise pytest.UsageError(f"{FILE_NAME}: not TEST | CAUSE | ISSUE: {line!r}")
+    if len(parts) != 4 or not all(parts):
+        raise pytest.UsageError(f"{FILE_NAME}: not {LINE_FORM}: {line!r}")
     found = TEST_NAME.fullmatch(parts[0])
     file = root / found["path"] if found else None
     if file is None or not file.is_file():
@@ -50,13 +56,18 @@
 
 
 def read_known_failures(root: Path) -> list[KnownFailure]:
-    """All lines of the file, none if there is no file; raises UsageError for too many."""
+    """Return the known failures of the file; none if there is no file.
+
+    :raises pytest.UsageError: the file has too many entries, or a malformed one.
+    """
     path = root / FILE_NAME
     if not path.exists():
         return []
     lines = [line for line in path.read_text(encoding="utf-8").splitlines() if line.strip()]
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"{FILE_NAME}: {len(lines)} tests, at most {MOST} may be listed")
+    if len(lines) > MAX_ENTRIES:
+        raise pytest.UsageError(
+            f"{FILE_NAME}: {len(lines)} tests, at most {MAX_ENTRIES} may be listed"
+        )
     return [parse_line(line, root) for line in lines]
 
 
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -25,6 +25,9 @@
 """
 
 
+LINE_FORM = "not TEST | COMMAND AND SEED | SEEN | ISSUE"
+
+
 def run_pytest(folder: Path, listed: str | None, *arguments: str) -> subprocess.CompletedProcess:
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / "test_sample.py").write_text(TESTS)
@@ -41,8 +44,8 @@
     )
 
 
-BROKEN = "test_sample.py::test_broken | a cause | #1\n"
-PARAMETERS = "test_sample.py::test_broken_with_parameters | another | #2\n"
+BROKEN = "test_sample.py::test_broken | pytest, seed 7 | a cause | #1\n"
+PARAMETERS = "test_sample.py::test_broken_with_parameters | pytest, no seed | another | #2\n"
 
 
 @pytest.mark.parametrize("arguments", [(), ("-n", "2", "--dist", "loadfile")])
@@ -71,11 +74,14 @@
     "listed, complaint",
     [
         (BROKEN * 4, "4 tests, at most 3 may be listed"),
-        ("test_sample.py::test_broken | a cause\n", "not TEST | CAUSE | ISSUE"),
-        ("test_sample.py::test_broken | | #1\n", "not TEST | CAUSE | ISSUE"),
-        ("test_sample.py | a whole file | #1\n", "names no test"),
-        ("test_gone.py::test_broken | a cause | #1\n", "names no test"),
-        ("test_sample.py::test_mended | a cause | #1\n", "no such test"),
+        ("test_sample.py::test_broken | pytest | a cause\n", LINE_FORM),
+        ("test_sample.py::test_broken | a cause | #1\n", LINE_FORM),
+        ("test_sample.py::test_broken | | a cause | #1\n", LINE_FORM),
+        ("test_sample.py::test_broken | pytest | | #1\n", LINE_FORM),
+        ("test_sample.py::test_broken | pytest | a cause |\n", LINE_FORM),
+        ("test_sample.py | pytest | a whole file | #1\n", "names no test"),
+        ("test_gone.py::test_broken | pytest | a cause | #1\n", "names no test"),
+        ("test_sample.py::test_mended | pytest | a cause | #1\n", "no such test"),
     ],
 )
 def test_a_wrong_list_ends_the_run(tmp_path, listed, complaint):
