--- a/packages/proxy/meadowdock/proxy/registration.py
+++ b/packages/proxy/meadowdock/proxy/registration.py
@@ -20,10 +20,10 @@
 if TYPE_CHECKING:
     from meadowdock.proxy.server import ProxyServer
 
-MAX_BODY_SIZE = 65536
+MAX_BODY_BYTES = 65536
 MAX_TOKEN_LENGTH = 1023
 MAX_CAPACITY = 100_000
-NAME = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
+NAME_FORMAT = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
 IP_ADDRESS_AND_PORT = re.compile(r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
 
 Fields = dict[str, Any]
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldRule:
-    """What a field of a request's body must be."""
+    """The requirement that a field of a request's body must meet."""
 
     accepts: Callable[[Any], bool]
     requirement: str
@@ -42,28 +42,28 @@
 
 
 def is_token(value: object) -> bool:
-    """Whether a value may be a token."""
+    """Return whether a value has the form of a token."""
     return isinstance(value, str) and 0 < len(value) <= MAX_TOKEN_LENGTH
 
 
 def is_capacity(value: object) -> bool:
-    """Whether a value is a number of calls at once."""
+    """Return whether a value is a valid number of concurrent calls."""
     return isinstance(value, int) and not isinstance(value, bool) and 0 < value <= MAX_CAPACITY
 
 
 def is_load(value: object) -> bool:
-    """Whether a value is a load level."""
+    """Return whether a value is a load level in 0..1."""
     return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= 1
 
 
 def is_address(value: object) -> bool:
-    """Whether a value is an IP address with a port."""
+    """Return whether a value is an IP address with a port."""
     return isinstance(value, str) and IP_ADDRESS_AND_PORT.match(value) is not None
 
 
 def is_incarnation(value: object) -> bool:
-    """Whether a value may name an incarnation."""
-    return isinstance(value, str) and NAME.match(value) is not None
+    """Return whether a value has the form of an incarnation's name."""
+    return isinstance(value, str) and NAME_FORMAT.match(value) is not None
 
 
 TOKEN = FieldRule(is_token, "must be the token of enrolment")
@@ -85,8 +85,8 @@
 DEPARTURE = {"token": TOKEN}
 
 
-def answering_denials(handler: RouteHandler) -> RouteHandler:
-    """Answer a RegistrationDenied of the handler with its status, code and detail."""
+def with_denial_responses(handler: RouteHandler) -> RouteHandler:
+    """Make a handler respond to a RegistrationDenied with its status, code and detail."""
 
     @functools.wraps(handler)
     async def answer(server: ProxyServer, request: Request) -> Response:
@@ -110,18 +110,18 @@
 
 
 async def read_fields(server: ProxyServer, request: Request, rules: dict[str, FieldRule]) -> Fields:
-    """The fields of a request's body, checked against the rules.
+    """Return the fields of a request's body, checked against the rules.
 
     :raises RegistrationDenied: not_local or malformed.
     """
     require_local(server, request)
     try:
-        fields = json.loads(await request.body(MAX_BODY_SIZE))
+        fields = json.loads(await request.body(MAX_BODY_BYTES))
     except ValueError:
         raise RegistrationDenied(400, "malformed", "body is no JSON") from None
     if not isinstance(fields, dict):
         raise RegistrationDenied(400, "malformed", "body is no object")
-    faults = [
+    errors = [
         *(
             f"{name}: {rule.requirement}"
             for name, rule in rules.items()
@@ -133,15 +133,18 @@
             if name not in fields and rule.required
         ),
     ]
-    if faults:
-        raise RegistrationDenied(400, "malformed", "; ".join(faults))
+    if errors:
+        raise RegistrationDenied(400, "malformed", "; ".join(errors))
     return fields
 
 
 @routes.on("POST", "/md/enrol")
-@answering_denials
+@with_denial_responses
 async def register(server: ProxyServer, request: Request) -> Response:
-    """Register an endpoint; the answer holds its token and the heartbeat times in microseconds."""
+    """Register an endpoint.
+
+    The response holds its token and the heartbeat times in microseconds.
+    """
     fields = await read_fields(server, request, REGISTRATION)
     routing_table = server.forwarder.routing_table
     if routing_table is None:
@@ -161,9 +164,9 @@
 
 
 @routes.on("POST", "/md/beat")
-@answering_denials
+@with_denial_responses
 async def heartbeat(server: ProxyServer, request: Request) -> Response:
-    """A heartbeat of a registered endpoint."""
+    """Process a heartbeat of a registered endpoint."""
     fields = await read_fields(server, request, HEARTBEAT)
     claims = server.endpoints.tokens.verify(fields["token"])
     routing_table = server.forwarder.routing_table
@@ -180,14 +183,14 @@
 
 
 @routes.on("POST", "/md/leave")
-@answering_denials
+@with_denial_responses
 async def deregister(server: ProxyServer, request: Request) -> Response:
-    """A registered endpoint shuts down."""
+    """Remove a registered endpoint that shuts down."""
     fields = await read_fields(server, request, DEPARTURE)
     server.endpoints.deregister(fields["token"])
     return Response(200, {})
 
 
 def heartbeat_times() -> dict[str, int]:
-    """How often an endpoint sends heartbeats, and after which silence it is removed."""
+    """Return the heartbeat interval, and the silence after which an endpoint is removed."""
     return {"beat_us": HEARTBEAT_INTERVAL_US, "window_us": HEARTBEAT_TIMEOUT_US}
--- a/packages/proxy/meadowdock/proxy/status.py
+++ b/packages/proxy/meadowdock/proxy/status.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from meadowdock.admin_http import Request, Response, RouteTable
-from meadowdock.proxy.registration import answering_denials, require_local
+from meadowdock.proxy.registration import require_local, with_denial_responses
 
 if TYPE_CHECKING:
     from meadowdock.proxy.server import ProxyServer
@@ -14,15 +14,15 @@
 
 
 @routes.on("GET", "/md/status")
-@answering_denials
+@with_denial_responses
 async def status(server: ProxyServer, request: Request) -> Response:
-    """What this proxy knows and does now."""
+    """Return the state of this proxy."""
     require_local(server, request)
     return Response(200, status_to_wire(server))
 
 
 def status_to_wire(server: ProxyServer) -> dict[str, Any]:
-    """The status, under the names that docs/operating.md gives."""
+    """Encode the status under the names that docs/operating.md gives."""
     forwarder = server.forwarder
     return {
         "version": server.delivery.version,
