--- a/packages/local_fleet/meadowdock/local_fleet/__init__.py
+++ b/packages/local_fleet/meadowdock/local_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet on one machine, as processes on loopback addresses, with stand-ins."""
+"""A whole fleet on one machine: real processes on loopback addresses, with stand-in endpoints."""
--- a/packages/local_fleet/meadowdock/local_fleet/report.py
+++ b/packages/local_fleet/meadowdock/local_fleet/report.py
@@ -1,4 +1,8 @@
-"""Figures from callers' rows: [stream, proxy, intended, took, code, verdict, key]."""
+"""Statistics of calls.
+
+A row of a caller's report is [stream, proxy, intended start, duration, code, verdict, key], with
+times in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -6,21 +10,26 @@
 
 
 def percentile(values, share):
-    """
+    """Return the smallest value that is not below the given share of all values.
+
     >>> percentile([1, 2, 3, 4], 0.5), percentile([], 0.5)
     (2, None)
     """
-    held = sorted(values)
-    return held[max(0, -(-len(held) * share // 1).__int__() - 1)] if held else None
+    ordered = sorted(values)
+    return ordered[max(0, -(-len(ordered) * share // 1).__int__() - 1)] if ordered else None
 
 
 def summary(rows, seconds):
-    """Per stream: calls, rate, codes, verdicts, and percentiles from the intended time."""
+    """Return the statistics of each stream's calls; durations count from the intended start."""
     streams = sorted({row[0] for row in rows})
-    return {stream: figures([r for r in rows if r[0] == stream], seconds) for stream in streams}
+    return {
+        stream: call_statistics([row for row in rows if row[0] == stream], seconds)
+        for stream in streams
+    }
 
 
-def figures(rows, seconds):
+def call_statistics(rows, seconds):
+    """Return the number, rate, codes, verdicts and latency percentiles of the calls of some rows."""
     served = [row[3] for row in rows if row[5] == "ran"]
     return {
         "calls": len(rows),
@@ -31,19 +40,21 @@
     }
 
 
-def table(found):
+def table(statistics_by_stream):
+    """Return the result of summary as a Markdown table."""
     lines = [
         "| stream | calls | per s | codes | p50 ms | p95 ms | p99 ms |",
         "|---|---|---|---|---|---|---|",
     ]
     lines += [
-        f"| {name} | {f['calls']} | {f['rate']} | "
-        + ", ".join(f"{code}: {n}" for code, n in sorted(f["codes"].items()))
+        f"| {stream} | {statistics['calls']} | {statistics['rate']} | "
+        + ", ".join(f"{code}: {count}" for code, count in sorted(statistics["codes"].items()))
         + " | "
         + " | ".join(
-            "-" if f[p] is None else f"{f[p] / 1000:.1f}" for p in ("p50_us", "p95_us", "p99_us")
+            "-" if statistics[key] is None else f"{statistics[key] / 1000:.1f}"
+            for key in ("p50_us", "p95_us", "p99_us")
         )
         + " |"
-        for name, f in found.items()
+        for stream, statistics in statistics_by_stream.items()
     ]
     return "\n".join(lines)
--- a/packages/local_fleet/meadowdock/local_fleet/standin.py
+++ b/packages/local_fleet/meadowdock/local_fleet/standin.py
@@ -1,4 +1,7 @@
-"""A stand-in endpoint: adjustable speed, load, garbage, lost answers; a journal of what it ran."""
+"""A stand-in endpoint with adjustable service time, load, malformed and lost responses.
+
+It writes a journal of the calls with an idempotency key that it executed.
+"""
 
 from __future__ import annotations
 
@@ -14,56 +17,67 @@
 
 KNOBS = {
     "mean_us": 20_000,  # mean service time, exponential
-    "garbage": 0.0,  # share of answers that are no JSON
-    "lose": 0.0,  # share of answers whose connection breaks after the work
-    "busy": False,  # answer 503 with the verdict not-run
-    "load": None,  # the load that is told
-    "draining": False,  # it announces that it leaves
+    "garbage": 0.0,  # share of responses that are not valid JSON
+    "lose": 0.0,  # share of calls whose connection is closed after the execution, without response
+    "busy": False,  # reject calls with status 503 and the verdict not-run
+    "load": None,  # the reported load; None: no load is reported
+    "draining": False,  # report in heartbeats that it is draining
 }
 
 
-class Lose(Exception):
-    pass
+class LostResponse(Exception):
+    """Make the endpoint close the connection without a response."""
 
 
 class Standin:
-    """Invariant: ran counts executions by key; a call is counted and journalled before its
-    answer leaves. Only `slots` calls are worked on at once; others wait, as at a real server."""
+    """A stand-in endpoint.
+
+    At most `capacity` calls are executed at the same time; others wait for a slot.
+    Invariant: executions counts executions by key; a call is counted and written to the journal
+    before its response is sent.
+    """
 
     def __init__(self, spec):
         self.knobs = {**KNOBS, "mean_us": spec["mean_us"]}
         self.rng = random.Random(spec["seed"])
-        self.ran, self.total = {}, 0
+        self.executions, self.execution_count = {}, 0
         self.journal = open(spec["journal"], "a", buffering=1, encoding="utf-8")  # noqa: SIM115
         self.service = spec["service"]
         self.slots = trio.CapacityLimiter(spec["capacity"])
 
-    async def handle(self, got):
-        if got.path == "/standin" and got.method == "POST":
-            self.knobs.update(got.body)
+    async def handle(self, request):
+        """Handle a call, or read or set the knobs at /standin."""
+        if request.path == "/standin" and request.method == "POST":
+            self.knobs.update(request.body)
             if self.knobs["draining"]:
                 self.endpoint.draining = True
                 await self.endpoint.send_heartbeat()
             return 200, self.knobs
-        if got.path == "/standin":
-            twice = sum(1 for n in self.ran.values() if n > 1)
-            return 200, {"ran": self.total, "keys": len(self.ran), "twice": twice}
+        if request.path == "/standin":
+            twice = sum(1 for count in self.executions.values() if count > 1)
+            return 200, {"ran": self.execution_count, "keys": len(self.executions), "twice": twice}
         if self.knobs["busy"]:
             return 503, {"code": "busy"}
         async with self.slots:
             await sleep_us(int(self.rng.expovariate(1 / self.knobs["mean_us"])))
-            self.total += 1
-            if got.key:
-                self.ran[got.key] = self.ran.get(got.key, 0) + 1
-                line = {"key": got.key, "caller": got.caller, "path": got.path, "call": got.call_id}
-                self.journal.write(json.dumps(line) + "\n")
+            self.execution_count += 1
+            if request.key:
+                self.executions[request.key] = self.executions.get(request.key, 0) + 1
+                entry = {
+                    "key": request.key,
+                    "caller": request.caller,
+                    "path": request.path,
+                    "call": request.call_id,
+                }
+                self.journal.write(json.dumps(entry) + "\n")
         if self.rng.random() < self.knobs["lose"]:
-            raise Lose
+            raise LostResponse
         if self.rng.random() < self.knobs["garbage"]:
             return 200, b'{"half": '
-        return 200, {"service": self.service, "caller": got.caller, "path": got.path}
+        return 200, {"service": self.service, "caller": request.caller, "path": request.path}
 
     async def run(self, spec):
+        """Enroll at the proxy, print the token, and serve until a signal; then drain and leave."""
         net = Net(spec["address"].rpartition(":")[0])
         endpoint = self.endpoint = Endpoint(
             net,
@@ -92,6 +106,7 @@
 
 
 async def main(spec):
+    """Run the endpoint that a spec describes."""
     await Standin(spec).run(spec)
 
 
--- a/packages/soak/meadowdock/soak/__init__.py
+++ b/packages/soak/meadowdock/soak/__init__.py
@@ -1,1 +1,4 @@
-"""A soak: the daemons as real processes on loopback sockets, under kills, pauses, cuts and lost answers."""
+"""Soak test: the daemons as real processes on loopback sockets, under injected faults.
+
+The faults are killed and paused processes, network partitions and lost responses.
+"""
--- a/packages/soak/meadowdock/soak/__main__.py
+++ b/packages/soak/meadowdock/soak/__main__.py
@@ -1,4 +1,4 @@
-"""mdsoak: real processes on loopback sockets under overlapping faults."""
+"""Command line of mdsoak: real processes on loopback sockets under overlapping faults."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 import fire
 
-from meadowdock.soak.soak import Plan, soak
+from meadowdock.soak.soak import Plan, run_soak
 
 
 class Commands:
-    """Each soak takes its processes on one loopback net, 127.66.x.*, and ends what it started."""
+    """Each soak runs on a loopback network of its own, 127.66.x.*, and ends what it started."""
 
     def run(
         self,
@@ -23,25 +23,26 @@
         troubles: int = 8,
         folder: str | None = None,
     ) -> None:
-        """Soak under so many seeds, one after the other; exit status 1 if anything is broken."""
+        """Run one soak per seed, one after the other; the exit status is 1 after any violation."""
         folder = folder or tempfile.mkdtemp(prefix="mdsoak")
-        broken = 0
+        failed = 0
         for seed in range(first, first + seeds):
-            place = os.path.join(folder, str(seed))
-            result = soak(seed, Plan(seconds, troubles), f"127.66.{seed % 250}", place)
+            run_folder = os.path.join(folder, str(seed))
+            result = run_soak(seed, Plan(seconds, troubles), f"127.66.{seed % 250}", run_folder)
             print(result, flush=True)
-            if result.broken:
-                broken += 1
+            if result.violations:
+                failed += 1
                 print("\n".join(f"  {fault}" for fault in result.faults))
-                print("\n".join(f"  BROKEN {what}" for what in result.broken[:20]))
-                print(f"  logs in {place}/logs", flush=True)
-        print(f"{seeds} soaks, {broken} broken")
-        sys.exit(1 if broken else 0)
+                print("\n".join(f"  BROKEN {violation}" for violation in result.violations[:20]))
+                print(f"  logs in {run_folder}/logs", flush=True)
+        print(f"{seeds} soaks, {failed} broken")
+        sys.exit(1 if failed else 0)
 
 
 def main() -> None:
-    """The command line."""
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # what was started is ended
+    """Run the command line."""
+    # Raise KeyboardInterrupt on SIGTERM too, so that the processes of the fleet are ended.
+    signal.signal(signal.SIGTERM, signal.default_int_handler)
     fire.Fire(Commands(), name="mdsoak")
 
 
--- a/packages/soak/meadowdock/soak/cuts.py
+++ b/packages/soak/meadowdock/soak/cuts.py
@@ -1,7 +1,8 @@
-"""Cuts between processes of one machine, enforced by each process on its own sockets.
+"""Network partitions between processes of one machine, enforced by each process on its own sockets.
 
-A file holds the pairs of hosts that are cut off from each other. As on a real network, what is sent
-over a cut stays under way and arrives once it heals; a connection that is opened meanwhile hangs.
+A file holds the pairs of hosts that are cut off from each other. As on a real network, data sent
+across a partition stays in flight and arrives after the partition has healed; opening a connection
+across it hangs until then.
 """
 
 from __future__ import annotations
@@ -17,36 +18,39 @@
 from meadowdock.forwarding.sockets import SocketConnection
 from meadowdock.runtime import MILLISECOND, Address, Net, sleep_us
 
-LOOK_EVERY = 20 * MILLISECOND
+POLL_INTERVAL_US = 20 * MILLISECOND
 
 
-def write_cuts(path: str, pairs: list[tuple[str, str]]) -> None:
-    """Put the pairs of hosts in force, all at once."""
+def write_partitions(path: str, pairs: list[tuple[str, str]]) -> None:
+    """Replace the file of partitioned pairs of hosts atomically."""
     with open(path + ".aside", "w", encoding="utf-8") as file:
         json.dump(pairs, file)
     os.rename(path + ".aside", path)
 
 
-class Cuts:
-    """The hosts that this process is cut off from. changed is set, and made anew, at each change."""
+class Partitions:
+    """The hosts that this process is cut off from.
+
+    At each change the event `changed` is set and replaced by a new one.
+    """
 
     def __init__(self, path: str, host: str) -> None:
         self.path, self.host = path, host
         self.hosts: frozenset[str] = frozenset()
         self.changed = trio.Event()
-        self.read_at = 0.0
+        self.file_mtime = 0.0
 
-    def look(self) -> bool:
-        """Read the file if it has changed; whether it has."""
+    def reload(self) -> bool:
+        """Read the file if it has changed, and return whether it has."""
         try:
-            at = os.stat(self.path).st_mtime
-            if at == self.read_at:
+            mtime = os.stat(self.path).st_mtime
+            if mtime == self.file_mtime:
                 return False
             with open(self.path, encoding="utf-8") as file:
                 pairs = json.load(file)
         except FileNotFoundError:
             return False
-        self.read_at = at
+        self.file_mtime = mtime
         self.hosts = frozenset(
             other for pair in pairs if self.host in pair for other in pair if other != self.host
         )
@@ -55,52 +59,52 @@
         return True
 
     async def watch(self, on_change: Callable[[], None]) -> None:
-        """Look again and again."""
+        """Poll the file and call `on_change` after each change."""
         while True:
-            if self.look():
+            if self.reload():
                 on_change()
-            await sleep_us(LOOK_EVERY)
+            await sleep_us(POLL_INTERVAL_US)
 
-    async def joined(self, host: str) -> None:
-        """Wait until this process isn't cut off from a host."""
+    async def wait_until_reachable(self, host: str) -> None:
+        """Wait until this process is no longer cut off from a host."""
         while host in self.hosts:
             await self.changed.wait()
 
 
-class CutStream(trio.abc.Stream):
-    """A stream whose bytes wait while its ends are cut off from each other."""
+class PartitionableStream(trio.abc.Stream):
+    """A stream that delays its data while its two ends are partitioned from each other."""
 
-    def __init__(self, stream: trio.SocketStream, cuts: Cuts) -> None:
-        self.stream, self.cuts = stream, cuts
+    def __init__(self, stream: trio.SocketStream, partitions: Partitions) -> None:
+        self.stream, self.partitions = stream, partitions
         self.socket = stream.socket
         self.peer = stream.socket.getpeername()[0]
 
     async def send_all(self, data: Any) -> None:
-        """Send once joined."""
-        await self.cuts.joined(self.peer)
+        """Send the data as soon as the peer is reachable."""
+        await self.partitions.wait_until_reachable(self.peer)
         await self.stream.send_all(data)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """As the stream's own."""
+        """Wait for the underlying stream."""
         await self.stream.wait_send_all_might_not_block()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """What came, once joined."""
+        """Return received data as soon as the peer is reachable."""
         data = await self.stream.receive_some(max_bytes)
-        await self.cuts.joined(self.peer)
+        await self.partitions.wait_until_reachable(self.peer)
         return bytes(data)
 
     async def aclose(self) -> None:
-        """Close at once."""
+        """Close the underlying stream without waiting for the partition to heal."""
         await self.stream.aclose()
 
 
-class CutNet(Net):
-    """The real network of a process that may be cut off."""
+class PartitionableNet(Net):
+    """The real network of a process that may be partitioned from others."""
 
-    def __init__(self, host: str, cuts: Cuts) -> None:
+    def __init__(self, host: str, partitions: Partitions) -> None:
         super().__init__(host)
-        self.cuts = cuts
+        self.partitions = partitions
 
     async def serve_streams(
         self,
@@ -108,38 +112,38 @@
         handler: Callable[[trio.abc.Stream], Awaitable[None]],
         task_status: Any = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """As the real network's."""
+        """Serve as `Net` does, with streams that observe the partitions."""
 
-        async def take(stream: trio.SocketStream) -> None:
-            await handler(CutStream(stream, self.cuts))
+        async def handle_stream(stream: trio.SocketStream) -> None:
+            await handler(PartitionableStream(stream, self.partitions))
 
-        await super().serve_streams(address, take, task_status)
+        await super().serve_streams(address, handle_stream, task_status)
 
     async def open_stream(self, address: str) -> trio.abc.Stream:
-        """A stream, once joined."""
-        await self.cuts.joined(Address(address).host)
-        return CutStream(await super().open_stream(address), self.cuts)
+        """Open a stream as soon as the host is reachable."""
+        await self.partitions.wait_until_reachable(Address(address).host)
+        return PartitionableStream(await super().open_stream(address), self.partitions)
 
-    def wires(self, nursery: trio.Nursery, reactor: Any) -> CutWires:
-        """The network of the traffic path."""
-        wires = CutWires(self.host, nursery, reactor, CutWire)
-        wires.cuts = self.cuts
-        nursery.start_soon(self.cuts.watch, wires.cut_or_joined)
-        return wires
+    def wires(self, nursery: trio.Nursery, reactor: Any) -> PartitionableSocketNetwork:
+        """Return the socket network of the forwarding path; it observes the partitions as well."""
+        network = PartitionableSocketNetwork(self.host, nursery, reactor, PartitionableConnection)
+        network.partitions = self.partitions
+        nursery.start_soon(self.partitions.watch, network.apply_change)
+        return network
 
 
-class CutWire(SocketConnection):
-    """A connection whose bytes wait while its ends are cut off from each other."""
+class PartitionableConnection(SocketConnection):
+    """A connection that delays its data while its two ends are partitioned from each other."""
 
-    __slots__ = ("paused_by_cut",)
+    __slots__ = ("paused_by_partition",)
 
-    def __init__(self, sock: Any, network: CutWires, peer: str = "") -> None:
+    def __init__(self, sock: Any, network: PartitionableSocketNetwork, peer: str = "") -> None:
         super().__init__(sock, network, peer)
-        self.paused_by_cut = False
+        self.paused_by_partition = False
 
     def send(self, data: bytes) -> None:
-        """Send, or hold until joined."""
-        if self.peer not in self.network.cuts.hosts:
+        """Send the data, or buffer it until the peer is reachable."""
+        if self.peer not in self.network.partitions.hosts:
             super().send(data)
         elif not self.closed and not self.finishing:
             self.unsent.append(data)
@@ -149,30 +153,30 @@
                 self.network.nursery.start_soon(self.drain)
 
     async def drain(self) -> None:
-        """Send what is held once joined."""
-        await self.network.cuts.joined(self.peer)
+        """Send the buffered data as soon as the peer is reachable."""
+        await self.network.partitions.wait_until_reachable(self.peer)
         await super().drain()
 
 
-class CutWires(SocketNetwork):
-    """The traffic path's network of a process that may be cut off."""
+class PartitionableSocketNetwork(SocketNetwork):
+    """The forwarding path's network of a process that may be partitioned from others."""
 
-    cuts: Cuts
+    partitions: Partitions
 
     async def connect(self, address: Address, deadline: int) -> SocketConnection | OSError | str:
-        """Connect once joined."""
-        if address.host in self.cuts.hosts:
+        """Connect as soon as the host is reachable, or give up at the deadline."""
+        if address.host in self.partitions.hosts:
             with trio.move_on_at(deadline / 1_000_000):
-                await self.cuts.joined(address.host)
+                await self.partitions.wait_until_reachable(address.host)
         return await super().connect(address, deadline)
 
-    def cut_or_joined(self) -> None:
-        """Other hosts are cut off now."""
-        for wire in list(self.open):
-            cut = wire.peer in self.cuts.hosts
-            if cut and not wire.paused_by_cut:
-                wire.paused_by_cut = True
-                wire.pause()
-            elif wire.paused_by_cut and not cut:
-                wire.paused_by_cut = False
-                wire.resume()
+    def apply_change(self) -> None:
+        """Pause and resume connections after the partitions have changed."""
+        for connection in list(self.open):
+            unreachable = connection.peer in self.partitions.hosts
+            if unreachable and not connection.paused_by_partition:
+                connection.paused_by_partition = True
+                connection.pause()
+            elif connection.paused_by_partition and not unreachable:
+                connection.paused_by_partition = False
+                connection.resume()
--- a/packages/soak/meadowdock/soak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -1,7 +1,8 @@
-"""One daemon of a soak: python -m meadowdock.soak.daemon ROLE BOOT_FILE CUTS_FILE.
+"""Run one daemon of a soak run: python -m meadowdock.soak.daemon ROLE BOOT_FILE CUTS_FILE.
 
-The product's own node and daemon; the proxy with its forwarding path, in the product's own names, and a listener for the
-heartbeats of its endpoint, which are JSON of GatewayProxy.endpoint_heartbeat's facts.
+Node and daemon are the product's own. The proxy runs with its forwarding path, under the product's
+own header names, and with a listener for the heartbeats of its local endpoint: the body is the
+argument of GatewayProxy.endpoint_heartbeat as JSON.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from meadowdock.registry.server import RegistryServer
 from meadowdock.runtime import Disk, NoDisk, Runtime
 from meadowdock.settings import ProcessSettings, load
-from meadowdock.soak.cuts import CutNet, Cuts
+from meadowdock.soak.cuts import PartitionableNet, Partitions
 
 HEARTBEATS_PORT = 7403
 DIALECT = Dialect(stamp=b"md-stamp")
@@ -28,7 +29,7 @@
 
 @endpoint_routes.on("POST", "/beat")
 async def heartbeat(daemon: SoakProxy, request: object) -> Response:
-    """A heartbeat of the endpoint beside."""
+    """Take a heartbeat of the local endpoint."""
     import json
 
     try:
@@ -39,12 +40,12 @@
 
 
 class SoakProxy(GatewayProxy):
-    """mdproxy with a gate and a listener for heartbeats."""
+    """mdproxy with its gateway and a listener for the heartbeats of endpoints."""
 
     dialect = DIALECT
 
     def listeners(self) -> dict:
-        """The listener for heartbeats."""
+        """Return the listeners of mdproxy and the one for heartbeats."""
         return {
             **super().listeners(),
             f"{self.node.settings.host}:{HEARTBEATS_PORT}": endpoint_routes,
@@ -52,18 +53,19 @@
 
 
 def daemon_type(role: str) -> type:
-    """The daemon of a role."""
+    """Return the daemon class of a role."""
     return {"mdproxy": SoakProxy, "mdreg": RegistryServer, "mdconf": ConfigStore}[role]
 
 
-async def serve(settings: ProcessSettings, cuts_file: str) -> None:
-    """Run until told to stop."""
-    cuts = Cuts(cuts_file, settings.host)
+async def serve(settings: ProcessSettings, partitions_file: str) -> None:
+    """Run the daemon until a signal stops it."""
+    partitions = Partitions(partitions_file, settings.host)
     async with trio.open_nursery() as nursery:
-        if settings.role != "mdproxy":  # the gate's network watches for itself
-            nursery.start_soon(cuts.watch, lambda: None)
+        if settings.role != "mdproxy":  # the gateway's network starts its own watcher
+            nursery.start_soon(partitions.watch, lambda: None)
         runtime = Runtime(
-            CutNet(settings.host, cuts), Disk(settings.data) if settings.data else NoDisk()
+            PartitionableNet(settings.host, partitions),
+            Disk(settings.data) if settings.data else NoDisk(),
         )
         node = Node(settings, runtime, nursery)
         nursery.start_soon(watch_signals, node)
--- a/packages/soak/meadowdock/soak/faults.py
+++ b/packages/soak/meadowdock/soak/faults.py
@@ -1,4 +1,7 @@
-"""Which faults a soak has, and when: drawn from a seed, at most three at a time."""
+"""Draw the schedule of faults of a soak run from its seed.
+
+At most MAX_CONCURRENT_FAULTS faults are active at the same time.
+"""
 
 from __future__ import annotations
 
@@ -6,53 +9,74 @@
 from dataclasses import dataclass
 
 KINDS = ("kill proxy", "kill core", "pause proxy", "pause core", "cut", "lost answers")
-MOST_AT_ONCE = 3
-SHORTEST_S, LONGEST_S = 0.4, 2.5
-CALM_FIRST_S = 1.0
+MAX_CONCURRENT_FAULTS = 3
+MIN_DURATION_S, MAX_DURATION_S = 0.4, 2.5
+WARMUP_S = 1.0
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault. Seconds from the start of the load; hosts: one, or the two ends of a cut."""
+    """One scheduled fault.
+
+    start_s counts from the start of the load. hosts holds one host, or the two ends of a cut.
+    """
 
     kind: str
-    at_s: float
-    for_s: float
+    start_s: float
+    duration_s: float
     hosts: tuple[str, ...]
 
     def __str__(self) -> str:
-        return f"{self.at_s:5.2f} s {self.kind} {' '.join(self.hosts)} for {self.for_s:.2f} s"
+        return (
+            f"{self.start_s:5.2f} s {self.kind} {' '.join(self.hosts)} for {self.duration_s:.2f} s"
+        )
 
 
-def fits(new: Fault, others: list[Fault]) -> bool:
-    """Whether it overlaps with few enough, with no fault of a kind at the same place, and with
-    none at another core machine: the loss of one is to be borne."""
-    over = [
-        t for t in others if t.at_s < new.at_s + new.for_s and new.at_s < t.at_s + t.for_s + 0.5
+def is_allowed(new: Fault, others: list[Fault]) -> bool:
+    """Return whether a fault may be scheduled beside the others.
+
+    It may overlap with at most MAX_CONCURRENT_FAULTS - 1 of them, with no second cut, and with
+    no other fault at the same host (lost responses excepted). Faults of core machines never
+    overlap, because the core tolerates the loss of one machine only.
+    """
+    overlapping = [
+        fault
+        for fault in others
+        if fault.start_s < new.start_s + new.duration_s
+        and new.start_s < fault.start_s + fault.duration_s + 0.5
     ]
-    if len(over) >= MOST_AT_ONCE:
+    if len(overlapping) >= MAX_CONCURRENT_FAULTS:
         return False
-    if new.kind == "cut" and any(t.kind == "cut" for t in over):
+    if new.kind == "cut" and any(fault.kind == "cut" for fault in overlapping):
         return False
-    if new.kind.endswith("core") and any(t.kind.endswith("core") for t in over):
+    if new.kind.endswith("core") and any(fault.kind.endswith("core") for fault in overlapping):
         return False
-    return not any(set(t.hosts) & set(new.hosts) and t.kind != "lost answers" for t in over)
+    return not any(
+        set(fault.hosts) & set(new.hosts) and fault.kind != "lost answers" for fault in overlapping
+    )
+
 
+def draw_faults(
+    seed: int, seconds: float, core: list[str], proxies: list[str], count: int
+) -> list[Fault]:
+    """Return the faults of a soak run, ordered by their start.
 
-def draw(seed: int, seconds: float, core: list[str], proxies: list[str], count: int) -> list[Fault]:
-    """The faults of a soak, in order of time; about half of them overlap with another."""
+    About half of them overlap with another. There are fewer than `count` if not all of them fit.
+    """
     rng = random.Random(f"soak{seed}")
-    found: list[Fault] = []
+    drawn: list[Fault] = []
     for _ in range(20 * count):
-        if len(found) == count:
+        if len(drawn) == count:
             break
         kind = rng.choice(KINDS)
-        at_s = rng.uniform(CALM_FIRST_S, seconds - LONGEST_S)
-        if kind == "cut":  # between two proxies, which share no quorum
+        start_s = rng.uniform(WARMUP_S, seconds - MAX_DURATION_S)
+        if kind == "cut":  # between two proxies, so that no quorum of the core is affected
             hosts = tuple(rng.sample(proxies, 2))
         else:
             hosts = (rng.choice(core if kind.endswith("core") else proxies),)
-        new = Fault(kind, round(at_s, 2), round(rng.uniform(SHORTEST_S, LONGEST_S), 2), hosts)
-        if fits(new, found):
-            found.append(new)
-    return sorted(found, key=lambda t: t.at_s)
+        new = Fault(
+            kind, round(start_s, 2), round(rng.uniform(MIN_DURATION_S, MAX_DURATION_S), 2), hosts
+        )
+        if is_allowed(new, drawn):
+            drawn.append(new)
+    return sorted(drawn, key=lambda fault: fault.start_s)
--- a/packages/soak/meadowdock/soak/fleet.py
+++ b/packages/soak/meadowdock/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: mdfleet's, with gates and cuts."""
+"""The processes of a soak run: those of mdfleet, with gateways and network partitions."""
 
 from __future__ import annotations
 
@@ -7,60 +7,72 @@
 import subprocess
 
 from meadowdock.local_fleet.fleet import Fleet
-from meadowdock.soak.cuts import write_cuts
+from meadowdock.soak.cuts import write_partitions
 
-GATE_PORT, SERVICE, SLOTS = 7405, "desk", 6
-RESERVE = 60  # retries that the fleet may make beyond its ratio, in a window
+GATEWAY_PORT, SERVICE, ENDPOINT_CAPACITY = 7405, "desk", 6
+RETRY_RESERVE = 60  # retries per window that the fleet may make beyond its ratio of the requests
 
 
-def topology(net: str, proxies: int = 4, core: int = 3) -> dict:
-    """A deployment on one loopback net (three numbers), all proxies with an endpoint of SERVICE."""
+def soak_topology(net: str, proxies: int = 4, core: int = 3) -> dict:
+    """Return the topology of a deployment in which each proxy has an endpoint of SERVICE.
+
+    net is the prefix of its loopback addresses, for example "127.66.1".
+    """
     return {
         "name": "soak",
         "manifest": "",
         "core": {f"{net}.{n}": "abc"[n % 3] for n in range(1, core + 1)},
         "application": {
-            f"{net}.{n}": ["abc"[n % 3], SERVICE, SLOTS, 0] for n in range(11, 11 + proxies)
+            f"{net}.{n}": ["abc"[n % 3], SERVICE, ENDPOINT_CAPACITY, 0]
+            for n in range(11, 11 + proxies)
         },
         "load": [],
     }
 
 
 class SoakFleet(Fleet):
-    """Invariant: as Fleet's: all processes that it started are in processes."""
+    """A fleet whose daemons are those of meadowdock.soak.daemon.
+
+    Invariant: as that of Fleet, processes holds all running processes that it started.
+    """
 
     @property
-    def cuts_file(self) -> str:
-        """Where the cuts in force stand."""
+    def partitions_file(self) -> str:
+        """Path of the file that holds the current partitions."""
         return os.path.join(self.folder, "cuts.json")
 
-    def boot(self, role: str, host: str) -> str:
-        """Write a boot file; gives its path."""
-        lines = self.boot_lines(host, [f"{h}:7421" for h in self.core[:3]])
+    def write_boot_file(self, role: str, host: str) -> str:
+        """Write the boot file of a daemon and return its path."""
+        lines = self.common_boot_lines(host, [f"{h}:7421" for h in self.core[:3]])
         if role == "mdconf":
             lines += [
                 f"data = {json.dumps(os.path.join(self.folder, 'data', host))}",
-                "members = []",  # found by the seeds
+                "members = []",  # the members find each other through the seeds
             ]
         if role == "mdproxy":
             lines += [
-                f'gate = "{host}:{GATE_PORT}"',
+                f'gate = "{host}:{GATEWAY_PORT}"',
                 f'service = "{SERVICE}"',
-                f"tries = {{ ratio = 0.2, window_us = 10000000, reserve = {RESERVE} }}",
+                f"tries = {{ ratio = 0.2, window_us = 10000000, reserve = {RETRY_RESERVE} }}",
             ]
-        return self.write_boot(role, host, lines)
+        return self.save_boot_file(role, host, lines)
 
     def start_daemon(self, role: str, host: str) -> subprocess.Popen:
-        """Start one process of a role."""
-        argv = ["meadowdock.soak.daemon", role, self.boot(role, host), self.cuts_file]
+        """Start the daemon of a role on a host."""
+        argv = [
+            "meadowdock.soak.daemon",
+            role,
+            self.write_boot_file(role, host),
+            self.partitions_file,
+        ]
         return self.spawn(f"{role}-{host}", argv)
 
-    def cut(self, pairs: list[tuple[str, str]]) -> None:
-        """Cut these pairs of hosts off from each other, and no others."""
-        write_cuts(self.cuts_file, pairs)
+    def set_partitions(self, pairs: list[tuple[str, str]]) -> None:
+        """Partition exactly these pairs of hosts from each other."""
+        write_partitions(self.partitions_file, pairs)
 
-    def events(self, *numbers: int) -> list[dict]:
-        """All log events of these numbers, in every life of every process."""
+    def log_events(self, *numbers: int) -> list[dict]:
+        """Return all log events of these numbers, of every run of every process."""
         found = []
         folder = os.path.join(self.folder, "logs")
         for name in sorted(os.listdir(folder)):
@@ -72,7 +84,7 @@
         return found
 
     def tracebacks(self) -> list[str]:
-        """Lines of the logs that are no events: a process that broke."""
+        """Return the lines of the logs that are not events, such as tracebacks of a crash."""
         found = []
         folder = os.path.join(self.folder, "logs")
         for name in sorted(os.listdir(folder)):
--- a/tests/support/fleets.py
+++ b/tests/support/fleets.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes, on a net of its own."""
+"""A small fleet of real processes on a loopback network of its own."""
 
 from __future__ import annotations
 
@@ -8,38 +8,43 @@
 
 from meadowdock.local_fleet.fleet import Fleet
 
-RESERVING = 254, 7399  # host and port that no fleet uses: who listens there has the net
+# Host and port that no fleet uses: the process that listens there has reserved the network.
+RESERVATION_ADDRESS = 254, 7399
 FLEET_HOSTS = 1, 11, 12
 FLEET_PORTS = 7400, 7401, 7410, 7411, 7420, 7421, 8000
-reservations = []  # this process's, kept until it ends
+reservations = []  # listening sockets of this process, open until it ends
 
 
 def free_net():
-    """A 127.x.y with nobody on the fleet's ports, reserved for this process until it ends: tests
-    run in several processes, and the ports are free again before the fleet takes them."""
+    """Return a loopback network 127.x.y, reserved for this process until it ends.
+
+    Nobody listens on the fleet's ports in it. It must be reserved because tests run in several
+    processes, and the ports are free again until the fleet listens on them.
+    """
     for number in range(os.getpid(), os.getpid() + 200):
         net = f"127.{1 + number % 250}.{1 + number // 250 % 250}"
-        host, port = RESERVING
-        with contextlib.ExitStack() as opened:
+        host, port = RESERVATION_ADDRESS
+        with contextlib.ExitStack() as listeners:
             try:
                 reservation = socket.create_server((f"{net}.{host}", port))
             except OSError:
                 continue
-            opened.enter_context(reservation)
+            listeners.enter_context(reservation)
             try:
                 for fleet_host in FLEET_HOSTS:
                     for fleet_port in FLEET_PORTS:
                         address = f"{net}.{fleet_host}", fleet_port
-                        opened.enter_context(socket.create_server(address))
+                        listeners.enter_context(socket.create_server(address))
             except OSError:
                 continue
             reservations.append(socket.socket(fileno=reservation.detach()))
             return net
-    raise RuntimeError("no free loopback net")
+    raise RuntimeError("no free loopback network after 200 tries")
 
 
 @contextlib.contextmanager
 def small_fleet(folder, manifest=None):
+    """Run a fleet of one core machine and two application machines, with endpoints."""
     net = free_net()
     topology = {
         "name": "small",
@@ -51,9 +56,9 @@
         },
         "load": [],
     }
-    made = Fleet(topology, str(folder / "run"))
+    fleet = Fleet(topology, str(folder / "run"))
     try:
-        made.start_all(manifest)
-        yield made
+        fleet.start_all(manifest)
+        yield fleet
     finally:
-        made.down()
+        fleet.stop_all()
