--- a/packages/zone_drill/meadowdock/zone_drill/__init__.py
+++ b/packages/zone_drill/meadowdock/zone_drill/__init__.py
@@ -1,1 +1,1 @@
-"""Takes a hall out of a running fleet and checks the promises."""
+"""Take a zone out of a running fleet and check its guarantees."""
--- a/packages/zone_drill/meadowdock/zone_drill/__main__.py
+++ b/packages/zone_drill/meadowdock/zone_drill/__main__.py
@@ -1,6 +1,6 @@
-"""mddrill: takes one hall out of a running fleet, brings it back, and says what held.
+"""Command line of mddrill: take one zone out of a running fleet, restore it, check the guarantees.
 
-Exit status: 0 nothing broken, 1 a promise was broken, 2 wrong usage.
+Exit status: 0 no guarantee was violated, 1 one was violated, 2 wrong usage.
 """
 
 from __future__ import annotations
@@ -12,49 +12,58 @@
 import trio
 
 from meadowdock.local_fleet.fleet import load_topology
-from meadowdock.zone_drill.drill import EXTRAS, HOWS, Drill
+from meadowdock.zone_drill.drill import EXTRA_STEPS, SIGNALS, Drill
 
 
 def drill(folder="run", hall="a", how="kill", seconds=3, skip=""):
-    """Take HALL out of the fleet that `mdfleet up` runs in FOLDER: kill, freeze or stop. Before,
-    a leaving, a slow and a garbage endpoint and two racing operators; SKIP names any of these."""
-    skipped = skip if isinstance(skip, (tuple, list)) else [s for s in str(skip).split(",") if s]
-    if set(skipped) - set(EXTRAS):
-        print(f"mddrill: skip takes {', '.join(EXTRAS)}", file=sys.stderr)
+    """Take the zone HALL out of the fleet that `mdfleet up` runs in FOLDER.
+
+    HOW is kill, freeze or stop. Before that, other steps run: an endpoint that drains (leaving), a
+    slow one, one with malformed responses (garbage), calls with hardly any time left (hurried), and
+    two operators that race. SKIP names the steps to leave out, separated by commas.
+    """
+    skipped = (
+        skip if isinstance(skip, (tuple, list)) else [name for name in str(skip).split(",") if name]
+    )
+    if set(skipped) - set(EXTRA_STEPS):
+        print(f"mddrill: skip takes {', '.join(EXTRA_STEPS)}", file=sys.stderr)
         sys.exit(2)
-    if how not in HOWS:
-        print(f"mddrill: how is one of {', '.join(HOWS)}", file=sys.stderr)
+    if how not in SIGNALS:
+        print(f"mddrill: how is one of {', '.join(SIGNALS)}", file=sys.stderr)
         sys.exit(2)
     try:
-        made = Drill(os.path.abspath(folder), hall, how, seconds, skipped)
-    except OSError as cause:
-        print(f"mddrill: no running fleet in {folder}: {cause}", file=sys.stderr)
+        zone_drill = Drill(os.path.abspath(folder), hall, how, seconds, skipped)
+    except OSError as error:
+        print(f"mddrill: no running fleet in {folder}: {error}", file=sys.stderr)
         sys.exit(2)
-    if hall not in made.facts["halls"].values():
-        halls = sorted(set(made.facts["halls"].values()))
-        print(f"mddrill: no hall {hall}; there are {', '.join(halls)}", file=sys.stderr)
+    if hall not in zone_drill.fleet["halls"].values():
+        zones = sorted(set(zone_drill.fleet["halls"].values()))
+        print(f"mddrill: no hall {hall}; there are {', '.join(zones)}", file=sys.stderr)
         sys.exit(2)
-    topology = load_topology(made.facts["topology"])
+    topology = load_topology(zone_drill.fleet["topology"])
     streams = {
-        host: [s for s in topology["load"] if s["at"] == facts[1] and "by" not in s]
-        for host, facts in topology["application"].items()
+        host: [
+            stream for stream in topology["load"] if stream["at"] == entry[1] and "by" not in stream
+        ]
+        for host, entry in topology["application"].items()
     }
-    findings = trio.run(made.run, streams)
-    for found in findings:
+    findings = trio.run(zone_drill.run, streams)
+    for finding in findings:
         print(
-            f"{found.state:<14} {found.promise}"
-            + (f" ({found.evidence})" if found.evidence else "")
+            f"{finding.state:<14} {finding.guarantee}"
+            + (f" ({finding.evidence})" if finding.evidence else "")
         )
     verdicts = {}
-    for asked in made.history.asked:
-        key = f"{asked.verdict} {asked.code}"
+    for call in zone_drill.history.asked:
+        key = f"{call.verdict} {call.code}"
         verdicts[key] = verdicts.get(key, 0) + 1
     print(f"calls: {verdicts}")
-    print(f"ready again after us: {made.returned}")
-    sys.exit(1 if any(found.state == "broken" for found in findings) else 0)
+    print(f"ready again after us: {zone_drill.recovery_times_us}")
+    sys.exit(1 if any(finding.state == "broken" for finding in findings) else 0)
 
 
 def main():
+    """Run the command line."""
     fire.Fire(drill, name="mddrill")
 
 
