--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import trio
-from facts import manifest, way
-from mesh import configured
+from manifests import manifest, manifest_route
+from mesh import start_configured
 
 from meadowdock import audit
 from meadowdock.runtime import SECOND, monotonic_us, sleep_us
@@ -12,7 +12,7 @@
 
 
 def changed_configuration(number):
-    return manifest([way(f"w{number}", "/balances")])
+    return manifest([manifest_route(f"w{number}", "/balances")])
 
 
 async def fetch_verified_trail(world, core=0):
@@ -26,7 +26,7 @@
 
 def test_racing_operators_leave_exactly_one_record_for_each_version():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         accepted = {}
 
         async def change(number):
@@ -55,7 +55,7 @@
     """The core machines lose their disks one after the other; finally one of them is killed."""
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         for number in range(6):
             host = world.core[number % 3]
             await world.configure(changed_configuration(number), number % 3)
@@ -78,7 +78,7 @@
 
 def test_state_without_a_trail_is_read_and_the_next_change_begins_one():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         daemon = world.daemon("mdconf", world.core[0])
         await daemon.proposer.change(  # as written by the first release, which had no audit trail
             "manifest/head",
--- a/tests/config_store/test_audit_log.py
+++ b/tests/config_store/test_audit_log.py
@@ -6,10 +6,10 @@
 
 import pytest
 import trio
-from audit_log_facts import SIGNING_KEY, chain, measure, opened, write_former_layout
-from facts import manifest, way
-from item_builders import dropped, route, service
-from mesh import configured, first_with_a_blank_disk
+from audit_log_facts import SIGNING_KEY, audit_chain, measure, open_store, write_former_layout
+from item_builders import removed_item, route, service
+from manifests import manifest, manifest_route
+from mesh import restart_first_core_with_blank_disk, start_configured
 
 from meadowdock import audit
 from meadowdock.config_store import audit_log, audit_log_transfer, repair
@@ -23,7 +23,7 @@
 
 
 def changed(number):
-    return manifest([way(f"w{number}", "/balances")])
+    return manifest([manifest_route(f"w{number}", "/balances")])
 
 
 async def change(world, numbers, cores=(0, 1, 2)):
@@ -62,12 +62,12 @@
 @pytest.mark.parametrize("length", [1, 63, 64, 65, 200])
 def test_the_former_layout_is_read_and_migrated(length):
     async def work(world):
-        records, disk = chain(length), MemoryDisk()
+        records, disk = audit_chain(length), MemoryDisk()
         write_former_layout(disk, records)
-        store = await opened(disk)
+        store = await open_store(disk)
         assert await store.audit_log.read(records) == records  # before anything is written
         await store.audit_log.seal()
-        again = await opened(disk)
+        again = await open_store(disk)
         assert await again.audit_log.read(records) == records
         assert len(on_disk(disk, SEGMENT_FOLDER)) == length // audit_log.RECORDS_PER_SEGMENT
         assert len(on_disk(disk, RECORD_FOLDER)) == length % audit_log.RECORDS_PER_SEGMENT
@@ -89,20 +89,20 @@
     """kept: segments; with 2 the oldest are dropped meanwhile."""
     monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
     monkeypatch.setattr(audit_log, "MAX_SEGMENTS", kept)
-    records = chain(4 * SHORT + 3)
+    records = audit_chain(4 * SHORT + 3)
 
     async def cut_at(step):
         """True if the power went before the sealing was through."""
         disk = Stepwise(random.Random(step))
         write_former_layout(disk, records)
         disk.lasting = dict(disk.files)
-        store = await opened(disk)
+        store = await open_store(disk)
         with trio.CancelScope() as scope:
             disk.lose_at, disk.on_loss = step, scope.cancel
             await store.audit_log.seal()
         disk.lose_at = None
         disk.power_off()
-        store = await opened(disk)
+        store = await open_store(disk)
         first = store.audit_log.first_version
         assert first in ((1,) if kept == 256 else (1, 2 * SHORT + 1))
         wanted = {v: r for v, r in records.items() if v >= first}
@@ -127,11 +127,11 @@
 
 def test_a_segment_that_went_bad_is_missing_and_pulled_from_another_member():
     async def work(world):
-        records, disk, whole = chain(200), SimDisk(random.Random(1)), MemoryDisk()
+        records, disk, whole = audit_chain(200), SimDisk(random.Random(1)), MemoryDisk()
         for target in (disk, whole):
             write_former_layout(target, records)
         disk.lasting = dict(disk.files)
-        store, source = await opened(disk), await opened(whole)
+        store, source = await open_store(disk), await open_store(whole)
         await store.audit_log.seal()
         await source.audit_log.seal()
         disk.rot(on_disk(disk, SEGMENT_FOLDER)[1])
@@ -139,7 +139,7 @@
         versions_to_pull = store.audit_log.versions_to_pull(source.audit_log.state())
         assert versions_to_pull == list(range(65, 129))
         await store.audit_log.put_batch(await source.audit_log.read(versions_to_pull))
-        assert await (await opened(disk)).audit_log.read(records) == records
+        assert await (await open_store(disk)).audit_log.read(records) == records
 
     run(work)
 
@@ -149,12 +149,12 @@
     monkeypatch.setattr(audit_log, "MAX_SEGMENTS", 3)
 
     async def work(world):
-        records, disk = chain(100), MemoryDisk()
-        store = await opened(disk)
+        records, disk = audit_chain(100), MemoryDisk()
+        store = await open_store(disk)
         for version, text in records.items():
             await store.audit_log.put({version: text})
             await store.audit_log.seal()
-        again = await opened(disk)
+        again = await open_store(disk)
         assert again.audit_log.state() == store.audit_log.state()
         assert again.audit_log.first_version == 73  # of 12 sealed segments the last 3
         assert len(on_disk(disk, SEGMENT_FOLDER)) + len(on_disk(disk, RECORD_FOLDER)) == 3 + 4
@@ -167,7 +167,7 @@
         ]
         await again.audit_log.put({1: records[1]})  # what was dropped does not come back
         assert not again.audit_log.holds(1)
-        blank = await opened(MemoryDisk())
+        blank = await open_store(MemoryDisk())
         await blank.audit_log.adopt_beginning(
             AuditLogState.from_wire(again.audit_log.state().to_wire())
         )
@@ -183,8 +183,8 @@
     monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
 
     async def work(world):
-        true, other = chain(SHORT), chain(1, 5, "00")
-        store = await opened(MemoryDisk())
+        true, other = audit_chain(SHORT), audit_chain(1, 5, "00")
+        store = await open_store(MemoryDisk())
         await store.audit_log.put(true | other)
         for _ in range(SHORT):
             await store.audit_log.seal()
@@ -228,7 +228,7 @@
 @pytest.mark.parametrize("trouble", ["none", "power", "loss"])
 def test_a_member_that_was_away_for_600_changes_is_complete_again(trouble):
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         disk = world.disks["mdconf", host]
         world.power_off("mdconf", host)
@@ -273,10 +273,10 @@
     monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         await change(world, range(40))
         await sleep_us(3 * SECOND)
-        host = await first_with_a_blank_disk(world)
+        host = await restart_first_core_with_blank_disk(world)
         link = f"{host}:7421"
         status, told = await world.operate("POST", "/members", {"old": link, "new": link}, core=1)
         assert (status, told["state"]) == (200, "changed"), told
@@ -300,7 +300,7 @@
     monkeypatch.setattr(audit_log_transfer, "RUN_INTERVAL_US", 3600 * SECOND)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         old, other, third = world.core
         world.power_off("mdconf", old)
         await change(world, range(60), cores=(1, 2))
@@ -338,9 +338,9 @@
         return records
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         await change(world, range(60))
-        host = await first_with_a_blank_disk(world)
+        host = await restart_first_core_with_blank_disk(world)
         monkeypatch.setattr(audit_log.AuditLog, "read", read)
         link = f"{host}:7421"
         status, told = await world.operate("POST", "/members", {"old": link, "new": link}, core=1)
@@ -357,7 +357,7 @@
 
 def test_a_confirm_sent_again_after_300_changes_and_a_restart_of_all_is_acknowledged():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         first = await change(world, [0])
         ((version, plan),) = first.items()
         _, open_plan = await world.operate("POST", "/plan", changed(1))
@@ -386,7 +386,7 @@
     monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         ((version, plan),) = (await change(world, [0])).items()
         await change(world, range(1, 60))
         await sleep_us(3 * SECOND)
@@ -407,7 +407,7 @@
     monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         ((version, plan),) = (await change(world, [0])).items()
         await change(world, range(1, 60))
         await sleep_us(3 * SECOND)
@@ -429,7 +429,7 @@
     monkeypatch.setattr(audit_log, "MAX_SEGMENTS", 2)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         ((_, plan),) = (await change(world, [0])).items()
         await change(world, range(1, 60))
         await sleep_us(3 * SECOND)
@@ -446,7 +446,7 @@
 
 def test_a_head_with_256_pairs_from_the_former_version_is_read_and_shortened():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         daemon = world.daemon("mdconf", world.core[0])
         pairs = [[v, f"{v:032x}"] for v in range(2, 257)]
 
@@ -464,14 +464,14 @@
 
 def test_a_dropped_item_stays_dropped_after_many_changes_and_a_lost_disk():
     async def scenario(world):
-        await configured(world)
-        for items in ([service("desk"), route("r", 5)], [dropped(route("r"), 6)]):
+        await start_configured(world)
+        for items in ([service("desk"), route("r", 5)], [removed_item(route("r"), 6)]):
             await world.set_items(items)
         await change(world, range(100))
         for host in world.core:
             world.power_off("mdconf", host)
             await world.start("mdconf", host)
-        host = await first_with_a_blank_disk(world)
+        host = await restart_first_core_with_blank_disk(world)
         link = f"{host}:7421"
         status, told = await world.operate("POST", "/members", {"old": link, "new": link}, core=1)
         assert status == 200, told
--- a/tests/config_store/test_item_change_races.py
+++ b/tests/config_store/test_item_change_races.py
@@ -6,10 +6,10 @@
 
 import pytest
 import trio
+from core_faults import inject_random_faults
 from item_builders import service
-from item_changes import founded
-from order_faults import trouble
-from orders import order
+from item_changes import start_core
+from operator_requests import send_until_final
 
 from meadowdock.runtime import MILLISECOND, SECOND, sleep_us
 from meadowdock.simulator import run
@@ -28,17 +28,17 @@
         if world.rng.random() < 0.2:
             item |= {"spec": None, "source": f"<{which}>"}
         items = [item, service(f"own{which}", turn)]
-        done.append(await order(world, items, world.rng.randrange(3)))
+        done.append(await send_until_final(world, items, world.rng.randrange(3)))
         await sleep_us(world.rng.randrange(200) * MILLISECOND)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_at_most_one_content_is_acknowledged_under_one_number(seed):
     async def scenario(world):
-        await founded(world)
+        await start_core(world)
         done = []
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(trouble, world)
+            nursery.start_soon(inject_random_faults, world)
             async with trio.open_nursery() as operators:
                 for which in range(OPERATORS):
                     operators.start_soon(operate, world, which, done)
@@ -62,7 +62,7 @@
         # whatever was answered is answered again, by every member
         for made in done:
             for core in range(3):
-                again = await order(world, made.items, core)
+                again = await send_until_final(world, made.items, core)
                 assert again.status == made.status, (made, again)
 
     run(scenario, seed, application=())
--- a/tests/config_store/test_item_change_times.py
+++ b/tests/config_store/test_item_change_times.py
@@ -7,8 +7,8 @@
 import pytest
 import trio
 from item_builders import service
-from item_changes import founded
-from orders import order
+from item_changes import start_core
+from operator_requests import send_until_final
 
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator import run
@@ -27,7 +27,7 @@
     """Orders to all members in turn."""
     done = []
     for n in range(count):
-        done.append(await order(world, fresh(n), n % 3))
+        done.append(await send_until_final(world, fresh(n), n % 3))
         await sleep_us(world.rng.randrange(pause))
     return done
 
@@ -40,26 +40,26 @@
     """For 20 s; then the order under way is ended in calm."""
     away = world.core[world.rng.randrange(3)]
     pairs = [(a, b) for a in world.core for b in world.core if away in (a, b) and a != b]
-    done = [await order(world, fresh(0), 0)]
+    done = [await send_until_final(world, fresh(0), 0)]
     for a, b in pairs:
         world.web.cut(a, b, both=False)
     begun, n = monotonic_us(), 1
     while monotonic_us() - begun < CUT_FOR:
-        done.append(await order(world, fresh(n), n % 3))
+        done.append(await send_until_final(world, fresh(n), n % 3))
         n += 1
         await sleep_us(world.rng.randrange(300 * MILLISECOND))
     world.web.heal_links(pairs)
     for n in range(len(done), len(done) + 10):
-        done.append(await order(world, fresh(n), n % 3))
+        done.append(await send_until_final(world, fresh(n), n % 3))
     return done
 
 
 async def one_disk_stalled(world):
     disk = world.disks["mdconf", world.core[world.rng.randrange(3)]]
-    done = [await order(world, fresh(0), 0)]
+    done = [await send_until_final(world, fresh(0), 0)]
     disk.stalled = trio.Event()
     for n in range(1, 40):
-        done.append(await order(world, fresh(n), n % 3))
+        done.append(await send_until_final(world, fresh(n), n % 3))
         await sleep_us(world.rng.randrange(300 * MILLISECOND))
     disk.stalled.set()
     disk.stalled = None
@@ -73,7 +73,7 @@
     async def operator(which):
         for n in range(10):
             items = [service(f"s{which}", n + 1), service("shared", 8 * n + which + 1)]
-            done.append(await order(world, items, (which + n) % 3))
+            done.append(await send_until_final(world, items, (which + n) % 3))
 
     async with trio.open_nursery() as nursery:
         for which in range(8):
@@ -86,7 +86,7 @@
 
 def times(scenario, seed):
     async def whole(world):
-        await founded(world)
+        await start_core(world)
         return await scenario(world)
 
     return run(whole, seed, application=())
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -6,7 +6,7 @@
 
 import pytest
 import trio
-from lease_checks import holders, isolate, one_holder
+from lease_checks import isolate, lease_holders, wait_for_single_holder
 from mesh import hosts, serving
 
 from meadowdock.config_store.lease import CLOCK_DRIFT_DIVISOR, LeaseService
@@ -33,7 +33,7 @@
 async def watch(world, seen):
     """Fails the run at the first moment with two holders. seen: all epochs, in order."""
     while True:
-        found = holders(world)
+        found = lease_holders(world)
         assert len(found) <= 1, (monotonic_us(), found)
         for epoch in found.values():
             assert not seen or epoch >= seen[-1], (epoch, seen)
@@ -52,19 +52,19 @@
 def test_a_holder_cut_off_from_the_majority_stops_before_another_acquires(seed):
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await watched(world)
         await sleep_us(world.rng.randrange(SECOND))
         isolate(world, host)
         cut_at = monotonic_us()
-        await world.eventually(lambda: not holders(world))
+        await world.eventually(lambda: not lease_holders(world))
         assert monotonic_us() - cut_at <= DURATION
-        await world.eventually(lambda: holders(world), TAKEOVER)
-        assert host not in holders(world)
+        await world.eventually(lambda: lease_holders(world), TAKEOVER)
+        assert host not in lease_holders(world)
         await sleep_us(5 * SECOND)
         world.web.heal()
         await sleep_us(5 * SECOND)
-        (after,) = holders(world).values()
+        (after,) = lease_holders(world).values()
         assert after > epoch
 
     run(scenario, seed, application=("desk",))
@@ -132,16 +132,16 @@
 def test_never_two_holders_whatever_happens(seed):
     async def scenario(world):
         await world.start_all()
-        await one_holder(world)
+        await wait_for_single_holder(world)
         seen = await watched(world)
         rng = random.Random(seed)
         for _ in range(8):
             trouble = rng.choice(TROUBLES)
-            held = list(holders(world))
+            held = list(lease_holders(world))
             host = held[0] if held and rng.random() < 0.7 else rng.choice(world.core)
             await trouble(world, host, rng.randrange(SECOND // 2, 6 * SECOND))
             await sleep_us(rng.randrange(3 * SECOND))
-        await world.eventually(lambda: len(holders(world)) == 1)
+        await world.eventually(lambda: len(lease_holders(world)) == 1)
         assert len(seen) > 1
 
     run(scenario, seed, application=("desk",))
@@ -150,7 +150,7 @@
 def test_a_holder_frozen_for_20_s_sends_nothing_that_is_taken():
     async def scenario(world):
         await serving(world)
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await watched(world)
         process = world.processes[f"mdreg@{host}"]
         sent = []
@@ -174,7 +174,7 @@
         process.wake()
         await sleep_us(5 * SECOND)
         assert not [e for at, e in sent if at >= woken_at > 0 and e <= epoch]
-        assert len(holders(world)) == 1
+        assert len(lease_holders(world)) == 1
         assert all(p.forwarder.load_list.epoch > epoch for p in proxies)
 
     run(scenario)
@@ -183,7 +183,7 @@
 def test_steps_of_the_wall_clock_change_nothing():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         seen = await watched(world)
         await sleep_us(SECOND)
         for step in (DAY, -DAY, 3 * SECOND):
@@ -191,7 +191,7 @@
                 if process.host in (host, world.core[0]):
                     process.node.runtime.wall_us = lambda step=step: WALL + monotonic_us() + step
             await sleep_us(5 * SECOND)
-        assert holders(world) == {host: epoch}
+        assert lease_holders(world) == {host: epoch}
         assert seen == [epoch]
 
     run(scenario, application=("desk",))
@@ -200,7 +200,7 @@
 def test_one_mdconf_that_is_silent_or_whose_answers_are_lost_does_not_cost_the_lease():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await watched(world)
         await sleep_us(2 * SECOND)
         lease = world.daemon("mdreg", host).election.lease
@@ -216,12 +216,12 @@
 
         links.call = call
         await sleep_us(8 * SECOND)
-        assert holders(world) == {host: epoch}
+        assert lease_holders(world) == {host: epoch}
         silent = None
         process = world.processes[f"mdconf@{lease.preferred_store.partition(':')[0]}"]
         process.freeze()
         await sleep_us(8 * SECOND)
-        assert holders(world) == {host: epoch}
+        assert lease_holders(world) == {host: epoch}
         process.wake()
 
     run(scenario, application=("desk",))
@@ -230,13 +230,13 @@
 def test_a_holder_whose_renewals_are_done_but_never_answered_stops():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await watched(world)
         world.nursery.start_soon(cut_from_mdconfs, world, host, 20 * SECOND)
-        await world.eventually(lambda: not holders(world))
+        await world.eventually(lambda: not lease_holders(world))
         await world.eventually(lambda: world.trace.events(705))
-        await world.eventually(lambda: holders(world), 8 * SECOND)
-        assert host not in holders(world)
+        await world.eventually(lambda: lease_holders(world), 8 * SECOND)
+        assert host not in lease_holders(world)
 
     run(scenario, application=("desk",))
 
@@ -244,7 +244,7 @@
 def test_a_lease_counts_from_before_the_request_was_sent():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         lease = world.daemon("mdreg", host).election.lease
         asked = {}
         original = lease.send
@@ -266,7 +266,7 @@
 def test_a_holder_that_stops_politely_is_followed_before_its_lease_would_have_ended():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await watched(world)
         lease = world.daemon("mdreg", host).election.lease
         # just renewed, so that waiting for its end takes longest
@@ -274,7 +274,7 @@
         await world.eventually(lambda: lease.granted is not renewal)
         expires_at = lease.granted.expires_at
         world.nursery.start_soon(world.stop, f"mdreg@{host}")
-        await world.eventually(lambda: any(e > epoch for e in holders(world).values()))
+        await world.eventually(lambda: any(e > epoch for e in lease_holders(world).values()))
         assert monotonic_us() < expires_at
 
     run(scenario, application=("desk",))
@@ -283,7 +283,7 @@
 def test_all_mdconf_restart_and_the_collector_is_one():
     async def scenario(world):
         await world.start_all()
-        _, epoch = await one_holder(world)
+        _, epoch = await wait_for_single_holder(world)
         seen = await watched(world)
         for host in world.core:
             world.power_off("mdconf", host)
@@ -292,7 +292,7 @@
             for host in world.core:
                 nursery.start_soon(world.start, "mdconf", host)
         await sleep_us(TAKEOVER)
-        assert len(holders(world)) == 1
+        assert len(lease_holders(world)) == 1
         assert len(seen) <= 2  # kept, or acquired once more
 
     run(scenario, application=("desk",))
@@ -301,17 +301,17 @@
 def test_without_a_quorum_for_20_s_nobody_collects_and_then_one_does():
     async def scenario(world):
         await serving(world)
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await watched(world)
         proxy = world.daemon("mdproxy", hosts(world)[0])
         for other in world.core[:2]:
             world.power_off("mdconf", other)
         await sleep_us(DURATION)
-        assert not holders(world)
+        assert not lease_holders(world)
         await sleep_us(SECOND)
         last = proxy.forwarder.load_list.epoch, proxy.forwarder.load_list.seq
         await sleep_us(17 * SECOND)
-        assert not holders(world)
+        assert not lease_holders(world)
         assert (proxy.forwarder.load_list.epoch, proxy.forwarder.load_list.seq) == last
         for other in world.core[:2]:
             await world.start("mdconf", other)
@@ -323,11 +323,11 @@
 def test_a_killed_holder_is_followed_as_soon_as_its_silence_and_its_lease_allow():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await watched(world)
         await sleep_us(SECOND)
         world.kill(f"mdreg@{host}")
-        took = await world.eventually(lambda: holders(world))
+        took = await world.eventually(lambda: lease_holders(world))
         assert took <= 3 * SECOND
 
     for seed in range(4):
@@ -337,9 +337,9 @@
 def test_a_restarted_proxy_refuses_the_list_of_a_former_holder():
     async def scenario(world):
         await serving(world)
-        host, old = await one_holder(world)
+        host, old = await wait_for_single_holder(world)
         world.kill(f"mdreg@{host}")
-        await world.eventually(lambda: any(e > old for e in holders(world).values()))
+        await world.eventually(lambda: any(e > old for e in lease_holders(world).values()))
         place, other = hosts(world)
         world.meddle["load.list"] = None  # no newer list is there yet
         links = world.node("mdproxy", other).rpc
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -6,8 +6,8 @@
 
 import pytest
 import trio
-from core_fleet import SEEDS, Fleet, changed, configure, read_back
-from mesh import configured
+from core_fleet import SEEDS, SimulatedCore, configure_at, manifest_with_route, read_version
+from mesh import start_configured
 
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
@@ -37,7 +37,9 @@
             try:
                 self.world.core = [host]
                 with trio.move_on_after(6):
-                    status, planned = await self.world.operate("POST", "/plan", changed(self.tried))
+                    status, planned = await self.world.operate(
+                        "POST", "/plan", manifest_with_route(self.tried)
+                    )
                     if status == 200 and planned["plan"]:
                         self.world.core = [host]
                         status, told = await self.world.operate(
@@ -56,10 +58,10 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_seeds_found_and_all_of_up_to_five_become_voters(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=5, losses=2)
+        fleet = SimulatedCore(world, core=5, losses=2)
         assert await fleet.founded() <= 4 * SECOND
         assert len(world.trace.events(601)) == 1
-        assert await configure(world, 1, fleet.hosts[4]) == 1
+        assert await configure_at(world, 1, fleet.hosts[4]) == 1
 
     run(scenario, seed)
 
@@ -67,7 +69,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_of_more_than_five_only_as_many_as_the_losses_need_vote(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=7, losses=1)
+        fleet = SimulatedCore(world, core=7, losses=1)
         await fleet.up()
         await sleep_us(5 * SECOND)
         memberships = list(fleet.memberships().values())
@@ -81,7 +83,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_nobody_founds_while_a_founder_is_missing_or_not_founding(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.up(fleet.hosts[:2])
         fleet.founding = False
         await fleet.up(fleet.hosts[2:])
@@ -95,7 +97,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_with_differing_seeds_nobody_founds(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=4)
+        fleet = SimulatedCore(world, core=4)
         await fleet.up(fleet.hosts[:3:2])
         fleet.told = fleet.hosts[1:4]
         await fleet.up(fleet.hosts[1::2])
@@ -109,9 +111,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_all_killed_at_once_come_back_as_they_were(seed, founding):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         membership = fleet.store(fleet.hosts[0]).membership
         for host in fleet.hosts:
             world.power_off("mdconf", host)
@@ -120,7 +122,7 @@
         await fleet.up()
         assert await fleet.settle(fleet.hosts) <= 2 * SECOND
         assert fleet.store(fleet.hosts[0]).membership == membership
-        assert await read_back(world, fleet.hosts[1]) == 1
+        assert await read_version(world, fleet.hosts[1]) == 1
 
     run(scenario, seed)
 
@@ -128,9 +130,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_blank_majority_never_founds_beside_a_record(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts:
             world.power_off("mdconf", host)
         for host in fleet.hosts[:2]:
@@ -153,7 +155,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_all_machines_are_exchanged_one_after_another_under_changes(seed, core, losses, overlap_us):
     async def scenario(world):
-        fleet = Fleet(world, core=core, losses=losses)
+        fleet = SimulatedCore(world, core=core, losses=losses)
         await fleet.founded()
         operator = Operator(world, fleet.running)
         world.nursery.start_soon(operator.run)
@@ -179,11 +181,11 @@
         await sleep_us(SECOND)
         assert len(operator.accepted) >= 5 * core
         assert operator.accepted == sorted(set(operator.accepted))
-        assert await read_back(world, fleet.hosts[-1]) >= operator.accepted[-1]
+        assert await read_version(world, fleet.hosts[-1]) >= operator.accepted[-1]
         # as many as the losses to be borne may go now
         for host in fleet.hosts[:losses]:
             world.power_off("mdconf", host)
-        assert await read_back(world, fleet.hosts[-1]) >= operator.accepted[-1]
+        assert await read_version(world, fleet.hosts[-1]) >= operator.accepted[-1]
 
     run(scenario, seed)
 
@@ -191,7 +193,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_voter_that_only_restarts_stays_and_one_gone_for_good_waits_for_a_new_one(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
         membership = fleet.store(fleet.hosts[0]).membership
         host = fleet.hosts[seed % 3]
@@ -214,14 +216,14 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_one_too_many_of_an_even_number_is_left_out_and_comes_back(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=4)
+        fleet = SimulatedCore(world, core=4)
         await fleet.founded()
         dead = fleet.hosts[seed % 4]
         world.power_off("mdconf", dead)
         left = [h for h in fleet.hosts if h != dead]
         await fleet.settle(left, 8 * SECOND)
         world.power_off("mdconf", left[0])  # of three, two go on
-        assert await configure(world, 1, left[1]) == 1
+        assert await configure_at(world, 1, left[1]) == 1
         await world.start("mdconf", left[0])
         await world.start("mdconf", dead)
         await fleet.settle(fleet.hosts, 4 * SECOND)
@@ -232,7 +234,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_machine_whose_disk_moved_to_a_new_address_stays_the_same_voter(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
         old = fleet.hosts.pop(seed % 3)
         world.power_off("mdconf", old)
@@ -242,7 +244,7 @@
         await fleet.settle(fleet.hosts)
         assert disk is world.disks["mdconf", "10.0.3.1"]
         world.power_off("mdconf", fleet.hosts[0])
-        assert await configure(world, 1, fleet.hosts[1]) == 1
+        assert await configure_at(world, 1, fleet.hosts[1]) == 1
 
     run(scenario, seed)
 
@@ -254,9 +256,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_lost_disk_is_replaced_while_all_others_lose_power(seed, core):
     async def scenario(world):
-        fleet = Fleet(world, core=core, losses=core // 2)
+        fleet = SimulatedCore(world, core=core, losses=core // 2)
         await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         lost = fleet.hosts[seed % core]
         for host in fleet.hosts:
             world.power_off("mdconf", host)
@@ -265,8 +267,8 @@
         assert await fleet.settle(fleet.hosts) <= 2 * SECOND
         others = [h for h in fleet.hosts if h != lost]
         world.power_off("mdconf", others[0])  # now the new disk's vote may be needed
-        assert await read_back(world, lost) == 1
-        assert await configure(world, 2, lost) == 2
+        assert await read_version(world, lost) == 1
+        assert await configure_at(world, 2, lost) == 2
 
     run(scenario, seed)
 
@@ -274,9 +276,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_two_lost_disks_of_five_are_replaced(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=5, losses=2)
+        fleet = SimulatedCore(world, core=5, losses=2)
         await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts[:2]:
             world.power_off("mdconf", host)
             world.lose_disk("mdconf", host)
@@ -284,7 +286,7 @@
         assert await fleet.settle(fleet.hosts) <= 3 * SECOND
         for host in fleet.hosts[3:]:
             world.power_off("mdconf", host)
-        assert await configure(world, 2, fleet.hosts[0]) == 2
+        assert await configure_at(world, 2, fleet.hosts[0]) == 2
 
     run(scenario, seed)
 
@@ -335,9 +337,9 @@
 @pytest.mark.parametrize("step", range(1, 60, 4))
 def test_a_change_whose_actor_dies_at_any_disk_step_is_ended(step):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         actor = world.disks["mdconf", fleet.hosts[0]]
         await world.start("mdconf", "10.0.3.1")
         actor.lose_at = actor.steps + step
@@ -350,7 +352,7 @@
         actor.power_off()
         await world.start("mdconf", fleet.hosts[0])
         await fleet.settle(fleet.hosts, 6 * SECOND)
-        assert await configure(world, 2, "10.0.3.1") == 2
+        assert await configure_at(world, 2, "10.0.3.1") == 2
 
     run(scenario, step)
 
@@ -358,7 +360,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_change_is_ended_though_the_one_that_was_to_come_in_lost_its_disk(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
         for host in fleet.hosts:  # nobody gets further than the first step
             world.daemon("mdconf", host).transfer_files = forever
@@ -383,14 +385,14 @@
 @pytest.mark.parametrize("who", range(3))
 def test_a_stalled_disk_does_not_hold_up_the_members(who):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
         disk = world.disks["mdconf", fleet.hosts[who]]
         disk.stalled = trio.Event()
         await world.start("mdconf", "10.0.3.1")
         new = world.node("mdconf", "10.0.3.1")
         assert await world.eventually(lambda: not new.unready_reasons(), 7 * SECOND)
-        assert await configure(world, 1, "10.0.3.1") == 1
+        assert await configure_at(world, 1, "10.0.3.1") == 1
         disk.stalled.set()
         disk.stalled = None
         fleet.hosts.append("10.0.3.1")
@@ -425,32 +427,32 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_configuration_is_taken_before_enough_vote_for_two_losses(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=5, losses=2)
+        fleet = SimulatedCore(world, core=5, losses=2)
         await fleet.up(fleet.hosts[:3])
         await world.eventually(lambda: all(fleet.memberships().values()))
         world.core = fleet.hosts[:1]
-        status, told = await world.operate("POST", "/plan", changed(1))
+        status, told = await world.operate("POST", "/plan", manifest_with_route(1))
         assert (status, told["code"]) == (503, "too_few_members")
         assert all(world.node("mdconf", h).unready_reasons() for h in fleet.hosts[:3])
         await fleet.up(fleet.hosts[3:])
         await fleet.settle(fleet.hosts, 4 * SECOND)
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts[:2]:
             world.power_off("mdconf", host)
             world.lose_disk("mdconf", host)
-        assert await read_back(world, fleet.hosts[4]) == 1
+        assert await read_version(world, fleet.hosts[4]) == 1
 
     run(scenario, seed)
 
 
 def test_a_fleet_with_fewer_machines_than_wanted_starts_after_a_while():
     async def scenario(world):
-        fleet = Fleet(world, core=3, losses=2)
+        fleet = SimulatedCore(world, core=3, losses=2)
         await fleet.up()
         await world.eventually(lambda: all(fleet.memberships().values()))
         took = await fleet.settle(fleet.hosts, 8 * SECOND)
         assert 3 * SECOND <= took <= 6 * SECOND
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
 
     run(scenario)
 
@@ -492,7 +494,7 @@
     """Its empty list of keys would hide a key that only one more of a majority holds."""
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         daemon = world.daemon("mdconf", world.core[1])
         membership = daemon.store.membership
@@ -518,7 +520,7 @@
 
 def test_a_change_of_another_is_not_ended_before_its_keys_are_carried_over():
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
         daemon = world.daemon("mdconf", fleet.hosts[0])
         disks = dict(daemon.store.membership.voters)
@@ -549,7 +551,7 @@
 
 def test_many_keys_are_carried_over_in_well_under_a_second():
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
         daemon = world.daemon("mdconf", fleet.hosts[0])
         for n in range(100):
--- a/tests/config_store/test_members_change.py
+++ b/tests/config_store/test_members_change.py
@@ -4,8 +4,8 @@
 
 import pytest
 import trio
-from facts import manifest, way
-from mesh import configured, first_with_a_blank_disk, hosts, serving
+from manifests import manifest, manifest_route
+from mesh import hosts, restart_first_core_with_blank_disk, serving, start_configured
 
 from meadowdock.config_store.rescue import rescue
 from meadowdock.runtime import SECOND, HttpConnectionFailed, sleep_us
@@ -13,13 +13,13 @@
 
 
 def changed(number):
-    return manifest([way(f"w{number}", "/balances")])
+    return manifest([manifest_route(f"w{number}", "/balances")])
 
 
 def test_a_lost_disk_votes_again_after_a_member_change():
     async def scenario(world):
-        await configured(world)
-        host = await first_with_a_blank_disk(world)
+        await start_configured(world)
+        host = await restart_first_core_with_blank_disk(world)
         link = f"{host}:7421"
         status, told = await world.operate("POST", "/members", {"old": link, "new": link}, core=1)
         assert (status, told["state"]) == (200, "changed"), told
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("by_hand", [True, False])
 def test_a_member_change_that_was_broken_off_is_ended_by_the_same_call_or_by_a_member(by_hand):
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         world.zones["10.0.2.1"] = "a"
         await world.start("mdconf", "10.0.2.1")
         await world.eventually(lambda: world.daemon("mdconf", "10.0.2.1").store.membership)
@@ -128,7 +128,7 @@
 
 def test_a_lost_majority_is_refused_and_goes_on_from_one_disk_by_the_operators_word():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         assert await world.configure(changed(1)) == 2
         await sleep_us(SECOND)
         for host in world.core:
@@ -160,7 +160,7 @@
     """Its disk would stay the voter: nothing changes, so nothing may be told as changed."""
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         silent = world.core[0]
         for other in (*world.core[1:], *world.application):
             world.web.cut(silent, other)
@@ -175,7 +175,7 @@
 
 def test_who_is_not_there_can_not_come_in():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         facts = {"old": f"{world.core[0]}:7421", "new": "10.0.2.9:7421"}
         status, told = await world.operate("POST", "/members", facts, 1)
         assert (status, told["code"], told["absent"]) == (409, "absent", ["10.0.2.9:7421"])
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -6,7 +6,7 @@
 
 import pytest
 import trio
-from core_fleet import SEEDS, Fleet, changed, configure, read_back
+from core_fleet import SEEDS, SimulatedCore, configure_at, manifest_with_route, read_version
 
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
@@ -27,27 +27,27 @@
     """Three voters where two losses are to be borne: two acceptances are no acknowledgement."""
 
     async def scenario(world):
-        fleet = Fleet(world, core=3, losses=2)
+        fleet = SimulatedCore(world, core=3, losses=2)
         await fleet.up()
         await fleet.settle(fleet.hosts, 8 * SECOND)
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         world.power_off("mdconf", fleet.hosts[seed % 3])
         left = fleet.running()
         world.core = left[:1]
-        status, told = await world.operate("POST", "/plan", changed(2))
+        status, told = await world.operate("POST", "/plan", manifest_with_route(2))
         assert (status, told["code"]) == (503, "no_majority")
-        assert await read_back(world, left[1]) == 1  # what is known is still served
+        assert await read_version(world, left[1]) == 1  # what is known is still served
 
     run(scenario, seed)
 
 
 def test_a_single_process_acknowledges_nothing_where_a_loss_is_to_be_borne():
     async def scenario(world):
-        fleet = Fleet(world, core=1, losses=1)
+        fleet = SimulatedCore(world, core=1, losses=1)
         await fleet.up()
         await sleep_us(10 * SECOND)
         world.core = fleet.hosts
-        status, told = await world.operate("POST", "/plan", changed(1))
+        status, told = await world.operate("POST", "/plan", manifest_with_route(1))
         assert (status, told["code"]) == (503, "too_few_members")
         assert world.node("mdconf", fleet.hosts[0]).unready_reasons() == [
             "too few members for the losses to be borne"
@@ -58,10 +58,10 @@
 
 def test_a_single_process_serves_where_no_loss_is_to_be_borne():
     async def scenario(world):
-        fleet = Fleet(world, core=1, losses=0)
+        fleet = SimulatedCore(world, core=1, losses=0)
         await fleet.up()
         await fleet.settle(fleet.hosts)
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
 
     run(scenario)
 
@@ -84,7 +84,7 @@
 # ---------------------------------------------------------------- zones and regions
 
 
-class ZonedFleet(Fleet):
+class ZonedFleet(SimulatedCore):
     """Fleet whose hosts have zones and regions; zone_losses and region_losses are to be borne."""
 
     def __init__(self, world, zones, losses=1, zone_losses=0, region_losses=0):
@@ -122,12 +122,12 @@
         fleet = ZonedFleet(world, ["a1", "a1", "a1", "b1", "b1", "c1", "c1"], **{kind: 1})
         await fleet.up()
         await world.eventually(lambda: fleet.steady(["a1", "b1", "c1"]), 12 * SECOND)
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts[:3]:
             world.power_off("mdconf", host)
             world.lose_disk("mdconf", host)
-        assert await read_back(world, fleet.hosts[4]) == 1
-        assert await configure(world, 2, fleet.hosts[5]) == 2
+        assert await read_version(world, fleet.hosts[4]) == 1
+        assert await configure_at(world, 2, fleet.hosts[5]) == 2
 
     run(scenario, seed)
 
@@ -137,7 +137,7 @@
         fleet = ZonedFleet(world, ["a1", "b1", "c1", "a1", "a1"], zone_losses=1)
         await fleet.up()
         await sleep_us(6 * SECOND)
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         await world.eventually(lambda: fleet.steady(fleet.voting_zones()), 3 * SECOND)
         membership = fleet.store(fleet.hosts[0]).membership
         await sleep_us(10 * SECOND)
@@ -145,7 +145,7 @@
         for host in (fleet.hosts[0], *fleet.hosts[3:]):
             world.power_off("mdconf", host)
             world.lose_disk("mdconf", host)
-        assert await configure(world, 2, fleet.hosts[1]) == 2
+        assert await configure_at(world, 2, fleet.hosts[1]) == 2
 
     run(scenario)
 
@@ -187,7 +187,7 @@
             lambda: all(m.places == wanted for m in fleet.memberships().values()), 4 * SECOND
         )
         assert fleet.store(fleet.hosts[0]).membership.voters == former.voters
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
 
     run(scenario, seed)
 
@@ -224,10 +224,10 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_replacement_ends_once_the_newcomer_itself_holds_everything(seed, slow):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
         for number in range(1, 4):
-            await configure(world, number, fleet.hosts[0])
+            await configure_at(world, number, fleet.hosts[0])
         gone = fleet.hosts.pop(2)
         world.power_off("mdconf", gone)
         await world.start("mdconf", "10.0.3.1")
@@ -243,8 +243,8 @@
         # the second loss, right after the end: the other that has all loses its disk too
         world.power_off("mdconf", fleet.hosts[seed - 1])
         world.lose_disk("mdconf", fleet.hosts[seed - 1])
-        assert await read_back(world, fleet.hosts[2 - seed]) == 3
-        assert await configure(world, 4, "10.0.3.1") == 4
+        assert await read_version(world, fleet.hosts[2 - seed]) == 3
+        assert await configure_at(world, 4, "10.0.3.1") == 4
         await world.start("mdconf", fleet.hosts[seed - 1])
         fleet.hosts.append("10.0.3.1")
         await fleet.settle(fleet.hosts, 6 * SECOND)
@@ -265,9 +265,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_change_is_taken_back_when_its_newcomer_dies_and_another_takes_the_place(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         world.power_off("mdconf", fleet.hosts.pop(2))
         await world.start("mdconf", "10.0.3.1")
         slow_down(fleet.store("10.0.3.1").acceptor, "write", 10 * SECOND)
@@ -278,15 +278,15 @@
         await fleet.settle(fleet.hosts, 15 * SECOND)
         world.power_off("mdconf", fleet.hosts[seed % 2])
         world.lose_disk("mdconf", fleet.hosts[seed % 2])
-        assert await read_back(world, "10.0.3.2") == 1
-        assert await configure(world, 2, "10.0.3.2") == 2
+        assert await read_version(world, "10.0.3.2") == 1
+        assert await configure_at(world, 2, "10.0.3.2") == 2
 
     run(scenario, seed)
 
 
 def test_a_newcomer_that_answers_and_never_stores_does_not_block_for_ever():
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
         await world.start("mdconf", "10.0.3.1")
         slow_down(fleet.store("10.0.3.1").acceptor, "write", 3600 * SECOND)
@@ -296,7 +296,7 @@
             lambda: fleet.store(fleet.hosts[0]).membership.version > version, 20 * SECOND
         )
         assert len(fleet.store(fleet.hosts[0]).membership.voters) == 3
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
 
     run(scenario)
 
@@ -305,7 +305,7 @@
     """Three of five; an acknowledgement stands on two of the three and on a newcomer."""
 
     async def scenario(world):
-        fleet = Fleet(world, core=5, losses=2)
+        fleet = SimulatedCore(world, core=5, losses=2)
         await fleet.up(fleet.hosts[:3])
         await fleet.settle(fleet.hosts[:3], 8 * SECOND)
         await fleet.up(fleet.hosts[3:])
@@ -315,7 +315,7 @@
         for host in fleet.hosts:
             world.daemon("mdconf", host).repairer.compare = nothing
         repaired = break_off(behind.acceptor, "write")
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         world.power_off("mdconf", fleet.hosts[4])
         await sleep_us(20 * SECOND)
         assert behind.acceptor.read("manifest/head")[1] is None
@@ -334,23 +334,23 @@
     """The one that drives the change, just after it began."""
 
     async def scenario(world):
-        fleet = Fleet(world, core=5, losses=2)
+        fleet = SimulatedCore(world, core=5, losses=2)
         await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         world.power_off("mdconf", fleet.hosts.pop())
         await world.start("mdconf", "10.0.3.1")
         await change_begun(world, fleet)
         await sleep_us(delay_us)
         world.power_off("mdconf", fleet.hosts[0])
         world.lose_disk("mdconf", fleet.hosts[0])
-        assert await configure(world, 2, fleet.hosts[1]) == 2
+        assert await configure_at(world, 2, fleet.hosts[1]) == 2
         await world.start("mdconf", fleet.hosts[0])
         fleet.hosts.append("10.0.3.1")
         await fleet.settle(fleet.hosts, 12 * SECOND)
         for host in fleet.hosts[1:3]:
             world.power_off("mdconf", host)
             world.lose_disk("mdconf", host)
-        assert await read_back(world, "10.0.3.1") == 2
+        assert await read_version(world, "10.0.3.1") == 2
 
     run(scenario, delay_us // MILLISECOND)
 
@@ -368,12 +368,12 @@
 
 
 async def with_spares(world, core=7):
-    fleet = Fleet(world, core=core)
+    fleet = SimulatedCore(world, core=core)
     fleet.settings = {"linger_us": 100 * MILLISECOND}
     await fleet.up()
     await sleep_us(5 * SECOND)
     assert len(voters(world, fleet)) == 3
-    assert await configure(world, 1, fleet.hosts[0]) == 1
+    assert await configure_at(world, 1, fleet.hosts[0]) == 1
     return fleet
 
 
@@ -390,8 +390,8 @@
         lost = sorted(voters(world, fleet))[which]
         world.power_off("mdconf", lost)
         world.lose_disk("mdconf", lost)
-        assert await read_back(world, fleet.running()[0]) == 1
-        assert await configure(world, 2, fleet.running()[0]) == 2
+        assert await read_version(world, fleet.running()[0]) == 1
+        assert await configure_at(world, 2, fleet.running()[0]) == 2
 
     run(scenario, which + 1)
 
@@ -407,7 +407,7 @@
             nursery.start_soon(world.stop, f"mdconf@{second}")
         await world.eventually(lambda: steady(fleet), 3 * SECOND)
         assert not {first, second} & voters(world, fleet)
-        assert await read_back(world, fleet.running()[-1]) == 1
+        assert await read_version(world, fleet.running()[-1]) == 1
 
     run(scenario)
 
@@ -424,7 +424,7 @@
         await world.eventually(
             lambda: steady(fleet) and not {lost, stopped} & voters(world, fleet), 3 * SECOND
         )
-        assert await read_back(world, fleet.running()[-1]) == 1
+        assert await read_version(world, fleet.running()[-1]) == 1
 
     run(scenario)
 
@@ -434,16 +434,16 @@
     """There is no spare: the third voter missed the last change, and gets it at the stop."""
 
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
         stopped, other, behind = fleet.hosts
-        assert await configure(world, 1, stopped) == 1
+        assert await configure_at(world, 1, stopped) == 1
         store = fleet.store(behind)
         world.daemon("mdconf", behind).revisions.fetch_missing_chunks = forever
         for host in fleet.hosts:
             world.daemon("mdconf", host).repairer.compare = nothing
         undo = [break_off(store.acceptor, "write"), break_off(store, "put_chunk")]
-        assert await configure(world, 2, stopped) == 2
+        assert await configure_at(world, 2, stopped) == 2
         assert store.acceptor.read("manifest/head")[1]["version"] == 1
         for repaired in undo:
             repaired()
@@ -476,7 +476,7 @@
 
 def test_a_voter_that_stops_without_a_spare_stays_one():
     async def scenario(world):
-        fleet = Fleet(world, core=3)
+        fleet = SimulatedCore(world, core=3)
         await fleet.founded()
         membership = fleet.store(fleet.hosts[0]).membership
         took = await world.stop(f"mdconf@{fleet.hosts[1]}")
--- a/tests/config_store/test_repair.py
+++ b/tests/config_store/test_repair.py
@@ -6,8 +6,8 @@
 
 import pytest
 import trio
-from facts import manifest, way
-from mesh import configured
+from manifests import manifest, manifest_route
+from mesh import start_configured
 
 from meadowdock.config_store import repair, revision
 from meadowdock.config_store.store import Store
@@ -16,7 +16,7 @@
 
 
 def changed(number):
-    return manifest([way(f"w{number}", "/balances")])
+    return manifest([manifest_route(f"w{number}", "/balances")])
 
 
 def files(world, host, kind):
@@ -29,7 +29,7 @@
 
 def test_a_start_on_a_rotten_key_goes_on_as_another_disk_and_asks_for_its_place():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         former = world.daemon("mdconf", host).store.disk
         world.power_off("mdconf", host)
@@ -48,7 +48,7 @@
 
 def test_an_unreadable_id_is_another_disk_with_the_same_keys():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         store = world.daemon("mdconf", host).store
         former, cells = store.disk, dict(store.acceptor.states)
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("kind", ["key", "blob"])
 def test_a_file_that_goes_bad_under_the_running_process_is_mended(kind):
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         await sleep_us(2 * SECOND)
         for other in world.core:  # a renewed lease has a new file, whatever became of the old
@@ -87,7 +87,7 @@
 
 def test_a_member_that_lags_is_mended_by_digests_while_nothing_changes():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         acceptors = [world.daemon("mdconf", h).store.acceptor for h in world.core]
         for acceptor in acceptors[1:]:  # a majority accepted, the write to the first was lost
             await acceptor.prepare("duty/spare", (7, "p"))
@@ -101,7 +101,7 @@
 
 def test_a_late_write_never_takes_the_place_of_a_promise():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         own = world.daemon("mdconf", host)
         ballot, value = own.store.acceptor.read("manifest/head")
@@ -120,7 +120,7 @@
     monkeypatch.setattr(revision, "HISTORY_LENGTH", 40)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         most, version = 0, 1
         for number in range(2000):
             core = number % 3
@@ -161,7 +161,7 @@
     monkeypatch.setattr(repair, "PLAN_LIFETIME_US", 4 * SECOND)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         _, first = await world.operate("POST", "/plan", changed(1))
         await sleep_us(5 * SECOND)
         status, told = await world.operate("POST", "/confirm", {"plan": first["plan"]})
@@ -188,7 +188,7 @@
 @pytest.mark.parametrize("fault", ["full", "stalled"])
 def test_a_full_or_stalled_disk_is_told_and_the_member_returns_by_itself(fault):
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         disk, conf = world.disks["mdconf", host], world.node("mdconf", host)
         full = fault == "full"
--- a/tests/configuration/test_chunks.py
+++ b/tests/configuration/test_chunks.py
@@ -5,8 +5,8 @@
 import json
 
 import pytest
-from facts import manifest, way
-from item_builders import dropped, route, service
+from item_builders import removed_item, route, service
+from manifests import manifest, manifest_route
 
 from meadowdock.configuration import (
     RoutingTable,
@@ -19,7 +19,7 @@
 
 
 def test_changing_one_of_30000_routes_changes_one_chunk():
-    routes = [way(f"w{n}", f"/p{n // 100}/q{n}") for n in range(30_000)]
+    routes = [manifest_route(f"w{n}", f"/p{n // 100}/q{n}") for n in range(30_000)]
     configuration = validate_configuration(json.dumps(manifest(routes)).encode()).unwrap()
     before = split_configuration(configuration)
     routes[777]["repeat"] = "once"
@@ -36,7 +36,7 @@
 
 def test_changing_one_item_changes_one_chunk_and_the_chunks_contain_all_items():
     stored, _ = config_items.merge({}, [service("desk"), *(route(f"r{n}") for n in range(3000))])
-    stored, _ = config_items.merge(stored, [dropped(route("r5"), 2)])
+    stored, _ = config_items.merge(stored, [removed_item(route("r5"), 2)])
     before = split_items(stored)
     after = split_items(config_items.merge(stored, [route("r77", 2)])[0])
     assert len(before) > 20
--- a/tests/configuration/test_configuration_changes.py
+++ b/tests/configuration/test_configuration_changes.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import trio
-from facts import manifest, way
-from mesh import configured, hosts, serving
+from manifests import manifest, manifest_route
+from mesh import hosts, serving, start_configured
 
 from meadowdock.proxy.delivery import ACTIVATION_DELAY_DIVISOR
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
@@ -13,9 +13,9 @@
 
 def test_a_plan_with_an_invalid_configuration_is_rejected():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         status, response = await world.operate(
-            "POST", "/plan", manifest([way("x", "/x", service="no")])
+            "POST", "/plan", manifest([manifest_route("x", "/x", service="no")])
         )
         assert (status, response["code"]) == (422, "invalid")
         assert (await world.operate("GET", "/manifest"))[1]["version"] == 1
@@ -25,8 +25,10 @@
 
 def test_a_change_fails_cleanly_if_its_chunks_reach_no_quorum():
     async def scenario(world):
-        await configured(world)
-        _, planned = await world.operate("POST", "/plan", manifest([way("x", "/balances")]))
+        await start_configured(world)
+        _, planned = await world.operate(
+            "POST", "/plan", manifest([manifest_route("x", "/balances")])
+        )
         for core in world.core[1:]:
             disk = world.disks["mdconf", core]
             for name in [name for name in disk.files if name.startswith("blob/")]:
@@ -43,10 +45,10 @@
 
 def test_one_of_two_racing_operators_wins_and_the_other_gets_the_difference():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         plans = []
         for core, name in ((0, "one"), (1, "two")):
-            configuration = manifest([*manifest()["ways"], way(name, f"/{name}")])
+            configuration = manifest([*manifest()["ways"], manifest_route(name, f"/{name}")])
             plans.append((await world.operate("POST", "/plan", configuration, core))[1]["plan"])
         responses = {}
 
@@ -68,8 +70,8 @@
 
 def test_a_repeated_confirmation_is_one_change_and_a_plan_can_be_queried():
     async def scenario(world):
-        await configured(world)
-        configuration = manifest([way("x", "/balances")])
+        await start_configured(world)
+        configuration = manifest([manifest_route("x", "/balances")])
         plan = (await world.operate("POST", "/plan", configuration))[1]["plan"]
         assert (await world.operate("GET", f"/plan/{plan}"))[1]["state"] == "open"
         first = await world.operate("POST", "/confirm", {"plan": plan}, 0)
@@ -90,7 +92,7 @@
     async def scenario(world):
         await serving(world)
         begun_us = monotonic_us()
-        version = await world.configure(manifest([way("x", "/balances")]))
+        version = await world.configure(manifest([manifest_route("x", "/balances")]))
         await world.eventually(
             lambda: all(
                 world.daemon("mdproxy", host).delivery.version == version for host in hosts(world)
@@ -110,7 +112,7 @@
 def test_proxies_spread_a_change_whose_coordinator_was_killed():
     async def scenario(world):
         await serving(world)
-        version = await world.configure(manifest([way("x", "/balances")]))
+        version = await world.configure(manifest([manifest_route("x", "/balances")]))
         world.kill(f"mdconf@{world.core[0]}")  # right after the acknowledgement
         duration_us = await world.eventually(
             lambda: all(
@@ -124,8 +126,8 @@
 
 def test_only_changed_chunks_are_fetched():
     async def scenario(world):
-        ways = [way(f"w{n}", f"/balances/{n}") for n in range(600)]
-        await configured(world, manifest(ways))
+        ways = [manifest_route(f"w{n}", f"/balances/{n}") for n in range(600)]
+        await start_configured(world, manifest(ways))
         ways[5]["repeat"] = "once"
         await world.configure(manifest(ways))
         await sleep_us(2 * SECOND)
@@ -147,7 +149,7 @@
 def test_a_partitioned_proxy_serves_its_last_version_and_reports_so():
     async def scenario(world):
         host = await partition_first_proxy(world)
-        version = await world.configure(manifest([way("x", "/balances")]))
+        version = await world.configure(manifest([manifest_route("x", "/balances")]))
         assert world.daemon("mdproxy", host).delivery.version == 1 or version == 1
         status, headers, _ = await world.http(host, "GET", f"{host}:7400", "/balances/1")
         assert (status, headers[b"md-cut-off"]) == (200, b"1")
@@ -167,7 +169,7 @@
         host, peer_host = hosts(world)
         for core in world.core:
             world.web.cut(core, peer_host)
-        assert await world.configure(manifest([way("x", "/balances")])) == 2
+        assert await world.configure(manifest([manifest_route("x", "/balances")])) == 2
         await world.eventually(lambda: world.daemon("mdproxy", host).delivery.version == 2)
         for core in world.core:
             world.web.cut(core, host)
@@ -193,14 +195,14 @@
 
 def test_a_staged_version_is_activated_once_a_peer_has_it_active():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host, peer_host = hosts(world)
         daemon = world.daemon("mdproxy", host)
         for core in world.core:
             world.daemon("mdconf", core).node.rpc.call_all = drop_activation(
                 world.daemon("mdconf", core).node.rpc.call_all, f"{host}:7401"
             )
-        assert await world.configure(manifest([way("x", "/balances")])) == 2
+        assert await world.configure(manifest([manifest_route("x", "/balances")])) == 2
         peer_delivery = world.daemon("mdproxy", peer_host).delivery
         await world.eventually(
             lambda: peer_delivery.version == daemon.delivery.newest == 2, every=MILLISECOND
@@ -219,7 +221,7 @@
 
 def test_the_activation_may_arrive_before_the_version_is_staged():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = hosts(world)[0]
         daemon = world.daemon("mdproxy", host)
         for core in world.core:
@@ -228,7 +230,7 @@
         daemon.delivery.on_active_elsewhere(2)
         assert daemon.delivery.version == 1
         begun_us = monotonic_us()
-        assert await world.configure(manifest([way("x", "/balances")])) == 2
+        assert await world.configure(manifest([manifest_route("x", "/balances")])) == 2
         await world.eventually(lambda: daemon.delivery.version == 2, every=MILLISECOND)
         assert monotonic_us() - begun_us < 100 * MILLISECOND
 
@@ -250,7 +252,7 @@
 def test_a_partitioned_proxy_gets_a_newer_version_from_a_peer():
     async def scenario(world):
         host = await partition_first_proxy(world)
-        version = await world.configure(manifest([way("x", "/balances")]))
+        version = await world.configure(manifest([manifest_route("x", "/balances")]))
         await world.eventually(lambda: world.daemon("mdproxy", host).delivery.version == version)
 
     run(scenario, application=("desk", "desk"))
@@ -258,7 +260,7 @@
 
 def test_a_corrupt_chunk_is_repaired_from_another_member():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         disk = world.disks["mdconf", host]
         name = next(name for name in sorted(disk.files) if name.startswith("blob/"))
@@ -274,8 +276,8 @@
 
 def test_a_confirmation_with_unknown_outcome_is_reported_and_settles():
     async def scenario(world):
-        await configured(world)
-        configuration = manifest([way("x", "/balances")])
+        await start_configured(world)
+        configuration = manifest([manifest_route("x", "/balances")])
         plan = (await world.operate("POST", "/plan", configuration))[1]["plan"]
         store = world.daemon("mdconf", world.core[0]).store
         original = store.acceptor.write
@@ -304,7 +306,7 @@
 def test_a_proxy_switches_at_once_after_its_partition_heals():
     async def scenario(world):
         host = await partition_first_proxy(world)
-        version = await world.configure(manifest([way("x", "/balances")]))
+        version = await world.configure(manifest([manifest_route("x", "/balances")]))
         await sleep_us(2 * SECOND)
         world.web.heal()
         delivery = world.daemon("mdproxy", host).delivery
@@ -328,7 +330,7 @@
             daemon.delivery.deliver = skip_delivery
         begun_us = monotonic_us()
         for number in range(8):
-            await world.configure(manifest([way(f"w{number}", "/balances")]), number % 3)
+            await world.configure(manifest([manifest_route(f"w{number}", "/balances")]), number % 3)
             await sleep_us(300 * MILLISECOND)
         assert monotonic_us() - begun_us > 2 * SECOND
         assert delivery.version >= 3
@@ -345,7 +347,7 @@
             responses.append((await world.http(host, "GET", f"{host}:7400", "/balances/1"))[1])
 
         world.daemon("mdproxy", host).forwarder.endpoints.by_address[f"{host}:8000"].capacity = 9
-        version = await world.configure(manifest([way("x", "/balances")]))
+        version = await world.configure(manifest([manifest_route("x", "/balances")]))
         async with trio.open_nursery() as nursery:
             for _ in range(700):
                 nursery.start_soon(call)
--- a/tests/configuration/test_item_merge.py
+++ b/tests/configuration/test_item_merge.py
@@ -5,7 +5,7 @@
 import itertools
 
 import pytest
-from item_builders import dropped, limits, route, service
+from item_builders import limits, removed_item, route, service
 
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration import split_items
@@ -30,7 +30,7 @@
 def test_the_highest_version_is_current_whether_set_or_dropped(make, stored, incoming, current):
     def item(version):
         new_item = make("x", abs(version))
-        return new_item if version > 0 else dropped(new_item, -version)
+        return new_item if version > 0 else removed_item(new_item, -version)
 
     base, _ = config_items.merge({}, [service("desk")])
     before, _ = config_items.merge(base, [item(stored)] if stored else [])
@@ -54,7 +54,7 @@
 def test_setting_and_dropping_the_same_version_is_a_conflict(make, stored, incoming):
     def item(version):
         new_item = make("x", abs(version))
-        return new_item if version > 0 else dropped(new_item, -version)
+        return new_item if version > 0 else removed_item(new_item, -version)
 
     before, _ = config_items.merge({}, [service("desk"), item(stored)])
     with pytest.raises(config_items.VersionConflict) as conflict:
@@ -100,7 +100,7 @@
         [service("a", 1), route("r", 1, ["a"])],
         [service("a", 5, health="/5")],
         [route("r", 4, ["a"], prefix="/4/")],
-        [dropped(route("r"), 3)],
+        [removed_item(route("r"), 3)],
         [service("a", 2, health="/2")],
     ]
     results = []
@@ -118,20 +118,20 @@
     invalid_calls = [
         [route("n", 1, ["nowhere"])],
         [route("r", 6, ["a", "nowhere"])],
-        [dropped(service("a"), 2)],
-        [dropped(service("b"), 2), route("n", 1, ["b"])],
+        [removed_item(service("a"), 2)],
+        [removed_item(service("b"), 2), route("n", 1, ["b"])],
     ]
     for call in invalid_calls:
         with pytest.raises(config_items.InvalidItems):
             config_items.merge(stored, call)
     valid_calls = [
         [route("r", 4, ["nowhere"])],  # an older version than the stored one has no effect
-        [dropped(service("a"), 0)],
-        [dropped(service("a"), 2), dropped(route("r"), 6)],
-        [dropped(service("a"), 2), route("r", 6, ["b"])],
-        [dropped(service("b"), 2)],
+        [removed_item(service("a"), 0)],
+        [removed_item(service("a"), 2), removed_item(route("r"), 6)],
+        [removed_item(service("a"), 2), route("r", 6, ["b"])],
+        [removed_item(service("b"), 2)],
     ]
     for call in valid_calls:
         config_items.merge(stored, call)
     with pytest.raises(config_items.VersionConflict):
-        config_items.merge(stored, [dropped(service("a"), 1)])
+        config_items.merge(stored, [removed_item(service("a"), 1)])
--- a/tests/configuration/test_item_table.py
+++ b/tests/configuration/test_item_table.py
@@ -4,7 +4,7 @@
 
 import random
 
-from item_builders import dropped, limits, route, service
+from item_builders import limits, removed_item, route, service
 
 from meadowdock.configuration import items as config_items
 
@@ -44,7 +44,7 @@
 
 
 def test_a_table_has_the_items_of_its_version_without_dropped_ones():
-    removed = dropped(route("removed", prefix="/gone/"), 9)
+    removed = removed_item(route("removed", prefix="/gone/"), 9)
     items = [service("desk", health="/h"), route("r", 4, aim_us=5, priority=1), limits(), removed]
     table = config_items.ItemTable(7, items)
     expected = config_items.ItemRoute(
--- a/tests/configuration/test_item_validation.py
+++ b/tests/configuration/test_item_validation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from item_builders import dropped, limits, route, service
+from item_builders import limits, removed_item, route, service
 
 from meadowdock.configuration.items import validate_items
 
@@ -55,7 +55,7 @@
     invalid = [item for item, _ in INVALID]
     assert len(validate_items(invalid)) == len(invalid)
     valid = [service("desk", beyond=1), route("r", split=[["desk", 0], ["desk", 0.5]]), limits()]
-    assert validate_items([*valid, dropped(route("x"), 3)]) == []
+    assert validate_items([*valid, removed_item(route("x"), 3)]) == []
     assert validate_items([7, None]) == ["items.0: no item", "items.1: no item"]
 
 
@@ -64,4 +64,4 @@
     assert validate_items(repeated) == []
     assert validate_items([service("s", 3), service("s", 4, health="/h")]) == []
     assert "given twice" in validate_items([service("s", 3), service("s", 3, health="/h")])[0]
-    assert "given twice" in validate_items([service("s", 3), dropped(service("s"), 3)])[0]
+    assert "given twice" in validate_items([service("s", 3), removed_item(service("s"), 3)])[0]
--- a/tests/configuration/test_routing_table.py
+++ b/tests/configuration/test_routing_table.py
@@ -5,8 +5,8 @@
 import json
 
 import pytest
-from facts import manifest
 from item_builders import route, service
+from manifests import manifest
 
 from meadowdock.configuration import (
     DEFAULT_LOAD,
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from facts import budget, manifest, way
+from manifests import budget, manifest, manifest_route
 from returns.pipeline import is_successful
 
 from meadowdock.configuration import MAX_CONFIGURATION_BYTES, validate_configuration
@@ -22,9 +22,12 @@
     (lambda m: m["ways"][0].update(service="nowhere"), ["no service 'nowhere'"]),
     (lambda m: m["ways"][0].update(budget="none"), ["no budget 'none'"]),
     (lambda m: m["ways"][0].update(callers=["stranger"]), ["caller 'stranger'"]),
-    (lambda m: m["ways"].append(way("balances", "/other")), ["name 'balances' is given 2 times"]),
     (
-        lambda m: m["ways"].append(way("again", "/balances")),
+        lambda m: m["ways"].append(manifest_route("balances", "/other")),
+        ["name 'balances' is given 2 times"],
+    ),
+    (
+        lambda m: m["ways"].append(manifest_route("again", "/balances")),
         ["2 ways overlap at guest GET /balances"],
     ),
     (lambda m: m["budgets"][0]["endpoint"].update(wait_us=3_800_000), ["over 3900000"]),
@@ -83,7 +86,7 @@
     ],
 )
 def test_one_invalid_route_among_many_similar_ones_is_found(fault):
-    routes = [way(f"w{n}", f"/p/q{n}") for n in range(200)]
+    routes = [manifest_route(f"w{n}", f"/p/q{n}") for n in range(200)]
     routes[150] |= fault
     errors = errors_of(manifest(routes))
     assert errors
--- a/tests/consensus/test_register_contention.py
+++ b/tests/consensus/test_register_contention.py
@@ -6,9 +6,9 @@
 
 import pytest
 import trio
-from facts import manifest, way
-from mesh import configured
-from three_acceptors import answer_of
+from manifests import manifest, manifest_route
+from mesh import start_configured
+from three_acceptors import handle_request
 
 from meadowdock.consensus import Acceptor, NoQuorum, OutcomeUnknown, Proposer
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
@@ -47,7 +47,7 @@
         if member in self.dead:
             await sleep_us(deadline - monotonic_us())
             raise TimeoutError
-        answer = await answer_of(self.acceptors[member], method, args)
+        answer = await handle_request(self.acceptors[member], method, args)
         if self.lossy and self.rng.random() < 0.1:
             raise TimeoutError
         await sleep_us(self.rng.randrange(1, 3) * MILLISECOND)
@@ -144,7 +144,7 @@
     """Each call is answered well before 4 s, and what was acknowledged is read by the next."""
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         for (role, _), disk in world.disks.items():
             if role == "mdconf":
                 disk.step_us = DISK_STEP
@@ -162,7 +162,9 @@
         version = 1
         for number in range(8):
             door, next_door = number % 2, (number + 1) % 2
-            plan = await call("POST", "/plan", manifest([way(f"w{number}", "/balances")]), door)
+            plan = await call(
+                "POST", "/plan", manifest([manifest_route(f"w{number}", "/balances")]), door
+            )
             told = await call("POST", "/confirm", {"plan": plan["plan"]}, next_door)
             version += 1
             assert told["version"] == version
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from gate_beliefs import HIGH, LOW, believe_hold, works
-from gates import all_done, asked, gate_of, gated, items
+from gates import default_items, gated, gateway_of, send_call, wait_until_done
+from gateway_estimates import HIGH, LOW, set_hold_time, work_us_by_path
 from item_builders import route
 
 from meadowdock.forwarding.admission import ROUTES_REMEMBERED, Admission
@@ -242,85 +242,85 @@
 
 
 LONG_LOW = route("longlow", prefix="/longlow/", priority=3, timeout_us=20 * SECOND)
-ONE_SLOT = {"slots": 1, "work_us": works(longlow=300, low=10)}
+ONE_SLOT = {"slots": 1, "work_us": work_us_by_path(longlow=300, low=10)}
 
 
 def test_a_retry_goes_behind_a_first_attempt_of_its_priority():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
+        gate = gateway_of(world, host)
         gate.admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate, 20 * MILLISECOND)
+        set_hold_time(gate, 20 * MILLISECOND)
         calls = [(await world.caller(host)).ask(b"/low/again", due_ms=900)]
         await sleep_us(5 * MILLISECOND)
         calls.append((await world.caller(host)).ask(b"/low/fresh", due_ms=2000))
-        await all_done([first, *calls])
+        await wait_until_done([first, *calls])
         assert [made.status for made in calls] == [200, 200]
         order = [ran.target for ran in world.ends[host].journal]
         assert order == [b"/longlow/x", b"/low/fresh", b"/low/again"]
 
-    gated(scenario, application=("desk",), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
+    gated(scenario, application=("desk",), items=default_items(LOW, LONG_LOW), endpoint=ONE_SLOT)
 
 
 def test_a_call_whose_target_passes_in_the_queue_goes_behind_one_that_can_be_in_time():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
+        gate = gateway_of(world, host)
         gate.admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate, 100 * MILLISECOND)
+        set_hold_time(gate, 100 * MILLISECOND)
         # its aim counts from a try 800 ms ago: after 100 ms it can't be met any more
         old = (await world.caller(host)).ask(b"/low/old", due_ms=1200)
         await sleep_us(120 * MILLISECOND)
         assert gate.admission.queue("desk").waiting == {6: 0, 7: 1}
         new = (await world.caller(host)).ask(b"/low/new", due_ms=2000)
-        await all_done([first, old, new])
+        await wait_until_done([first, old, new])
         assert [made.status for made in (old, new)] == [200, 200]
         order = [ran.target for ran in world.ends[host].journal]
         assert order == [b"/longlow/x", b"/low/new", b"/low/old"]
 
-    gated(scenario, application=("desk",), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
+    gated(scenario, application=("desk",), items=default_items(LOW, LONG_LOW), endpoint=ONE_SLOT)
 
 
 def test_a_peer_gets_the_target_and_orders_by_it():
     async def scenario(world):
         guest, there = list(world.application)
-        gate_of(world, guest).admission.time_spent_us("low", 2 * SECOND)
+        gateway_of(world, guest).admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(there)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate_of(world, there), 20 * MILLISECOND)
+        set_hold_time(gateway_of(world, there), 20 * MILLISECOND)
         calls = [(await world.caller(guest)).ask(b"/low/again", due_ms=900)]
         await sleep_us(20 * MILLISECOND)
         calls.append((await world.caller(guest)).ask(b"/low/fresh", due_ms=2000))
-        await all_done([first, *calls])
+        await wait_until_done([first, *calls])
         assert [made.status for made in calls] == [200, 200]
         order = [ran.target for ran in world.ends[there].journal]
         assert order == [b"/longlow/x", b"/low/fresh", b"/low/again"]
 
-    gated(scenario, application=("", "desk"), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
+    gated(scenario, application=("", "desk"), items=default_items(LOW, LONG_LOW), endpoint=ONE_SLOT)
 
 
 def test_a_slot_in_use_without_an_answer_counts_for_the_hold_time():
     async def scenario(world):
         host = list(world.application)[0]
-        gate, end = gate_of(world, host), world.ends[host]
-        await asked(world, host)
+        gate, end = gateway_of(world, host), world.ends[host]
+        await send_call(world, host)
         assert gate.slowness.hold_us("desk") < 50 * MILLISECOND
         end.faults["*"] = ["silence"] * 30
         for _ in range(30):
-            made = await asked(world, host, due_ms=300)
+            made = await send_call(world, host, due_ms=300)
             assert made.status == 504
         assert gate.slowness.hold_us("desk") > 200 * MILLISECOND
         # so nobody is let in to wait for such a slot who would be late
         end.faults["*"] = ["silence"]
         held = (await world.caller(host)).ask(due_ms=300)
         await sleep_us(10 * MILLISECOND)
-        made = await asked(world, host, due_ms=300)
+        made = await send_call(world, host, due_ms=300)
         assert made.status == 503 and made.took < 20 * MILLISECOND
-        await all_done([held])
+        await wait_until_done([held])
 
     gated(scenario, application=("desk",), endpoint={"slots": 1, "work_us": 10 * MILLISECOND})
 
@@ -354,7 +354,7 @@
 def test_the_gate_checks_its_slots_while_it_runs():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
+        gate = gateway_of(world, host)
         gate.admission.started(call(), monotonic_us())  # a slot that nobody holds
         await sleep_us(300 * MILLISECOND)
         assert gate.dispatcher.invariants.violations[SLOTS_DIFFER] >= 1
@@ -362,7 +362,7 @@
         gate.admission.freed(call(), monotonic_us())
         world.trace.lines.clear()
 
-    gated(scenario, application=("desk",), items=items(HIGH))
+    gated(scenario, application=("desk",), items=default_items(HIGH))
 
 
 def figures(in_time, late):
@@ -388,17 +388,17 @@
 def test_what_was_admitted_and_missed_its_target_is_counted():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
+        gate = gateway_of(world, host)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate, 100 * MILLISECOND)  # in truth the slot is held for 300 ms
+        set_hold_time(gate, 100 * MILLISECOND)  # in truth the slot is held for 300 ms
         gate.dispatcher.figures.services.clear()
         gate.dispatcher.figures.since = monotonic_us()
         calls = [(await world.caller(host)).ask(b"/low/x"), (await world.caller(host)).ask(b"/p/y")]
-        await all_done([first, *calls])
+        await wait_until_done([first, *calls])
         ranks = gate.dispatcher.figures.services["desk"]
         assert [calls[0].status, calls[1].status] == [200, 200]
         assert (ranks[3].admitted_in_time, ranks[3].admitted_late) == (1, 0)
         assert ranks[0].started == 1 and ranks[0].admitted_in_time == 1
 
-    gated(scenario, application=("desk",), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
+    gated(scenario, application=("desk",), items=default_items(LOW, LONG_LOW), endpoint=ONE_SLOT)
--- a/tests/forwarding/test_endpoint_faults.py
+++ b/tests/forwarding/test_endpoint_faults.py
@@ -3,9 +3,17 @@
 from __future__ import annotations
 
 import pytest
-from gates import SEEDS, all_done, asked, gate_of, gated, items, listed
+from gates import (
+    SEEDS,
+    default_items,
+    gated,
+    gateway_of,
+    send_call,
+    wait_until_done,
+    wait_until_listed,
+)
 from item_builders import route
-from retry_counts import TRIES, budgeted, hosts
+from retry_budgets import RETRY_BUDGET, hosts, wait_for_retry_reserve
 
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator.standin import FAULTS
@@ -21,17 +29,19 @@
 @pytest.mark.parametrize("spilled", (False, True))
 def test_each_fault_of_an_endpoint(fault, spilled):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         ends = list(world.ends.values())
         host = hosts(world)[-1] if spilled else hosts(world)[0]
         for target in (b"/p/x", b"/once/x"):
             await sleep_us(SECOND)  # who was taken for another has beaten again, and is listed
-            await listed(world)
+            await wait_until_listed(world)
             for end in ends:  # whichever it comes to first
                 end.faults.clear()
             id = world.request_audit.new_id()
             fault_once(ends, id, fault)
-            exchange = await asked(world, host, target=target, method=b"POST", id=id, due_ms=1500)
+            exchange = await send_call(
+                world, host, target=target, method=b"POST", id=id, due_ms=1500
+            )
             ran = len(world.request_audit.runs(id))
             again = target == b"/p/x"
             if fault in WHOLE:
@@ -49,13 +59,13 @@
             caller = await world.caller(host)
             if fault.startswith("twice"):
                 next_one = caller.ask(b"/once/next")
-                await all_done([next_one])
+                await wait_until_done([next_one])
                 assert next_one.status == 200
             after = [caller.ask(b"/p/%d" % n) for n in range(6)]
-            await all_done(after)
+            await wait_until_done(after)
             assert {m.status for m in after} == {200}
 
-    gated(scenario, application=("desk", "desk", ""), tries=TRIES)
+    gated(scenario, application=("desk", "desk", ""), tries=RETRY_BUDGET)
 
 
 def fault_once(ends, id, fault):
@@ -71,7 +81,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_all_faults_at_random_over_all_gates(seed):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         rng = world.rng
         kinds = [*FAULTS, *([None] * 30)]
         kinds.remove("silence")
@@ -98,7 +108,7 @@
                 if rng.random() < 0.1:
                     await sleep_us(rng.randrange(20) * MILLISECOND)
                     caller.hang_up()
-                await all_done(batch)
+                await wait_until_done(batch)
 
         import trio
 
@@ -114,11 +124,11 @@
         assert {504, 502} & set(told)
         assert all(exchange.took < 1200 * MILLISECOND for exchange in calls)
         for host in hosts(world):  # nothing went round and round
-            counts = gate_of(world, host).counts
+            counts = gateway_of(world, host).counts
             assert sum(n for name, n in counts.items() if name.startswith("rule.")) < 4000
         assert all(world.request_audit.arrivals(exchange.id) <= 2 for exchange in calls)
 
-    gated(scenario, seed, application=("desk", "desk", "paper", "paper", ""), tries=TRIES)
+    gated(scenario, seed, application=("desk", "desk", "paper", "paper", ""), tries=RETRY_BUDGET)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -145,19 +155,19 @@
         # nobody has told the gate yet, and it beats nowhere
         taken = await world.stand_in(first, "paper", sends_heartbeats=False)
         for target in (b"/p/x", b"/once/x"):
-            exchange = await asked(world, first, target=target)
+            exchange = await send_call(world, first, target=target)
             assert exchange.status == 200
             assert [r.service for r in world.request_audit.runs(exchange.id)] == ["desk"]
         assert not taken.journal and taken.turned
 
-    gated(scenario, seed, application=("desk", "desk"), tries=TRIES)
+    gated(scenario, seed, application=("desk", "desk"), tries=RETRY_BUDGET)
 
 
 def test_an_endpoint_that_was_silent_and_beats_again_is_used_again():
     async def scenario(world):
         host = hosts(world)[0]
         end = world.ends[host]
-        assert (await asked(world, host)).status == 200
+        assert (await send_call(world, host)).status == 200
         long = (await world.caller(host)).ask(b"/long/x", due_ms=10_000)
         await sleep_us(100 * MILLISECOND)
         end.process.freeze()
@@ -165,35 +175,35 @@
         end.process.wake()
         await world.eventually(lambda: world.daemon("mdproxy", host).endpoints.by_address)
         for _ in range(3):
-            assert (await asked(world, host)).status == 200
+            assert (await send_call(world, host)).status == 200
         await long.done.wait()
         assert long.status == 200
 
     long = route("long", prefix="/long/", timeout_us=10 * SECOND)
     work = {"work_us": lambda job: (5000 if job.target == b"/long/x" else 10) * MILLISECOND}
-    gated(scenario, application=("desk",), items=items(long), endpoint=work)
+    gated(scenario, application=("desk",), items=default_items(long), endpoint=work)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_an_endpoint_that_crashes_mid_run(seed):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         first, second = hosts(world)
         callers = [await world.caller(first) for _ in range(2)]
         again, once = callers[0].ask(b"/p/x"), callers[1].ask(b"/once/x")
         await sleep_us(50 * MILLISECOND)
         world.processes.pop(f"endpoint@{first}:8000").kill()
-        await all_done([again, once])
+        await wait_until_done([again, once])
         assert (again.status, once.status) == (200, 502)
         # nobody listens there: not sent, so it goes elsewhere even if it must run once only
         for _ in range(3):
-            assert (await asked(world, first, target=b"/once/x")).status == 200
+            assert (await send_call(world, first, target=b"/once/x")).status == 200
 
     gated(
         scenario,
         seed,
         application=("desk", "desk"),
-        tries=TRIES,
+        tries=RETRY_BUDGET,
         endpoint={"work_us": 300 * MILLISECOND},
     )
 
@@ -204,16 +214,16 @@
         host = hosts(world)[0]
         end = world.ends[host]
         end.work_us = 3 * SECOND
-        exchange = await asked(world, host, due_ms=300)
+        exchange = await send_call(world, host, due_ms=300)
         assert exchange.status == 504 and 290 * MILLISECOND < exchange.took < 330 * MILLISECOND
         left = int(dict(world.request_audit.runs(exchange.id)[0].lines)[b"md-due"])
         assert 290 <= left <= 300
-        exchange = await asked(world, host, target=b"/short/x", due_ms=5000)
+        exchange = await send_call(world, host, target=b"/short/x", due_ms=5000)
         assert exchange.status == 504 and exchange.took < 430 * MILLISECOND
         assert not end.overdue
 
     short = route("short", prefix="/short/", timeout_us=400 * MILLISECOND)
-    gated(scenario, seed, application=("desk",), items=items(short))
+    gated(scenario, seed, application=("desk",), items=default_items(short))
 
 
 # ---------------------------------------------------------------- neighbours
@@ -259,7 +269,7 @@
     """What may be repeated goes on elsewhere within a second, the rest is told that nobody knows."""
 
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         local, bad, good = hosts(world)
         callers = [await world.caller(local) for _ in range(8)]
         calls = [
@@ -275,7 +285,7 @@
         for n in range(20):
             later.append((await world.caller(local)).ask(b"/p/l%d" % n, due_ms=4000))
             await sleep_us(100 * MILLISECOND)
-        await all_done([*calls, *later])
+        await wait_until_done([*calls, *later])
         for exchange in [*calls, *later]:
             if exchange.id in there and exchange.target.startswith(b"/once/"):
                 # who is only deaf still says its answer
@@ -292,7 +302,7 @@
         await sleep_us(6 * SECOND)
         if trouble is not killed:  # it is used again
             before = len(world.ends[bad].journal)
-            after = [await asked(world, local) for _ in range(6)]
+            after = [await send_call(world, local) for _ in range(6)]
             assert {exchange.status for exchange in after} == {200}
             assert len(world.ends[bad].journal) > before
 
@@ -300,7 +310,7 @@
         scenario,
         seed,
         application=("", "desk", "desk"),
-        tries=TRIES,
+        tries=RETRY_BUDGET,
         endpoint={"work_us": 300 * MILLISECOND, "slots": 20},
     )
 
@@ -329,7 +339,7 @@
         cut(world, bad)
         callers = [await world.caller(local) for _ in range(6)]
         calls = [c.ask(b"/once/%d" % n) for n, c in enumerate(callers)]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200}
         assert all(exchange.took < SECOND for exchange in calls)
         world.web.heal()
@@ -343,7 +353,7 @@
 
     async def scenario(world):
         local, good = hosts(world)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         nodes = [NodeLoad(f"10.9.{n // 100}.{n % 100}:7401", 0.1, "i", False) for n in range(600)]
         real = gate.loads.nodes["desk"]
         gate.update_loads(
@@ -353,7 +363,7 @@
         gate.peers.quiet_until = {
             gate.peers.link_address(n.address): monotonic_us() + SECOND for n in nodes
         }
-        exchange = await asked(world, local)
+        exchange = await send_call(world, local)
         assert exchange.status == 200
 
     gated(scenario, application=("", "desk"))
@@ -365,7 +375,7 @@
         local = hosts(world)[0]
         for end in world.ends.values():
             end.fault_of = lambda id: "full"
-        calls = [await asked(world, local) for _ in range(20)]
+        calls = [await send_call(world, local) for _ in range(20)]
         assert {exchange.status for exchange in calls} == {503}
         again = sum(world.request_audit.arrivals(exchange.id) - 1 for exchange in calls)
         assert again == 0  # a ratio of nothing, and no reserve before a window has passed
--- a/tests/forwarding/test_gateway.py
+++ b/tests/forwarding/test_gateway.py
@@ -3,7 +3,17 @@
 from __future__ import annotations
 
 import pytest
-from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items, listed
+from gates import (
+    LIMITS,
+    SEEDS,
+    default_items,
+    gated,
+    gateway_of,
+    send_call,
+    set_rho,
+    wait_until_done,
+    wait_until_listed,
+)
 from item_builders import route, service
 
 from meadowdock.load_sharing import NodeLoad
@@ -18,7 +28,7 @@
 def test_a_call_gets_the_complete_answer_of_the_local_endpoint(seed):
     async def scenario(world):
         host = hosts(world)[0]
-        exchange = await asked(
+        exchange = await send_call(
             world, host, target=b"/p/a%20b?x=1&y=%2F", method=b"POST", body=b"\x00b"
         )
         assert exchange.status == 200 and exchange.line(b"X-Kept") == b"as it was"
@@ -40,7 +50,7 @@
                 for chunks in (True, False)
             ]
             calls += [caller.ask(b"/p/..//x;y", b"PUT", body=b""), caller.ask(b"/p/", b"DELETE")]
-            await all_done(calls)
+            await wait_until_done(calls)
             assert [exchange.status for exchange in calls] == [200] * 4
 
     gated(scenario, seed)
@@ -66,13 +76,13 @@
             (b"none.example", b"/p/x", None),
         ]
         for name, target, ran_by in wanted:
-            exchange = await asked(world, host, host=name, target=target)
+            exchange = await send_call(world, host, host=name, target=target)
             assert [r.service for r in world.request_audit.runs(exchange.id)] == (
                 [ran_by] if ran_by else []
             )
             assert exchange.status == (200 if ran_by else 404)
 
-    gated(scenario, application=("desk", "paper"), items=items(*more))
+    gated(scenario, application=("desk", "paper"), items=default_items(*more))
 
 
 def test_a_split_goes_by_weight():
@@ -83,7 +93,7 @@
         host = hosts(world)[0]
         caller = await world.caller(host)
         calls = [caller.ask(b"/split/%d" % n) for n in range(40)]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200}
         ran = [r.service for r in world.request_audit.runs()]
         assert (ran.count("desk"), ran.count("paper")) == (30, 10)
@@ -94,7 +104,7 @@
     gated(
         scenario,
         application=("desk", "paper"),
-        items=items(split, service("desk2")),
+        items=default_items(split, service("desk2")),
         endpoint={"slots": 50},
     )
 
@@ -105,7 +115,7 @@
         lie = [(b"MD-Caller", b"paper"), (b"md-incarnation", b"x"), (b"md-not-run", b"1")]
         for host, name in ((first, b"desk"), (second, b"paper"), (nameless, b"guest")):
             for target in (b"/p/x", b"/paper/x"):  # one at home, one over a neighbour
-                exchange = await asked(world, host, target=target, lines=lie)
+                exchange = await send_call(world, host, target=target, lines=lie)
                 assert exchange.status == 200
                 (ran,) = world.request_audit.runs(exchange.id)
                 names = [n.lower() for n, _ in ran.lines]
@@ -122,7 +132,7 @@
         world.ends[host].work_us = lambda job: took[job.target]
         caller = await world.caller(host)
         calls = [caller.ask(b"/p/%d" % n) for n in range(3)]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert [exchange.status for exchange in calls] == [200] * 3
         begun = [ran.begun for ran in world.ends[host].journal]
         assert max(begun) - min(begun) < 10 * MILLISECOND
@@ -145,11 +155,11 @@
             return exchange
 
         world.ends[first].inner = inner
-        exchange = await asked(world, first)
+        exchange = await send_call(world, first)
         assert exchange.status == 200 and [c.status for c in inner_calls] == [200]
         assert len(world.request_audit.runs(inner_calls[0].id)) == 1
         world.ends[second].faults["*"] = ["close"] * 3
-        exchange = await asked(world, first)
+        exchange = await send_call(world, first)
         assert exchange.status == 500  # the endpoint's own, with its id
         assert exchange.line(b"md-call") == exchange.id
 
@@ -167,16 +177,16 @@
 async def batch(world, host, rho, rhos, count=6):
     """count calls at once at a gate whose home has occupation rho and whose list says rhos; gives
     who ran them, in order."""
-    gate = gate_of(world, host)
+    gate = gateway_of(world, host)
     if rho is not None:
-        busy(world, host, rho)
+        set_rho(world, host, rho)
     gate.update_loads(
         type(gate.loads.latest)(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()),
         {"desk": nodes_of(world, rhos)},
     )
     caller = await world.caller(host)
     calls = [caller.ask(b"/p/%d" % n) for n in range(count)]
-    await all_done(calls)
+    await wait_until_done(calls)
     assert {exchange.status for exchange in calls} == {200}
     ran = {r.id: r.instance for r in world.request_audit.runs()}
     host_of = {e.instance: h for h, e in world.ends.items()}
@@ -187,7 +197,7 @@
 def test_calls_stay_local_below_omega_and_offloading_relocates_round_robin(seed):
     async def scenario(world):
         local, b, c, d = hosts(world)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         for host in hosts(world):  # no news but the test's own
             world.daemon("mdproxy", host).endpoints.measure_load = lambda at, share: {}
         world.daemon("mdproxy", local).use_load_list = lambda load_list, nodes: None
@@ -224,12 +234,12 @@
         host = hosts(world)[0]
         caller = await world.caller(host)
         # how long a call holds a slot is known by then
-        await all_done([caller.ask(b"/once/first", b"POST", due_ms=1000)])
+        await wait_until_done([caller.ask(b"/once/first", b"POST", due_ms=1000)])
         callers = [await world.caller(host) for _ in range(12)]
         calls = [
             caller.ask(b"/once/%d" % n, b"POST", due_ms=1000) for n, caller in enumerate(callers)
         ]
-        await all_done(calls)
+        await wait_until_done(calls)
         answers = [exchange.status for exchange in calls]
         assert answers.count(200) == 4 and answers.count(503) == 8
         assert all(
@@ -260,7 +270,7 @@
         for target, caller in zip(targets, callers[1:], strict=True):
             later.append(caller.ask(target))
             await sleep_us(5 * MILLISECOND)
-        await all_done([first, *later])
+        await wait_until_done([first, *later])
         assert {exchange.status for exchange in [first, *later]} == {200}
         order = [ran.target for ran in world.ends[host].journal]
         assert order == [b"/p/0", b"/p/1", b"/p/2", b"/low/0", b"/low/1"]
@@ -271,7 +281,7 @@
         scenario,
         seed,
         application=("desk",),
-        items=items(ranked),
+        items=default_items(ranked),
         endpoint={"slots": 1, "work_us": 100 * MILLISECOND},
     )
 
@@ -286,7 +296,7 @@
         second, last = waiting.ask(b"/once/x"), third.ask()
         await sleep_us(20 * MILLISECOND)
         waiting.hang_up()
-        await all_done([first, last])
+        await wait_until_done([first, last])
         assert (first.status, last.status) == (200, 200)
         assert not world.request_audit.runs(second.id)
 
@@ -327,7 +337,7 @@
         world.heartbeat(local, ends[local], 1000)
         told_at = monotonic_us()
         calls += [c.ask(b"/p/late%d" % n) for n, c in enumerate(callers)]
-        await all_done(calls)
+        await wait_until_done(calls)
         # what was on its way for a moment may still come
         assert [id for at, id in ends[local].came_at if at > told_at + 20 * MILLISECOND] == []
         assert {exchange.status for exchange in calls} <= {200, 503}
@@ -347,7 +357,7 @@
         world.web.slow[local] = (20 * MILLISECOND, 21 * MILLISECOND)
         exchange = (await world.caller(local)).ask(b"/once/x")
         await sleep_us(70 * MILLISECOND)
-        assert gate_of(world, local).dispatcher.calls and not world.ends[local].came_at
+        assert gateway_of(world, local).dispatcher.calls and not world.ends[local].came_at
         world.ends[local].draining = True
         world.heartbeat(local, world.ends[local], 1000)
         await exchange.done.wait()
@@ -359,7 +369,7 @@
 def test_a_waiting_call_goes_to_a_peer_as_soon_as_one_is_known():
     async def scenario(world):
         local, other = hosts(world)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         known = dict(gate.loads.nodes)
         gate.update_loads(gate.loads.latest, {})
         first, second = [(await world.caller(local)).ask(b"/p/%d" % n) for n in range(2)]
@@ -368,7 +378,7 @@
         gate.update_loads(gate.loads.latest, known)
         gate.reactor.end_turn()
         at = monotonic_us()
-        await all_done([first, second])
+        await wait_until_done([first, second])
         (ran,) = world.ends[other].journal
         assert (first.status, second.status) == (200, 200) and ran.begun - at < 20 * MILLISECOND
 
@@ -386,7 +396,7 @@
         exchange = (await world.caller(local)).ask(
             b"/p/x", b"PUT", body=bytes(33 << 20), due_ms=10_000
         )
-        await all_done([beside, exchange])
+        await wait_until_done([beside, exchange])
         assert (beside.status, exchange.status) == (200, 503)
 
     routes = [
@@ -517,8 +527,8 @@
         host = hosts(world)[0]
         await world.set_items([route("new", 2, ("paper",), prefix="/new/"), dropped_p()])
         await sleep_us(2 * SECOND)
-        assert (await asked(world, host, target=b"/new/x")).status == 200
-        assert (await asked(world, host, target=b"/p/x")).status == 404
+        assert (await send_call(world, host, target=b"/new/x")).status == 200
+        assert (await send_call(world, host, target=b"/p/x")).status == 404
 
     gated(scenario, seed, application=("desk", "paper"))
 
@@ -527,4 +537,4 @@
     return {**route("p", 2, prefix="/p/"), "spec": None}
 
 
-__all__ = ["listed"]
+__all__ = ["wait_until_listed"]
--- a/tests/forwarding/test_gateway_http.py
+++ b/tests/forwarding/test_gateway_http.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from gates import SEEDS, all_done, asked, gate_of, gated
-from raw_bytes import hosts, raw
+from gates import SEEDS, gated, gateway_of, send_call, wait_until_done
+from raw_bytes import hosts, send_raw_bytes
 
 from meadowdock.configuration.items import DEFAULT_LIMITS
 from meadowdock.forwarding.http import RequestParser, ResponseParser
@@ -40,7 +40,7 @@
 def test_a_request_with_two_readings_is_nobodys(name):
     async def scenario(world):
         data = SMUGGLED[name] % HEAD
-        status, closed, _ = await raw(world, data)
+        status, closed, _ = await send_raw_bytes(world, data)
         assert (status, closed) == (400, True)
         assert not world.request_audit.runs()
 
@@ -59,7 +59,7 @@
             (b"Proxy-Authorization", b"x"),
             (b"Accept-Encoding", b"identity"),
         ]
-        exchange = await asked(world, hosts(world)[0], lines=lines)
+        exchange = await send_call(world, hosts(world)[0], lines=lines)
         (ran,) = world.request_audit.runs(exchange.id)
         passed = [(n, v) for n, v in ran.lines if n.lower().startswith((b"x-", b"accept"))]
         assert passed == [
@@ -102,7 +102,7 @@
     async def scenario(world):
         caller = await world.caller(hosts(world)[0])
         calls = [caller.ask(method=m) for m in (b"HEAD", b"GET", b"HEAD", b"GET")]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert [exchange.status for exchange in calls] == [200] * 4
         assert [bool(exchange.answer) for exchange in calls] == [False, True, False, True]
 
@@ -116,12 +116,12 @@
         big = [(b"X-Big", b"x" * 5000)]
         many = [(b"X-%d" % n, b"x" * 50) for n in range(100)]
         for lines in (big, many):
-            exchange = await asked(world, hosts(world)[0], lines=lines)
+            exchange = await send_call(world, hosts(world)[0], lines=lines)
             assert exchange.status == 431
-        exchange = await asked(world, hosts(world)[0], target=b"/p/" + b"x" * 5000)
+        exchange = await send_call(world, hosts(world)[0], target=b"/p/" + b"x" * 5000)
         assert exchange.status == 431
         for in_chunks in (False, True):
-            exchange = await asked(
+            exchange = await send_call(
                 world,
                 hosts(world)[0],
                 body=b"x" * ((1 << 20) + 1),
@@ -130,12 +130,12 @@
             )
             assert exchange.status == 413
         assert not world.request_audit.runs()
-        exchange = await asked(
+        exchange = await send_call(
             world, hosts(world)[0], body=b"x" * (1 << 20), method=b"PUT", due_ms=30_000
         )
         assert exchange.status == 200
         # a line without an end
-        status, closed, _ = await raw(
+        status, closed, _ = await send_raw_bytes(
             world, b"GET /p/x HTTP/1.1\r\nX-A: 1\r\nX-B: " + b"y" * 600_000
         )
         assert (status, closed) == (431, True)
@@ -151,7 +151,7 @@
         caller.wire.send(first.data + second.data[:10])
         await sleep_us(50 * MILLISECOND)
         caller.wire.send(second.data[10:])
-        await all_done([first, second])
+        await wait_until_done([first, second])
         assert (first.status, second.status) == (200, 200)
 
     gated(scenario, application=("desk",))
@@ -160,7 +160,7 @@
 def test_a_head_that_takes_too_long_is_answered_so_and_an_idle_connection_is_closed():
     async def scenario(world):
         begun = monotonic_us()
-        status, closed, _ = await raw(world, b"GET /p/x HTTP/1.1\r\nHost: h", 4 * SECOND)
+        status, closed, _ = await send_raw_bytes(world, b"GET /p/x HTTP/1.1\r\nHost: h", 4 * SECOND)
         assert (status, closed) == (408, True)
         caller = await world.caller(hosts(world)[0])
         exchange = caller.ask()
@@ -210,7 +210,7 @@
         caller.wire.send(whole.data + plain.data[:20])
         await sleep_us(200 * MILLISECOND)
         caller.wire.send(plain.data[20:])
-        await all_done([whole, plain])
+        await wait_until_done([whole, plain])
         assert [m.status for m in (first, exchange, whole, plain)] == [200] * 4
         assert caller.continues == 1
         (ran,) = world.request_audit.runs(exchange.id)
@@ -226,7 +226,7 @@
         world.ends[host].size = 30_000
         caller = await world.caller(host)
         caller.wire.pause()
-        gate = gate_of(world, host)
+        gate = gateway_of(world, host)
         calls, most = [], 0
         for n in range(400):
             calls.append(caller.ask(b"/p/%d" % n, due_ms=60_000))
@@ -253,7 +253,7 @@
         calls = [caller.ask(b"/p/%d" % n, due_ms=60_000) for n in range(100)]
         await sleep_us(3 * SECOND)
         caller.wire.resume()
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} <= {200, 503}
         assert [exchange.status for exchange in calls].count(200) > 8
 
@@ -269,7 +269,7 @@
         ):
             exchange = (await world.caller(hosts(world)[0])).ask(send=False)
             behind = b"GET /p/behind HTTP/1.1\r\nHost: h.example\r\nmd-call: never\r\n\r\n"
-            status, closed, text = await raw(world, first % exchange.id + behind)
+            status, closed, text = await send_raw_bytes(world, first % exchange.id + behind)
             assert (status, closed) == (200, True) and text.count(b"HTTP/1.1 ") == 1
             assert b"Connection: close" in text
 
--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -4,8 +4,25 @@
 
 import pytest
 import trio
-from gate_beliefs import HIGH, LONG, LOW, believe_hold, hold, hosts, works
-from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items
+from gates import (
+    LIMITS,
+    SEEDS,
+    default_items,
+    gated,
+    gateway_of,
+    send_call,
+    set_rho,
+    wait_until_done,
+)
+from gateway_estimates import (
+    HIGH,
+    LONG,
+    LOW,
+    hosts,
+    set_hold_time,
+    suppress_load_reports,
+    work_us_by_path,
+)
 from item_builders import route, service
 
 from meadowdock.forwarding.arrivals import EARLY
@@ -27,7 +44,7 @@
 
 def tell(world, host, rhos):
     """The gate's newest list of desk: {host: rho}."""
-    gate = gate_of(world, host)
+    gate = gateway_of(world, host)
     told = tuple(line_of(world, other, rho) for other, rho in rhos.items())
     gate.update_loads(
         LoadList(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()), {"desk": told}
@@ -37,7 +54,7 @@
 
 def between(world, host):
     """An occupation that is neither accepting nor offloading."""
-    thresholds = gate_of(world, host).dispatcher.thresholds
+    thresholds = gateway_of(world, host).dispatcher.thresholds
     return (thresholds.phi + thresholds.omega) / 2
 
 
@@ -49,7 +66,7 @@
 
 async def batch(world, host, count):
     """Who ran each of so many calls, one after the other."""
-    calls = [await asked(world, host) for _ in range(count)]
+    calls = [await send_call(world, host) for _ in range(count)]
     assert {exchange.status for exchange in calls} == {200}
     return [ran_at(world, exchange)[0] for exchange in calls]
 
@@ -68,11 +85,11 @@
 def test_a_call_without_a_local_endpoint_goes_round_the_accepting_nodes_of_its_zone(seed):
     async def scenario(world):
         guest, *ends = hosts(world)
-        told = gate_of(world, guest).loads.nodes["desk"]
+        told = gateway_of(world, guest).loads.nodes["desk"]
         assert {n.address: n.zone for n in told} == {address_of(h): world.zones[h] for h in ends}
         near = [h for h in ends if world.zones[h] == world.zones[guest]]
         assert len(near) == 2 < len(ends)
-        hold(world)
+        suppress_load_reports(world)
         tell(world, guest, dict.fromkeys(ends, 0.1))
         ran = await batch(world, guest, 6)
         assert set(ran[:2]) == set(near) and ran[:2] == ran[2:4] == ran[4:]
@@ -92,8 +109,8 @@
     async def scenario(world):
         local, *others = hosts(world)
         assert len({world.zones[h] for h in others}) == 3
-        hold(world)
-        busy(world, local, gate_of(world, local).dispatcher.thresholds.omega)
+        suppress_load_reports(world)
+        set_rho(world, local, gateway_of(world, local).dispatcher.thresholds.omega)
         tell(world, local, dict.fromkeys(others, 0.1))
         ran = await batch(world, local, 2 * len(others))
         assert set(ran[: len(others)]) == set(others)
@@ -109,13 +126,13 @@
 def test_a_full_endpoint_with_nobody_accepting_gives_a_call_to_a_peer_with_a_free_slot(seed):
     async def scenario(world):
         local, other = hosts(world)
-        hold(world)
+        suppress_load_reports(world)
         occupying = await occupied(world, local, 30 * MILLISECOND)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         for rho in (between(world, local), (1 + gate.dispatcher.thresholds.omega) / 2):
             tell(world, local, {other: rho})
             at = monotonic_us()
-            exchange = await asked(world, local, target=b"/once/x")
+            exchange = await send_call(world, local, target=b"/once/x")
             assert exchange.status == 200 and ran_at(world, exchange) == [other]
             assert world.request_audit.runs(exchange.id)[0].begun - at < 20 * MILLISECOND
         assert gate.counts["rule.full-any-room"] == 2 and "desk" not in gate.admission.queues
@@ -124,15 +141,15 @@
         exchange = (await world.caller(local)).ask(b"/once/y")
         await sleep_us(30 * MILLISECOND)
         assert len(gate.admission.queues["desk"]) == 1 and not ran_at(world, exchange)
-        await all_done([exchange, *occupying])
+        await wait_until_done([exchange, *occupying])
         assert exchange.status == 200 and ran_at(world, exchange) == [local]
 
     gated(
         scenario,
         seed,
         application=("desk", "desk"),
-        items=items(LONG),
-        endpoint={"slots": 1, "work_us": works(long=1000)},
+        items=default_items(LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=1000)},
     )
 
 
@@ -140,22 +157,22 @@
 def test_a_peer_below_1_without_a_free_slot_rejects_and_the_call_waits_at_its_node(seed):
     async def scenario(world):
         local, other = hosts(world)
-        hold(world)
+        suppress_load_reports(world)
         occupying = [await occupied(world, host, 10 * MILLISECOND) for host in (local, other)]
         tell(world, local, {other: between(world, local)})
         exchange = (await world.caller(local)).ask(b"/once/y")
         await sleep_us(30 * MILLISECOND)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         assert gate.counts["spill.refused.busy"] == 1 and len(gate.admission.queues["desk"]) == 1
-        await all_done([exchange, *occupying[0], *occupying[1]])
+        await wait_until_done([exchange, *occupying[0], *occupying[1]])
         assert exchange.status == 200 and ran_at(world, exchange) == [local]
 
     gated(
         scenario,
         seed,
         application=("desk", "desk"),
-        items=items(LONG),
-        endpoint={"slots": 1, "work_us": works(long=500)},
+        items=default_items(LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=500)},
     )
 
 
@@ -169,10 +186,10 @@
 def test_the_index_grows_with_the_square_of_the_slowness_up_to_four(own, fleet, index):
     async def scenario(world):
         host = hosts(world)[0]
-        hold(world)
-        gate = gate_of(world, host)
+        suppress_load_reports(world)
+        gate = gateway_of(world, host)
         assert gate.slowness.factor("paper", monotonic_us()) == 1.0  # nobody knows anything
-        believe_hold(gate, own * MILLISECOND)
+        set_hold_time(gate, own * MILLISECOND)
         gate.slowness.fleet_hold_us["desk"] = fleet * MILLISECOND
         assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(index)
         world.ends[host].left = True  # no beats but the test's own
@@ -205,7 +222,7 @@
         async def rounds(count):
             for _ in range(count):
                 for host in hosts(world):
-                    await asked(world, host)
+                    await send_call(world, host)
 
         async def kept(host):
             ran = await batch(world, host, 4)
@@ -220,7 +237,7 @@
         await rounds(30)
         told[0] = 0.5
         await sleep_us(SECOND)
-        rho_of = {n.address: n.rho for n in gate_of(world, others[0]).loads.nodes["desk"]}
+        rho_of = {n.address: n.rho for n in gateway_of(world, others[0]).loads.nodes["desk"]}
         assert rho_of[address_of(slow)] > 0.8
         assert all(rho_of[address_of(h)] == pytest.approx(0.5) for h in others)
         assert [await kept(host) for host in hosts(world)] == [0, 4, 4]
@@ -278,9 +295,9 @@
         for target, caller in zip((b"/low/0", b"/low/1", b"/p/1", b"/p/2"), callers, strict=True):
             calls.append(caller.ask(target))
             await sleep_us(8 * MILLISECOND)
-        assert len(gate_of(world, there).admission.queues["desk"]) == 4
-        assert not gate_of(world, guest).admission.queues.get("desk")
-        await all_done(calls)
+        assert len(gateway_of(world, there).admission.queues["desk"]) == 4
+        assert not gateway_of(world, guest).admission.queues.get("desk")
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200}
         order = [ran.target for ran in world.ends[there].journal]
         assert order == [b"/p/0", b"/p/1", b"/p/2", b"/low/0", b"/low/1"]
@@ -289,7 +306,7 @@
         scenario,
         seed,
         application=("", "desk"),
-        items=items(route("low", prefix="/low/", priority=3)),
+        items=default_items(route("low", prefix="/low/", priority=3)),
         endpoint={"slots": 1, "work_us": 100 * MILLISECOND},
     )
 
@@ -304,11 +321,11 @@
 
     async def scenario(world):
         guest, there = hosts(world)
-        gate = gate_of(world, there)
+        gate = gateway_of(world, there)
         for target, wanted in ((b"/low/x", low), (b"/high/x", high)):
             occupying = await occupied(world, there, 50 * MILLISECOND)
-            believe_hold(gate, mean_ms * MILLISECOND)
-            exchange = await asked(world, guest if away else there, target=target)
+            set_hold_time(gate, mean_ms * MILLISECOND)
+            exchange = await send_call(world, guest if away else there, target=target)
             assert exchange.status == wanted
             if wanted == 503:
                 assert not ran_at(world, exchange)
@@ -316,16 +333,16 @@
                 assert exchange.took < (
                     EARLY * SECOND + 10 * MILLISECOND if away else 20 * MILLISECOND
                 )
-                assert not away or gate_of(world, guest).counts["spill.refused.busy"] >= 1
+                assert not away or gateway_of(world, guest).counts["spill.refused.busy"] >= 1
                 again = float(exchange.line(b"Retry-After"))
                 assert again == pytest.approx(min(mean_ms / 1000, 0.44), abs=0.07)
-            await all_done(occupying)
+            await wait_until_done(occupying)
 
     gated(
         scenario,
         application=("", "desk"),
-        items=items(LOW, HIGH, LONG),
-        endpoint={"slots": 1, "work_us": works(long=300)},
+        items=default_items(LOW, HIGH, LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=300)},
     )
 
 
@@ -334,8 +351,8 @@
     async def scenario(world):
         guest, there = hosts(world)
         occupying = await occupied(world, there, 50 * MILLISECOND)
-        gate = gate_of(world, there)
-        believe_hold(gate, 490 * MILLISECOND)
+        gate = gateway_of(world, there)
+        set_hold_time(gate, 490 * MILLISECOND)
         exchange = (await world.caller(guest if away else there)).ask(b"/high/x", due_ms=1000)
         await sleep_us(100 * MILLISECOND)
         assert len(gate.admission.queues["desk"]) == 1
@@ -343,13 +360,13 @@
         assert exchange.status == 503 and exchange.line(b"Retry-After")
         assert 460 * MILLISECOND < exchange.took < 520 * MILLISECOND
         assert not len(gate.admission.queues["desk"])
-        await all_done(occupying)
+        await wait_until_done(occupying)
 
     gated(
         scenario,
         application=("", "desk"),
-        items=items(LOW, HIGH, LONG),
-        endpoint={"slots": 1, "work_us": works(long=3000)},
+        items=default_items(LOW, HIGH, LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=3000)},
     )
 
 
@@ -360,9 +377,9 @@
         occupying = []
         for host in ends:
             occupying += await occupied(world, host, 10 * MILLISECOND)
-            believe_hold(gate_of(world, host), 1100 * MILLISECOND)
-        gate, sent = gate_of(world, guest), []
-        hold(world)  # a new list is a new turn
+            set_hold_time(gateway_of(world, host), 1100 * MILLISECOND)
+        gate, sent = gateway_of(world, guest), []
+        suppress_load_reports(world)  # a new list is a new turn
         tell(world, guest, dict.fromkeys(ends, 1.0))
         relocate = gate.dispatcher.peer_calls.relocate
 
@@ -371,19 +388,19 @@
             return relocate(call, node, may_queue)
 
         gate.dispatcher.peer_calls.relocate = noted
-        exchange = await asked(world, guest, target=b"/once/x")
+        exchange = await send_call(world, guest, target=b"/once/x")
         assert exchange.status == 503 and exchange.line(b"Retry-After")
         assert exchange.took < EARLY * 2 * SECOND + 20 * MILLISECOND
         waits = [address for address, may_wait in sent if may_wait]
         assert len(waits) == len(set(waits)) == 2 == len(sent)
-        await all_done(occupying)
+        await wait_until_done(occupying)
 
     gated(
         scenario,
         seed,
         application=("", *("desk",) * 5),
-        items=items(LONG),
-        endpoint={"slots": 1, "work_us": works(long=1000)},
+        items=default_items(LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=1000)},
     )
 
 
@@ -391,13 +408,13 @@
 def test_a_peers_queued_call_is_not_relocated_again_and_not_run_when_its_endpoint_leaves(seed):
     async def scenario(world):
         guest, full, free = hosts(world)
-        hold(world)
+        suppress_load_reports(world)
         occupying = await occupied(world, full, 50 * MILLISECOND)
         tell(world, guest, {full: 0.1})
         tell(world, full, {free: 1.0})
         exchange = (await world.caller(guest)).ask(b"/once/x")
         await sleep_us(50 * MILLISECOND)
-        there = gate_of(world, full)
+        there = gateway_of(world, full)
         assert len(there.admission.queues["desk"]) == 1
         tell(world, full, {free: 0.1})  # its own calls would go there
         await sleep_us(50 * MILLISECOND)
@@ -410,15 +427,15 @@
         assert exchange.status == 200 and ran_at(world, exchange) == [free]
         assert monotonic_us() - at < 50 * MILLISECOND
         assert "spilled" not in there.counts
-        assert gate_of(world, guest).counts["spill.refused.gone"] == 1
-        await all_done(occupying)
+        assert gateway_of(world, guest).counts["spill.refused.gone"] == 1
+        await wait_until_done(occupying)
 
     gated(
         scenario,
         seed,
         application=("", "desk", "desk"),
-        items=items(LONG),
-        endpoint={"slots": 1, "work_us": works(long=1500)},
+        items=default_items(LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=1500)},
     )
 
 
@@ -426,14 +443,14 @@
 def test_of_two_that_are_placed_anew_in_one_turn_one_may_make_room_for_the_other(seed):
     async def scenario(world):
         local, other = hosts(world)
-        hold(world)
+        suppress_load_reports(world)
         tell(world, local, {other: 1.0})
         occupying = await occupied(world, local, 50 * MILLISECOND)
         calls = []
         for n in range(2):
             calls.append((await world.caller(local)).ask(b"/once/%d" % n))
         await sleep_us(20 * MILLISECOND)
-        gate, book = gate_of(world, local), world.daemon("mdproxy", local).endpoints
+        gate, book = gateway_of(world, local), world.daemon("mdproxy", local).endpoints
         line, endpoint = gate.admission.queues["desk"], book.local_endpoint("desk")
         assert len(line) == 2
         place = gate.dispatcher.place
@@ -448,7 +465,7 @@
         tell(world, local, {other: 0.1})
         gate.dispatcher.place = place
         assert len(line) == 0 and endpoint.in_flight == 2
-        await all_done([*calls, *occupying])
+        await wait_until_done([*calls, *occupying])
         assert [exchange.status for exchange in calls] == [200, 200]
         assert [ran_at(world, exchange) for exchange in calls] == [[other], [local]]
         assert len(line) == 0 and endpoint.in_flight == 0
@@ -457,8 +474,8 @@
         scenario,
         seed,
         application=("desk", "desk"),
-        items=items(LONG),
-        endpoint={"slots": 1, "work_us": works(long=1000)},
+        items=default_items(LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=1000)},
     )
 
 
@@ -480,7 +497,7 @@
 
 BESIDE = {
     "application": ("desk",),
-    "items": [service("desk", health="/health"), *items()[1:]],
+    "items": [service("desk", health="/health"), *default_items()[1:]],
     "app": "10.0.1.1:8000",
     "beat_us": 2 * SECOND,
 }
@@ -505,16 +522,16 @@
         await world.eventually(lambda: daemon.endpoints.by_address, within=500 * MILLISECOND)
         endpoint = daemon.endpoints.by_address[end.address]
         assert (endpoint.incarnation, endpoint.capacity) == (end.instance.decode(), 4)
-        exchange = await asked(world, host, target=b"/once/x")
+        exchange = await send_call(world, host, target=b"/once/x")
         assert exchange.status == 200
-        pool = gate_of(world, host).dispatcher.local_calls.pools[id(endpoint)]
+        pool = gateway_of(world, host).dispatcher.local_calls.pools[id(endpoint)]
         await sleep_us(SECOND - (monotonic_us() - began))
         enrolled = len(world.trace.events(401))
         world.heartbeat(host, end, 1000, capacity=3)
         assert daemon.endpoints.by_address[end.address] is endpoint and endpoint.capacity == 3
         assert len(world.trace.events(401)) == enrolled
-        exchange = await asked(world, host, target=b"/once/y")
-        assert exchange.status == 200 and gate_of(world, host).dispatcher.local_calls.pools == {
+        exchange = await send_call(world, host, target=b"/once/y")
+        assert exchange.status == 200 and gateway_of(world, host).dispatcher.local_calls.pools == {
             id(endpoint): pool
         }
 
@@ -539,7 +556,7 @@
         await world.eventually(lambda: not daemon.unready_reasons())
         await sleep_us(SECOND)
         assert answers and not daemon.endpoints.by_address
-        exchange = await asked(world, host)
+        exchange = await send_call(world, host)
         assert exchange.status == 503 and not ran_at(world, exchange)
 
     gated(scenario, **BESIDE)
@@ -559,7 +576,7 @@
         await sleep_us(100 * MILLISECOND)
         began = monotonic_us()
         await world.start("mdproxy", guest)
-        forwarder, gate = world.daemon("mdproxy", guest).forwarder, gate_of(world, guest)
+        forwarder, gate = world.daemon("mdproxy", guest).forwarder, gateway_of(world, guest)
         wanted = {address_of(h) for h in ends}
         await world.eventually(
             lambda: {n.address for n in gate.loads.nodes.get("desk", ())} == wanted
@@ -605,7 +622,7 @@
     async def scenario(world):
         await sleep_us(2 * TRIES["window_us"])  # the reserve of second tries is there
         guest, bad, good = hosts(world)
-        gate, calls, over = gate_of(world, guest), [], trio.Event()
+        gate, calls, over = gateway_of(world, guest), [], trio.Event()
         link = gate.peers.link_address(address_of(bad))
         world.nursery.start_soon(steady, world, guest, calls, over)
         await sleep_us(300 * MILLISECOND)
@@ -635,7 +652,7 @@
         back = monotonic_us()
         await sleep_us(1500 * MILLISECOND)
         over.set()
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200}
         later = [exchange for exchange in calls if exchange.at > broke]
         assert len(later) > 150 and max(exchange.took for exchange in later) < 60 * MILLISECOND
@@ -667,7 +684,7 @@
         async def watch():
             while not ended.is_set():
                 listed = address_of(local) in {
-                    n.address for n in gate_of(world, guest).loads.nodes.get("desk", ())
+                    n.address for n in gateway_of(world, guest).loads.nodes.get("desk", ())
                 }
                 on_roster = address_of(local) in reg.proxies
                 seen.append((daemon.node.stopping, daemon.closing.is_set(), on_roster, listed))
@@ -683,7 +700,7 @@
 
         async def calls():
             for _ in range(10):
-                exchange.append(await asked(world, guest, target=b"/once/x"))
+                exchange.append(await send_call(world, guest, target=b"/once/x"))
                 await sleep_us(20 * MILLISECOND)
 
         world.nursery.start_soon(calls)
@@ -701,8 +718,8 @@
         scenario,
         seed,
         application=("", "desk"),
-        items=items(LONG),
-        endpoint={"slots": 4, "work_us": works(long=3000)},
+        items=default_items(LONG),
+        endpoint={"slots": 4, "work_us": work_us_by_path(long=3000)},
     )
 
 
@@ -790,6 +807,6 @@
     gated(
         scenario,
         application=("desk",),
-        items=[*(i for i in items(LONG) if i["kind"] != "limits"), patient],
-        endpoint={"work_us": works(long=16_000)},
+        items=[*(i for i in default_items(LONG) if i["kind"] != "limits"), patient],
+        endpoint={"work_us": work_us_by_path(long=16_000)},
     )
--- a/tests/forwarding/test_response_matching.py
+++ b/tests/forwarding/test_response_matching.py
@@ -5,9 +5,9 @@
 
 import pytest
 import trio
-from gates import SEEDS, all_done, asked, gate_of, gated
+from gates import SEEDS, gated, gateway_of, send_call, wait_until_done
 from item_builders import route
-from retry_counts import TRIES, budgeted, hosts
+from retry_budgets import RETRY_BUDGET, hosts, wait_for_retry_reserve
 
 from meadowdock.forwarding.peer_frames import CANCEL
 from meadowdock.rpc import ConnectionFailed, Rejected
@@ -24,7 +24,7 @@
 
 
 def link_of(world, local, peer):
-    gate = gate_of(world, local)
+    gate = gateway_of(world, local)
     return gate.peers.link(f"{peer}:{gate.peers.link_port}")
 
 
@@ -88,9 +88,9 @@
         await sleep_us(SECOND)
         assert (first.status, second.status) == (200, 502)
         assert world.request_audit.arrivals(second.id) == 1
-        assert (await asked(world, hosts(world)[0])).status == 200
+        assert (await send_call(world, hosts(world)[0])).status == 200
 
-    gated(scenario, application=("desk", "desk"), tries=TRIES)
+    gated(scenario, application=("desk", "desk"), tries=RETRY_BUDGET)
 
 
 def test_an_endpoint_that_turns_a_first_call_away_without_an_id_is_believed():
@@ -106,10 +106,10 @@
 
         end.turn_away = lambda job, status: (end.nursery.start_soon(away, job), job)[1]
         end.faults["*"] = ["full"]
-        exchange = await asked(world, first, target=b"/once/x", method=b"POST")
+        exchange = await send_call(world, first, target=b"/once/x", method=b"POST")
         assert exchange.status == 200 and world.request_audit.arrivals(exchange.id) == 2
 
-    gated(scenario, application=("desk", "desk"), tries=TRIES)
+    gated(scenario, application=("desk", "desk"), tries=RETRY_BUDGET)
 
 
 @pytest.mark.parametrize("own_last", (True, False))
@@ -123,7 +123,7 @@
             job.conn.say(data.replace(own, b"\r\n".join(both)))
 
         answering(end, answer)
-        exchange = await asked(world, hosts(world)[0], target=b"/once/x", method=b"POST")
+        exchange = await send_call(world, hosts(world)[0], target=b"/once/x", method=b"POST")
         assert exchange.status == 502
 
     gated(scenario, application=("desk",))
@@ -139,7 +139,7 @@
                 data.replace(line(ran), line(ran) + b"\r\n" + line(ran))
             ),
         )
-        assert (await asked(world, hosts(world)[0])).status == 200
+        assert (await send_call(world, hosts(world)[0])).status == 200
 
     gated(scenario, application=("desk",))
 
@@ -149,10 +149,10 @@
     """Whether the endpoint's kernel took all of it or its beginning, a reset leaves it unknown."""
 
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         first, second = hosts(world)
         end = world.ends[first]
-        assert (await asked(world, first)).status == 200  # a connection is there
+        assert (await send_call(world, first)).status == 200  # a connection is there
         end.process.freeze()
         caller = await world.caller(first)
         exchange = caller.ask(b"/once/x", b"POST", body=b"x" * size, due_ms=4000)
@@ -161,25 +161,25 @@
             if wire.here == wire.peer == first and wire.wires is end.wires:
                 wire.break_now()
                 wire.other.break_now()
-        await all_done([exchange])
+        await wait_until_done([exchange])
         end.process.wake()
         await sleep_us(SECOND)
         assert exchange.status == 502
         assert exchange.id not in [ran.id for ran in world.ends[second].journal]
 
-    gated(scenario, application=("desk", "desk"), tries=TRIES)
+    gated(scenario, application=("desk", "desk"), tries=RETRY_BUDGET)
 
 
 def test_after_a_run_that_may_have_been_a_rejection_is_no_promise():
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         left = ["reset"]
         for end in world.ends.values():
             end.fault_of = lambda id: left.pop() if left else "full"
-        exchange = await asked(world, hosts(world)[0])
+        exchange = await send_call(world, hosts(world)[0])
         assert exchange.status == 502 and len(world.request_audit.runs(exchange.id)) == 1
 
-    gated(scenario, application=("desk", "desk"), tries=TRIES)
+    gated(scenario, application=("desk", "desk"), tries=RETRY_BUDGET)
 
 
 # ---------------------------------------------------------------- gate to gate
@@ -192,7 +192,7 @@
     """Also not when that gate goes on and finds the call in its buffer."""
 
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         local, bad, good = hosts(world)
         await ready_link(world, local, bad)
         await ready_link(world, local, good)
@@ -200,7 +200,7 @@
         proxy.freeze()
         callers = [await world.caller(local) for _ in range(6)]
         calls = [c.ask(b"/once/%d" % n, b"POST", due_ms=due_ms) for n, c in enumerate(callers)]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200, 502}
         await sleep_us(still_ms * MILLISECOND)
         proxy.wake()
@@ -212,14 +212,16 @@
             for ran in world.request_audit.runs(exchange.id):
                 assert ran.begun <= exchange.at + due_ms * MILLISECOND
 
-    gated(scenario, seed, application=("", "desk", "desk"), tries=TRIES, endpoint={"slots": 20})
+    gated(
+        scenario, seed, application=("", "desk", "desk"), tries=RETRY_BUDGET, endpoint={"slots": 20}
+    )
 
 
 def test_a_call_given_up_before_its_link_was_ready_never_leaves():
     async def scenario(world):
         local, peer = hosts(world)
         world.web.slow[peer] = (140 * MILLISECOND, 150 * MILLISECOND)
-        exchange = await asked(world, local, target=b"/once/x", method=b"POST", due_ms=250)
+        exchange = await send_call(world, local, target=b"/once/x", method=b"POST", due_ms=250)
         assert exchange.status == 504
         await sleep_us(3 * SECOND)
         assert not world.request_audit.arrivals(exchange.id)
@@ -235,7 +237,7 @@
         exchange = (await world.caller(local)).ask(b"/once/x", b"POST", due_ms=300)
         await sleep_us(500 * MILLISECOND)
         world.web.heal()
-        await all_done([exchange])
+        await wait_until_done([exchange])
         await sleep_us(SECOND)
         assert exchange.status == 504 and not world.request_audit.arrivals(exchange.id)
 
@@ -256,7 +258,7 @@
         await sleep_us(20 * MILLISECOND)
         assert next(iter(link.pending)).peer_handle[0] == slot
         world.web.heal()
-        await all_done([second])
+        await wait_until_done([second])
         assert (first.status, second.status) == (504, 200)
         assert link_of(world, local, peer) is link
 
@@ -271,7 +273,7 @@
         link = await ready_link(world, local, peer)
         heard, usual = [], link.on_data
         link.on_data = lambda data: (heard.append(data), usual(data))
-        assert (await asked(world, local, target=b"/once/1")).status == 200
+        assert (await send_call(world, local, target=b"/once/1")).status == 200
         answer = b"".join(heard)
         world.processes[f"mdproxy@{peer}"].net.reset()
         await sleep_us(2 * SECOND)
@@ -281,9 +283,9 @@
         exchange = (await world.caller(local)).ask(b"/once/2", b"POST")
         await sleep_us(100 * MILLISECOND)
         assert next(iter(fresh.pending)).peer_handle == (0, 0)  # as the first one had
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         world.processes[f"mdproxy@{local}"].enter(lambda: gate.reactor.turn(fresh.on_data, answer))
-        await all_done([exchange])
+        await wait_until_done([exchange])
         await sleep_us(SECOND)
         assert exchange.status == 502
 
@@ -293,7 +295,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_gate_that_starts_anew_at_its_address_answers_no_call_of_its_former_life(seed):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         local, peer = hosts(world)
         await ready_link(world, local, peer)
         caller = await world.caller(local)
@@ -307,7 +309,7 @@
         assert lost.status == 502
         await world.eventually(lambda: world.daemon("mdproxy", peer).endpoints.by_address)
         await sleep_us(2 * SECOND)
-        exchange = await asked(world, local, target=b"/once/2", method=b"POST")
+        exchange = await send_call(world, local, target=b"/once/2", method=b"POST")
         assert exchange.status == 200
         assert world.request_audit.arrivals(lost.id) == 1
 
@@ -315,7 +317,7 @@
         scenario,
         seed,
         application=("", "desk"),
-        tries=TRIES,
+        tries=RETRY_BUDGET,
         endpoint={"work_us": 300 * MILLISECOND},
     )
 
@@ -323,14 +325,14 @@
 def test_a_cancel_does_not_end_what_has_begun():
     async def scenario(world):
         local, *_ = hosts(world)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         exchange = (await world.caller(local)).ask(b"/once/x", b"POST")
         await sleep_us(100 * MILLISECOND)
         (call,) = gate.dispatcher.calls
         world.processes[f"mdproxy@{local}"].enter(
             lambda: gate.reactor.turn(call.peer_link.send, [CANCEL, *call.peer_handle])
         )
-        await all_done([exchange])
+        await wait_until_done([exchange])
         assert exchange.status == 200 and world.request_audit.arrivals(exchange.id) == 1
 
     gated(scenario, application=("", "desk", "desk"), endpoint={"work_us": 300 * MILLISECOND})
@@ -344,12 +346,14 @@
         world.ends[peer].fault_of = lambda id: "full"
         world.ends[peer].work_us = 1
         for due_ms in range(100, 300, 20):
-            exchange = await asked(world, local, target=b"/once/x", method=b"POST", due_ms=due_ms)
+            exchange = await send_call(
+                world, local, target=b"/once/x", method=b"POST", due_ms=due_ms
+            )
             assert exchange.status in (503, 504)
         await sleep_us(2 * SECOND)
         assert not world.request_audit.runs()
 
-    gated(scenario, application=("", "desk"), tries=TRIES)
+    gated(scenario, application=("", "desk"), tries=RETRY_BUDGET)
 
 
 # ---------------------------------------------------------------- client to gate
@@ -364,7 +368,7 @@
         end.slots = 10
         caller = await world.caller(hosts(world)[0])
         exchange = [caller.ask(b"/p/%d" % n, due_ms=2000) for n in range(6)]
-        await all_done(exchange)
+        await wait_until_done(exchange)
         assert {m.status for m in exchange} == {200}
 
     gated(scenario, seed, application=("desk",), endpoint={"slots": 10})
@@ -399,7 +403,7 @@
             caller.wire.send(second.data)
         else:
             caller.wire.send(first.data + second.data)
-        await all_done([first, second])
+        await wait_until_done([first, second])
         assert first.status == 200 and not second.status
         await sleep_us(SECOND)
         assert not world.request_audit.arrivals(second.id)
@@ -425,7 +429,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_gate_that_stood_still_sends_nothing_a_second_time(still_ms, seed):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         local, *_ = hosts(world)
         callers = [await world.caller(local) for _ in range(12)]
         calls = [c.ask(b"/once/%d" % n, b"POST", due_ms=1000) for n, c in enumerate(callers)]
@@ -435,13 +439,13 @@
         late = (await world.caller(local)).ask(b"/once/late", b"POST", due_ms=1000)
         await sleep_us(still_ms * MILLISECOND)
         process.wake()
-        await all_done([*calls, late])
+        await wait_until_done([*calls, late])
         await sleep_us(2 * SECOND)
         for exchange in calls:
             assert world.request_audit.arrivals(exchange.id) <= 1
 
     terms = {"work_us": 100 * MILLISECOND}
-    gated(scenario, seed, application=("desk", "desk", "desk"), tries=TRIES, endpoint=terms)
+    gated(scenario, seed, application=("desk", "desk", "desk"), tries=RETRY_BUDGET, endpoint=terms)
 
 
 # ---------------------------------------------------------------- everything at once
@@ -565,7 +569,7 @@
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_all_troubles_of_gates_endpoints_and_addresses_at_random(seed):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         storm, calls, end_at = Storm(world), [], monotonic_us() + SPAN
         world.web.tear = 3000
         for end in world.ends.values():
@@ -584,7 +588,7 @@
             assert len(world.request_audit.runs(exchange.id)) <= 2
 
     services = ("desk", "desk", "paper", "paper", "")
-    gated(scenario, seed, application=services, tries=TRIES, endpoint={"slots": 8})
+    gated(scenario, seed, application=services, tries=RETRY_BUDGET, endpoint={"slots": 8})
 
 
 # ---------------------------------------------------------------- control links
@@ -631,6 +635,6 @@
         change = {"items": [route("p", prefix="/p/", version=9)]}
         assert (await world.operate("POST", "/items", change))[0] == 200
         await sleep_us(2 * SECOND)
-        assert (await asked(world, hosts(world)[0], target=b"/p/x")).status == 200
+        assert (await send_call(world, hosts(world)[0], target=b"/p/x")).status == 200
 
     gated(scenario, seed, core=3, application=("desk", "desk"))
--- a/tests/load_sharing/test_load.py
+++ b/tests/load_sharing/test_load.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import trio
-from facts import manifest
-from mesh import answers, configured, counts, hosts, serving
+from manifests import manifest
+from mesh import counts, hosts, request_handler, serving, start_configured
 from returns.pipeline import is_successful
 
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
@@ -150,10 +150,10 @@
 
 def test_told_load_makes_a_node_passive_for_others():
     async def scenario(world):
-        await configured(world, manifest())
+        await start_configured(world, manifest())
         loads = dict.fromkeys(hosts(world), 0.0)
         for host in hosts(world):
-            await world.endpoint(host, "desk", answers(), load=lambda h=host: loads[h])
+            await world.endpoint(host, "desk", request_handler(), load=lambda h=host: loads[h])
         loads[hosts(world)[1]] = 0.85
         await sleep_us(2 * SECOND)
         told = {
--- a/tests/load_sharing/test_ways.py
+++ b/tests/load_sharing/test_ways.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from facts import manifest, way
-from mesh import answers, counts, hosts, serving
+from manifests import manifest, manifest_route
+from mesh import counts, hosts, request_handler, serving
 from returns.pipeline import is_successful
 
 from meadowdock.load_sharing import NodeLoad
@@ -49,7 +49,7 @@
     async def scenario(world):
         journal = []
         await serving(world, journal)
-        moved = way("balances", "/balances", service="paper")
+        moved = manifest_route("balances", "/balances", service="paper")
         host = await first_keeps_the_old(world, without("balances", moved))
         found = (await world.client(host).call("GET", "/balances/1")).failure()
         assert found.verdict.value == "not-run"
@@ -67,7 +67,7 @@
         forwarder = world.daemon("mdproxy", host).forwarder
         old = forwarder.nodes_by_service["desk"]
         world.kill(f"endpoint@{other}:8000")
-        await world.endpoint(other, "desk", answers(10 * MILLISECOND, journal))
+        await world.endpoint(other, "desk", request_handler(10 * MILLISECOND, journal))
         await sleep_us(SECOND)
         assert forwarder.nodes_by_service["desk"][0].incarnation != old[0].incarnation
         forwarder.placement.loads.nodes = {"desk": (NodeLoad(*old[0]),)}
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mesh import configured, hosts
+from mesh import hosts, start_configured
 
 from meadowdock.runtime import SECOND, sleep_us
 from meadowdock.simulator import run
@@ -30,7 +30,7 @@
 
 def test_a_dead_a_leaving_and_a_returning_process_are_noticed():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = hosts(world)[0]
         address = f"{host}:7401"
         reg = world.daemon("mdreg", world.core[0])
--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -8,10 +8,10 @@
 
 import pytest
 import trio
+from core_faults import inject_random_faults
 from item_builders import service
-from item_changes import founded
-from lease_checks import holders, isolate, one_holder
-from order_faults import trouble
+from item_changes import start_core
+from lease_checks import isolate, lease_holders, wait_for_single_holder
 from three_acceptors import ThreeAcceptors
 
 from meadowdock.consensus import NoQuorum, OutcomeUnknown, Proposer, ReadRequest
@@ -252,10 +252,10 @@
     history = []
 
     async def scenario(world):
-        await founded(world)
+        await start_core(world)
         rng = random.Random(f"operators{seed}")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(trouble, world)
+            nursery.start_soon(inject_random_faults, world)
             async with trio.open_nursery() as operators:
                 for which in "abcd":
                     operators.start_soon(operate, world, which, rng, history)
@@ -304,13 +304,13 @@
 async def max_holders(world):
     """Of the lease at one moment, while its first holder is cut off from all others."""
     await world.start_all()
-    host, _ = await one_holder(world)
+    host, _ = await wait_for_single_holder(world)
     isolate(world, host)
     most, cut_at = 0, monotonic_us()
     while monotonic_us() - cut_at < 8 * SECOND:
-        most = max(most, len(holders(world)))
+        most = max(most, len(lease_holders(world)))
         await sleep_us(5 * MILLISECOND)
-    assert set(holders(world)) - {host}  # another has acquired it
+    assert set(lease_holders(world)) - {host}  # another has acquired it
     return most
 
 
--- a/tests/project/test_incidents.py
+++ b/tests/project/test_incidents.py
@@ -6,7 +6,7 @@
 
 import pytest
 import trio
-from gates import SEEDS, asked, gated, listed
+from gates import SEEDS, gated, send_call, wait_until_listed
 
 from meadowdock.membership import VIEW_MAX, GossipMembership, MemberEntry
 from meadowdock.rpc import serve_connection
@@ -42,10 +42,10 @@
     async def scenario(world):
         await all_at_once(world)
         began = monotonic_us()
-        await listed(world)
+        await wait_until_listed(world)
         took = monotonic_us() - began
         for host in hosts(world):
-            made = await asked(world, host, target=b"/paper/x")
+            made = await send_call(world, host, target=b"/paper/x")
             assert made.status == 200
         assert took <= 500 * MILLISECOND, took
 
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 import trio
-from facts import budget, manifest, way
-from mesh import answers, configured, counts, hosts, serving
+from manifests import budget, manifest, manifest_route
+from mesh import counts, hosts, request_handler, serving, start_configured
 from returns.pipeline import is_successful
 
 from meadowdock.admin_http import Response
@@ -113,7 +113,7 @@
     for response in INVALID_RESPONSES:
 
         async def scenario(world, response=response):
-            await configured(world)
+            await start_configured(world)
             endpoint_class, executed_paths, handle = faulty_endpoint(**response)
             await start_faulty_endpoint(world, endpoint_class, handle)
             status, verdict, _, content = await request_first_proxy(
@@ -137,10 +137,10 @@
             world.kill(f"endpoint@{hosts(world)[0]}:8000")
             await sleep_us(SECOND)
 
-        await configured(world)
+        await start_configured(world)
         await world.endpoint(hosts(world)[0], "desk", kill_endpoint)
         executed = []
-        await world.endpoint(hosts(world)[1], "desk", answers(journal=executed))
+        await world.endpoint(hosts(world)[1], "desk", request_handler(journal=executed))
         await sleep_us(2 * SECOND)
         status, verdict, _, content = await request_first_proxy(
             world, "POST", "/withdrawals", {"a": 1}
@@ -154,12 +154,12 @@
 def test_a_late_response_is_may_have_run_after_the_endpoint_timeout():
     async def scenario(world):
         configuration = manifest(
-            [way("w", "/withdrawals", methods=("POST",), repeat="once", budget="short")]
+            [manifest_route("w", "/withdrawals", methods=("POST",), repeat="once", budget="short")]
         )
         configuration["budgets"].append(budget("short", endpoint=200_000))
         executed = []
-        await configured(world, configuration)
-        await world.endpoint(hosts(world)[0], "desk", answers(SECOND, executed))
+        await start_configured(world, configuration)
+        await world.endpoint(hosts(world)[0], "desk", request_handler(SECOND, executed))
         started_at = monotonic_us()
         status, verdict, _, content = await request_first_proxy(
             world, "POST", "/withdrawals", {"a": 1}
@@ -177,8 +177,8 @@
 
 def test_a_shorter_deadline_of_the_caller_is_kept():
     async def scenario(world):
-        await configured(world)
-        await world.endpoint(hosts(world)[0], "desk", answers(SECOND))
+        await start_configured(world)
+        await world.endpoint(hosts(world)[0], "desk", request_handler(SECOND))
         started_at = monotonic_us()
         _, verdict, _, content = await request_first_proxy(
             world, "GET", "/balances/1", headers=[(b"md-due", b"100000")]
@@ -191,7 +191,7 @@
 
 def test_an_endpoint_that_declines_a_call_makes_it_not_run():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
 
         async def busy(request):
             return 503, {"code": "busy"}
@@ -272,7 +272,7 @@
             attempt_times.append(monotonic_us())
             return 200, b"garbage"
 
-        await configured(world)
+        await start_configured(world)
         for host in hosts(world):
             await world.endpoint(host, "desk", respond_invalidly)
         calls = 0
@@ -404,7 +404,7 @@
     """
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
 
         async def respond_invalidly(request):
             return 200, b"garbage"
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -11,7 +11,7 @@
 import ormsgpack
 import pytest
 import trio
-from item_builders import dropped, route, service
+from item_builders import removed_item, route, service
 
 from meadowdock.config_store.chunks import ChunkService
 from meadowdock.configuration import (
@@ -457,7 +457,7 @@
 def test_the_routing_form_omits_sources_and_removed_items():
     items = [route("kept", 2), route("gone", 2)]
     stored, _ = config_items.merge({}, [service("desk"), *items])
-    stored, _ = config_items.merge(stored, [route("kept", 3), dropped(items[1], 3)])
+    stored, _ = config_items.merge(stored, [route("kept", 3), removed_item(items[1], 3)])
     ((name, body),) = split_items(stored)
     assert b"superseded" in body
     sent = ormsgpack.unpackb(
--- a/tests/proxy/test_endpoints.py
+++ b/tests/proxy/test_endpoints.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from facts import manifest
-from mesh import answers, configured, hosts, serving
+from manifests import manifest
+from mesh import hosts, request_handler, serving, start_configured
 from returns.pipeline import is_successful
 
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
@@ -28,7 +28,7 @@
 )
 def test_registration_checks_fields_and_addresses(change, status, code):
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = hosts(world)[0]
         response_status, _, content = await world.http(
             host, "POST", f"{host}:7400", "/md/enrol", {**VALID, **change}
@@ -91,15 +91,15 @@
 def test_an_address_reused_by_another_service_never_gets_the_former_ones_calls():
     async def scenario(world):
         run_by_desk, run_by_paper = [], []
-        await configured(world)
+        await start_configured(world)
         host = hosts(world)[0]
-        await world.endpoint(host, "desk", answers(journal=run_by_desk))
+        await world.endpoint(host, "desk", request_handler(journal=run_by_desk))
         client = world.client(host)
         for _ in range(3):
             assert is_successful(await client.call("GET", "/balances/1"))
         # The next process on the machine takes the address while the proxy still has connections.
         world.kill(f"endpoint@{host}:8000")
-        await world.endpoint(host, "paper", answers(journal=run_by_paper), wait=False)
+        await world.endpoint(host, "paper", request_handler(journal=run_by_paper), wait=False)
         rejected = [await client.call("GET", "/balances/1") for _ in range(5)]
         assert not any(is_successful(outcome) for outcome in rejected)
         assert {outcome.failure().verdict.value for outcome in rejected} == {"not-run"}
@@ -140,7 +140,7 @@
         paper = endpoints[1]
         host, token = paper.proxy.rpartition(":")[0], paper.token
         world.kill(f"endpoint@{paper.address}")
-        await world.endpoint(host, "desk", answers())
+        await world.endpoint(host, "desk", request_handler())
         rejected = (await world.client(host, token).call("GET", "/ledger/1")).failure()
         assert rejected.code == "bad_token"
         heartbeat = {"token": token, "capacity": 4}
--- a/tests/proxy/test_idempotency_keys.py
+++ b/tests/proxy/test_idempotency_keys.py
@@ -9,8 +9,8 @@
 
 import pytest
 import trio
-from facts import manifest
-from mesh import configured, hosts
+from manifests import manifest
+from mesh import hosts, start_configured
 
 from meadowdock.client import EndpointRequest, ExecutionRecord
 from meadowdock.runtime import MILLISECOND, Disk, MemoryDisk, monotonic_us, sleep_us
@@ -54,7 +54,7 @@
 def test_a_key_repeated_after_a_fault_at_any_stage_runs_at_most_once(stage, fault):
     async def scenario(world, repeated_at):
         executed, disks, outcomes = [], {}, []
-        await configured(world, manifest_with_records())
+        await start_configured(world, manifest_with_records())
         local, peer = hosts(world)
         await start_endpoint(world, local, executed, disks)
         if stage != "waiting":
@@ -126,7 +126,7 @@
 
     async def scenario(world):
         executed, disks = [], {}
-        await configured(world, manifest_with_records())
+        await start_configured(world, manifest_with_records())
         (host,) = hosts(world)
         await start_endpoint(world, host, executed, disks)
         await sleep_us(2 * SECOND)
@@ -153,7 +153,7 @@
 
 def test_every_rejection_of_an_unknown_repeat_is_may_have_run():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         (host,) = hosts(world)
 
         async def repeat_key(path, *extra_headers):
@@ -226,7 +226,7 @@
 def test_two_concurrent_calls_with_one_key_run_once():
     async def scenario(world):
         executed, disks = [], {}
-        await configured(world, manifest_with_records())
+        await start_configured(world, manifest_with_records())
         local, peer = hosts(world)
         await start_endpoint(world, local, executed, disks, capacity=4)
         await sleep_us(2 * SECOND)
--- a/tests/proxy/test_stop.py
+++ b/tests/proxy/test_stop.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 import trio
-from facts import manifest, way
-from mesh import configured, hosts, serving
+from manifests import manifest, manifest_route
+from mesh import hosts, serving, start_configured
 from returns.pipeline import is_successful
 
 from meadowdock.admin_http import Response, RouteTable
@@ -103,9 +103,9 @@
 
 def test_a_confirm_in_flight_is_answered_when_its_mdconf_is_stopped():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         for round_index, stop_after_ms in enumerate((1, 3, 5, 8)):
-            configuration = manifest([way(f"w{round_index}", "/balances")])
+            configuration = manifest([manifest_route(f"w{round_index}", "/balances")])
             _, planned = await world.operate("POST", "/plan", configuration)
             responses = []
 
--- a/tests/runtime/test_paused_processes.py
+++ b/tests/runtime/test_paused_processes.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import trio
-from facts import manifest, way
-from mesh import answers, configured, counts, hosts, serving
+from manifests import manifest, manifest_route
+from mesh import counts, hosts, request_handler, serving, start_configured
 from returns.pipeline import is_successful
 
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
@@ -18,7 +18,7 @@
         process = world.processes[f"mdproxy@{host}"]
         process.freeze()
         await sleep_us(500 * MILLISECOND)
-        version = await world.configure(manifest([way("x", "/balances")]))
+        version = await world.configure(manifest([manifest_route("x", "/balances")]))
         await sleep_us(3 * SECOND)
         assert process.node.daemon.delivery.version < version
         responses = []
@@ -82,10 +82,10 @@
 
 def test_a_paused_endpoint_is_avoided_and_its_calls_may_have_run():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         journal = []
         for host in hosts(world):
-            await world.endpoint(host, "desk", answers(journal=journal))
+            await world.endpoint(host, "desk", request_handler(journal=journal))
         host = hosts(world)[0]
         client = world.client(host)
         assert is_successful(await client.call("GET", "/balances/1"))  # leaves an idle connection
--- a/tests/support/audit_log_facts.py
+++ b/tests/support/audit_log_facts.py
@@ -22,15 +22,15 @@
 MISSED = 10
 
 
-def plan_of(version):
+def plan_id(version):
     return fingerprint(f"plan {version}".encode())
 
 
-def record(version, former):
+def signed_record(version, former):
     """As mdconf writes it."""
     facts = {
         "version": version,
-        "plan": plan_of(version),
+        "plan": plan_id(version),
         "base": version - 1,
         "ranges": audit.record_hash(str(version)),
         "at": str(1_700_000_000_000_000 + version),
@@ -39,11 +39,11 @@
     return audit.sign(SIGNING_KEY, facts)
 
 
-def chain(length, first=1, former=""):
+def audit_chain(length, first=1, former=""):
     """{version: record}"""
     records = {}
     for version in range(first, first + length):
-        records[version] = record(version, former)
+        records[version] = signed_record(version, former)
         former = audit.record_hash(records[version])
     return records
 
@@ -69,13 +69,13 @@
         disk.files[record_file(version)] = add_checksum(text.encode())
 
 
-async def opened(disk):
+async def open_store(disk):
     store = Store(disk, random.Random(1), lambda *_, **__: None)
     await store.load()
     return store
 
 
-async def pulled(source, target):
+async def pull_records(source, target):
     """Let an audit log catch up with another by pieces, as over links; (messages, bytes, largest)."""
     sizes = []
     state = AuditLogState.from_wire(source.state(target.first_missing_segment()).to_wire())
@@ -90,12 +90,12 @@
 
 def head_bytes(pairs, version, text):
     """Of a head over one range, as it stands in each ballot."""
-    history = [[v, plan_of(v)] for v in range(max(1, version - pairs + 1), version + 1)]
+    history = [[v, plan_id(v)] for v in range(max(1, version - pairs + 1), version + 1)]
     facts = {
         "version": version,
-        "ranges": [plan_of(0)],
+        "ranges": [plan_id(0)],
         "items": 0,
-        "plan": plan_of(version),
+        "plan": plan_id(version),
         "history": history,
         "record": text,
     }
@@ -105,7 +105,7 @@
 async def measure(length):
     from meadowdock.config_store.revision import HISTORY_LENGTH
 
-    records = chain(length)
+    records = audit_chain(length)
     disk = CountingDisk()
     write_former_layout(disk, records)
     wire = sum(len(text) for text in records.values())
@@ -119,18 +119,20 @@
         "bytes after 10 missed": sum(len(records[v]) for v in range(length - 9, length + 1)),
         "head in a ballot": head_bytes(256, length, records[length]),
     }
-    store = await opened(disk)
+    store = await open_store(disk)
     await store.audit_log.seal()  # the former layout is migrated
     names = [name for name in disk.files if name.startswith((RECORD_FOLDER, "trail"))]
     disk.reads = disk.read_bytes = 0
-    again = await opened(disk)
+    again = await open_store(disk)
     reads, read_bytes = disk.reads, disk.read_bytes
-    _, blank_bytes, largest = await pulled(again.audit_log, (await opened(MemoryDisk())).audit_log)
+    _, blank_bytes, largest = await pull_records(
+        again.audit_log, (await open_store(MemoryDisk())).audit_log
+    )
     late = MemoryDisk()
     write_former_layout(late, {v: r for v, r in records.items() if v <= length - MISSED})
-    lagging = await opened(late)
+    lagging = await open_store(late)
     await lagging.audit_log.seal()
-    _, missed_bytes, _ = await pulled(again.audit_log, lagging.audit_log)
+    _, missed_bytes, _ = await pull_records(again.audit_log, lagging.audit_log)
     after = {
         "files on disk": len(names),
         "files read": reads,
--- a/tests/support/order_faults.py
+++ b/tests/support/core_faults.py
@@ -5,7 +5,7 @@
 from meadowdock.runtime import MILLISECOND, sleep_us
 
 
-async def trouble(world):
+async def inject_random_faults(world):
     """Cuts, lost power and frozen processes, one after the other."""
     while True:
         away = world.core[world.rng.randrange(3)]
--- a/tests/support/core_fleet.py
+++ b/tests/support/core_fleet.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import trio
-from facts import manifest, way
+from manifests import manifest, manifest_route
 
 from meadowdock.runtime import MILLISECOND, SECOND
 from meadowdock.settings import checked
@@ -12,11 +12,11 @@
 SEEDS = range(1, 5)
 
 
-def changed(number):
-    return manifest([way(f"w{number}", "/balances")])
+def manifest_with_route(number):
+    return manifest([manifest_route(f"w{number}", "/balances")])
 
 
-class Fleet:
+class SimulatedCore:
     """mdconf that were told seeds only. Invariant: founding and told are what the next start of
     a process gets."""
 
@@ -79,12 +79,12 @@
         return {h: self.store(h).membership for h in self.running()}
 
 
-async def configure(world, number, host):
+async def configure_at(world, number, host):
     world.core = [host]
-    return await world.configure(changed(number))
+    return await world.configure(manifest_with_route(number))
 
 
-async def read_back(world, host):
+async def read_version(world, host):
     world.core = [host]
     status, told = await world.operate("GET", "/manifest")
     assert status == 200, told
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -22,7 +22,7 @@
 }
 
 
-def items(*more):
+def default_items(*more):
     """Routes "/p/" (may be repeated) and "/once/" (at most once) of the service desk."""
     return [
         service("desk"),
@@ -42,29 +42,31 @@
         terms = places_terms
         await world.start_all()
         await world.eventually(lambda: not world.node("mdconf", world.core[0]).unready_reasons())
-        await world.set_items(terms.get("items") or items())
+        await world.set_items(terms.get("items") or default_items())
         for host in world.application:
             await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
         world.ends = {}
         for host, name in world.application.items():
             if name:
                 world.ends[host] = await world.stand_in(host, name, **terms.get("endpoint", {}))
-        await listed(world)
+        await wait_until_listed(world)
         result = await scenario(world)
-        assert not world.request_audit.broken(repeatable), world.request_audit.broken(repeatable)
-        assert not leaks(world), leaks(world)
-        assert not violations(world), violations(world)
+        assert not world.request_audit.broken(is_idempotent), world.request_audit.broken(
+            is_idempotent
+        )
+        assert not find_leaks(world), find_leaks(world)
+        assert not invariant_violations(world), invariant_violations(world)
         return result
 
     places_terms = {key: places.pop(key) for key in ("items", "endpoint") if key in places}
     return run(whole, seed, core=core, application=application, gate=True, **places)
 
 
-def repeatable(asked):
+def is_idempotent(asked):
     return not asked.target.startswith(b"/once/")
 
 
-async def listed(world):
+async def wait_until_listed(world):
     """Every gate knows every endpoint's node."""
     services = {s for s in world.application.values() if s}
 
@@ -72,22 +74,22 @@
         return all(
             {n.address.partition(":")[0] for s in services for n in gate.loads.nodes.get(s, ())}
             >= {host for host, name in world.application.items() if name}
-            for gate in [gate_of(world, h) for h in world.application]
+            for gate in [gateway_of(world, h) for h in world.application]
         )
 
     await world.eventually(known)
 
 
-def gate_of(world, host):
+def gateway_of(world, host):
     return world.daemon("mdproxy", host).gate
 
 
-def violations(world):
+def invariant_violations(world):
     """The invariants that gates saw violated, in every life of every process."""
     return world.trace.events(802)
 
 
-def leaks(world):
+def find_leaks(world):
     """What must be nothing once no call is under way."""
     found = []
     for name, process in world.processes.items():
@@ -116,7 +118,7 @@
     return found
 
 
-async def asked(world, at_host, **facts):
+async def send_call(world, at_host, **facts):
     """One call on a connection of its own, to its end."""
     caller = await world.caller(at_host)
     exchange = caller.ask(**facts)
@@ -124,12 +126,12 @@
     return exchange
 
 
-async def all_done(calls):
+async def wait_until_done(calls):
     for exchange in calls:
         await exchange.done.wait()
     await sleep_us(100 * MILLISECOND)
 
 
-def busy(world, host, rho, name="desk"):
+def set_rho(world, host, rho, name="desk"):
     """The node's own view of its load, held there."""
     world.daemon("mdproxy", host).endpoints.service_loads[name].rho = rho
--- a/tests/support/gate_beliefs.py
+++ b/tests/support/gateway_estimates.py
@@ -19,7 +19,7 @@
     return list(world.application)
 
 
-def hold(world):
+def suppress_load_reports(world):
     """From here on the load and the lists are the test's own."""
     for host in hosts(world):
         daemon = world.daemon("mdproxy", host)
@@ -27,7 +27,7 @@
         daemon.use_load_list = lambda load_list, nodes: None
 
 
-def believe_hold(gate, mean_us, service="desk"):
+def set_hold_time(gate, mean_us, service="desk"):
     """The gate's estimate of how long a call of whatever kind holds a slot."""
     for prefixes in gate.table.routes.values():
         for known in prefixes.values():
@@ -35,6 +35,6 @@
             hold.known, hold.mean_us, hold.deviation_us = True, mean_us, 0
 
 
-def works(**by_first):
+def work_us_by_path(**by_first):
     """work_us by the first part of a call's path, in milliseconds."""
     return lambda job: by_first.get(job.target.split(b"/")[1].decode(), 10) * MILLISECOND
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -22,12 +22,11 @@
 
 import trio
 import trio.testing
-from facts import manifest, way
-from gates import items as gate_items
-from gates import listed
+from gates import default_items, wait_until_listed
 from item_builders import route, service
-from mesh import answers, configured
-from raw_bytes import raw
+from manifests import manifest, manifest_route
+from mesh import request_handler, start_configured
+from raw_bytes import send_raw_bytes
 
 from meadowdock import audit
 from meadowdock.client import EndpointRequest, ExecutionRecord
@@ -290,7 +289,12 @@
 
 def later_manifest():
     """The second configuration of the played deployment."""
-    return manifest([way("balances", "/balances"), way("audits", "/audits", service="paper")])
+    return manifest(
+        [
+            manifest_route("balances", "/balances"),
+            manifest_route("audits", "/audits", service="paper"),
+        ]
+    )
 
 
 ITEMS = [service("letters"), route("letters", prefix="/letters/", services=("letters",))]
@@ -434,13 +438,13 @@
     """Three changes, a lease, calls and refusals; then losses, for the methods that mend them."""
     played, recording = Played(), Recording()
     world.listen = recording.listen
-    await configured(world)
+    await start_configured(world)
     record_disk = MemoryDisk()
     endpoints = [
         await world.endpoint(
             host,
             service,
-            answers(50 * MILLISECOND),
+            request_handler(50 * MILLISECOND),
             capacity=2,
             record=ExecutionRecord(record_disk),
         )
@@ -591,17 +595,19 @@
     await world.start_all()
     member = world.node(STORING_ROLE, world.core[0])
     await world.eventually(lambda: not member.unready_reasons())
-    made["before any revision"] = await raw(world, GATE_REQUESTS["answered beside"] % (CALL % 0))
+    made["before any revision"] = await send_raw_bytes(
+        world, GATE_REQUESTS["answered beside"] % (CALL % 0)
+    )
     await world.set_items(
-        gate_items(service("none"), route("none", prefix="/none/", services=("none",)))
+        default_items(service("none"), route("none", prefix="/none/", services=("none",)))
     )
     with conversations.recorded():
         for host, name in world.application.items():
             await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
             await world.stand_in(host, name)
-        await listed(world)
+        await wait_until_listed(world)
         for number, (case, request) in enumerate(GATE_REQUESTS.items(), 1):
-            made[case] = await raw(world, request % (CALL % number))
+            made[case] = await send_raw_bytes(world, request % (CALL % number))
     answers = {
         case: {"status": status, "closed": closed, "bytes": data.decode("latin-1")}
         for case, (status, closed, data) in made.items()
--- a/tests/support/item_builders.py
+++ b/tests/support/item_builders.py
@@ -31,5 +31,5 @@
     return {"kind": "limits", "name": "", "version": version, "spec": whole, "source": "<>"}
 
 
-def dropped(item, version):
+def removed_item(item, version):
     return {**item, "version": version, "spec": None}
--- a/tests/support/item_changes.py
+++ b/tests/support/item_changes.py
@@ -5,23 +5,23 @@
 from meadowdock.configuration import items as config_items
 
 
-async def change(world, items, core=0):
+async def send_change(world, items, core=0):
     return await world.operate("POST", "/items", {"items": items}, core)
 
 
-async def accepted(world, items, core=0):
-    status, told = await change(world, items, core)
+async def apply_change(world, items, core=0):
+    status, told = await send_change(world, items, core)
     assert (status, told.get("state")) == (200, "accepted"), told
     return told["version"]
 
 
-async def standing(world, core=0):
+async def current_items(world, core=0):
     status, told = await world.operate("GET", "/items", core=core)
     assert status == 200, told
     return {config_items.item_key(item): item for item in told["items"]}
 
 
-async def founded(world):
+async def start_core(world):
     """The core alone: no manifest was ever set."""
     await world.start_all()
     for host in world.core:
--- a/tests/support/lease_checks.py
+++ b/tests/support/lease_checks.py
@@ -7,15 +7,15 @@
     return [p for name, p in world.processes.items() if name.startswith("mdreg") and p.node]
 
 
-def holders(world):
+def lease_holders(world):
     """{host: epoch} of all that believe at this moment that their lease is valid."""
     found = {p.host: p.node.daemon.election.epoch for p in registries(world) if p.node.daemon}
     return {host: epoch for host, epoch in found.items() if epoch is not None}
 
 
-async def one_holder(world):
-    await world.eventually(lambda: len(holders(world)) == 1)
-    return next(iter(holders(world).items()))
+async def wait_for_single_holder(world):
+    await world.eventually(lambda: len(lease_holders(world)) == 1)
+    return next(iter(lease_holders(world).items()))
 
 
 def isolate(world, host):
--- a/tests/support/facts.py
+++ b/tests/support/manifests.py
@@ -16,7 +16,7 @@
     }
 
 
-def way(
+def manifest_route(
     name, path, service="desk", callers=("guest",), methods=("GET",), repeat="safe", budget="std"
 ):
     return {
@@ -36,10 +36,10 @@
         "budgets": [budget()],
         "ways": ways
         or [
-            way("balances", "/balances"),
-            way("withdrawals", "/withdrawals", methods=("POST",), repeat="once"),
-            way("ledger", "/ledger", callers=("paper",)),
-            way("statements", "/statements", service="paper"),
+            manifest_route("balances", "/balances"),
+            manifest_route("withdrawals", "/withdrawals", methods=("POST",), repeat="once"),
+            manifest_route("ledger", "/ledger", callers=("paper",)),
+            manifest_route("statements", "/statements", service="paper"),
         ],
         "load": load,
     }
--- a/tests/support/mesh.py
+++ b/tests/support/mesh.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from facts import manifest
+from manifests import manifest
 
 from meadowdock.runtime import MILLISECOND, sleep_us
 
 
-def answers(took_us=10 * MILLISECOND, journal=None):
+def request_handler(took_us=10 * MILLISECOND, journal=None):
     async def handle(got):
         await sleep_us(took_us)
         if journal is not None:
@@ -17,7 +17,7 @@
     return handle
 
 
-async def configured(world, facts=None):
+async def start_configured(world, facts=None):
     """All daemons up, a manifest in force on every proxy."""
     await world.start_all()
     for host in world.core:
@@ -29,9 +29,9 @@
 
 async def serving(world, journal=None, facts=None, took_us=10 * MILLISECOND, **endpoint):
     """Configured, with an endpoint beside each proxy that has a service, and a load list out."""
-    await configured(world, facts)
+    await start_configured(world, facts)
     made = [
-        await world.endpoint(host, service, answers(took_us, journal), **endpoint)
+        await world.endpoint(host, service, request_handler(took_us, journal), **endpoint)
         for host, service in world.application.items()
         if service
     ]
@@ -57,7 +57,7 @@
     return list(world.application)
 
 
-async def first_with_a_blank_disk(world):
+async def restart_first_core_with_blank_disk(world):
     """The first core machine's disk is lost and its mdconf starts on a new one."""
     host = world.core[0]
     world.power_off("mdconf", host)
--- a/tests/support/orders.py
+++ b/tests/support/operator_requests.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Order:
+class OperatorRequest:
     """One call, and what came of it."""
 
     items: list
@@ -34,7 +34,7 @@
     answers: list = field(default_factory=list)  # (member, status or 0 for silence, how long)
 
 
-async def ask(world, address, items):
+async def send_to_member(world, address, items):
     """(status, headers, body) of one member, or None after a second of silence."""
     answer = None
     with deadline_scope(monotonic_us() + SILENCE):
@@ -45,24 +45,24 @@
     return answer
 
 
-async def ask_and_follow(world, core, items):
+async def send_and_follow_redirects(world, core, items):
     """As `ask`, following 307 twice."""
     address = f"{world.core[core]}:7420"
     for _ in range(3):
-        answer = await ask(world, address, items)
+        answer = await send_to_member(world, address, items)
         if answer is None or answer[0] != 307:
             return answer
         address = answer[1][b"location"].decode().split("/")[2]
     return answer
 
 
-async def order(world, items, core):
+async def send_until_final(world, items, core):
     """Send the call to one member after the other, from this one on, until the answer is final."""
-    made = Order(items, sent_at=monotonic_us())
+    made = OperatorRequest(items, sent_at=monotonic_us())
     pause = FIRST_PAUSE
     while monotonic_us() - made.sent_at < GIVE_UP:
         asked_at = monotonic_us()
-        answer = await ask_and_follow(world, core, items)
+        answer = await send_and_follow_redirects(world, core, items)
         status, _, body = answer or (0, {}, {})
         made.answers.append((core, status, monotonic_us() - asked_at))
         if status in FINAL:
--- a/tests/support/raw_bytes.py
+++ b/tests/support/raw_bytes.py
@@ -9,7 +9,7 @@
     return list(world.application)
 
 
-async def raw(world, data, wait=SECOND):
+async def send_raw_bytes(world, data, wait=SECOND):
     """The bytes sent as they are; gives (status or None, was the connection closed)."""
     caller = await world.caller(hosts(world)[0])
     answers = []
--- a/tests/support/retry_counts.py
+++ b/tests/support/retry_budgets.py
@@ -4,13 +4,13 @@
 
 from meadowdock.runtime import SECOND, sleep_us
 
-TRIES = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
+RETRY_BUDGET = {"ratio": 1.0, "window_us": SECOND, "reserve": 100}
 
 
 def hosts(world):
     return list(world.application)
 
 
-async def budgeted(world):
+async def wait_for_retry_reserve(world):
     """Older than a window, so that the reserve of second tries is there."""
-    await sleep_us(2 * TRIES["window_us"])
+    await sleep_us(2 * RETRY_BUDGET["window_us"])
--- a/tests/support/three_acceptors.py
+++ b/tests/support/three_acceptors.py
@@ -6,7 +6,7 @@
 from meadowdock.runtime import MemoryDisk, monotonic_us, sleep_us
 
 
-async def answer_of(acceptor, method, args):
+async def handle_request(acceptor, method, args):
     """The answer of an acceptor to a request, as its process gives it."""
     if method == "read":
         return acceptor.read(*args)
@@ -31,7 +31,7 @@
         if member in self.down:
             await sleep_us(deadline - monotonic_us())
             raise TimeoutError
-        answer = await answer_of(self.acceptors[member], method, args)
+        answer = await handle_request(self.acceptors[member], method, args)
         if self.rng.random() < self.answer_loss:
             raise TimeoutError
         await sleep_us(self.rng.randrange(100, 3000))
