--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,4 +1,4 @@
-"""A pytest plugin that passes over the tests that KNOWN-RED.txt lists, and prints them.
+"""A pytest plugin that deselects the tests that KNOWN-RED.txt lists, and prints them.
 
 Each line of the file is `TEST | COMMAND AND SEED | SEEN | ISSUE`. TEST is a pytest name such as
 `tests/test_x.py::test_y` and stands for all parameters of that test; COMMAND AND SEED repeat the
@@ -31,7 +31,7 @@
     issue: str
 
     def matches(self, node_id: str) -> bool:
-        """Whether a collected test is this one, with any parameters."""
+        """Return whether a collected test is this one, with any parameters."""
         return node_id == self.test or node_id.startswith(self.test + "[")
 
     def __str__(self) -> str:
@@ -46,11 +46,11 @@
     parts = [part.strip() for part in line.split("|")]
     if len(parts) != 4 or not all(parts):
         raise pytest.UsageError(f"{FILE_NAME}: not {LINE_FORM}: {line!r}")
-    found = TEST_NAME.fullmatch(parts[0])
-    file = root / found["path"] if found else None
+    match = TEST_NAME.fullmatch(parts[0])
+    file = root / match["path"] if match else None
     if file is None or not file.is_file():
         raise pytest.UsageError(f"{FILE_NAME}: names no test: {parts[0]!r}")
-    if not re.search(rf"def {found['function']}\(", file.read_text(encoding="utf-8")):
+    if not re.search(rf"def {match['function']}\(", file.read_text(encoding="utf-8")):
         raise pytest.UsageError(f"{FILE_NAME}: no such test: {parts[0]!r}")
     return KnownFailure(*parts)
 
@@ -75,20 +75,22 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the file once, so that a wrong one ends the run before any test."""
+    """Read the file at the start, so that an invalid one stops the run before any test."""
     config.stash[KNOWN_FAILURES] = read_known_failures(config.rootpath)
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Take the listed tests, and no others, out of the run."""
-    known = config.stash[KNOWN_FAILURES]
-    passed_over = [item for item in items if any(k.matches(item.nodeid) for k in known)]
-    if passed_over:
-        config.hook.pytest_deselected(items=passed_over)
-        items[:] = [item for item in items if item not in passed_over]
+    """Deselect the listed tests, and no others."""
+    known_failures = config.stash[KNOWN_FAILURES]
+    deselected = [
+        item for item in items if any(known.matches(item.nodeid) for known in known_failures)
+    ]
+    if deselected:
+        config.hook.pytest_deselected(items=deselected)
+        items[:] = [item for item in items if item not in deselected]
 
 
 def pytest_terminal_summary(terminalreporter: Any, config: pytest.Config) -> None:
-    """Print what was passed over, whatever the verbosity."""
+    """Print the deselected tests, whatever the verbosity."""
     for known in config.stash[KNOWN_FAILURES]:
         terminalreporter.write_line(f"KNOWN RED, passed over: {known}")
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,9 +1,10 @@
 #!/bin/sh
-# Makes target/deps (the libraries that daemons need) and target/lib (our packages), byte-compiled.
-# Run at the root. target/deps is made anew only when its list or the version of Python has changed.
+# Builds target/deps (the libraries that the daemons need) and target/lib (our packages),
+# byte-compiled. Must run at the root of the repository. target/deps is rebuilt only when its
+# requirements or the version of Python have changed.
 set -eu
-listed=deploy/requirements-run.txt
-made=target/deps/.made  # holds the version of Python that target/deps was made for
+requirements=deploy/requirements-run.txt
+version_file=target/deps/.made  # the version of Python that target/deps was built for
 
 python_version=$(python3 -c 'import sys; print("%d.%d" % sys.version_info[:2])')
 if ! python3 -c 'import sys; sys.exit(sys.version_info < (3, 11))'; then
@@ -11,26 +12,28 @@
     exit 1
 fi
 
-# Byte code in the usual place, but without docstrings and assertions: memory is paid for, and with
-# python3 -OO the standard library would be compiled anew at each start.
-compiled() {
+# Compiles a folder to optimized byte code (no docstrings, no assertions) to save memory, and stores it
+# under the names of normal byte code: with python3 -OO, which would load it under its own names, the
+# standard library would be compiled again at each start.
+compile_optimized() {
     python3 -OO -m compileall -q -f --invalidation-mode unchecked-hash "$1"
     find "$1" -name '*.opt-2.pyc' | while read -r bytecode; do
         mv "$bytecode" "${bytecode%.opt-2.pyc}.pyc"
     done
 }
 
-if [ ! -e "$made" ] || [ "$listed" -nt "$made" ] || [ "$(cat "$made")" != "$python_version" ]; then
+if [ ! -e "$version_file" ] || [ "$requirements" -nt "$version_file" ] \
+    || [ "$(cat "$version_file")" != "$python_version" ]; then
     rm -rf target/deps
     python3 -m pip install -q --no-deps --no-compile --only-binary=:all: --disable-pip-version-check \
-        --root-user-action=ignore --target target/deps -r "$listed"
-    compiled target/deps
-    echo "$python_version" >"$made"
+        --root-user-action=ignore --target target/deps -r "$requirements"
+    compile_optimized target/deps
+    echo "$python_version" >"$version_file"
 fi
 
 rm -rf target/lib.new
 mkdir -p target/lib.new/meadowdock
-# The packages share one import name; here they share one folder as well.
+# The packages share one namespace; here they also share one folder.
 for folder in packages/*/meadowdock/*/; do
     cp -R "${folder%/}" "target/lib.new/meadowdock/$(basename "$folder")"
 done
@@ -38,4 +41,4 @@
 find target/lib.new -name __pycache__ -prune -exec rm -rf {} +
 rm -rf target/lib
 mv target/lib.new target/lib
-compiled target/lib
+compile_optimized target/lib
--- a/tests/config_store/test_item_change_times.py
+++ b/tests/config_store/test_item_change_times.py
@@ -96,15 +96,15 @@
 def test_orders_are_acknowledged_within_a_second(scenario):
     done = [order for seed in SEEDS for order in times(scenario, seed)]
     assert {order.status for order in done} == {200}
-    slow = sum(order.took >= SLOW for order in done)
+    slow = sum(order.duration_us >= SLOW for order in done)
     assert slow * 100 <= len(done), summary(done)
 
 
 def summary(done):
     """Counts, for who reads a failure: python tests/config_store/test_item_change_times.py prints them."""
-    took = sorted(order.took for order in done)
-    told = Counter(status for order in done for _, status, _ in order.answers)
-    longest = max(span for order in done for _, _, span in order.answers)
+    took = sorted(order.duration_us for order in done)
+    told = Counter(status for order in done for _, status, _ in order.attempts)
+    longest = max(span for order in done for _, _, span in order.attempts)
     under = sum(t < SLOW for t in took)
     return (
         f"under 1 s: {under}, over: {len(took) - under}, median {took[len(took) // 2] // MILLISECOND} ms, "
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -59,7 +59,7 @@
 def test_the_seeds_found_and_all_of_up_to_five_become_voters(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=5, losses=2)
-        assert await fleet.founded() <= 4 * SECOND
+        assert await fleet.bootstrap() <= 4 * SECOND
         assert len(world.trace.events(601)) == 1
         assert await configure_at(world, 1, fleet.hosts[4]) == 1
 
@@ -70,7 +70,7 @@
 def test_of_more_than_five_only_as_many_as_the_losses_need_vote(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=7, losses=1)
-        await fleet.up()
+        await fleet.start()
         await sleep_us(5 * SECOND)
         memberships = list(fleet.memberships().values())
         assert {len(m.voters) for m in memberships} == {3}
@@ -84,9 +84,9 @@
 def test_nobody_founds_while_a_founder_is_missing_or_not_founding(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.up(fleet.hosts[:2])
-        fleet.founding = False
-        await fleet.up(fleet.hosts[2:])
+        await fleet.start(fleet.hosts[:2])
+        fleet.may_bootstrap = False
+        await fleet.start(fleet.hosts[2:])
         await sleep_us(5 * SECOND)
         assert not any(fleet.memberships().values())
         assert not world.trace.events(601)
@@ -98,9 +98,9 @@
 def test_with_differing_seeds_nobody_founds(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=4)
-        await fleet.up(fleet.hosts[:3:2])
-        fleet.told = fleet.hosts[1:4]
-        await fleet.up(fleet.hosts[1::2])
+        await fleet.start(fleet.hosts[:3:2])
+        fleet.seed_hosts = fleet.hosts[1:4]
+        await fleet.start(fleet.hosts[1::2])
         await sleep_us(5 * SECOND)
         assert not any(fleet.memberships().values())
 
@@ -112,15 +112,15 @@
 def test_all_killed_at_once_come_back_as_they_were(seed, founding):
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         membership = fleet.store(fleet.hosts[0]).membership
         for host in fleet.hosts:
             world.power_off("mdconf", host)
-        fleet.founding = founding
+        fleet.may_bootstrap = founding
         await sleep_us(SECOND)
-        await fleet.up()
-        assert await fleet.settle(fleet.hosts) <= 2 * SECOND
+        await fleet.start()
+        assert await fleet.wait_until_voters(fleet.hosts) <= 2 * SECOND
         assert fleet.store(fleet.hosts[0]).membership == membership
         assert await read_version(world, fleet.hosts[1]) == 1
 
@@ -131,14 +131,14 @@
 def test_a_blank_majority_never_founds_beside_a_record(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts:
             world.power_off("mdconf", host)
         for host in fleet.hosts[:2]:
             world.lose_disk("mdconf", host)
-        fleet.founding = True
-        await fleet.up()
+        fleet.may_bootstrap = True
+        await fleet.start()
         await sleep_us(6 * SECOND)
         assert len(world.trace.events(601)) == 1
         assert {m.version for m in fleet.memberships().values()} == {1}
@@ -156,12 +156,12 @@
 def test_all_machines_are_exchanged_one_after_another_under_changes(seed, core, losses, overlap_us):
     async def scenario(world):
         fleet = SimulatedCore(world, core=core, losses=losses)
-        await fleet.founded()
-        operator = Operator(world, fleet.running)
+        await fleet.bootstrap()
+        operator = Operator(world, fleet.running_hosts)
         world.nursery.start_soon(operator.run)
         for number, old in enumerate(list(fleet.hosts)):
             new = f"10.0.3.{number + 1}"
-            fleet.told = fleet.running()[:3]  # as they were before this exchange
+            fleet.seed_hosts = fleet.running_hosts()[:3]  # as they were before this exchange
             if overlap_us <= 0:
                 world.power_off("mdconf", old)
                 fleet.hosts.remove(old)
@@ -194,7 +194,7 @@
 def test_a_voter_that_only_restarts_stays_and_one_gone_for_good_waits_for_a_new_one(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         membership = fleet.store(fleet.hosts[0]).membership
         host = fleet.hosts[seed % 3]
         world.power_off("mdconf", host)
@@ -208,7 +208,7 @@
         assert all(m == membership for m in fleet.memberships().values())
         fleet.hosts.append("10.0.3.1")
         await world.start("mdconf", "10.0.3.1")
-        assert await fleet.settle(fleet.hosts) <= 2_500 * MILLISECOND
+        assert await fleet.wait_until_voters(fleet.hosts) <= 2_500 * MILLISECOND
 
     run(scenario, seed)
 
@@ -217,16 +217,16 @@
 def test_one_too_many_of_an_even_number_is_left_out_and_comes_back(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=4)
-        await fleet.founded()
+        await fleet.bootstrap()
         dead = fleet.hosts[seed % 4]
         world.power_off("mdconf", dead)
         left = [h for h in fleet.hosts if h != dead]
-        await fleet.settle(left, 8 * SECOND)
+        await fleet.wait_until_voters(left, 8 * SECOND)
         world.power_off("mdconf", left[0])  # of three, two go on
         assert await configure_at(world, 1, left[1]) == 1
         await world.start("mdconf", left[0])
         await world.start("mdconf", dead)
-        await fleet.settle(fleet.hosts, 4 * SECOND)
+        await fleet.wait_until_voters(fleet.hosts, 4 * SECOND)
 
     run(scenario, seed)
 
@@ -235,13 +235,13 @@
 def test_a_machine_whose_disk_moved_to_a_new_address_stays_the_same_voter(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         old = fleet.hosts.pop(seed % 3)
         world.power_off("mdconf", old)
         disk = world.disks["mdconf", "10.0.3.1"] = world.disks.pop(("mdconf", old))
         fleet.hosts.append("10.0.3.1")
         await world.start("mdconf", "10.0.3.1")
-        await fleet.settle(fleet.hosts)
+        await fleet.wait_until_voters(fleet.hosts)
         assert disk is world.disks["mdconf", "10.0.3.1"]
         world.power_off("mdconf", fleet.hosts[0])
         assert await configure_at(world, 1, fleet.hosts[1]) == 1
@@ -257,14 +257,14 @@
 def test_a_lost_disk_is_replaced_while_all_others_lose_power(seed, core):
     async def scenario(world):
         fleet = SimulatedCore(world, core=core, losses=core // 2)
-        await fleet.founded()
+        await fleet.bootstrap()
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         lost = fleet.hosts[seed % core]
         for host in fleet.hosts:
             world.power_off("mdconf", host)
         world.lose_disk("mdconf", lost)
-        await fleet.up()
-        assert await fleet.settle(fleet.hosts) <= 2 * SECOND
+        await fleet.start()
+        assert await fleet.wait_until_voters(fleet.hosts) <= 2 * SECOND
         others = [h for h in fleet.hosts if h != lost]
         world.power_off("mdconf", others[0])  # now the new disk's vote may be needed
         assert await read_version(world, lost) == 1
@@ -277,13 +277,13 @@
 def test_two_lost_disks_of_five_are_replaced(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=5, losses=2)
-        await fleet.founded()
+        await fleet.bootstrap()
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts[:2]:
             world.power_off("mdconf", host)
             world.lose_disk("mdconf", host)
-        await fleet.up(fleet.hosts[:2])
-        assert await fleet.settle(fleet.hosts) <= 3 * SECOND
+        await fleet.start(fleet.hosts[:2])
+        assert await fleet.wait_until_voters(fleet.hosts) <= 3 * SECOND
         for host in fleet.hosts[3:]:
             world.power_off("mdconf", host)
         assert await configure_at(world, 2, fleet.hosts[0]) == 2
@@ -338,7 +338,7 @@
 def test_a_change_whose_actor_dies_at_any_disk_step_is_ended(step):
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         actor = world.disks["mdconf", fleet.hosts[0]]
         await world.start("mdconf", "10.0.3.1")
@@ -351,7 +351,7 @@
         await sleep_us(SECOND)
         actor.power_off()
         await world.start("mdconf", fleet.hosts[0])
-        await fleet.settle(fleet.hosts, 6 * SECOND)
+        await fleet.wait_until_voters(fleet.hosts, 6 * SECOND)
         assert await configure_at(world, 2, "10.0.3.1") == 2
 
     run(scenario, step)
@@ -361,7 +361,7 @@
 def test_a_change_is_ended_though_the_one_that_was_to_come_in_lost_its_disk(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         for host in fleet.hosts:  # nobody gets further than the first step
             world.daemon("mdconf", host).transfer_files = forever
         await world.start("mdconf", "10.0.3.1")
@@ -370,10 +370,10 @@
         world.lose_disk("mdconf", "10.0.3.1")
         for host in fleet.hosts:
             world.power_off("mdconf", host)
-        await fleet.up()
+        await fleet.start()
         await world.start("mdconf", "10.0.3.1")
         fleet.hosts.append("10.0.3.1")
-        await fleet.settle(fleet.hosts, 8 * SECOND)
+        await fleet.wait_until_voters(fleet.hosts, 8 * SECOND)
 
     run(scenario, seed)
 
@@ -386,7 +386,7 @@
 def test_a_stalled_disk_does_not_hold_up_the_members(who):
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         disk = world.disks["mdconf", fleet.hosts[who]]
         disk.stalled = trio.Event()
         await world.start("mdconf", "10.0.3.1")
@@ -396,7 +396,7 @@
         disk.stalled.set()
         disk.stalled = None
         fleet.hosts.append("10.0.3.1")
-        await fleet.settle(fleet.hosts, 8 * SECOND)
+        await fleet.wait_until_voters(fleet.hosts, 8 * SECOND)
 
     run(scenario, who)
 
@@ -428,14 +428,14 @@
 def test_no_configuration_is_taken_before_enough_vote_for_two_losses(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=5, losses=2)
-        await fleet.up(fleet.hosts[:3])
+        await fleet.start(fleet.hosts[:3])
         await world.eventually(lambda: all(fleet.memberships().values()))
         world.core = fleet.hosts[:1]
         status, told = await world.operate("POST", "/plan", manifest_with_route(1))
         assert (status, told["code"]) == (503, "too_few_members")
         assert all(world.node("mdconf", h).unready_reasons() for h in fleet.hosts[:3])
-        await fleet.up(fleet.hosts[3:])
-        await fleet.settle(fleet.hosts, 4 * SECOND)
+        await fleet.start(fleet.hosts[3:])
+        await fleet.wait_until_voters(fleet.hosts, 4 * SECOND)
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts[:2]:
             world.power_off("mdconf", host)
@@ -448,9 +448,9 @@
 def test_a_fleet_with_fewer_machines_than_wanted_starts_after_a_while():
     async def scenario(world):
         fleet = SimulatedCore(world, core=3, losses=2)
-        await fleet.up()
+        await fleet.start()
         await world.eventually(lambda: all(fleet.memberships().values()))
-        took = await fleet.settle(fleet.hosts, 8 * SECOND)
+        took = await fleet.wait_until_voters(fleet.hosts, 8 * SECOND)
         assert 3 * SECOND <= took <= 6 * SECOND
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
 
@@ -521,7 +521,7 @@
 def test_a_change_of_another_is_not_ended_before_its_keys_are_carried_over():
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         daemon = world.daemon("mdconf", fleet.hosts[0])
         disks = dict(daemon.store.membership.voters)
         daemon.changes_in_progress = 1
@@ -552,7 +552,7 @@
 def test_many_keys_are_carried_over_in_well_under_a_second():
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         daemon = world.daemon("mdconf", fleet.hosts[0])
         for n in range(100):
             await daemon.proposer.change(f"duty/{n}", lambda old, n=n: n, monotonic_us() + SECOND)
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -28,11 +28,11 @@
 
     async def scenario(world):
         fleet = SimulatedCore(world, core=3, losses=2)
-        await fleet.up()
-        await fleet.settle(fleet.hosts, 8 * SECOND)
+        await fleet.start()
+        await fleet.wait_until_voters(fleet.hosts, 8 * SECOND)
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         world.power_off("mdconf", fleet.hosts[seed % 3])
-        left = fleet.running()
+        left = fleet.running_hosts()
         world.core = left[:1]
         status, told = await world.operate("POST", "/plan", manifest_with_route(2))
         assert (status, told["code"]) == (503, "no_majority")
@@ -44,7 +44,7 @@
 def test_a_single_process_acknowledges_nothing_where_a_loss_is_to_be_borne():
     async def scenario(world):
         fleet = SimulatedCore(world, core=1, losses=1)
-        await fleet.up()
+        await fleet.start()
         await sleep_us(10 * SECOND)
         world.core = fleet.hosts
         status, told = await world.operate("POST", "/plan", manifest_with_route(1))
@@ -59,8 +59,8 @@
 def test_a_single_process_serves_where_no_loss_is_to_be_borne():
     async def scenario(world):
         fleet = SimulatedCore(world, core=1, losses=0)
-        await fleet.up()
-        await fleet.settle(fleet.hosts)
+        await fleet.start()
+        await fleet.wait_until_voters(fleet.hosts)
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
 
     run(scenario)
@@ -92,15 +92,15 @@
         self.zones = dict(zip(self.hosts, zones, strict=True))
         self.zone_losses, self.region_losses = zone_losses, region_losses
 
-    def facts(self, role, host):
-        facts = super().facts(role, host)
-        facts |= {"hall": self.zones[host], "region": self.zones[host][0]}
+    def raw_settings(self, role, host):
+        settings = super().raw_settings(role, host)
+        settings |= {"hall": self.zones[host], "region": self.zones[host][0]}
         if role == "mdconf":
-            facts |= {"zone_losses": self.zone_losses, "region_losses": self.region_losses}
-        return facts
+            settings |= {"zone_losses": self.zone_losses, "region_losses": self.region_losses}
+        return settings
 
     def voting_zones(self):
-        membership = self.store(self.running()[0]).membership
+        membership = self.store(self.running_hosts()[0]).membership
         return sorted(self.zones[a.split(":")[0]] for a in membership.voters.values())
 
     def steady(self, zones):
@@ -109,7 +109,9 @@
         return (
             all(m and m.next_voters is None and m == memberships[0] for m in memberships)
             and self.voting_zones() == zones
-            and not any(self.world.node("mdconf", h).unready_reasons() for h in self.running())
+            and not any(
+                self.world.node("mdconf", h).unready_reasons() for h in self.running_hosts()
+            )
         )
 
 
@@ -120,7 +122,7 @@
 
     async def scenario(world):
         fleet = ZonedFleet(world, ["a1", "a1", "a1", "b1", "b1", "c1", "c1"], **{kind: 1})
-        await fleet.up()
+        await fleet.start()
         await world.eventually(lambda: fleet.steady(["a1", "b1", "c1"]), 12 * SECOND)
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts[:3]:
@@ -135,7 +137,7 @@
 def test_fewer_vote_where_that_lets_a_zone_be_lost_and_the_others_are_spare():
     async def scenario(world):
         fleet = ZonedFleet(world, ["a1", "b1", "c1", "a1", "a1"], zone_losses=1)
-        await fleet.up()
+        await fleet.start()
         await sleep_us(6 * SECOND)
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         await world.eventually(lambda: fleet.steady(fleet.voting_zones()), 3 * SECOND)
@@ -154,7 +156,7 @@
     async def scenario(world):
         zones = ["a1", "b1", "c1", "a1", "b1", "c1", "c1"]
         fleet = ZonedFleet(world, zones)
-        await fleet.up()
+        await fleet.start()
         await sleep_us(5 * SECOND)
         assert fleet.voting_zones() == ["a1", "b1", "c1"]
         world.power_off("mdconf", fleet.hosts[2])
@@ -172,7 +174,7 @@
 
     async def scenario(world):
         fleet = ZonedFleet(world, ["a1", "b1", "c1"], zone_losses=1)
-        await fleet.founded()
+        await fleet.bootstrap()
         for host in fleet.hosts:
             store = fleet.store(host)
             former = MembershipConfiguration(2, store.membership.voters)
@@ -181,7 +183,7 @@
             assert "places" not in former.to_record()
         for host in fleet.hosts:
             world.power_off("mdconf", host)
-        await fleet.up()
+        await fleet.start()
         wanted = {fleet.store(h).disk: FailureDomain(z, z[0]) for h, z in fleet.zones.items()}
         await world.eventually(
             lambda: all(m.places == wanted for m in fleet.memberships().values()), 4 * SECOND
@@ -225,7 +227,7 @@
 def test_a_replacement_ends_once_the_newcomer_itself_holds_everything(seed, slow):
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         for number in range(1, 4):
             await configure_at(world, number, fleet.hosts[0])
         gone = fleet.hosts.pop(2)
@@ -247,7 +249,7 @@
         assert await configure_at(world, 4, "10.0.3.1") == 4
         await world.start("mdconf", fleet.hosts[seed - 1])
         fleet.hosts.append("10.0.3.1")
-        await fleet.settle(fleet.hosts, 6 * SECOND)
+        await fleet.wait_until_voters(fleet.hosts, 6 * SECOND)
 
     run(scenario, seed)
 
@@ -266,7 +268,7 @@
 def test_a_change_is_taken_back_when_its_newcomer_dies_and_another_takes_the_place(seed):
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         world.power_off("mdconf", fleet.hosts.pop(2))
         await world.start("mdconf", "10.0.3.1")
@@ -275,7 +277,7 @@
         world.power_off("mdconf", "10.0.3.1")
         await world.start("mdconf", "10.0.3.2")
         fleet.hosts.append("10.0.3.2")
-        await fleet.settle(fleet.hosts, 15 * SECOND)
+        await fleet.wait_until_voters(fleet.hosts, 15 * SECOND)
         world.power_off("mdconf", fleet.hosts[seed % 2])
         world.lose_disk("mdconf", fleet.hosts[seed % 2])
         assert await read_version(world, "10.0.3.2") == 1
@@ -287,7 +289,7 @@
 def test_a_newcomer_that_answers_and_never_stores_does_not_block_for_ever():
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         await world.start("mdconf", "10.0.3.1")
         slow_down(fleet.store("10.0.3.1").acceptor, "write", 3600 * SECOND)
         await change_begun(world, fleet)
@@ -306,9 +308,9 @@
 
     async def scenario(world):
         fleet = SimulatedCore(world, core=5, losses=2)
-        await fleet.up(fleet.hosts[:3])
-        await fleet.settle(fleet.hosts[:3], 8 * SECOND)
-        await fleet.up(fleet.hosts[3:])
+        await fleet.start(fleet.hosts[:3])
+        await fleet.wait_until_voters(fleet.hosts[:3], 8 * SECOND)
+        await fleet.start(fleet.hosts[3:])
         slow_down(fleet.store(fleet.hosts[4]).acceptor, "write", 3600 * SECOND)
         await change_begun(world, fleet)
         behind = fleet.store(fleet.hosts[2])
@@ -335,7 +337,7 @@
 
     async def scenario(world):
         fleet = SimulatedCore(world, core=5, losses=2)
-        await fleet.founded()
+        await fleet.bootstrap()
         assert await configure_at(world, 1, fleet.hosts[0]) == 1
         world.power_off("mdconf", fleet.hosts.pop())
         await world.start("mdconf", "10.0.3.1")
@@ -346,7 +348,7 @@
         assert await configure_at(world, 2, fleet.hosts[1]) == 2
         await world.start("mdconf", fleet.hosts[0])
         fleet.hosts.append("10.0.3.1")
-        await fleet.settle(fleet.hosts, 12 * SECOND)
+        await fleet.wait_until_voters(fleet.hosts, 12 * SECOND)
         for host in fleet.hosts[1:3]:
             world.power_off("mdconf", host)
             world.lose_disk("mdconf", host)
@@ -359,7 +361,9 @@
 
 
 def voters(world, fleet):
-    return {a.split(":")[0] for a in fleet.store(fleet.running()[0]).membership.voters.values()}
+    return {
+        a.split(":")[0] for a in fleet.store(fleet.running_hosts()[0]).membership.voters.values()
+    }
 
 
 def steady(fleet):
@@ -369,8 +373,8 @@
 
 async def with_spares(world, core=7):
     fleet = SimulatedCore(world, core=core)
-    fleet.settings = {"linger_us": 100 * MILLISECOND}
-    await fleet.up()
+    fleet.extra_settings = {"linger_us": 100 * MILLISECOND}
+    await fleet.start()
     await sleep_us(5 * SECOND)
     assert len(voters(world, fleet)) == 3
     assert await configure_at(world, 1, fleet.hosts[0]) == 1
@@ -385,13 +389,13 @@
         assert await world.stop(f"mdconf@{host}") <= 5 * SECOND
         assert len(voters(world, fleet)) == 3
         assert host not in voters(world, fleet)
-        assert fleet.store(fleet.running()[0]).membership.next_voters is None
+        assert fleet.store(fleet.running_hosts()[0]).membership.next_voters is None
         # so a loss right after it can be borne
         lost = sorted(voters(world, fleet))[which]
         world.power_off("mdconf", lost)
         world.lose_disk("mdconf", lost)
-        assert await read_version(world, fleet.running()[0]) == 1
-        assert await configure_at(world, 2, fleet.running()[0]) == 2
+        assert await read_version(world, fleet.running_hosts()[0]) == 1
+        assert await configure_at(world, 2, fleet.running_hosts()[0]) == 2
 
     run(scenario, which + 1)
 
@@ -407,7 +411,7 @@
             nursery.start_soon(world.stop, f"mdconf@{second}")
         await world.eventually(lambda: steady(fleet), 3 * SECOND)
         assert not {first, second} & voters(world, fleet)
-        assert await read_version(world, fleet.running()[-1]) == 1
+        assert await read_version(world, fleet.running_hosts()[-1]) == 1
 
     run(scenario)
 
@@ -424,7 +428,7 @@
         await world.eventually(
             lambda: steady(fleet) and not {lost, stopped} & voters(world, fleet), 3 * SECOND
         )
-        assert await read_version(world, fleet.running()[-1]) == 1
+        assert await read_version(world, fleet.running_hosts()[-1]) == 1
 
     run(scenario)
 
@@ -435,7 +439,7 @@
 
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         stopped, other, behind = fleet.hosts
         assert await configure_at(world, 1, stopped) == 1
         store = fleet.store(behind)
@@ -451,7 +455,7 @@
         head = store.acceptor.read("manifest/head")[1]
         assert head["version"] == 2
         assert {f"blob/{name}" for name in head["ranges"]} <= set(store.files.disk.files)
-        assert other in fleet.running()
+        assert other in fleet.running_hosts()
 
     run(scenario, seed)
 
@@ -477,7 +481,7 @@
 def test_a_voter_that_stops_without_a_spare_stays_one():
     async def scenario(world):
         fleet = SimulatedCore(world, core=3)
-        await fleet.founded()
+        await fleet.bootstrap()
         membership = fleet.store(fleet.hosts[0]).membership
         took = await world.stop(f"mdconf@{fleet.hosts[1]}")
         assert took <= 2 * SECOND
--- a/tests/project/test_deploy.py
+++ b/tests/project/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file lists the system packages of each command that a clean build starts."""
+"""The deploy file lists the system package of each command that a clean build or a role runs."""
 
 from __future__ import annotations
 
@@ -16,27 +16,28 @@
 
 
 def without_comments_and_labels(script: str) -> str:
-    """The script on whole lines, without comments and the patterns of `case`."""
+    """Return a script with joined continuation lines, without comments and patterns of `case`."""
     joined = script.replace("\\\n", " ")
     lines = [line for line in joined.splitlines() if not line.lstrip().startswith("#")]
     return "\n".join(re.sub(r"^\s*[^\s()]+\) ", "", line) for line in lines)
 
 
 def commands(script: str) -> set[str]:
-    """The programs that a shell script starts, by name."""
+    """Return the names of the programs that a shell script runs."""
     text = without_comments_and_labels(script)
     functions = set(re.findall(r"^(\w+)\(\)", text, re.MULTILINE))
-    found = set()
+    names = set()
     for part in SEPARATOR.split(text):
         words = [word for word in part.split() if word not in SHELL_WORDS and word != "!"]
         while words and ASSIGNMENT.match(words[0]):
             words = words[1:]
         if words and re.fullmatch(r"[\w.+-]+", words[0]):
-            found.add(words[0])
-    return found - functions - BUILTINS
+            names.add(words[0])
+    return names - functions - BUILTINS
 
 
 def table_rows() -> list[list[str]]:
+    """Return the rows of the table of commands and packages in the documentation."""
     text = (ROOT / "docs" / "platform.md").read_text(encoding="utf-8")
     section = text.split("## Clean build")[1].split("\n## ")[0]
     rows = [line.strip("|").split("|") for line in section.splitlines() if line.startswith("|")]
@@ -59,14 +60,14 @@
 
 
 def test_each_command_of_the_build_and_the_run_lines_has_its_package():
-    listed = {name for row in table_rows() for name in re.findall(r"`([^`]+)`", row[0])}
+    documented = {name for row in table_rows() for name in re.findall(r"`([^`]+)`", row[0])}
     deploy = deploy_file()
     run_lines = [role["run"] for role in deploy["roles"].values()]
     script = (ROOT / "deploy" / "build.sh").read_text(encoding="utf-8")
-    started = commands("\n".join([deploy["build"], *run_lines])) | commands(script)
-    assert {"sh", "python3", "find", "basename"} <= started
-    assert started <= listed
-    assert ("python3 -m pip" in script) == ("python3 -m pip" in listed)
+    used = commands("\n".join([deploy["build"], *run_lines])) | commands(script)
+    assert {"sh", "python3", "find", "basename"} <= used
+    assert used <= documented
+    assert ("python3 -m pip" in script) == ("python3 -m pip" in documented)
 
 
 def test_the_packages_of_the_table_are_those_of_the_deploy_file():
@@ -75,21 +76,21 @@
     assert {row[1] for row in table_rows()} == set(packages)
 
 
-def test_the_build_refuses_a_python_that_is_too_old(tmp_path):
-    """A stand-in for python3 answers as 3.10 would; nothing may be made."""
+def test_the_build_fails_with_a_python_that_is_too_old(tmp_path):
+    """A fake python3 reports version 3.10; the build must not create anything."""
     script = tmp_path / "python3"
     script.write_text(
         '#!/bin/sh\ncase "$2" in *print*) echo 3.10 ;; *sys.exit*) exit 1 ;; *) exit 9 ;; esac\n'
     )
     script.chmod(0o755)
     path = f"{tmp_path}:{os.environ['PATH']}"
-    ended = subprocess.run(
+    process = subprocess.run(
         ["sh", ROOT / "deploy" / "build.sh"],
         cwd=tmp_path,
         env={"PATH": path},
         capture_output=True,
         text=True,
     )
-    assert ended.returncode == 1
-    assert "python3 is 3.10, but 3.11 or later is needed" in ended.stderr
+    assert process.returncode == 1
+    assert "python3 is 3.10, but 3.11 or later is needed" in process.stderr
     assert not (tmp_path / "target").exists()
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,4 @@
-"""CI passes over exactly the tests that KNOWN-RED.txt lists, and says so."""
+"""CI deselects exactly the tests that KNOWN-RED.txt lists, and prints them."""
 
 from __future__ import annotations
 
@@ -29,6 +29,7 @@
 
 
 def run_pytest(folder: Path, listed: str | None, *arguments: str) -> subprocess.CompletedProcess:
+    """Run the sample tests with a list of known failures, or without the file."""
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / "test_sample.py").write_text(TESTS)
     if listed is not None:
@@ -49,29 +50,31 @@
 
 
 @pytest.mark.parametrize("arguments", [(), ("-n", "2", "--dist", "loadfile")])
-def test_just_the_listed_tests_are_passed_over_and_printed(tmp_path, arguments):
-    ended = run_pytest(tmp_path, BROKEN + PARAMETERS, *arguments)
-    assert ended.returncode == 0, ended.stdout
-    assert "1 passed" in ended.stdout  # test_broken_too, although its name begins alike
+def test_only_the_listed_tests_are_deselected_and_printed(tmp_path, arguments):
+    process = run_pytest(tmp_path, BROKEN + PARAMETERS, *arguments)
+    assert process.returncode == 0, process.stdout
+    assert (
+        "1 passed" in process.stdout
+    )  # test_broken_too, although its name starts with test_broken
     for line in (BROKEN, PARAMETERS):
-        assert f"KNOWN RED, passed over: {line}" in ended.stdout
+        assert f"KNOWN RED, passed over: {line}" in process.stdout
 
 
 def test_a_failure_that_is_not_listed_fails(tmp_path):
-    ended = run_pytest(tmp_path, BROKEN)
-    assert ended.returncode == 1
-    assert "2 failed, 1 passed" in ended.stdout
+    process = run_pytest(tmp_path, BROKEN)
+    assert process.returncode == 1
+    assert "2 failed, 1 passed" in process.stdout
 
 
 def test_without_the_file_all_tests_run(tmp_path):
-    ended = run_pytest(tmp_path, None)
-    assert ended.returncode == 1
-    assert "3 failed, 1 passed" in ended.stdout
-    assert "KNOWN RED" not in ended.stdout
+    process = run_pytest(tmp_path, None)
+    assert process.returncode == 1
+    assert "3 failed, 1 passed" in process.stdout
+    assert "KNOWN RED" not in process.stdout
 
 
 @pytest.mark.parametrize(
-    "listed, complaint",
+    "listed, error",
     [
         (BROKEN * 4, "4 tests, at most 3 may be listed"),
         ("test_sample.py::test_broken | pytest | a cause\n", LINE_FORM),
@@ -84,8 +87,8 @@
         ("test_sample.py::test_mended | pytest | a cause | #1\n", "no such test"),
     ],
 )
-def test_a_wrong_list_ends_the_run(tmp_path, listed, complaint):
-    ended = run_pytest(tmp_path, listed)
-    assert ended.returncode == pytest.ExitCode.USAGE_ERROR
-    assert complaint in ended.stderr
-    assert "passed" not in ended.stdout
+def test_an_invalid_list_stops_the_run(tmp_path, listed, error):
+    process = run_pytest(tmp_path, listed)
+    assert process.returncode == pytest.ExitCode.USAGE_ERROR
+    assert error in process.stderr
+    assert "passed" not in process.stdout
--- a/tests/support/core_fleet.py
+++ b/tests/support/core_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated core whose members know only their seeds."""
+"""A simulated core whose members find each other through their seeds."""
 
 from __future__ import annotations
 
@@ -13,79 +13,91 @@
 
 
 def manifest_with_route(number):
+    """Return a manifest whose only route has this number in its name."""
     return manifest([manifest_route(f"w{number}", "/balances")])
 
 
 class SimulatedCore:
-    """mdconf that were told seeds only. Invariant: founding and told are what the next start of
-    a process gets."""
+    """The mdconf processes of a fleet; their settings name seeds, but no members.
+
+    Invariant: may_bootstrap and seed_hosts are part of the settings of the next process start.
+    """
 
     def __init__(self, world, core, losses=1, seeds=None):
         self.world, self.losses = world, losses
         self.hosts = [f"10.0.0.{n}" for n in range(1, core + 1)]
-        self.told = seeds or self.hosts[:3]
-        self.founding = True
-        self.settings = {}  # further facts of an mdconf's boot
+        self.seed_hosts = seeds or self.hosts[:3]
+        self.may_bootstrap = True
+        self.extra_settings = {}  # further settings of each mdconf
         world.boot = self.boot
         world.core = self.hosts
 
     def boot(self, role, host):
-        return checked(role, self.facts(role, host))
+        """Return the validated settings of a process."""
+        return checked(role, self.raw_settings(role, host))
 
-    def facts(self, role, host):
-        facts = {
+    def raw_settings(self, role, host):
+        """Return the settings of a process as its boot file has them."""
+        settings = {
             "host": host,
             "hall": "a",
-            "seeds": [f"{h}:7421" for h in self.told],
+            "seeds": [f"{h}:7421" for h in self.seed_hosts],
             "fleet_key": KEY,
         }
         if role == "mdconf":
-            facts |= {"data": "sim", "founding": self.founding, "losses": self.losses}
-            facts |= {"members": [], **self.settings}
-        return facts
+            settings |= {"data": "sim", "founding": self.may_bootstrap, "losses": self.losses}
+            settings |= {"members": [], **self.extra_settings}
+        return settings
 
-    async def up(self, hosts=None):
+    async def start(self, hosts=None):
+        """Start the mdconf processes of some hosts, or of all."""
         async with trio.open_nursery() as nursery:
             for host in hosts or self.hosts:
                 nursery.start_soon(self.world.start, "mdconf", host)
 
-    async def founded(self, within=4 * SECOND):
-        await self.up()
-        took = await self.world.eventually(lambda: self.voting(self.hosts), within)
-        self.founding = False
-        return took
+    async def bootstrap(self, within=4 * SECOND):
+        """Start all processes, wait until all are voters, and return how long that took."""
+        await self.start()
+        duration_us = await self.world.eventually(lambda: self.are_voters(self.hosts), within)
+        self.may_bootstrap = False
+        return duration_us
 
     def store(self, host):
         return self.world.daemon("mdconf", host).store
 
-    def running(self):
-        return [h for h in self.hosts if f"mdconf@{h}" in self.world.processes]
+    def running_hosts(self):
+        """Return the hosts whose process runs."""
+        return [host for host in self.hosts if f"mdconf@{host}" in self.world.processes]
 
-    def voting(self, hosts):
-        """Each of these is ready and knows exactly these as the voters, under their disks."""
-        wanted = {self.store(h).disk: f"{h}:7421" for h in hosts}
+    def are_voters(self, hosts):
+        """Return whether each of these hosts is ready and knows exactly them as the voters."""
+        expected_voters = {self.store(host).disk: f"{host}:7421" for host in hosts}
         return all(
-            self.store(h).membership is not None
-            and self.store(h).membership.voters == wanted
-            and self.store(h).membership.next_voters is None
-            and not self.world.node("mdconf", h).unready_reasons()
-            for h in hosts
+            self.store(host).membership is not None
+            and self.store(host).membership.voters == expected_voters
+            and self.store(host).membership.next_voters is None
+            and not self.world.node("mdconf", host).unready_reasons()
+            for host in hosts
         )
 
-    async def settle(self, hosts, within=4 * SECOND):
-        return await self.world.eventually(lambda: self.voting(hosts), within, 10 * MILLISECOND)
+    async def wait_until_voters(self, hosts, within=4 * SECOND):
+        """Wait until exactly these hosts are the voters, and return how long that took."""
+        return await self.world.eventually(lambda: self.are_voters(hosts), within, 10 * MILLISECOND)
 
     def memberships(self):
-        return {h: self.store(h).membership for h in self.running()}
+        """Return the membership that each running process knows, by host."""
+        return {host: self.store(host).membership for host in self.running_hosts()}
 
 
 async def configure_at(world, number, host):
+    """Put the manifest of a number in force through one core host, and return its version."""
     world.core = [host]
     return await world.configure(manifest_with_route(number))
 
 
 async def read_version(world, host):
+    """Return the version of the manifest in force, read from one core host."""
     world.core = [host]
-    status, told = await world.operate("GET", "/manifest")
-    assert status == 200, told
-    return told["version"]
+    status, body = await world.operate("GET", "/manifest")
+    assert status == 200, body
+    return body["version"]
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -1,4 +1,4 @@
-"""Helpers over a simulated world whose mdproxies have gates."""
+"""Helpers for a simulated fleet whose proxies have gateways."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 
 def default_items(*more):
-    """Routes "/p/" (may be repeated) and "/once/" (at most once) of the service desk."""
+    """Return items with the idempotent route "/p/" and the non-idempotent route "/once/" to desk.
+
+    The service paper has the route "/paper/".
+    """
     return [
         service("desk"),
         service("paper"),
@@ -36,19 +39,24 @@
 
 
 def gated(scenario, seed=1, application=("desk", "desk", "desk"), core=1, **places):
-    """Run scenario(world) with gates in force and a stand-in endpoint of its service beside each."""
+    """Run scenario(world) with a gateway and a stand-in endpoint at each application machine.
+
+    Afterwards no call may have violated at-most-once execution, left a resource allocated, or
+    caused an invariant violation event. places are arguments of the simulation, and `items` and
+    `endpoint`: the configuration, and arguments of each stand-in endpoint.
+    """
 
-    async def whole(world):
-        terms = places_terms
+    async def run_and_check(world):
         await world.start_all()
         await world.eventually(lambda: not world.node("mdconf", world.core[0]).unready_reasons())
-        await world.set_items(terms.get("items") or default_items())
+        await world.set_items(own_places.get("items") or default_items())
         for host in world.application:
             await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
         world.ends = {}
         for host, name in world.application.items():
             if name:
-                world.ends[host] = await world.stand_in(host, name, **terms.get("endpoint", {}))
+                endpoint = own_places.get("endpoint", {})
+                world.ends[host] = await world.stand_in(host, name, **endpoint)
         await wait_until_listed(world)
         result = await scenario(world)
         assert not world.request_audit.broken(is_idempotent), world.request_audit.broken(
@@ -58,26 +66,30 @@
         assert not invariant_violations(world), invariant_violations(world)
         return result
 
-    places_terms = {key: places.pop(key) for key in ("items", "endpoint") if key in places}
-    return run(whole, seed, core=core, application=application, gate=True, **places)
+    own_places = {key: places.pop(key) for key in ("items", "endpoint") if key in places}
+    return run(run_and_check, seed, core=core, application=application, gate=True, **places)
 
 
-def is_idempotent(asked):
-    return not asked.target.startswith(b"/once/")
+def is_idempotent(call):
+    return not call.target.startswith(b"/once/")
 
 
 async def wait_until_listed(world):
-    """Every gate knows every endpoint's node."""
-    services = {s for s in world.application.values() if s}
+    """Wait until the load list of every gateway has the node of every endpoint."""
+    services = {service for service in world.application.values() if service}
 
-    def known():
+    def all_are_listed():
         return all(
-            {n.address.partition(":")[0] for s in services for n in gate.loads.nodes.get(s, ())}
+            {
+                node.address.partition(":")[0]
+                for service in services
+                for node in gateway.loads.nodes.get(service, ())
+            }
             >= {host for host, name in world.application.items() if name}
-            for gate in [gateway_of(world, h) for h in world.application]
+            for gateway in [gateway_of(world, host) for host in world.application]
         )
 
-    await world.eventually(known)
+    await world.eventually(all_are_listed)
 
 
 def gateway_of(world, host):
@@ -85,53 +97,68 @@
 
 
 def invariant_violations(world):
-    """The invariants that gates saw violated, in every life of every process."""
+    """Return the events of violated invariants, of every run of every process."""
     return world.trace.events(802)
 
 
 def find_leaks(world):
-    """What must be nothing once no call is under way."""
+    """Return what is still allocated or queued at the gateways although no call is in flight."""
     found = []
     for name, process in world.processes.items():
         if not name.startswith("mdproxy") or process.frozen is not None:
             continue
         daemon = process.node.daemon
-        gate, book = daemon.gate, daemon.endpoints
-        found += [f"{name}: call {call.id} of {call.service}" for call in gate.dispatcher.calls]
+        gateway, registry = daemon.gate, daemon.endpoints
+        found += [f"{name}: call {call.id} of {call.service}" for call in gateway.dispatcher.calls]
+        found += [
+            f"{name}: {endpoint.address} {endpoint.in_flight}"
+            for endpoint in registry.by_address.values()
+            if endpoint.in_flight
+        ]
+        found += [
+            f"{name}: {service_name} spilled"
+            for service_name, load in registry.service_loads.items()
+            if load.forwarded_now
+        ]
+        found += [
+            f"{name}: queue {service_name}"
+            for service_name, queue in gateway.admission.queues.items()
+            if len(queue)
+        ]
         found += [
-            f"{name}: {e.address} {e.in_flight}" for e in book.by_address.values() if e.in_flight
+            f"{name}: pending {address}"
+            for address, link in gateway.peers.outgoing.items()
+            if len(link.pending)
         ]
-        found += [f"{name}: {s} spilled" for s, o in book.service_loads.items() if o.forwarded_now]
-        found += [f"{name}: queue {s}" for s, q in gate.admission.queues.items() if len(q)]
-        found += [f"{name}: pending {a}" for a, k in gate.peers.outgoing.items() if len(k.pending)]
         found += [
             f"{name}: opening"
-            for pool in gate.dispatcher.local_calls.pools.values()
+            for pool in gateway.dispatcher.local_calls.pools.values()
             if pool.opening
         ]
-        pending = [
-            t
-            for t in daemon.reactor.timers
-            if t.callback is not None and t.when > monotonic_us() + 3 * SECOND
+        late_timers = [
+            timer
+            for timer in daemon.reactor.timers
+            if timer.callback is not None and timer.when > monotonic_us() + 3 * SECOND
         ]
-        found += [f"{name}: timer {t.callback}" for t in pending]
+        found += [f"{name}: timer {timer.callback}" for timer in late_timers]
     return found
 
 
-async def send_call(world, at_host, **facts):
-    """One call on a connection of its own, to its end."""
+async def send_call(world, at_host, **request):
+    """Make one call over a connection of its own and return the exchange when it has ended."""
     caller = await world.caller(at_host)
-    exchange = caller.ask(**facts)
+    exchange = caller.ask(**request)
     await exchange.done.wait()
     return exchange
 
 
 async def wait_until_done(calls):
+    """Wait until all calls have ended, and for the gateways to release their resources."""
     for exchange in calls:
         await exchange.done.wait()
     await sleep_us(100 * MILLISECOND)
 
 
 def set_rho(world, host, rho, name="desk"):
-    """The node's own view of its load, held there."""
+    """Set the load that a proxy assumes for a service of its own node."""
     world.daemon("mdproxy", host).endpoints.service_loads[name].rho = rho
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -1,12 +1,13 @@
-"""What the golden files of tests/golden are made of: stored files, rpc messages, HTTP answers,
-settings and events of the code as it is.
+"""Generate the content of the golden files in tests/golden from the current code.
 
-python tests/support/golden_facts.py --write    # makes the golden files anew
+They hold stored files, rpc messages, HTTP responses, settings and events.
 
-The golden files stand for what deployed processes have stored and speak. Write them anew only if a
-format is meant to change, and keep the former disks as a second set: they must still be read.
+python tests/support/golden_facts.py --write    # writes all golden files again
 
-This is the only test module of the golden files that knows the names of the code.
+The golden files represent what deployed processes have stored and send. Write them again only if a
+format is meant to change, and keep the previous disks as a second set: they must stay readable.
+
+Among the tests of the golden files, only this module depends on the names of the code.
 """
 
 from __future__ import annotations
@@ -62,13 +63,11 @@
 CORE, APPLICATION = 3, ("desk", "desk", "paper")
 ROLES = ("mdconf", "mdreg", "mdproxy")
 STORING_ROLE = "mdconf"
-VOTE = "register"  # the rpc method whose third argument says what is asked of a voter
-
-# ---------------------------------------------------------------- the form of golden files
+VOTE_METHOD = "register"  # the rpc method whose third argument names the request to a voter
 
 
 def readable(value):
-    """A value as JSON can hold it; bytes as {"hex": ...}, tuples as lists."""
+    """Return a value in a form that JSON can hold: bytes as {"hex": ...}, tuples as lists."""
     if isinstance(value, bytes | bytearray):
         return {"hex": bytes(value).hex()}
     if isinstance(value, dict):
@@ -81,17 +80,17 @@
 
 
 def golden_json(name):
-    """The value of a golden JSON file."""
+    """Return the value of a golden JSON file."""
     return json.loads((GOLDEN / name).read_text())
 
 
 def as_text(value):
-    """A golden JSON file's text."""
+    """Return the text of a golden JSON file with a value."""
     return json.dumps(readable(value), indent=1, sort_keys=True, ensure_ascii=False) + "\n"
 
 
 def golden_tree(folder):
-    """{name: bytes} of the files below a golden folder."""
+    """Return {name: bytes} of the files below a golden folder."""
     root = GOLDEN / folder
     return {
         path.relative_to(root).as_posix(): path.read_bytes()
@@ -100,8 +99,7 @@
     }
 
 
-# ---------------------------------------------------------------- stored formats, one by one
-
+# Values that are stored in each format.
 MEMBERSHIP = {
     "version": 7,
     "voters": {"00a1": "10.0.0.1:7421", "00a2": "10.0.0.2:7421", "00a3": "10.0.0.3:7421"},
@@ -116,29 +114,34 @@
 )
 
 
-def silent(*_, **__):
-    """A log that keeps nothing."""
+def discard_log(*_, **__):
+    """Discard a log event."""
 
 
 def audit_chain(length):
-    """{version: signed record}"""
-    key, records, former = audit.signing_key(FLEET_KEY), {}, ""
+    """Return {version: signed record} of an audit log."""
+    key, records, previous_hash = audit.signing_key(FLEET_KEY), {}, ""
     for version in range(1, length + 1):
-        facts = {"version": version, "plan": f"{version:032x}", "base": version - 1}
-        records[version] = audit.sign(
-            key, {**facts, "ranges": "r", "at": str(1_700_000_000_000_000), "former": former}
-        )
-        former = audit.record_hash(records[version])
+        content = {
+            "version": version,
+            "plan": f"{version:032x}",
+            "base": version - 1,
+            "ranges": "r",
+            "at": str(1_700_000_000_000_000),
+            "former": previous_hash,
+        }
+        records[version] = audit.sign(key, content)
+        previous_hash = audit.record_hash(records[version])
     return records
 
 
 def new_store(disk):
-    """A member's store over a disk."""
-    return Store(disk, random.Random(SEED), silent)
+    """Return a member's store on a disk."""
+    return Store(disk, random.Random(SEED), discard_log)
 
 
 async def stored_formats():
-    """{file name: bytes} of one file of each format, written by the code that stores it."""
+    """Return {file name: bytes} of one file of each format, written by the code that stores it."""
     disk = MemoryDisk()
     store = new_store(disk)
     await store.load()
@@ -153,26 +156,28 @@
     record_disk = MemoryDisk()
     record = ExecutionRecord(record_disk)
 
-    async def work(_):
+    async def handle(_):
         return 200, {"balance": 5}
 
-    await record.run_once(KEYED_CALL, work)
+    await record.run_once(KEYED_CALL, handle)
     return {
         **{f"member/{name}": data for name, data in disk.files.items()},
         **{f"endpoint/{name}": data for name, data in record_disk.files.items()},
     }
 
 
-def disk_of(files, folder=""):
-    """A disk that holds the files below a folder of a tree."""
+def disk_with(files, folder=""):
+    """Return a disk that holds the files below a folder of a tree."""
     disk = MemoryDisk()
-    disk.files = {n[len(folder) :]: data for n, data in files.items() if n.startswith(folder)}
+    disk.files = {
+        name[len(folder) :]: data for name, data in files.items() if name.startswith(folder)
+    }
     return disk
 
 
 async def read_formats(files):
-    """What the files of stored_formats say, read by the code that loads them."""
-    store = new_store(disk_of(files, "member/"))
+    """Return the content of the files of stored_formats, read by the code that loads them."""
+    store = new_store(disk_with(files, "member/"))
     await store.load()
     states = {
         store.acceptor.keys[folder]: [
@@ -184,12 +189,12 @@
         for folder, state in store.acceptor.states.items()
     }
     chunks = [await store.read_chunk(name) for name in await store.chunk_names()]
-    record = ExecutionRecord(disk_of(files, "endpoint/"))
+    record = ExecutionRecord(disk_with(files, "endpoint/"))
 
-    async def never(_):
+    async def fail(_):
         raise AssertionError("a recorded call must not run again")
 
-    reply = await record.run_once(KEYED_CALL, never)
+    response = await record.run_once(KEYED_CALL, fail)
     return readable(
         {
             "disk": store.disk,
@@ -201,14 +206,14 @@
             "audit": await store.audit_log.read(audit_chain(66)),
             "anchor": store.audit_log.state().anchor(),
             "lease": LeaseRecord.decode(store.acceptor.read("lease")[1]) == LEASE,
-            "recorded_answer": [reply.status, reply.body],
+            "recorded_answer": [response.status, response.body],
         }
     )
 
 
 def lease_messages():
-    """{name: encoded form} of the lease's record and messages, by their code."""
-    made = {
+    """Return {name: encoded form} of the lease record and the lease messages."""
+    messages = {
         "record": LEASE,
         "released": LeaseRecord("mdreg@10.0.0.1", 3, 10, 2_000_000, True),
         "acquire": AcquireLease("collector", "mdreg@10.0.0.1", 4, 2_000_000, 2),
@@ -216,16 +221,13 @@
         "release": ReleaseLease("collector", "mdreg@10.0.0.1", 3, 6),
         "granted": LeaseGranted(3, 5),
     }
-    for message in made.values():
+    for message in messages.values():
         assert type(message).decode(unpack(pack(message.encode()))) == message
-    return {name: pack(message.encode()).hex() for name, message in made.items()}
-
-
-# ---------------------------------------------------------------- a played deployment
+    return {name: pack(message.encode()).hex() for name, message in messages.items()}
 
 
 def canonical(value):
-    """Maps in the order of their keys: that of a message's maps may come from a set."""
+    """Return a value with all maps sorted by key: their order in a message may come from a set."""
     if isinstance(value, dict):
         return {key: canonical(value[key]) for key in sorted(value, key=str)}
     if isinstance(value, list | tuple):
@@ -234,61 +236,61 @@
 
 
 def packed(value):
-    """A message as hexadecimal digits, with its maps in canonical order."""
+    """Return a message as hexadecimal digits, with its maps in canonical order."""
     return pack(canonical(value)).hex()
 
 
-class Recording:
-    """The first request and the first answer, refused or not, of each rpc method."""
+class RpcRecorder:
+    """Record the first request, the first response and the rejections of each rpc method."""
 
     def __init__(self):
-        self.requests, self.answers, self.refusals = {}, {}, {}
+        self.requests, self.responses, self.rejections = {}, {}, {}
 
-    def listen(self, links):
-        """Stand where a process' calls over links leave it."""
-        original = links.call
+    def attach(self, connections):
+        """Record all calls that a process makes through its connections."""
+        original = connections.call
 
-        async def call(address, method, args, due):
-            name = f"{method} {args[2]}" if method == VOTE else method
+        async def call(address, method, args, deadline):
+            name = f"{method} {args[2]}" if method == VOTE_METHOD else method
             self.requests.setdefault(name, packed(args))
             try:
-                answer = await original(address, method, args, due)
-            except Rejected as refused:
-                self.refusals.setdefault(name, {})[refused.code] = sorted(refused.details)
+                response = await original(address, method, args, deadline)
+            except Rejected as rejected:
+                self.rejections.setdefault(name, {})[rejected.code] = sorted(rejected.details)
                 raise
-            self.answers.setdefault(name, packed(answer))
-            return answer
+            self.responses.setdefault(name, packed(response))
+            return response
 
-        links.call = call
+        connections.call = call
 
-    def told(self):
-        """{method: its request, answer and refusals}"""
+    def entries(self):
+        """Return the request, response and rejections of each method."""
         return {
             method: {
                 "request": request,
-                "answer": self.answers.get(method),
-                "refusals": self.refusals.get(method, {}),
+                "answer": self.responses.get(method),
+                "refusals": self.rejections.get(method, {}),
             }
             for method, request in sorted(self.requests.items())
         }
 
 
-def decoded(told):
-    """An entry of Recording.told() with its packed messages read."""
-    found = {key: told[key] and bytes.fromhex(told[key]) for key in ("request", "answer")}
-    return {key: data and readable(unpack(data)) for key, data in found.items()}
+def decoded(entry):
+    """Return an entry of RpcRecorder.entries with its messages unpacked."""
+    messages = {key: entry[key] and bytes.fromhex(entry[key]) for key in ("request", "answer")}
+    return {key: data and readable(unpack(data)) for key, data in messages.items()}
 
 
-class Played:
-    """What a played deployment left behind."""
+class DeploymentRecord:
+    """Stored files, rpc messages, HTTP responses and events of a simulated deployment."""
 
     def __init__(self):
         self.disks, self.rpc, self.http, self.events = {}, {}, {}, {}
-        self.methods = {}  # role -> the rpc methods that its processes answer
+        self.methods = {}  # role -> the rpc methods that its processes serve
 
 
-def later_manifest():
-    """The second configuration of the played deployment."""
+def second_manifest():
+    """Return the second configuration of the simulated deployment."""
     return manifest(
         [
             manifest_route("balances", "/balances"),
@@ -300,18 +302,18 @@
 ITEMS = [service("letters"), route("letters", prefix="/letters/", services=("letters",))]
 
 
-async def http_answer(world, address, method, path, body=None, headers=()):
-    """The whole answer to one request, asked from the machine that answers."""
+async def http_response(world, address, method, path, body=None, headers=()):
+    """Send a request from the machine of its receiver and return the complete response."""
     host = address.partition(":")[0]
-    status, lines, told = await world.http(host, method, address, path, body, headers)
-    shown = {name.decode(): value.decode("latin-1") for name, value in lines.items()}
-    return {"status": status, "headers": shown, "body": told}
+    status, response_headers, content = await world.http(host, method, address, path, body, headers)
+    shown = {name.decode(): value.decode("latin-1") for name, value in response_headers.items()}
+    return {"status": status, "headers": shown, "body": content}
 
 
-async def proxy_answers(world, token):
-    """{case: answer} of a proxy's door."""
+async def proxy_responses(world, token):
+    """Return {case: response} of a proxy's HTTP listener."""
     host = next(iter(world.application))
-    asked = {
+    requests = {
         "answered": ("GET", "/balances/1", None, ()),
         "answered, with a key": ("POST", "/withdrawals", {"amount": 1}, [(b"md-key", b"k1")]),
         "unknown way": ("GET", "/nowhere", None, ()),
@@ -341,30 +343,36 @@
         "live": ("GET", "/live", None, ()),
         "ready": ("GET", "/ready", None, ()),
     }
-    return {case: await http_answer(world, f"{host}:7400", *words) for case, words in asked.items()}
+    return {
+        case: await http_response(world, f"{host}:7400", *request)
+        for case, request in requests.items()
+    }
 
 
 def enrolment(host, service):
-    """The facts of an enrolment."""
+    """Return the body of an enrolment."""
     address = f"{host}:8099"
     return {"service": service, "address": address, "incarnation": "i99", "capacity": 4}
 
 
-async def operator_answers(world):
-    """{case: answer} of the operators' door; makes the second and third change of the deployment."""
-    door = f"{world.core[0]}:7420"
-    made = {}
+async def operator_responses(world):
+    """Return {case: response} of the operators' listener.
+
+    Two of the requests make the second and third change of the deployment.
+    """
+    address = f"{world.core[0]}:7420"
+    responses = {}
 
     async def ask(case, method, path, body=None):
-        made[case] = await http_answer(world, door, method, path, body)
-        return made[case]["body"]
+        responses[case] = await http_response(world, address, method, path, body)
+        return responses[case]["body"]
 
-    plan = (await ask("plan", "POST", "/plan", later_manifest()))["plan"]
+    plan = (await ask("plan", "POST", "/plan", second_manifest()))["plan"]
     await ask("plan not confirmed yet", "GET", f"/plan/{plan}")
     await ask("confirm", "POST", "/confirm", {"plan": plan})
     await ask("confirm again", "POST", "/confirm", {"plan": plan})
     await ask("plan confirmed", "GET", f"/plan/{plan}")
-    await ask("plan without changes", "POST", "/plan", later_manifest())
+    await ask("plan without changes", "POST", "/plan", second_manifest())
     await ask("plan invalid", "POST", "/plan", {"services": 1})
     await ask("confirm malformed", "POST", "/confirm", {"a": 1})
     await ask("confirm unknown", "POST", "/confirm", {"plan": "0" * 32})
@@ -378,11 +386,11 @@
     await ask("status", "GET", "/status")
     await ask("unknown path", "GET", "/nowhere")
     await ask("unknown method", "POST", "/audit", {"a": 1})
-    return made
+    return responses
 
 
-async def spill(world):
-    """Calls at a proxy whose endpoint is full, so that a neighbour takes some."""
+async def forward_calls(world):
+    """Send a proxy more calls than its endpoint can take, so that it forwards some to others."""
     client = world.client(next(iter(world.application)))
     async with trio.open_nursery() as nursery:
         for _ in range(6):
@@ -390,7 +398,10 @@
 
 
 async def restart_cores(world):
-    """Each registry and member stops politely and comes back: leases and votes are handed over."""
+    """Restart a registry and a core member, then replace the disk of another member.
+
+    The graceful shutdowns hand over the lease and the vote.
+    """
     for role in ("mdreg", "mdconf"):
         host = world.core[0]
         await world.stop(f"{role}@{host}")
@@ -403,8 +414,8 @@
     await sleep_us(15 * SECOND)
 
 
-def methods_of(world):
-    """{role: the rpc methods that its processes answer}"""
+def methods_by_role(world):
+    """Return {role: the rpc methods that its processes serve}."""
     hosts = {
         "mdconf": world.core[0],
         "mdreg": world.core[0],
@@ -415,29 +426,33 @@
     }
 
 
-async def ask_rare_methods(world, files):
-    """The methods that only losses or former versions call."""
-    links = world.node("mdreg", world.core[0]).rpc
+async def call_rare_methods(world, files):
+    """Call the methods that are otherwise called after losses only, or by former versions."""
+    connections = world.node("mdreg", world.core[0]).rpc
     disk = f"{STORING_ROLE}-{world.core[0]}"
     chunk = next(name for name in sorted(files) if name.startswith(f"{disk}/blob/")).split("/")[2]
     key = next(name for name in sorted(files) if name.startswith(f"{disk}/key/")).split("/")[2]
-    asked = {
+    arguments = {
         "blob.get": [chunk, "0" * 32],
         "mend.keys": int(key[0], 16),
         "duty.claim": ["collector", "mdreg@10.0.0.1", 0],
         "no.such.method": None,
     }
-    for method, args in asked.items():
+    for method, args in arguments.items():
         try:
-            await links.call(f"{world.core[0]}:7421", method, args, monotonic_us() + SECOND)
+            await connections.call(f"{world.core[0]}:7421", method, args, monotonic_us() + SECOND)
         except Rejected:
-            pass  # the recording has it
+            pass  # the recorder has it
 
 
-async def play(world):
-    """Three changes, a lease, calls and refusals; then losses, for the methods that mend them."""
-    played, recording = Played(), Recording()
-    world.listen = recording.listen
+async def deployment_scenario(world):
+    """Run a deployment and return its DeploymentRecord.
+
+    It makes three changes and holds a lease, and its calls are served or rejected; then it loses a
+    disk, so that the rpc methods for the repair are called.
+    """
+    deployment, recorder = DeploymentRecord(), RpcRecorder()
+    world.listen = recorder.attach
     await start_configured(world)
     record_disk = MemoryDisk()
     endpoints = [
@@ -451,45 +466,51 @@
         for host, service in world.application.items()
     ]
     await sleep_us(3 * SECOND)
-    await spill(world)
-    played.http["proxy"] = await proxy_answers(world, endpoints[0].token)
-    played.http["operators"] = await operator_answers(world)
+    await forward_calls(world)
+    deployment.http["proxy"] = await proxy_responses(world, endpoints[0].token)
+    deployment.http["operators"] = await operator_responses(world)
     await sleep_us(3 * SECOND)
     for (role, host), disk in sorted(world.disks.items()):
         for name, data in sorted(disk.files.items()):
-            played.disks[f"{role}-{host}/{name}"] = data
+            deployment.disks[f"{role}-{host}/{name}"] = data
     for name, data in sorted(record_disk.files.items()):
-        played.disks[f"endpoint/{name}"] = data
-    played.methods = methods_of(world)
-    await ask_rare_methods(world, played.disks)
+        deployment.disks[f"endpoint/{name}"] = data
+    deployment.methods = methods_by_role(world)
+    await call_rare_methods(world, deployment.disks)
     await restart_cores(world)
-    played.rpc = recording.told()
-    played.events = event_fields(world.trace.lines)
-    return played
+    deployment.rpc = recorder.entries()
+    deployment.events = event_fields(world.trace.lines)
+    return deployment
 
 
 def event_fields(lines):
-    """{number: [event name, the field names of all its lines]}"""
-    found = {}
+    """Return {number: [event name, the field names of all its lines]}."""
+    fields_by_number = {}
     for _, line in lines:
-        fields = found.setdefault(line["number"], [line["event"], set()])[1]
+        fields = fields_by_number.setdefault(line["number"], [line["event"], set()])[1]
         fields |= set(line)
-    return {number: [event, sorted(fields)] for number, (event, fields) in sorted(found.items())}
+    return {
+        number: [event, sorted(fields)]
+        for number, (event, fields) in sorted(fields_by_number.items())
+    }
 
 
-def played_deployment():
-    """The deployment of the golden files, played by the code as it is."""
-    return run(play, SEED, core=CORE, application=APPLICATION)
+def run_deployment():
+    """Run the deployment of the golden files with the current code."""
+    return run(deployment_scenario, SEED, core=CORE, application=APPLICATION)
 
 
 def revision_and_audit(files):
-    """What each member of a deployment that starts on stored disks tells of its revision and its
-    audit trail; the versions in force at the proxies, and that of the change made next."""
+    """Start a deployment on stored disks and return what its members report.
+
+    For each member that is its revision and audit log; the first entry also has the versions in
+    force at the proxies, and the version of the next change.
+    """
 
     async def scenario(world):
         for host in world.core:
             disk = SimDisk(random.Random(host))
-            disk.files = disk_of(files, f"{STORING_ROLE}-{host}/").files
+            disk.files = disk_with(files, f"{STORING_ROLE}-{host}/").files
             disk.lasting = dict(disk.files)
             world.disks[STORING_ROLE, host] = disk
         await world.start_all()
@@ -499,34 +520,36 @@
         for host in world.application:
             node = world.node("mdproxy", host)
             await world.eventually(lambda node=node: not node.unready_reasons())
-        found = [await read_back(world, core) for core in range(CORE)]
-        found[0]["proxies"] = [
-            (await http_answer(world, f"{host}:7400", "GET", "/md/status"))["body"]["version"]
+        members = [await read_member(world, core) for core in range(CORE)]
+        members[0]["proxies"] = [
+            (await http_response(world, f"{host}:7400", "GET", "/md/status"))["body"]["version"]
             for host in world.application
         ]
-        found[0]["next"] = await world.configure(manifest())
-        return found
+        members[0]["next"] = await world.configure(manifest())
+        return members
 
     return run(scenario, SEED, core=CORE, application=APPLICATION)
 
 
-async def read_back(world, core):
-    """What one member tells operators of the revision in force and the audit trail."""
-    status, trail = await world.operate("GET", "/audit", core=core)
-    assert status == 200, trail
-    status, told = await world.operate("GET", "/manifest", core=core)
-    assert status == 200, told
-    faults = audit.verify(trail["records"], trail["key"], trail["version"], trail["anchor"])
-    return {"audit": trail, "manifest": told, "faults": faults}
-
+async def read_member(world, core):
+    """Return what a member reports to operators: its audit log and the manifest in force."""
+    status, audit_log = await world.operate("GET", "/audit", core=core)
+    assert status == 200, audit_log
+    status, revision = await world.operate("GET", "/manifest", core=core)
+    assert status == 200, revision
+    faults = audit.verify(
+        audit_log["records"], audit_log["key"], audit_log["version"], audit_log["anchor"]
+    )
+    return {"audit": audit_log, "manifest": revision, "faults": faults}
 
-# ---------------------------------------------------------------- gates, byte by byte
 
-GATE_LINK_MAGIC = b"mdg1"  # in the first frame of a link between gates
-LINK_SENDS_KEPT = 4  # of each side: greeting, first call, its answer; then they only ping
-CALL = b"Host: h.example\r\nmd-call: c-%d\r\nmd-due: 900\r\n"
-NO_DUE = b"Host: h.example\r\nmd-call: c-0\r\nmd-due: %s\r\nX-A: %%.0s1\r\n\r\n"
-GATE_REQUESTS = {
+GATEWAY_LINK_MAGIC = b"mdg1"  # in the first frame of a connection between gateways
+# Frames of each side that are kept: handshake, first call and its response; then only pings follow.
+LINK_FRAMES_KEPT = 4
+CALL_HEADERS = b"Host: h.example\r\nmd-call: c-%d\r\nmd-due: 900\r\n"
+# X-A consumes the call's headers, which these requests don't use.
+DEADLINE_HEADERS = b"Host: h.example\r\nmd-call: c-0\r\nmd-due: %s\r\nX-A: %%.0s1\r\n\r\n"
+GATEWAY_REQUESTS = {
     "answered beside": b"GET /p/x?a=1 HTTP/1.1\r\n%s\r\n",
     "answered beside, with a body": b"POST /once/x HTTP/1.1\r\n%sContent-Length: 3\r\n\r\nabc",
     "answered by a neighbour": b"GET /paper/x HTTP/1.1\r\n%s\r\n",
@@ -537,16 +560,16 @@
     "head too large": b"GET /p/x HTTP/1.1\r\n%sX-A: " + b"x" * 9000 + b"\r\n\r\n",
     "two dues": b"GET /p/x HTTP/1.1\r\n%smd-due: 800\r\n\r\n",
     "no call id": b"GET /p/x HTTP/1.1\r\nHost: h.example\r\nmd-due: 0\r\nX-A: %.0s\r\n\r\n",
-    "malformed due": b"GET /p/x HTTP/1.1\r\n" + NO_DUE % b"soon",
-    "due passed": b"GET /p/x HTTP/1.1\r\n" + NO_DUE % b"0",
+    "malformed due": b"GET /p/x HTTP/1.1\r\n" + DEADLINE_HEADERS % b"soon",
+    "due passed": b"GET /p/x HTTP/1.1\r\n" + DEADLINE_HEADERS % b"0",
     "no host": b"GET /p/x HTTP/1.1\r\nX-A: %.0s1\r\n\r\n",
     "connect": b"CONNECT h.example:80 HTTP/1.1\r\n%s\r\n",
     "no HTTP": b"\x16\x03\x01 %.0s\r\n\r\n",
 }
 
 
-class Conversations:
-    """What both ends of each connection send, in the order in which connections are first used."""
+class ConnectionRecorder:
+    """Record what both ends of each connection send, in the order of the connections' first use."""
 
     def __init__(self):
         self.sent = {}  # wire -> [bytes]
@@ -567,66 +590,66 @@
             SimWire.send = original
 
     def pairs(self):
-        """[(what the end that spoke first sent, what the other did)]"""
-        found, seen = [], set()
+        """Return a pair per connection: what the end that sent first has sent, and the other end."""
+        pairs, seen = [], set()
         for wire, sent in self.sent.items():
             if wire not in seen:
                 seen |= {wire, wire.other}
-                found.append((sent, self.sent.get(wire.other, [])))
-        return found
+                pairs.append((sent, self.sent.get(wire.other, [])))
+        return pairs
 
-    def told(self):
-        """{"links": hexadecimal digits of those between gates, "http": text of the others}"""
+    def by_protocol(self):
+        """Return {"links": frames between gateways in hexadecimal, "http": text of the others}."""
         links, http = [], []
         for first, second in self.pairs():
-            if GATE_LINK_MAGIC in first[0]:
+            if GATEWAY_LINK_MAGIC in first[0]:
                 links.append(
-                    [[d.hex() for d in side[:LINK_SENDS_KEPT]] for side in (first, second)]
+                    [[frame.hex() for frame in side[:LINK_FRAMES_KEPT]] for side in (first, second)]
                 )
             else:
                 http.append([b"".join(side).decode("latin-1") for side in (first, second)])
         return {"links": links, "http": http}
 
 
-async def play_gates(world):
-    """{"answers": raw answers of a gate's door, "statuses": with what was counted, "links": ...,
-    "http": ...}"""
-    made, conversations = {}, Conversations()
+async def gateways_scenario(world):
+    """Send requests to a gateway and return all bytes of the connections.
+
+    "answers" has the raw responses, "statuses" the counters of the proxies afterwards, "links" and
+    "http" what was sent over connections between gateways and over others.
+    """
+    responses, recorder = {}, ConnectionRecorder()
     await world.start_all()
     member = world.node(STORING_ROLE, world.core[0])
     await world.eventually(lambda: not member.unready_reasons())
-    made["before any revision"] = await send_raw_bytes(
-        world, GATE_REQUESTS["answered beside"] % (CALL % 0)
+    responses["before any revision"] = await send_raw_bytes(
+        world, GATEWAY_REQUESTS["answered beside"] % (CALL_HEADERS % 0)
     )
     await world.set_items(
         default_items(service("none"), route("none", prefix="/none/", services=("none",)))
     )
-    with conversations.recorded():
+    with recorder.recorded():
         for host, name in world.application.items():
             await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
             await world.stand_in(host, name)
         await wait_until_listed(world)
-        for number, (case, request) in enumerate(GATE_REQUESTS.items(), 1):
-            made[case] = await send_raw_bytes(world, request % (CALL % number))
+        for number, (case, request) in enumerate(GATEWAY_REQUESTS.items(), 1):
+            responses[case] = await send_raw_bytes(world, request % (CALL_HEADERS % number))
     answers = {
         case: {"status": status, "closed": closed, "bytes": data.decode("latin-1")}
-        for case, (status, closed, data) in made.items()
+        for case, (status, closed, data) in responses.items()
     }
     hosts = list(world.application)
-    statuses = [await http_answer(world, f"{host}:7400", "GET", "/md/status") for host in hosts]
-    return {"answers": answers, "statuses": statuses, **conversations.told()}
-
+    statuses = [await http_response(world, f"{host}:7400", "GET", "/md/status") for host in hosts]
+    return {"answers": answers, "statuses": statuses, **recorder.by_protocol()}
 
-def played_gates():
-    """The gates of the golden files, played by the code as it is."""
-    return run(play_gates, SEED, core=1, application=("desk", "paper"), gate=True)
 
+def run_gateways():
+    """Run the gateways of the golden files with the current code."""
+    return run(gateways_scenario, SEED, core=1, application=("desk", "paper"), gate=True)
 
-# ---------------------------------------------------------------- a link, byte by byte
 
-
-class Recorded(trio.abc.Stream):
-    """A stream that notes what is sent over it."""
+class RecordingStream(trio.abc.Stream):
+    """A stream that records what is sent over it."""
 
     def __init__(self, stream):
         self.stream, self.sent = stream, []
@@ -646,7 +669,7 @@
 
 
 def link_handlers():
-    """What the answering end of the recorded link serves."""
+    """Return the handlers of the server's end of the recorded connection."""
     handlers = Handlers()
 
     @handlers.on("echo")
@@ -665,53 +688,57 @@
 
 
 async def link_conversation(_):
-    """{"opener": [hex], "answerer": [hex], "outcomes": [...]}: greeting, an answered call, a
-    refused one, one of an unknown method and one that is given up."""
-    here, there = (Recorded(stream) for stream in trio.testing.memory_stream_pair())
+    """Record an rpc connection: its handshake and four calls.
+
+    One call is answered, one is rejected, one has an unknown method, and one is given up. Return
+    {"opener": [hex], "answerer": [hex], "outcomes": [...]}.
+    """
+    client_stream, server_stream = (
+        RecordingStream(stream) for stream in trio.testing.memory_stream_pair()
+    )
     outcomes = []
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
             serve_connection,
-            there,
+            server_stream,
             FLEET_KEY,
             random.Random(2),
             "mdconf@10.0.0.1",
             link_handlers(),
-            silent,
+            discard_log,
         )
-        me = Peer("mdreg@10.0.0.2", "10.0.0.2:7411")
-        session = await client_handshake(here, FLEET_KEY, random.Random(1), me)
-        link = ClientConnection(here, session)
-        nursery.start_soon(link.run)
+        client = Peer("mdreg@10.0.0.2", "10.0.0.2:7411")
+        session = await client_handshake(client_stream, FLEET_KEY, random.Random(1), client)
+        connection = ClientConnection(client_stream, session)
+        nursery.start_soon(connection.run)
         for method in ("echo", "refuse", "unknown", "wait"):
             try:
                 args = {"a": [1, b"2", None, 0.5], 3: "four"}
-                outcomes.append(
-                    [method, await link.call(method, args, monotonic_us() + 300 * MILLISECOND)]
-                )
-            except Rejected as refused:
-                outcomes.append([method, refused.code, refused.details])
+                deadline = monotonic_us() + 300 * MILLISECOND
+                outcomes.append([method, await connection.call(method, args, deadline)])
+            except Rejected as rejected:
+                outcomes.append([method, rejected.code, rejected.details])
             except ConnectionFailed as failed:
                 outcomes.append([method, "failed", failed.sent])
         await sleep_us(SECOND)
         nursery.cancel_scope.cancel()
-    return readable({"opener": here.sent, "answerer": there.sent, "outcomes": outcomes})
+    return readable(
+        {"opener": client_stream.sent, "answerer": server_stream.sent, "outcomes": outcomes}
+    )
 
 
 def sealed_frames():
-    """Frames of one direction under a fixed key: the proof of each counts those before it."""
-    proof = FrameAuthenticator(FLEET_KEY, b"out")
-    return [proof.seal(body).hex() for body in (b"", b"first", b"first", b"\x00" * 100)]
+    """Return frames of one direction under a fixed key; each MAC covers the number of the frame."""
+    authenticator = FrameAuthenticator(FLEET_KEY, b"out")
+    return [authenticator.seal(body).hex() for body in (b"", b"first", b"first", b"\x00" * 100)]
 
 
 def opened_frames(frames):
-    """The bodies of sealed frames; None for one that fails its proof."""
-    proof = FrameAuthenticator(FLEET_KEY, b"out")
-    return [readable(proof.open(bytes.fromhex(frame)[4:])) for frame in frames]
+    """Return the bodies of sealed frames; None for one whose MAC is wrong."""
+    authenticator = FrameAuthenticator(FLEET_KEY, b"out")
+    return [readable(authenticator.open(bytes.fromhex(frame)[4:])) for frame in frames]
 
 
-# ---------------------------------------------------------------- settings
-
 COMMON = f"""host = "10.0.0.1"
 hall = "a"
 seeds = ["10.0.0.1:7411", "10.0.0.2:7411"]
@@ -743,7 +770,7 @@
 drain_us = 2000002
 tries = { ratio = 0.25, window_us = 9000000, reserve = 12 }
 """
-WRONG_SETTINGS = {
+INVALID_SETTINGS = {
     "nothing": "",
     "unknown setting": COMMON + "zone = 1\n",
     "no number": COMMON + STORED + 'http_port = "x"\n',
@@ -757,13 +784,13 @@
 
 
 def settings_inputs():
-    """{role: {case: the text of a boot file}}"""
-    good = {"least": COMMON + STORED, "all": COMMON + STORED + EVERY_SETTING}
-    return {role: {**good, **WRONG_SETTINGS} for role in ROLES}
+    """Return {role: {case: the text of a boot file}}."""
+    valid = {"least": COMMON + STORED, "all": COMMON + STORED + EVERY_SETTING}
+    return {role: {**valid, **INVALID_SETTINGS} for role in ROLES}
 
 
 def normal_form(boot):
-    """Checked settings under the names that boot files use."""
+    """Return validated settings under the names that boot files use."""
     return readable(
         {
             "role": boot.role,
@@ -801,87 +828,81 @@
 
 
 def accepted_settings(role, text):
-    """What a boot file's text is read as: the settings in normal form, or the errors' text."""
+    """Return the settings in normal form that a boot file's text gives, or the errors."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "boot.toml"
         path.write_text(text)
         try:
             boot = load(role, str(path))
-        except InvalidSettings as wrong:
-            return {"errors": str(wrong).splitlines()}
+        except InvalidSettings as invalid:
+            return {"errors": str(invalid).splitlines()}
     return {"accepted": normal_form(boot), "name": boot.name, "link": boot.link}
 
 
 def settings_outcomes(inputs):
-    """{role: {case: outcome}} of settings_inputs' form."""
+    """Return {role: {case: outcome}} of the inputs of settings_inputs."""
     return {
         role: {case: accepted_settings(role, text) for case, text in cases.items()}
         for role, cases in inputs.items()
     }
 
 
-# ---------------------------------------------------------------- events
-
-
 def event_names():
-    """{number: event name} of all events that can be logged."""
+    """Return {number: event name} of all events that can be logged."""
     return {str(number): name for number, (name, _) in CATALOGUE.items()}
 
 
-# ---------------------------------------------------------------- writing
-
-
-def in_world(work, *args):
-    """What a coroutine function gives, under a fixed seed and the virtual clock."""
+def run_simulated(function, *args):
+    """Run a coroutine function with a fixed seed and a virtual clock, and return its result."""
 
     async def scenario(_):
-        return await work(*args)
+        return await function(*args)
 
     return run(scenario, SEED)
 
 
 def golden_files():
-    """{file name below the golden folder: bytes}, made by the code as it is."""
-    played = played_deployment()
-    formats = in_world(stored_formats)
+    """Return {file name below the golden folder: bytes} as the current code makes them."""
+    deployment = run_deployment()
+    formats = run_simulated(stored_formats)
     inputs = settings_inputs()
     link = run(link_conversation, SEED)
-    told = revision_and_audit(played.disks)
+    members = revision_and_audit(deployment.disks)
     values = {
-        "formats.json": in_world(read_formats, formats),
+        "formats.json": run_simulated(read_formats, formats),
         "lease_messages.json": lease_messages(),
-        "rpc.json": played.rpc,
-        "gates.json": played_gates(),
-        "methods.json": played.methods,
-        "http.json": played.http,
-        "events.json": {"names": event_names(), "fields": played.events},
+        "rpc.json": deployment.rpc,
+        "gates.json": run_gateways(),
+        "methods.json": deployment.methods,
+        "http.json": deployment.http,
+        "events.json": {"names": event_names(), "fields": deployment.events},
         "frames.json": {"sealed": sealed_frames(), "link": link},
         "settings.json": {"inputs": inputs, "outcomes": settings_outcomes(inputs)},
-        "revision_and_audit.json": told,
+        "revision_and_audit.json": members,
     }
     return {
         **{f"formats/{name}": data for name, data in formats.items()},
-        **{f"disks/{name}": data for name, data in played.disks.items()},
+        **{f"disks/{name}": data for name, data in deployment.disks.items()},
         **{name: as_text(value).encode() for name, value in values.items()},
     }
 
 
 def main():
-    """Writes the golden files if asked to; else says which differ."""
+    """Write the golden files with --write; otherwise print the names of those that differ."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--write", action="store_true", help="make the golden files anew")
+    parser.add_argument("--write", action="store_true", help="write all golden files again")
     write = parser.parse_args().write
-    made = golden_files()
+    generated = golden_files()
     if write:
         shutil.rmtree(GOLDEN, ignore_errors=True)
-        for name, data in made.items():
+        for name, data in generated.items():
             path = GOLDEN / name
             path.parent.mkdir(parents=True, exist_ok=True)
             path.write_bytes(data)
         return
-    held = golden_tree("")
-    for name in sorted(made.keys() | held.keys()):
-        if made.get(name) != held.get(name):
+    existing = golden_tree("")
+    for name in sorted(generated.keys() | existing.keys()):
+        if generated.get(name) != existing.get(name):
             print(name)
 
 
--- a/tests/support/item_builders.py
+++ b/tests/support/item_builders.py
@@ -1,4 +1,4 @@
-"""Items of a configuration, built with short calls."""
+"""Builders of configuration items for tests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def route(name, version=1, services=("desk",), host="h.example", prefix="/p/", **spec):
-    whole = {
+    full_spec = {
         "host": host,
         "prefix": prefix,
         "repeat": "safe",
@@ -23,13 +23,20 @@
         "split": [[s, 10] for s in services],
         **spec,
     }
-    return {"kind": "route", "name": name, "version": version, "spec": whole, "source": f"<{name}>"}
+    return {
+        "kind": "route",
+        "name": name,
+        "version": version,
+        "spec": full_spec,
+        "source": f"<{name}>",
+    }
 
 
 def limits(version=1, **spec):
-    whole = {"header_bytes": 9, "body_bytes": 8, "header_us": 7, "idle_us": 6, **spec}
-    return {"kind": "limits", "name": "", "version": version, "spec": whole, "source": "<>"}
+    full_spec = {"header_bytes": 9, "body_bytes": 8, "header_us": 7, "idle_us": 6, **spec}
+    return {"kind": "limits", "name": "", "version": version, "spec": full_spec, "source": "<>"}
 
 
 def removed_item(item, version):
+    """Return the item that removes another."""
     return {**item, "version": version, "spec": None}
--- a/tests/support/item_changes.py
+++ b/tests/support/item_changes.py
@@ -1,4 +1,4 @@
-"""Changes by items at a simulated core, and what it then holds."""
+"""Send changes of items to a simulated core and read its items."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 
 
 async def apply_change(world, items, core=0):
-    status, told = await send_change(world, items, core)
-    assert (status, told.get("state")) == (200, "accepted"), told
-    return told["version"]
+    """Send a change that must be accepted, and return its version."""
+    status, body = await send_change(world, items, core)
+    assert (status, body.get("state")) == (200, "accepted"), body
+    return body["version"]
 
 
 async def current_items(world, core=0):
-    status, told = await world.operate("GET", "/items", core=core)
-    assert status == 200, told
-    return {config_items.item_key(item): item for item in told["items"]}
+    """Return the items in force, by their keys."""
+    status, body = await world.operate("GET", "/items", core=core)
+    assert status == 200, body
+    return {config_items.item_key(item): item for item in body["items"]}
 
 
 async def start_core(world):
-    """The core alone: no manifest was ever set."""
+    """Start a fleet and wait until its core is ready; no configuration is set."""
     await world.start_all()
     for host in world.core:
         await world.eventually(lambda h=host: not world.node("mdconf", h).unready_reasons())
--- a/tests/support/lease_checks.py
+++ b/tests/support/lease_checks.py
@@ -1,19 +1,28 @@
-"""Who holds the load collector's lease, and that it is one at most."""
+"""Find the holders of the load collector's lease."""
 
 from __future__ import annotations
 
 
 def registries(world):
-    return [p for name, p in world.processes.items() if name.startswith("mdreg") and p.node]
+    return [
+        process
+        for name, process in world.processes.items()
+        if name.startswith("mdreg") and process.node
+    ]
 
 
 def lease_holders(world):
-    """{host: epoch} of all that believe at this moment that their lease is valid."""
-    found = {p.host: p.node.daemon.election.epoch for p in registries(world) if p.node.daemon}
-    return {host: epoch for host, epoch in found.items() if epoch is not None}
+    """Return {host: epoch} of all registries that consider their lease valid at this moment."""
+    epochs = {
+        process.host: process.node.daemon.election.epoch
+        for process in registries(world)
+        if process.node.daemon
+    }
+    return {host: epoch for host, epoch in epochs.items() if epoch is not None}
 
 
 async def wait_for_single_holder(world):
+    """Wait until exactly one registry holds the lease, and return its (host, epoch)."""
     await world.eventually(lambda: len(lease_holders(world)) == 1)
     return next(iter(lease_holders(world).items()))
 
--- a/tests/support/operator_requests.py
+++ b/tests/support/operator_requests.py
@@ -1,4 +1,4 @@
-"""An operator of the simulated core: sends an order until it is acknowledged."""
+"""An operator of the simulated core who repeats a request until its outcome is final."""
 
 from __future__ import annotations
 
@@ -15,61 +15,62 @@
     sleep_us,
 )
 
-OPERATOR_HOST = "10.9.9.9"  # cut off from nobody
-SILENCE = SECOND  # of a member, after which the next one is asked
-FIRST_PAUSE, LONGEST_PAUSE = 50 * MILLISECOND, 400 * MILLISECOND
-GIVE_UP = 60 * SECOND
-FINAL = (200, 400, 409, 422)
+OPERATOR_HOST = "10.9.9.9"  # never partitioned from others
+RESPONSE_TIMEOUT_US = SECOND  # then the operator tries the next member
+MIN_BACKOFF_US, MAX_BACKOFF_US = 50 * MILLISECOND, 400 * MILLISECOND
+TIMEOUT_US = 60 * SECOND
+FINAL_STATUSES = (200, 400, 409, 422)
 
 
 @dataclass
 class OperatorRequest:
-    """One call, and what came of it."""
+    """A request, its attempts and its outcome."""
 
     items: list
     status: int = 0
     body: dict = field(default_factory=dict)
-    sent_at: int = 0
-    took: int = 0
-    answers: list = field(default_factory=list)  # (member, status or 0 for silence, how long)
+    sent_at_us: int = 0
+    duration_us: int = 0
+    attempts: list = field(default_factory=list)  # (member, status or 0 after time-out, duration)
 
 
 async def send_to_member(world, address, items):
-    """(status, headers, body) of one member, or None after a second of silence."""
-    answer = None
-    with deadline_scope(monotonic_us() + SILENCE):
+    """Return (status, headers, body) of a member's response; None if there is none in time."""
+    response = None
+    with deadline_scope(monotonic_us() + RESPONSE_TIMEOUT_US):
         try:
-            answer = await world.http(OPERATOR_HOST, "POST", address, "/items", {"items": items})
+            response = await world.http(OPERATOR_HOST, "POST", address, "/items", {"items": items})
         except HttpConnectionFailed:
             await trio.lowlevel.checkpoint()
-    return answer
+    return response
 
 
 async def send_and_follow_redirects(world, core, items):
-    """As `ask`, following 307 twice."""
+    """Do the same as send_to_member, and follow at most two redirects with status 307."""
     address = f"{world.core[core]}:7420"
     for _ in range(3):
-        answer = await send_to_member(world, address, items)
-        if answer is None or answer[0] != 307:
-            return answer
-        address = answer[1][b"location"].decode().split("/")[2]
-    return answer
+        response = await send_to_member(world, address, items)
+        if response is None or response[0] != 307:
+            return response
+        address = response[1][b"location"].decode().split("/")[2]
+    return response
 
 
 async def send_until_final(world, items, core):
-    """Send the call to one member after the other, from this one on, until the answer is final."""
-    made = OperatorRequest(items, sent_at=monotonic_us())
-    pause = FIRST_PAUSE
-    while monotonic_us() - made.sent_at < GIVE_UP:
-        asked_at = monotonic_us()
-        answer = await send_and_follow_redirects(world, core, items)
-        status, _, body = answer or (0, {}, {})
-        made.answers.append((core, status, monotonic_us() - asked_at))
-        if status in FINAL:
-            made.status, made.body, made.took = status, body, monotonic_us() - made.sent_at
-            return made
-        await sleep_us(world.rng.randrange(pause // 2, pause))
-        pause = min(2 * pause, LONGEST_PAUSE)
+    """Send a request to one member after another, starting at `core`, until the status is final."""
+    request = OperatorRequest(items, sent_at_us=monotonic_us())
+    backoff_us = MIN_BACKOFF_US
+    while monotonic_us() - request.sent_at_us < TIMEOUT_US:
+        attempt_us = monotonic_us()
+        response = await send_and_follow_redirects(world, core, items)
+        status, _, body = response or (0, {}, {})
+        request.attempts.append((core, status, monotonic_us() - attempt_us))
+        if status in FINAL_STATUSES:
+            request.status, request.body = status, body
+            request.duration_us = monotonic_us() - request.sent_at_us
+            return request
+        await sleep_us(world.rng.randrange(backoff_us // 2, backoff_us))
+        backoff_us = min(2 * backoff_us, MAX_BACKOFF_US)
         core = (core + 1) % len(world.core)
-    made.took = monotonic_us() - made.sent_at
-    return made
+    request.duration_us = monotonic_us() - request.sent_at_us
+    return request
--- a/tests/support/overloads.py
+++ b/tests/support/overloads.py
@@ -1,4 +1,4 @@
-"""A service that is asked for more than its endpoints can do, for as long as a test wants."""
+"""Open-loop callers that offer a service more load than its endpoints can serve."""
 
 from __future__ import annotations
 
@@ -9,12 +9,17 @@
 
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 
-RETRY_PART = 3  # a caller waits for Retry-After up to this part of the time that it has left
+# A caller waits for Retry-After, but at most a third of the time until its deadline.
+MAX_WAIT_DIVISOR = 3
 
 
 @dataclass(frozen=True)
 class Demand:
-    """One kind of request. Times in microseconds; mean and spread are of the work's time."""
+    """One kind of request.
+
+    mean_us and spread describe the log-normal distribution of its service time; aim_us is its
+    latency target and due_us its deadline.
+    """
 
     prefix: bytes
     per_s: float
@@ -26,13 +31,13 @@
     retries: int = 1
 
     def work_us(self, rng):
-        """The work of one request: log-normal, of this mean."""
+        """Draw the service time of one request."""
         return int(self.mean_us * rng.lognormvariate(-self.spread * self.spread / 2, self.spread))
 
 
 @dataclass
 class Tally:
-    """What callers saw of one kind of request."""
+    """Outcomes of one kind of request, as its callers saw them."""
 
     asked: int = 0
     in_aim: int = 0
@@ -43,41 +48,52 @@
     took_us: list = field(default_factory=list)
 
     def worth(self, late_worth=0.3):
-        """The share of the full worth that was earned: a retry within the aim earns the mean."""
-        first_try = self.in_aim - self.in_aim_by_retry
+        """Return the score as a share of the maximum.
+
+        A response within the latency target counts 1, a late one late_worth, and one within the
+        target that needed a retry the mean of both.
+        """
+        first_attempts = self.in_aim - self.in_aim_by_retry
         retried = self.in_aim_by_retry * (1 + late_worth) / 2
-        return (first_try + retried + late_worth * self.late) / max(1, self.asked)
+        return (first_attempts + retried + late_worth * self.late) / max(1, self.asked)
 
 
 async def one_request(world, host, demand, number, tally):
-    """A request with its further tries, as a caller that obeys Retry-After makes them."""
-    begun = monotonic_us()
+    """Send a request with its retries, as a caller that observes Retry-After does."""
+    started_us = monotonic_us()
     tally.asked += 1
-    for tried in range(demand.retries + 1):
-        left = begun + demand.due_us - monotonic_us()
+    for attempt in range(demand.retries + 1):
+        remaining_us = started_us + demand.due_us - monotonic_us()
         caller = await world.caller(host)
-        made = caller.ask(demand.prefix + b"%d" % number, due_ms=max(1, left // MILLISECOND))
-        await made.done.wait()
+        exchange = caller.ask(
+            demand.prefix + b"%d" % number, due_ms=max(1, remaining_us // MILLISECOND)
+        )
+        await exchange.done.wait()
         caller.hang_up()
-        if made.status == 200:
-            in_aim = monotonic_us() - begun <= demand.aim_us
+        if exchange.status == 200:
+            in_aim = monotonic_us() - started_us <= demand.aim_us
             tally.in_aim += in_aim
-            tally.in_aim_by_retry += in_aim and tried > 0
+            tally.in_aim_by_retry += in_aim and attempt > 0
             tally.late += not in_aim
-            tally.took_us.append(monotonic_us() - begun)
+            tally.took_us.append(monotonic_us() - started_us)
             return
-        again = made.line(b"Retry-After")
-        left = begun + demand.due_us - monotonic_us()
-        if made.status != 503 or again is None or left <= 0:
+        retry_after_s = exchange.line(b"Retry-After")
+        remaining_us = started_us + demand.due_us - monotonic_us()
+        if exchange.status != 503 or retry_after_s is None or remaining_us <= 0:
             break
-        if tried < demand.retries:
-            await sleep_us(min(int(float(again) * SECOND), left // RETRY_PART))
-    tally.refused += made.status == 503
-    tally.failed += made.status != 503
+        if attempt < demand.retries:
+            await sleep_us(
+                min(int(float(retry_after_s) * SECOND), remaining_us // MAX_WAIT_DIVISOR)
+            )
+    tally.refused += exchange.status == 503
+    tally.failed += exchange.status != 503
 
 
 async def offer(world, hosts, demands, span_us, seed=1):
-    """Open-loop callers, in turn at each of the hosts; gives a tally for each demand."""
+    """Send requests of all demands at random intervals, to each host in turn.
+
+    Return the tally of each demand, by its prefix.
+    """
     tallies = {demand.prefix: Tally() for demand in demands}
     end = monotonic_us() + span_us
 
@@ -97,7 +113,7 @@
 
 
 def worker(demands, seed=1, slower_when_full=0.0):
-    """The work of a stand-in endpoint: by its request's prefix."""
+    """Return a function from a request to its service time, for stand-in endpoints."""
     rng = random.Random(f"work{seed}")
 
     def work_us(job):
@@ -108,10 +124,13 @@
 
 
 def most_in_aim(demands, slots):
-    """{prefix: share} that any policy could serve in aim: higher ranks first, by their work alone."""
-    room, shares = float(slots), {}
-    for demand in sorted(demands, key=lambda d: d.priority):
-        wanted = demand.per_s * demand.mean_us / SECOND
-        shares[demand.prefix] = min(1.0, room / wanted)
-        room = max(0.0, room - wanted)
+    """Return {prefix: share} of the requests that any policy could serve within the target.
+
+    It gives the slots to the demands by priority and counts nothing but their service times.
+    """
+    free_slots, shares = float(slots), {}
+    for demand in sorted(demands, key=lambda demand: demand.priority):
+        needed_slots = demand.per_s * demand.mean_us / SECOND
+        shares[demand.prefix] = min(1.0, free_slots / needed_slots)
+        free_slots = max(0.0, free_slots - needed_slots)
     return shares
--- a/tests/support/planted_faults.py
+++ b/tests/support/planted_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the consensus code, which a checker has to find."""
+"""Bugs that tests inject into the consensus code; a checker has to find them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def plant_new_voters_alone(monkeypatch):
-    """Planted: while members change, a quorum is one of the new voters."""
+    """Inject a bug: during a membership change, a majority of the new voters alone is a quorum."""
 
     def new_voters_alone(membership, tolerance=NO_LOSSES):
         return VoterSets.of([membership.next_voters or membership.voters], tolerance=tolerance)
--- a/tests/support/raw_bytes.py
+++ b/tests/support/raw_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes of a connection to a simulated gate, sent and read as they are."""
+"""Send raw bytes to a simulated gateway and read its response."""
 
 from __future__ import annotations
 
@@ -10,21 +10,25 @@
 
 
 async def send_raw_bytes(world, data, wait=SECOND):
-    """The bytes sent as they are; gives (status or None, was the connection closed)."""
+    """Send bytes to the first gateway and wait for a while.
+
+    Return the status (None without response), whether the gateway closed the connection, and all
+    bytes received.
+    """
     caller = await world.caller(hosts(world)[0])
-    answers = []
+    received = []
 
-    class Any:
+    class Receiver:
         def on_data(self, data):
-            answers.append(data)
+            received.append(data)
 
         def on_end(self, cause):
-            answers.append(None)
+            received.append(None)
 
-    caller.wire.owner = Any()
+    caller.wire.owner = Receiver()
     caller.wire.send(data)
     await sleep_us(wait)
-    closed = None in answers
-    text = b"".join(a for a in answers if a)
+    closed = None in received
+    response = b"".join(piece for piece in received if piece)
     caller.wire.close()
-    return (int(text.split()[1]) if text else None), closed, text
+    return (int(response.split()[1]) if response else None), closed, response
--- a/tests/support/retry_budgets.py
+++ b/tests/support/retry_budgets.py
@@ -1,4 +1,4 @@
-"""How often calls ran, and where, against the retry budget."""
+"""A retry budget for tests, and the wait until its reserve is available."""
 
 from __future__ import annotations
 
@@ -12,5 +12,5 @@
 
 
 async def wait_for_retry_reserve(world):
-    """Older than a window, so that the reserve of second tries is there."""
+    """Wait longer than a window: until then a proxy has no reserve of retries."""
     await sleep_us(2 * RETRY_BUDGET["window_us"])
--- a/tests/support/three_acceptors.py
+++ b/tests/support/three_acceptors.py
@@ -1,4 +1,4 @@
-"""Three acceptors on disks in memory, with faults between them and the proposers."""
+"""Three acceptors on in-memory disks, with message loss between them and the proposers."""
 
 from __future__ import annotations
 
@@ -7,15 +7,18 @@
 
 
 async def handle_request(acceptor, method, args):
-    """The answer of an acceptor to a request, as its process gives it."""
+    """Return the response of an acceptor to a request, as its process does."""
     if method == "read":
         return acceptor.read(*args)
     return await getattr(acceptor, method)(args[0], tuple(args[1]), *args[2:])
 
 
 class ThreeAcceptors:
-    """Three acceptors over memory disks. down: members that don't answer. answer_loss: the chance
-    that an answer is lost."""
+    """Three acceptors on in-memory disks.
+
+    down holds the members that don't respond; answer_loss is the probability that a response is
+    lost.
+    """
 
     def __init__(self, nursery, rng):
         self.nursery, self.rng = nursery, rng
@@ -31,8 +34,8 @@
         if member in self.down:
             await sleep_us(deadline - monotonic_us())
             raise TimeoutError
-        answer = await handle_request(self.acceptors[member], method, args)
+        response = await handle_request(self.acceptors[member], method, args)
         if self.rng.random() < self.answer_loss:
             raise TimeoutError
         await sleep_us(self.rng.randrange(100, 3000))
-        return answer
+        return response
