--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -12,9 +12,9 @@
     exit 1
 fi
 
-# Compiles a folder to optimized byte code (no docstrings, no assertions) to save memory, and stores it
-# under the names of normal byte code: with python3 -OO, which would load it under its own names, the
-# standard library would be compiled again at each start.
+# Compiles a folder to byte code without docstrings and assertions, because memory is paid for, and
+# stores it under the names of normal byte code. Daemons don't run with python3 -OO, which uses other
+# names: the standard library would then be compiled again at each start.
 compile_optimized() {
     python3 -OO -m compileall -q -f --invalidation-mode unchecked-hash "$1"
     find "$1" -name '*.opt-2.pyc' | while read -r bytecode; do
