--- a/tests/config_store/test_quorum_monitor.py
+++ b/tests/config_store/test_quorum_monitor.py
@@ -6,11 +6,11 @@
 
 import pytest
 import trio
-from facts import manifest, way
 from item_builders import service
-from item_changes import accepted, change, founded, standing
-from mesh import configured
-from orders import ask, ask_and_follow, order
+from item_changes import apply_change, current_items, send_change, start_core
+from manifests import manifest, manifest_route
+from mesh import start_configured
+from operator_requests import send_and_follow_redirects, send_to_member, send_until_final
 
 from meadowdock.config_store.exceptions import RevisionConflict
 from meadowdock.config_store.quorum_monitor import HelloAnswer
@@ -45,7 +45,7 @@
     ("GET", "/items", None),
     ("GET", "/manifest", None),
     ("GET", f"/plan/{PLAN}", None),
-    ("POST", "/plan", manifest([way("new", "/balances")])),
+    ("POST", "/plan", manifest([manifest_route("new", "/balances")])),
     ("POST", "/confirm", {"plan": PLAN}),
     ("GET", "/audit", None),
 ]
@@ -54,8 +54,8 @@
 @pytest.mark.parametrize("direction", DIRECTIONS)
 def test_a_partitioned_member_rejects_every_request_quickly(direction):
     async def scenario(world):
-        await configured(world)
-        await accepted(world, [service("desk")])
+        await start_configured(world)
+        await apply_change(world, [service("desk")])
         inward, outward = DIRECTIONS[direction]
         partition(world, world.core[0], world.core, inward, outward)
         await sleep_us(DETECTION_US)
@@ -65,10 +65,10 @@
             assert elapsed_us < QUICK_US, path
         status, response, elapsed_us = await timed(world.operate("GET", "/status"))
         assert (status, response["majority"]) == (200, False)
-        assert await accepted(world, [service("desk", 2)], 1)
+        assert await apply_change(world, [service("desk", 2)], 1)
         world.web.heal()
         await sleep_us(DETECTION_US)
-        items_in_force = await standing(world, 0)
+        items_in_force = await current_items(world, 0)
         assert items_in_force["service", "desk"]["version"] == 2
         assert ("service", "late") not in items_in_force
 
@@ -79,26 +79,26 @@
     """One of five members reaches only one other, which reaches all."""
 
     async def scenario(world):
-        await founded(world)
+        await start_core(world)
         first, second, *rest = world.core
         partition(world, first, rest)
         await sleep_us(DETECTION_US)
         call = [service("desk")]
-        status, headers, _ = await ask(world, f"{first}:7420", call)
+        status, headers, _ = await send_to_member(world, f"{first}:7420", call)
         assert status == 307
         assert headers[b"location"] == f"http://{second}:7420/items".encode()
-        assert (await ask_and_follow(world, 0, call))[0] == 200
+        assert (await send_and_follow_redirects(world, 0, call))[0] == 200
         status, _, _ = await world.http(first, "GET", f"{first}:7420", "/items")
         assert status == 307
         partition(world, second, rest)
         await sleep_us(DETECTION_US)
         for core in range(2):  # neither redirects an operator to the other
-            status, _, elapsed_us = await timed(change(world, [service("late")], core))
+            status, _, elapsed_us = await timed(send_change(world, [service("late")], core))
             assert status == 503
             assert elapsed_us < QUICK_US
         world.web.heal()
         await sleep_us(DETECTION_US)
-        assert {name for _, name in await standing(world)} == {"desk"}
+        assert {name for _, name in await current_items(world)} == {"desk"}
 
     run(scenario, core=5, application=())
 
@@ -106,12 +106,12 @@
 @pytest.mark.parametrize("delay", range(0, 14, 2))
 def test_a_change_in_flight_during_a_partition_is_unclear_soon_and_accepted_elsewhere(delay):
     async def scenario(world):
-        await founded(world)
-        await accepted(world, [service("desk")])
+        await start_core(world)
+        await apply_change(world, [service("desk")])
         call, responses = [service("desk", 2)], []
 
         async def operator():
-            responses.append(await timed(change(world, call)))
+            responses.append(await timed(send_change(world, call)))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(operator)
@@ -125,15 +125,15 @@
         # A rejected change is not applied. An unclear one may be, and is acknowledged when repeated.
         if status == 503:
             await sleep_us(2 * SECOND)
-            assert (await standing(world, 1))["service", "desk"]["version"] == 1
+            assert (await current_items(world, 1))["service", "desk"]["version"] == 1
         for core in (1, 2):
-            assert (await order(world, call, core)).status == 200
-        await accepted(world, [service("desk", 3)], 2)
+            assert (await send_until_final(world, call, core)).status == 200
+        await apply_change(world, [service("desk", 3)], 2)
         world.web.heal()
         await sleep_us(DETECTION_US)
         for core in range(3):
-            assert (await order(world, call, core)).status == 200
-        assert (await standing(world))["service", "desk"]["version"] == 3
+            assert (await send_until_final(world, call, core)).status == 200
+        assert (await current_items(world))["service", "desk"]["version"] == 3
 
     run(scenario, application=())
 
@@ -146,7 +146,7 @@
     """
 
     async def scenario(world):
-        await founded(world)
+        await start_core(world)
         changes = world.daemon("mdconf", world.core[0]).item_changes
 
         async def lose_race(current, items, deadline):
@@ -156,7 +156,7 @@
             raise RevisionConflict(current)
 
         changes.commit = lose_race
-        status, response = await change(world, [service("desk")])
+        status, response = await send_change(world, [service("desk")])
         assert (status, response["code"]) == (504, "unclear")
 
     run(scenario, application=())
@@ -170,8 +170,10 @@
     """
 
     async def scenario(world):
-        await configured(world)
-        _, planned = await world.operate("POST", "/plan", manifest([way("new", "/balances")]))
+        await start_configured(world)
+        _, planned = await world.operate(
+            "POST", "/plan", manifest([manifest_route("new", "/balances")])
+        )
         daemon = world.daemon("mdconf", world.core[0])
 
         async def lose_race(key, update, deadline):
@@ -194,29 +196,29 @@
     """Outdated answers do not mean that the member is partitioned."""
 
     async def scenario(world):
-        await founded(world)
+        await start_core(world)
         daemon = world.daemon("mdconf", world.core[0])
         daemon.peer_statuses = {}
         assert not daemon.quorum_monitor.has_quorum()
-        assert await accepted(world, [service("desk")]) == 1
+        assert await apply_change(world, [service("desk")]) == 1
 
     run(scenario, application=())
 
 
 def test_with_two_stalled_disks_changes_are_rejected_quickly():
     async def scenario(world):
-        await founded(world)
-        await accepted(world, [service("desk")])
+        await start_core(world)
+        await apply_change(world, [service("desk")])
         for host in world.core[:2]:
             world.disks["mdconf", host].stalled = trio.Event()
-        status, _, elapsed_us = await timed(change(world, [service("desk", 2)]))
+        status, _, elapsed_us = await timed(send_change(world, [service("desk", 2)]))
         assert status == 504
         assert (
             elapsed_us <= world.node("mdconf", world.core[0]).settings.ack_us // 4 + ROUND_TRIP_US
         )
         await sleep_us(3 * SECOND)
         for core in range(3):
-            status, _, elapsed_us = await timed(change(world, [service("desk", 2)], core))
+            status, _, elapsed_us = await timed(send_change(world, [service("desk", 2)], core))
             assert status == 503
             assert elapsed_us < QUICK_US
 
@@ -235,7 +237,7 @@
     """Thirty prepares are refused because of higher ballots; each takes a millisecond."""
 
     async def scenario(world):
-        await founded(world)
+        await start_core(world)
         proposer = world.daemon("mdconf", world.core[0]).proposer
         original, rejected_prepares = proposer.ask, []
 
--- a/tests/forwarding/test_endpoint_faults.py
+++ b/tests/forwarding/test_endpoint_faults.py
@@ -3,9 +3,17 @@
 from __future__ import annotations
 
 import pytest
-from gates import SEEDS, all_done, asked, gate_of, gated, items, listed
+from gates import (
+    SEEDS,
+    default_items,
+    gated,
+    gateway_of,
+    send_call,
+    wait_until_done,
+    wait_until_listed,
+)
 from item_builders import route
-from retry_counts import TRIES, budgeted, hosts
+from retry_budgets import RETRY_BUDGET, hosts, wait_for_retry_reserve
 
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator.standin import FAULTS
@@ -21,18 +29,20 @@
 @pytest.mark.parametrize("relocated", (False, True))
 def test_single_fault_of_an_endpoint(fault, relocated):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         ends = list(world.ends.values())
         host = hosts(world)[-1] if relocated else hosts(world)[0]
         for target in (b"/p/x", b"/once/x"):
             # an endpoint that was taken for another instance registers and is listed again
             await sleep_us(SECOND)
-            await listed(world)
+            await wait_until_listed(world)
             for end in ends:
                 end.faults.clear()
             id = world.request_audit.new_id()
             fault_once(ends, id, fault)
-            exchange = await asked(world, host, target=target, method=b"POST", id=id, due_ms=1500)
+            exchange = await send_call(
+                world, host, target=target, method=b"POST", id=id, due_ms=1500
+            )
             ran = len(world.request_audit.runs(id))
             idempotent = target == b"/p/x"
             if fault in COMPLETE_RESPONSE_FAULTS:
@@ -50,13 +60,13 @@
             caller = await world.caller(host)
             if fault.startswith("twice"):
                 next_one = caller.ask(b"/once/next")
-                await all_done([next_one])
+                await wait_until_done([next_one])
                 assert next_one.status == 200
             after = [caller.ask(b"/p/%d" % number) for number in range(6)]
-            await all_done(after)
+            await wait_until_done(after)
             assert {exchange.status for exchange in after} == {200}
 
-    gated(scenario, application=("desk", "desk", ""), tries=TRIES)
+    gated(scenario, application=("desk", "desk", ""), tries=RETRY_BUDGET)
 
 
 def fault_once(ends, id, fault):
@@ -72,7 +82,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_random_faults_of_all_endpoints(seed):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         rng = world.rng
         faults = [*FAULTS, *([None] * 30)]
         faults.remove("silence")
@@ -99,7 +109,7 @@
                 if rng.random() < 0.1:
                     await sleep_us(rng.randrange(20) * MILLISECOND)
                     caller.hang_up()
-                await all_done(batch)
+                await wait_until_done(batch)
 
         import trio
 
@@ -115,11 +125,11 @@
         assert {504, 502} & set(statuses)
         assert all(exchange.took < 1200 * MILLISECOND for exchange in calls)
         for host in hosts(world):  # no call was placed in an endless loop
-            counts = gate_of(world, host).counts
+            counts = gateway_of(world, host).counts
             assert sum(number for name, number in counts.items() if name.startswith("rule.")) < 4000
         assert all(world.request_audit.arrivals(exchange.id) <= 2 for exchange in calls)
 
-    gated(scenario, seed, application=("desk", "desk", "paper", "paper", ""), tries=TRIES)
+    gated(scenario, seed, application=("desk", "desk", "paper", "paper", ""), tries=RETRY_BUDGET)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -146,19 +156,19 @@
         # the gateway does not know it, since it sends no heartbeats
         new_endpoint = await world.stand_in(first, "paper", sends_heartbeats=False)
         for target in (b"/p/x", b"/once/x"):
-            exchange = await asked(world, first, target=target)
+            exchange = await send_call(world, first, target=target)
             assert exchange.status == 200
             assert [run.service for run in world.request_audit.runs(exchange.id)] == ["desk"]
         assert not new_endpoint.journal and new_endpoint.turned
 
-    gated(scenario, seed, application=("desk", "desk"), tries=TRIES)
+    gated(scenario, seed, application=("desk", "desk"), tries=RETRY_BUDGET)
 
 
 def test_endpoint_is_used_again_after_its_heartbeats_resume():
     async def scenario(world):
         host = hosts(world)[0]
         end = world.ends[host]
-        assert (await asked(world, host)).status == 200
+        assert (await send_call(world, host)).status == 200
         long = (await world.caller(host)).ask(b"/long/x", due_ms=10_000)
         await sleep_us(100 * MILLISECOND)
         end.process.freeze()
@@ -166,35 +176,35 @@
         end.process.wake()
         await world.eventually(lambda: world.daemon("mdproxy", host).endpoints.by_address)
         for _ in range(3):
-            assert (await asked(world, host)).status == 200
+            assert (await send_call(world, host)).status == 200
         await long.done.wait()
         assert long.status == 200
 
     long = route("long", prefix="/long/", timeout_us=10 * SECOND)
     work = {"work_us": lambda job: (5000 if job.target == b"/long/x" else 10) * MILLISECOND}
-    gated(scenario, application=("desk",), items=items(long), endpoint=work)
+    gated(scenario, application=("desk",), items=default_items(long), endpoint=work)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_endpoint_that_crashes_while_running_calls(seed):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         first, second = hosts(world)
         callers = [await world.caller(first) for _ in range(2)]
         idempotent, once = callers[0].ask(b"/p/x"), callers[1].ask(b"/once/x")
         await sleep_us(50 * MILLISECOND)
         world.processes.pop(f"endpoint@{first}:8000").kill()
-        await all_done([idempotent, once])
+        await wait_until_done([idempotent, once])
         assert (idempotent.status, once.status) == (200, 502)
         # the connection is refused, so even a call that must run at most once goes to another endpoint
         for _ in range(3):
-            assert (await asked(world, first, target=b"/once/x")).status == 200
+            assert (await send_call(world, first, target=b"/once/x")).status == 200
 
     gated(
         scenario,
         seed,
         application=("desk", "desk"),
-        tries=TRIES,
+        tries=RETRY_BUDGET,
         endpoint={"work_us": 300 * MILLISECOND},
     )
 
@@ -205,16 +215,16 @@
         host = hosts(world)[0]
         end = world.ends[host]
         end.work_us = 3 * SECOND
-        exchange = await asked(world, host, due_ms=300)
+        exchange = await send_call(world, host, due_ms=300)
         assert exchange.status == 504 and 290 * MILLISECOND < exchange.took < 330 * MILLISECOND
         left = int(dict(world.request_audit.runs(exchange.id)[0].lines)[b"md-due"])
         assert 290 <= left <= 300
-        exchange = await asked(world, host, target=b"/short/x", due_ms=5000)
+        exchange = await send_call(world, host, target=b"/short/x", due_ms=5000)
         assert exchange.status == 504 and exchange.took < 430 * MILLISECOND
         assert not end.overdue
 
     short = route("short", prefix="/short/", timeout_us=400 * MILLISECOND)
-    gated(scenario, seed, application=("desk",), items=items(short))
+    gated(scenario, seed, application=("desk",), items=default_items(short))
 
 
 def killed(world, host):
@@ -257,7 +267,7 @@
     """Idempotent calls are retried at another peer within a second; others get an unknown outcome."""
 
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         local, bad, good = hosts(world)
         callers = [await world.caller(local) for _ in range(8)]
         calls = [
@@ -273,7 +283,7 @@
         for number in range(20):
             later.append((await world.caller(local)).ask(b"/p/l%d" % number, due_ms=4000))
             await sleep_us(100 * MILLISECOND)
-        await all_done([*calls, *later])
+        await wait_until_done([*calls, *later])
         for exchange in [*calls, *later]:
             if exchange.id in ids_at_bad and exchange.target.startswith(b"/once/"):
                 # a peer without incoming packets can still send its response
@@ -292,7 +302,7 @@
         await sleep_us(6 * SECOND)
         if fault_of_peer is not killed:  # the peer is used again
             before = len(world.ends[bad].journal)
-            after = [await asked(world, local) for _ in range(6)]
+            after = [await send_call(world, local) for _ in range(6)]
             assert {exchange.status for exchange in after} == {200}
             assert len(world.ends[bad].journal) > before
 
@@ -300,7 +310,7 @@
         scenario,
         seed,
         application=("", "desk", "desk"),
-        tries=TRIES,
+        tries=RETRY_BUDGET,
         endpoint={"work_us": 300 * MILLISECOND, "slots": 20},
     )
 
@@ -329,7 +339,7 @@
         cut(world, bad)
         callers = [await world.caller(local) for _ in range(6)]
         calls = [caller.ask(b"/once/%d" % number) for number, caller in enumerate(callers)]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200}
         assert all(exchange.took < SECOND for exchange in calls)
         world.web.heal()
@@ -343,7 +353,7 @@
 
     async def scenario(world):
         local, good = hosts(world)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         nodes = [
             NodeLoad(f"10.9.{number // 100}.{number % 100}:7401", 0.1, "i", False)
             for number in range(600)
@@ -356,7 +366,7 @@
         gate.peers.backoff_until = {
             gate.peers.link_address(node.address): monotonic_us() + SECOND for node in nodes
         }
-        exchange = await asked(world, local)
+        exchange = await send_call(world, local)
         assert exchange.status == 200
 
     gated(scenario, application=("", "desk"))
@@ -368,7 +378,7 @@
         local = hosts(world)[0]
         for end in world.ends.values():
             end.fault_of = lambda id: "full"
-        calls = [await asked(world, local) for _ in range(20)]
+        calls = [await send_call(world, local) for _ in range(20)]
         assert {exchange.status for exchange in calls} == {503}
         retries = sum(world.request_audit.arrivals(exchange.id) - 1 for exchange in calls)
         assert retries == 0  # the ratio is 0, and there is no reserve before a window has passed
--- a/tests/forwarding/test_gateway_http.py
+++ b/tests/forwarding/test_gateway_http.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from gates import SEEDS, all_done, asked, gate_of, gated
-from raw_bytes import hosts, raw
+from gates import SEEDS, gated, gateway_of, send_call, wait_until_done
+from raw_bytes import hosts, send_raw_bytes
 
 from meadowdock.configuration.items import DEFAULT_LIMITS
 from meadowdock.forwarding.http import RequestParser, ResponseParser
@@ -40,7 +40,7 @@
 def test_ambiguous_request_is_rejected(name):
     async def scenario(world):
         data = AMBIGUOUS_REQUESTS[name] % HEAD_LINES
-        status, closed, _ = await raw(world, data)
+        status, closed, _ = await send_raw_bytes(world, data)
         assert (status, closed) == (400, True)
         assert not world.request_audit.runs()
 
@@ -59,7 +59,7 @@
             (b"Proxy-Authorization", b"x"),
             (b"Accept-Encoding", b"identity"),
         ]
-        exchange = await asked(world, hosts(world)[0], lines=lines)
+        exchange = await send_call(world, hosts(world)[0], lines=lines)
         (ran,) = world.request_audit.runs(exchange.id)
         forwarded = [
             (name, value)
@@ -106,7 +106,7 @@
     async def scenario(world):
         caller = await world.caller(hosts(world)[0])
         calls = [caller.ask(method=method) for method in (b"HEAD", b"GET", b"HEAD", b"GET")]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert [exchange.status for exchange in calls] == [200] * 4
         assert [bool(exchange.answer) for exchange in calls] == [False, True, False, True]
 
@@ -120,12 +120,12 @@
         big = [(b"X-Big", b"x" * 5000)]
         many = [(b"X-%d" % number, b"x" * 50) for number in range(100)]
         for lines in (big, many):
-            exchange = await asked(world, hosts(world)[0], lines=lines)
+            exchange = await send_call(world, hosts(world)[0], lines=lines)
             assert exchange.status == 431
-        exchange = await asked(world, hosts(world)[0], target=b"/p/" + b"x" * 5000)
+        exchange = await send_call(world, hosts(world)[0], target=b"/p/" + b"x" * 5000)
         assert exchange.status == 431
         for in_chunks in (False, True):
-            exchange = await asked(
+            exchange = await send_call(
                 world,
                 hosts(world)[0],
                 body=b"x" * ((1 << 20) + 1),
@@ -134,12 +134,12 @@
             )
             assert exchange.status == 413
         assert not world.request_audit.runs()
-        exchange = await asked(
+        exchange = await send_call(
             world, hosts(world)[0], body=b"x" * (1 << 20), method=b"PUT", due_ms=30_000
         )
         assert exchange.status == 200
         # a header line that never ends
-        status, closed, _ = await raw(
+        status, closed, _ = await send_raw_bytes(
             world, b"GET /p/x HTTP/1.1\r\nX-A: 1\r\nX-B: " + b"y" * 600_000
         )
         assert (status, closed) == (431, True)
@@ -155,7 +155,7 @@
         caller.wire.send(first.data + second.data[:10])
         await sleep_us(50 * MILLISECOND)
         caller.wire.send(second.data[10:])
-        await all_done([first, second])
+        await wait_until_done([first, second])
         assert (first.status, second.status) == (200, 200)
 
     gated(scenario, application=("desk",))
@@ -164,7 +164,7 @@
 def test_slow_head_gets_408_and_idle_connection_is_closed():
     async def scenario(world):
         started_at = monotonic_us()
-        status, closed, _ = await raw(world, b"GET /p/x HTTP/1.1\r\nHost: h", 4 * SECOND)
+        status, closed, _ = await send_raw_bytes(world, b"GET /p/x HTTP/1.1\r\nHost: h", 4 * SECOND)
         assert (status, closed) == (408, True)
         caller = await world.caller(hosts(world)[0])
         exchange = caller.ask()
@@ -214,7 +214,7 @@
         caller.wire.send(sent_at_once.data + second_exchange.data[:20])
         await sleep_us(200 * MILLISECOND)
         caller.wire.send(second_exchange.data[20:])
-        await all_done([sent_at_once, second_exchange])
+        await wait_until_done([sent_at_once, second_exchange])
         assert [
             exchange.status for exchange in (first, exchange, sent_at_once, second_exchange)
         ] == [200] * 4
@@ -232,7 +232,7 @@
         world.ends[host].size = 30_000
         caller = await world.caller(host)
         caller.wire.pause()
-        gate = gate_of(world, host)
+        gate = gateway_of(world, host)
         calls, max_unsent = [], 0
         for number in range(400):
             calls.append(caller.ask(b"/p/%d" % number, due_ms=60_000))
@@ -259,7 +259,7 @@
         calls = [caller.ask(b"/p/%d" % number, due_ms=60_000) for number in range(100)]
         await sleep_us(3 * SECOND)
         caller.wire.resume()
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} <= {200, 503}
         assert [exchange.status for exchange in calls].count(200) > 8
 
@@ -277,7 +277,7 @@
         ):
             exchange = (await world.caller(hosts(world)[0])).ask(send=False)
             behind = b"GET /p/behind HTTP/1.1\r\nHost: h.example\r\nmd-call: never\r\n\r\n"
-            status, closed, text = await raw(world, first % exchange.id + behind)
+            status, closed, text = await send_raw_bytes(world, first % exchange.id + behind)
             assert (status, closed) == (200, True) and text.count(b"HTTP/1.1 ") == 1
             assert b"Connection: close" in text
 
