--- a/tests/config_store/test_audit_log.py
+++ b/tests/config_store/test_audit_log.py
@@ -6,10 +6,10 @@
 
 import pytest
 import trio
-from audit_log_facts import SIGNING_KEY, chain, measure, opened, write_former_layout
-from facts import manifest, way
-from item_builders import dropped, route, service
-from mesh import configured, first_with_a_blank_disk
+from audit_log_facts import SIGNING_KEY, audit_chain, measure, open_store, write_former_layout
+from item_builders import removed_item, route, service
+from manifests import manifest, manifest_route
+from mesh import restart_first_core_with_blank_disk, start_configured
 
 from meadowdock import audit
 from meadowdock.config_store import audit_log, audit_log_transfer, repair
@@ -23,7 +23,7 @@
 
 
 def changed(number):
-    return manifest([way(f"w{number}", "/balances")])
+    return manifest([manifest_route(f"w{number}", "/balances")])
 
 
 async def commit_changes(world, numbers, cores=(0, 1, 2)):
@@ -59,12 +59,12 @@
 @pytest.mark.parametrize("length", [1, 63, 64, 65, 200])
 def test_the_former_layout_is_read_and_migrated(length):
     async def work(world):
-        records, disk = chain(length), MemoryDisk()
+        records, disk = audit_chain(length), MemoryDisk()
         write_former_layout(disk, records)
-        store = await opened(disk)
+        store = await open_store(disk)
         assert await store.audit_log.read(records) == records  # before anything is written
         await store.audit_log.seal()
-        reopened = await opened(disk)
+        reopened = await open_store(disk)
         assert await reopened.audit_log.read(records) == records
         assert len(on_disk(disk, SEGMENT_FOLDER)) == length // audit_log.RECORDS_PER_SEGMENT
         assert len(on_disk(disk, RECORD_FOLDER)) == length % audit_log.RECORDS_PER_SEGMENT
@@ -89,20 +89,20 @@
     """
     monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT_SEGMENT)
     monkeypatch.setattr(audit_log, "MAX_SEGMENTS", max_segments)
-    records = chain(4 * SHORT_SEGMENT + 3)
+    records = audit_chain(4 * SHORT_SEGMENT + 3)
 
     async def loses_power_at(step):
         """Return True if the power was lost before sealing was complete."""
         disk = StepwiseDisk(random.Random(step))
         write_former_layout(disk, records)
         disk.lasting = dict(disk.files)
-        store = await opened(disk)
+        store = await open_store(disk)
         with trio.CancelScope() as scope:
             disk.lose_at, disk.on_loss = step, scope.cancel
             await store.audit_log.seal()
         disk.lose_at = None
         disk.power_off()
-        store = await opened(disk)
+        store = await open_store(disk)
         first = store.audit_log.first_version
         assert first in ((1,) if max_segments == 256 else (1, 2 * SHORT_SEGMENT + 1))
         expected = {v: r for v, r in records.items() if v >= first}
@@ -127,11 +127,11 @@
 
 def test_a_damaged_segment_counts_as_missing_and_is_pulled_from_another_member():
     async def work(world):
-        records, disk, intact_disk = chain(200), SimDisk(random.Random(1)), MemoryDisk()
+        records, disk, intact_disk = audit_chain(200), SimDisk(random.Random(1)), MemoryDisk()
         for target in (disk, intact_disk):
             write_former_layout(target, records)
         disk.lasting = dict(disk.files)
-        store, source = await opened(disk), await opened(intact_disk)
+        store, source = await open_store(disk), await open_store(intact_disk)
         await store.audit_log.seal()
         await source.audit_log.seal()
         disk.rot(on_disk(disk, SEGMENT_FOLDER)[1])
@@ -139,7 +139,7 @@
         versions_to_pull = store.audit_log.versions_to_pull(source.audit_log.state())
         assert versions_to_pull == list(range(65, 129))
         await store.audit_log.put_batch(await source.audit_log.read(versions_to_pull))
-        assert await (await opened(disk)).audit_log.read(records) == records
+        assert await (await open_store(disk)).audit_log.read(records) == records
 
     run(work)
 
@@ -149,12 +149,12 @@
     monkeypatch.setattr(audit_log, "MAX_SEGMENTS", 3)
 
     async def work(world):
-        records, disk = chain(100), MemoryDisk()
-        store = await opened(disk)
+        records, disk = audit_chain(100), MemoryDisk()
+        store = await open_store(disk)
         for version, text in records.items():
             await store.audit_log.put({version: text})
             await store.audit_log.seal()
-        reopened = await opened(disk)
+        reopened = await open_store(disk)
         assert reopened.audit_log.state() == store.audit_log.state()
         assert reopened.audit_log.first_version == 73  # the last 3 of 12 sealed segments are kept
         assert len(on_disk(disk, SEGMENT_FOLDER)) + len(on_disk(disk, RECORD_FOLDER)) == 3 + 4
@@ -167,7 +167,7 @@
         ]
         await reopened.audit_log.put({1: records[1]})  # dropped records are not stored again
         assert not reopened.audit_log.holds(1)
-        blank = await opened(MemoryDisk())
+        blank = await open_store(MemoryDisk())
         await blank.audit_log.adopt_first_version(
             AuditLogState.from_wire(reopened.audit_log.state().to_wire())
         )
@@ -183,8 +183,8 @@
     monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT_SEGMENT)
 
     async def work(world):
-        kept_chain, other = chain(SHORT_SEGMENT), chain(1, 5, "00")
-        store = await opened(MemoryDisk())
+        kept_chain, other = audit_chain(SHORT_SEGMENT), audit_chain(1, 5, "00")
+        store = await open_store(MemoryDisk())
         await store.audit_log.put(kept_chain | other)
         for _ in range(SHORT_SEGMENT):
             await store.audit_log.seal()
@@ -225,7 +225,7 @@
 @pytest.mark.parametrize("fault", ["none", "power", "loss"])
 def test_a_member_catches_up_after_missing_600_changes(fault):
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         disk = world.disks["mdconf", host]
         world.power_off("mdconf", host)
@@ -240,7 +240,7 @@
             durable = set(on_disk(disk, SEGMENT_FOLDER))
             # the catch-up is in progress
             assert 3 <= len(durable) < 600 // audit_log.RECORDS_PER_SEGMENT
-            # a simulated write ends, and is logged, after its process
+            # a simulated write that was in progress still ends, and is logged, after the power loss
             await sleep_us(5 * MILLISECOND)
             world.trace.lines.clear()
             await world.start("mdconf", host)
@@ -270,10 +270,10 @@
     monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT_SEGMENT)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         await commit_changes(world, range(40))
         await sleep_us(3 * SECOND)
-        host = await first_with_a_blank_disk(world)
+        host = await restart_first_core_with_blank_disk(world)
         link = f"{host}:7421"
         status, response = await world.operate(
             "POST", "/members", {"old": link, "new": link}, core=1
@@ -301,7 +301,7 @@
     monkeypatch.setattr(audit_log_transfer, "RUN_INTERVAL_US", 3600 * SECOND)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         old, other, third = world.core
         world.power_off("mdconf", old)
         await commit_changes(world, range(60), cores=(1, 2))
@@ -339,9 +339,9 @@
         return records
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         await commit_changes(world, range(60))
-        host = await first_with_a_blank_disk(world)
+        host = await restart_first_core_with_blank_disk(world)
         monkeypatch.setattr(audit_log.AuditLog, "read", read)
         link = f"{host}:7421"
         status, response = await world.operate(
@@ -357,7 +357,7 @@
 
 def test_a_repeated_commit_is_acknowledged_after_300_changes_and_a_restart_of_all():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         first = await commit_changes(world, [0])
         ((version, plan),) = first.items()
         _, uncommitted_plan = await world.operate("POST", "/plan", changed(1))
@@ -389,7 +389,7 @@
     monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT_SEGMENT)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         ((version, plan),) = (await commit_changes(world, [0])).items()
         await commit_changes(world, range(1, 60))
         await sleep_us(3 * SECOND)
@@ -410,7 +410,7 @@
     monkeypatch.setattr(audit_log, "RECORDS_PER_SEGMENT", SHORT_SEGMENT)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         ((version, plan),) = (await commit_changes(world, [0])).items()
         await commit_changes(world, range(1, 60))
         await sleep_us(3 * SECOND)
@@ -432,7 +432,7 @@
     monkeypatch.setattr(audit_log, "MAX_SEGMENTS", 2)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         ((_, plan),) = (await commit_changes(world, [0])).items()
         await commit_changes(world, range(1, 60))
         await sleep_us(3 * SECOND)
@@ -449,7 +449,7 @@
 
 def test_a_revision_with_a_history_of_256_pairs_from_an_older_release_is_shortened():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         daemon = world.daemon("mdconf", world.core[0])
         history_pairs = [[v, f"{v:032x}"] for v in range(2, 257)]
 
@@ -467,14 +467,14 @@
 
 def test_a_dropped_item_stays_dropped_after_many_changes_and_a_lost_disk():
     async def scenario(world):
-        await configured(world)
-        for items in ([service("desk"), route("r", 5)], [dropped(route("r"), 6)]):
+        await start_configured(world)
+        for items in ([service("desk"), route("r", 5)], [removed_item(route("r"), 6)]):
             await world.set_items(items)
         await commit_changes(world, range(100))
         for host in world.core:
             world.power_off("mdconf", host)
             await world.start("mdconf", host)
-        host = await first_with_a_blank_disk(world)
+        host = await restart_first_core_with_blank_disk(world)
         link = f"{host}:7421"
         status, response = await world.operate(
             "POST", "/members", {"old": link, "new": link}, core=1
--- a/tests/config_store/test_lease.py
+++ b/tests/config_store/test_lease.py
@@ -6,7 +6,7 @@
 
 import pytest
 import trio
-from lease_checks import holders, isolate, one_holder
+from lease_checks import isolate, lease_holders, wait_for_single_holder
 from mesh import hosts, serving
 
 from meadowdock.config_store.lease import CLOCK_DRIFT_DIVISOR, LeaseService
@@ -36,7 +36,7 @@
     :param epochs: collects all epochs, in order
     """
     while True:
-        epoch_by_host = holders(world)
+        epoch_by_host = lease_holders(world)
         assert len(epoch_by_host) <= 1, (monotonic_us(), epoch_by_host)
         for epoch in epoch_by_host.values():
             assert not epochs or epoch >= epochs[-1], (epoch, epochs)
@@ -55,19 +55,19 @@
 def test_a_holder_cut_off_from_the_majority_stops_before_another_acquires(seed):
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await start_watching(world)
         await sleep_us(world.rng.randrange(SECOND))
         isolate(world, host)
         cut_at_us = monotonic_us()
-        await world.eventually(lambda: not holders(world))
+        await world.eventually(lambda: not lease_holders(world))
         assert monotonic_us() - cut_at_us <= LEASE_DURATION_US
-        await world.eventually(lambda: holders(world), TAKEOVER_LIMIT_US)
-        assert host not in holders(world)
+        await world.eventually(lambda: lease_holders(world), TAKEOVER_LIMIT_US)
+        assert host not in lease_holders(world)
         await sleep_us(5 * SECOND)
         world.web.heal()
         await sleep_us(5 * SECOND)
-        (after,) = holders(world).values()
+        (after,) = lease_holders(world).values()
         assert after > epoch
 
     run(scenario, seed, application=("desk",))
@@ -135,12 +135,12 @@
 def test_at_most_one_holder_under_random_faults(seed):
     async def scenario(world):
         await world.start_all()
-        await one_holder(world)
+        await wait_for_single_holder(world)
         epochs = await start_watching(world)
         rng = random.Random(seed)
         for _ in range(8):
             inject_fault = rng.choice(FAULTS)
-            current_holders = list(holders(world))
+            current_holders = list(lease_holders(world))
             host = (
                 current_holders[0]
                 if current_holders and rng.random() < 0.7
@@ -148,7 +148,7 @@
             )
             await inject_fault(world, host, rng.randrange(SECOND // 2, 6 * SECOND))
             await sleep_us(rng.randrange(3 * SECOND))
-        await world.eventually(lambda: len(holders(world)) == 1)
+        await world.eventually(lambda: len(lease_holders(world)) == 1)
         assert len(epochs) > 1
 
     run(scenario, seed, application=("desk",))
@@ -157,7 +157,7 @@
 def test_a_holder_frozen_for_20_s_sends_no_load_list_afterwards():
     async def scenario(world):
         await serving(world)
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await start_watching(world)
         process = world.processes[f"mdreg@{host}"]
         sent = []
@@ -181,7 +181,7 @@
         process.wake()
         await sleep_us(5 * SECOND)
         assert not [e for at, e in sent if at >= woken_at > 0 and e <= epoch]
-        assert len(holders(world)) == 1
+        assert len(lease_holders(world)) == 1
         assert all(p.forwarder.load_list.epoch > epoch for p in proxies)
 
     run(scenario)
@@ -190,7 +190,7 @@
 def test_wall_clock_steps_do_not_affect_the_lease():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         epochs = await start_watching(world)
         await sleep_us(SECOND)
         for step_us in (DAY_US, -DAY_US, 3 * SECOND):
@@ -200,7 +200,7 @@
                         WALL + monotonic_us() + step_us
                     )
             await sleep_us(5 * SECOND)
-        assert holders(world) == {host: epoch}
+        assert lease_holders(world) == {host: epoch}
         assert epochs == [epoch]
 
     run(scenario, application=("desk",))
@@ -209,7 +209,7 @@
 def test_the_lease_survives_one_mdconf_that_is_frozen_or_whose_responses_are_lost():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await start_watching(world)
         await sleep_us(2 * SECOND)
         lease = world.daemon("mdreg", host).election.lease
@@ -225,12 +225,12 @@
 
         rpc.call = call
         await sleep_us(8 * SECOND)
-        assert holders(world) == {host: epoch}
+        assert lease_holders(world) == {host: epoch}
         silent = None
         process = world.processes[f"mdconf@{lease.preferred_store.partition(':')[0]}"]
         process.freeze()
         await sleep_us(8 * SECOND)
-        assert holders(world) == {host: epoch}
+        assert lease_holders(world) == {host: epoch}
         process.wake()
 
     run(scenario, application=("desk",))
@@ -239,13 +239,13 @@
 def test_a_holder_stops_if_the_responses_to_its_renewals_are_lost():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await start_watching(world)
         world.nursery.start_soon(drop_lease_responses, world, host, 20 * SECOND)
-        await world.eventually(lambda: not holders(world))
+        await world.eventually(lambda: not lease_holders(world))
         await world.eventually(lambda: world.trace.events(705))
-        await world.eventually(lambda: holders(world), 8 * SECOND)
-        assert host not in holders(world)
+        await world.eventually(lambda: lease_holders(world), 8 * SECOND)
+        assert host not in lease_holders(world)
 
     run(scenario, application=("desk",))
 
@@ -253,7 +253,7 @@
 def test_a_lease_starts_when_its_request_is_sent():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         lease = world.daemon("mdreg", host).election.lease
         sent_requests = {}
         original = lease.send
@@ -275,7 +275,7 @@
 def test_after_a_graceful_stop_another_acquires_before_the_lease_would_expire():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await start_watching(world)
         lease = world.daemon("mdreg", host).election.lease
         # The lease has just been renewed, so that it expires as late as possible.
@@ -283,7 +283,7 @@
         await world.eventually(lambda: lease.granted is not renewal)
         expires_at = lease.granted.expires_at
         world.nursery.start_soon(world.stop, f"mdreg@{host}")
-        await world.eventually(lambda: any(e > epoch for e in holders(world).values()))
+        await world.eventually(lambda: any(e > epoch for e in lease_holders(world).values()))
         assert monotonic_us() < expires_at
 
     run(scenario, application=("desk",))
@@ -292,7 +292,7 @@
 def test_there_is_one_collector_after_a_restart_of_all_mdconf():
     async def scenario(world):
         await world.start_all()
-        _, epoch = await one_holder(world)
+        _, epoch = await wait_for_single_holder(world)
         epochs = await start_watching(world)
         for host in world.core:
             world.power_off("mdconf", host)
@@ -301,7 +301,7 @@
             for host in world.core:
                 nursery.start_soon(world.start, "mdconf", host)
         await sleep_us(TAKEOVER_LIMIT_US)
-        assert len(holders(world)) == 1
+        assert len(lease_holders(world)) == 1
         assert len(epochs) <= 2  # the lease was kept, or acquired once more
 
     run(scenario, application=("desk",))
@@ -310,17 +310,17 @@
 def test_there_is_no_collector_without_a_quorum_and_one_afterwards():
     async def scenario(world):
         await serving(world)
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await start_watching(world)
         proxy = world.daemon("mdproxy", hosts(world)[0])
         for other in world.core[:2]:
             world.power_off("mdconf", other)
         await sleep_us(LEASE_DURATION_US)
-        assert not holders(world)
+        assert not lease_holders(world)
         await sleep_us(SECOND)
         last = proxy.forwarder.load_list.epoch, proxy.forwarder.load_list.seq
         await sleep_us(17 * SECOND)
-        assert not holders(world)
+        assert not lease_holders(world)
         assert (proxy.forwarder.load_list.epoch, proxy.forwarder.load_list.seq) == last
         for other in world.core[:2]:
             await world.start("mdconf", other)
@@ -332,11 +332,11 @@
 def test_a_killed_holder_is_replaced_within_3_s():
     async def scenario(world):
         await world.start_all()
-        host, epoch = await one_holder(world)
+        host, epoch = await wait_for_single_holder(world)
         await start_watching(world)
         await sleep_us(SECOND)
         world.kill(f"mdreg@{host}")
-        elapsed_us = await world.eventually(lambda: holders(world))
+        elapsed_us = await world.eventually(lambda: lease_holders(world))
         assert elapsed_us <= 3 * SECOND
 
     for seed in range(4):
@@ -346,9 +346,9 @@
 def test_a_restarted_proxy_rejects_the_load_list_of_a_previous_holder():
     async def scenario(world):
         await serving(world)
-        host, old = await one_holder(world)
+        host, old = await wait_for_single_holder(world)
         world.kill(f"mdreg@{host}")
-        await world.eventually(lambda: any(e > old for e in holders(world).values()))
+        await world.eventually(lambda: any(e > old for e in lease_holders(world).values()))
         proxy_host, other = hosts(world)
         world.meddle["load.list"] = None  # the proxy gets no newer list
         rpc = world.node("mdproxy", other).rpc
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -6,8 +6,8 @@
 
 import pytest
 import trio
-from core_fleet import SEEDS, Fleet, changed, configure, read_back
-from mesh import configured
+from core_fleet import SEEDS, SimulatedCore, configure_at, manifest_with_route, read_version
+from mesh import start_configured
 
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.config_store.store import Store
@@ -41,7 +41,7 @@
                 self.world.core = [host]
                 with trio.move_on_after(6):
                     status, planned = await self.world.operate(
-                        "POST", "/plan", changed(self.attempts)
+                        "POST", "/plan", manifest_with_route(self.attempts)
                     )
                     if status == 200 and planned["plan"]:
                         self.world.core = [host]
@@ -58,10 +58,10 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_seeds_bootstrap_and_all_of_up_to_five_become_voters(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=5, losses=2)
-        assert await fleet.founded() <= 4 * SECOND
+        fleet = SimulatedCore(world, core=5, losses=2)
+        assert await fleet.bootstrap() <= 4 * SECOND
         assert len(world.trace.events(601)) == 1
-        assert await configure(world, 1, fleet.hosts[4]) == 1
+        assert await configure_at(world, 1, fleet.hosts[4]) == 1
 
     run(scenario, seed)
 
@@ -69,8 +69,8 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_of_more_than_five_only_as_many_vote_as_the_tolerated_losses_require(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=7, losses=1)
-        await fleet.up()
+        fleet = SimulatedCore(world, core=7, losses=1)
+        await fleet.start()
         await sleep_us(5 * SECOND)
         memberships = list(fleet.memberships().values())
         assert {len(m.voters) for m in memberships} == {3}
@@ -83,10 +83,10 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_bootstrap_while_a_seed_is_missing_or_not_allowed_to_bootstrap(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
-        await fleet.up(fleet.hosts[:2])
-        fleet.founding = False
-        await fleet.up(fleet.hosts[2:])
+        fleet = SimulatedCore(world, core=3)
+        await fleet.start(fleet.hosts[:2])
+        fleet.may_bootstrap = False
+        await fleet.start(fleet.hosts[2:])
         await sleep_us(5 * SECOND)
         assert not any(fleet.memberships().values())
         assert not world.trace.events(601)
@@ -97,10 +97,10 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_bootstrap_with_differing_seeds(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=4)
-        await fleet.up(fleet.hosts[:3:2])
-        fleet.told = fleet.hosts[1:4]
-        await fleet.up(fleet.hosts[1::2])
+        fleet = SimulatedCore(world, core=4)
+        await fleet.start(fleet.hosts[:3:2])
+        fleet.seed_hosts = fleet.hosts[1:4]
+        await fleet.start(fleet.hosts[1::2])
         await sleep_us(5 * SECOND)
         assert not any(fleet.memberships().values())
 
@@ -111,18 +111,18 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_all_members_killed_at_once_restart_with_the_same_membership(seed, founding):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
-        await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        fleet = SimulatedCore(world, core=3)
+        await fleet.bootstrap()
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         membership = fleet.store(fleet.hosts[0]).membership
         for host in fleet.hosts:
             world.power_off("mdconf", host)
-        fleet.founding = founding
+        fleet.may_bootstrap = founding
         await sleep_us(SECOND)
-        await fleet.up()
-        assert await fleet.settle(fleet.hosts) <= 2 * SECOND
+        await fleet.start()
+        assert await fleet.wait_until_voters(fleet.hosts) <= 2 * SECOND
         assert fleet.store(fleet.hosts[0]).membership == membership
-        assert await read_back(world, fleet.hosts[1]) == 1
+        assert await read_version(world, fleet.hosts[1]) == 1
 
     run(scenario, seed)
 
@@ -130,15 +130,15 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_blank_majority_does_not_bootstrap_if_a_member_has_a_configuration(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
-        await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        fleet = SimulatedCore(world, core=3)
+        await fleet.bootstrap()
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts:
             world.power_off("mdconf", host)
         for host in fleet.hosts[:2]:
             world.lose_disk("mdconf", host)
-        fleet.founding = True
-        await fleet.up()
+        fleet.may_bootstrap = True
+        await fleet.start()
         await sleep_us(6 * SECOND)
         assert len(world.trace.events(601)) == 1
         assert {m.version for m in fleet.memberships().values()} == {1}
@@ -152,13 +152,13 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_all_machines_are_replaced_one_after_another_under_changes(seed, core, losses, overlap_us):
     async def scenario(world):
-        fleet = Fleet(world, core=core, losses=losses)
-        await fleet.founded()
-        operator = Operator(world, fleet.running)
+        fleet = SimulatedCore(world, core=core, losses=losses)
+        await fleet.bootstrap()
+        operator = Operator(world, fleet.running_hosts)
         world.nursery.start_soon(operator.run)
         for number, old in enumerate(list(fleet.hosts)):
             new = f"10.0.3.{number + 1}"
-            fleet.told = fleet.running()[:3]  # the members before this replacement
+            fleet.seed_hosts = fleet.running_hosts()[:3]  # the members before this replacement
             if overlap_us <= 0:
                 world.power_off("mdconf", old)
                 fleet.hosts.remove(old)
@@ -178,11 +178,11 @@
         await sleep_us(SECOND)
         assert len(operator.accepted) >= 5 * core
         assert operator.accepted == sorted(set(operator.accepted))
-        assert await read_back(world, fleet.hosts[-1]) >= operator.accepted[-1]
+        assert await read_version(world, fleet.hosts[-1]) >= operator.accepted[-1]
         # now as many members may be lost as are tolerated
         for host in fleet.hosts[:losses]:
             world.power_off("mdconf", host)
-        assert await read_back(world, fleet.hosts[-1]) >= operator.accepted[-1]
+        assert await read_version(world, fleet.hosts[-1]) >= operator.accepted[-1]
 
     run(scenario, seed)
 
@@ -190,8 +190,8 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_restarted_voter_stays_and_a_lost_one_is_replaced_once_a_candidate_exists(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
-        await fleet.founded()
+        fleet = SimulatedCore(world, core=3)
+        await fleet.bootstrap()
         membership = fleet.store(fleet.hosts[0]).membership
         host = fleet.hosts[seed % 3]
         world.power_off("mdconf", host)
@@ -205,7 +205,7 @@
         assert all(m == membership for m in fleet.memberships().values())
         fleet.hosts.append("10.0.3.1")
         await world.start("mdconf", "10.0.3.1")
-        assert await fleet.settle(fleet.hosts) <= 2_500 * MILLISECOND
+        assert await fleet.wait_until_voters(fleet.hosts) <= 2_500 * MILLISECOND
 
     run(scenario, seed)
 
@@ -213,17 +213,17 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_failed_voter_of_an_even_number_is_removed_and_added_again(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=4)
-        await fleet.founded()
+        fleet = SimulatedCore(world, core=4)
+        await fleet.bootstrap()
         dead_host = fleet.hosts[seed % 4]
         world.power_off("mdconf", dead_host)
         remaining = [h for h in fleet.hosts if h != dead_host]
-        await fleet.settle(remaining, 8 * SECOND)
+        await fleet.wait_until_voters(remaining, 8 * SECOND)
         world.power_off("mdconf", remaining[0])  # two of three are still a majority
-        assert await configure(world, 1, remaining[1]) == 1
+        assert await configure_at(world, 1, remaining[1]) == 1
         await world.start("mdconf", remaining[0])
         await world.start("mdconf", dead_host)
-        await fleet.settle(fleet.hosts, 4 * SECOND)
+        await fleet.wait_until_voters(fleet.hosts, 4 * SECOND)
 
     run(scenario, seed)
 
@@ -231,17 +231,17 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_disk_moved_to_a_new_address_stays_the_same_voter(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
-        await fleet.founded()
+        fleet = SimulatedCore(world, core=3)
+        await fleet.bootstrap()
         old = fleet.hosts.pop(seed % 3)
         world.power_off("mdconf", old)
         disk = world.disks["mdconf", "10.0.3.1"] = world.disks.pop(("mdconf", old))
         fleet.hosts.append("10.0.3.1")
         await world.start("mdconf", "10.0.3.1")
-        await fleet.settle(fleet.hosts)
+        await fleet.wait_until_voters(fleet.hosts)
         assert disk is world.disks["mdconf", "10.0.3.1"]
         world.power_off("mdconf", fleet.hosts[0])
-        assert await configure(world, 1, fleet.hosts[1]) == 1
+        assert await configure_at(world, 1, fleet.hosts[1]) == 1
 
     run(scenario, seed)
 
@@ -250,19 +250,19 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_lost_disk_is_replaced_while_all_others_lose_power(seed, core):
     async def scenario(world):
-        fleet = Fleet(world, core=core, losses=core // 2)
-        await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        fleet = SimulatedCore(world, core=core, losses=core // 2)
+        await fleet.bootstrap()
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         lost_host = fleet.hosts[seed % core]
         for host in fleet.hosts:
             world.power_off("mdconf", host)
         world.lose_disk("mdconf", lost_host)
-        await fleet.up()
-        assert await fleet.settle(fleet.hosts) <= 2 * SECOND
+        await fleet.start()
+        assert await fleet.wait_until_voters(fleet.hosts) <= 2 * SECOND
         others = [h for h in fleet.hosts if h != lost_host]
         world.power_off("mdconf", others[0])  # now the vote of the new disk is needed
-        assert await read_back(world, lost_host) == 1
-        assert await configure(world, 2, lost_host) == 2
+        assert await read_version(world, lost_host) == 1
+        assert await configure_at(world, 2, lost_host) == 2
 
     run(scenario, seed)
 
@@ -270,17 +270,17 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_two_lost_disks_of_five_are_replaced(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=5, losses=2)
-        await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        fleet = SimulatedCore(world, core=5, losses=2)
+        await fleet.bootstrap()
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts[:2]:
             world.power_off("mdconf", host)
             world.lose_disk("mdconf", host)
-        await fleet.up(fleet.hosts[:2])
-        assert await fleet.settle(fleet.hosts) <= 3 * SECOND
+        await fleet.start(fleet.hosts[:2])
+        assert await fleet.wait_until_voters(fleet.hosts) <= 3 * SECOND
         for host in fleet.hosts[3:]:
             world.power_off("mdconf", host)
-        assert await configure(world, 2, fleet.hosts[0]) == 2
+        assert await configure_at(world, 2, fleet.hosts[0]) == 2
 
     run(scenario, seed)
 
@@ -332,9 +332,9 @@
 @pytest.mark.parametrize("step", range(1, 60, 4))
 def test_a_change_is_completed_if_its_driver_dies_at_any_disk_step(step):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
-        await fleet.founded()
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        fleet = SimulatedCore(world, core=3)
+        await fleet.bootstrap()
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         actor_disk = world.disks["mdconf", fleet.hosts[0]]
         await world.start("mdconf", "10.0.3.1")
         actor_disk.lose_at = actor_disk.steps + step
@@ -346,8 +346,8 @@
         await sleep_us(SECOND)
         actor_disk.power_off()
         await world.start("mdconf", fleet.hosts[0])
-        await fleet.settle(fleet.hosts, 6 * SECOND)
-        assert await configure(world, 2, "10.0.3.1") == 2
+        await fleet.wait_until_voters(fleet.hosts, 6 * SECOND)
+        assert await configure_at(world, 2, "10.0.3.1") == 2
 
     run(scenario, step)
 
@@ -355,8 +355,8 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_change_is_resolved_after_its_newcomer_lost_its_disk(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
-        await fleet.founded()
+        fleet = SimulatedCore(world, core=3)
+        await fleet.bootstrap()
         for host in fleet.hosts:  # no change gets beyond its first step
             world.daemon("mdconf", host).transfer_files = sleep_forever
         await world.start("mdconf", "10.0.3.1")
@@ -365,10 +365,10 @@
         world.lose_disk("mdconf", "10.0.3.1")
         for host in fleet.hosts:
             world.power_off("mdconf", host)
-        await fleet.up()
+        await fleet.start()
         await world.start("mdconf", "10.0.3.1")
         fleet.hosts.append("10.0.3.1")
-        await fleet.settle(fleet.hosts, 8 * SECOND)
+        await fleet.wait_until_voters(fleet.hosts, 8 * SECOND)
 
     run(scenario, seed)
 
@@ -380,18 +380,18 @@
 @pytest.mark.parametrize("index", range(3))
 def test_a_member_with_a_stalled_disk_does_not_block_the_others(index):
     async def scenario(world):
-        fleet = Fleet(world, core=3)
-        await fleet.founded()
+        fleet = SimulatedCore(world, core=3)
+        await fleet.bootstrap()
         disk = world.disks["mdconf", fleet.hosts[index]]
         disk.stalled = trio.Event()
         await world.start("mdconf", "10.0.3.1")
         new = world.node("mdconf", "10.0.3.1")
         assert await world.eventually(lambda: not new.unready_reasons(), 7 * SECOND)
-        assert await configure(world, 1, "10.0.3.1") == 1
+        assert await configure_at(world, 1, "10.0.3.1") == 1
         disk.stalled.set()
         disk.stalled = None
         fleet.hosts.append("10.0.3.1")
-        await fleet.settle(fleet.hosts, 8 * SECOND)
+        await fleet.wait_until_voters(fleet.hosts, 8 * SECOND)
 
     run(scenario, index)
 
@@ -419,32 +419,32 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_configuration_is_accepted_before_enough_members_vote_for_two_losses(seed):
     async def scenario(world):
-        fleet = Fleet(world, core=5, losses=2)
-        await fleet.up(fleet.hosts[:3])
+        fleet = SimulatedCore(world, core=5, losses=2)
+        await fleet.start(fleet.hosts[:3])
         await world.eventually(lambda: all(fleet.memberships().values()))
         world.core = fleet.hosts[:1]
-        status, response = await world.operate("POST", "/plan", changed(1))
+        status, response = await world.operate("POST", "/plan", manifest_with_route(1))
         assert (status, response["code"]) == (503, "too_few_members")
         assert all(world.node("mdconf", h).unready_reasons() for h in fleet.hosts[:3])
-        await fleet.up(fleet.hosts[3:])
-        await fleet.settle(fleet.hosts, 4 * SECOND)
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        await fleet.start(fleet.hosts[3:])
+        await fleet.wait_until_voters(fleet.hosts, 4 * SECOND)
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
         for host in fleet.hosts[:2]:
             world.power_off("mdconf", host)
             world.lose_disk("mdconf", host)
-        assert await read_back(world, fleet.hosts[4]) == 1
+        assert await read_version(world, fleet.hosts[4]) == 1
 
     run(scenario, seed)
 
 
 def test_a_fleet_with_fewer_machines_than_wanted_starts_after_bootstrap_wait():
     async def scenario(world):
-        fleet = Fleet(world, core=3, losses=2)
-        await fleet.up()
+        fleet = SimulatedCore(world, core=3, losses=2)
+        await fleet.start()
         await world.eventually(lambda: all(fleet.memberships().values()))
-        elapsed_us = await fleet.settle(fleet.hosts, 8 * SECOND)
+        elapsed_us = await fleet.wait_until_voters(fleet.hosts, 8 * SECOND)
         assert 3 * SECOND <= elapsed_us <= 6 * SECOND
-        assert await configure(world, 1, fleet.hosts[0]) == 1
+        assert await configure_at(world, 1, fleet.hosts[0]) == 1
 
     run(scenario)
 
@@ -486,7 +486,7 @@
     """
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         daemon = world.daemon("mdconf", world.core[1])
         membership = daemon.store.membership
@@ -512,8 +512,8 @@
 
 def test_the_change_of_another_member_is_not_completed_before_its_keys_are_transferred():
     async def scenario(world):
-        fleet = Fleet(world, core=3)
-        await fleet.founded()
+        fleet = SimulatedCore(world, core=3)
+        await fleet.bootstrap()
         daemon = world.daemon("mdconf", fleet.hosts[0])
         disks = dict(daemon.store.membership.voters)
         daemon.changes_in_progress = 1
@@ -543,8 +543,8 @@
 
 def test_100_keys_are_transferred_within_600_ms():
     async def scenario(world):
-        fleet = Fleet(world, core=3)
-        await fleet.founded()
+        fleet = SimulatedCore(world, core=3)
+        await fleet.bootstrap()
         daemon = world.daemon("mdconf", fleet.hosts[0])
         for n in range(100):
             await daemon.proposer.change(f"duty/{n}", lambda old, n=n: n, monotonic_us() + SECOND)
--- a/tests/config_store/test_members_change.py
+++ b/tests/config_store/test_members_change.py
@@ -4,8 +4,8 @@
 
 import pytest
 import trio
-from facts import manifest, way
-from mesh import configured, first_with_a_blank_disk, hosts, serving
+from manifests import manifest, manifest_route
+from mesh import hosts, restart_first_core_with_blank_disk, serving, start_configured
 
 from meadowdock.config_store.rescue import rescue
 from meadowdock.runtime import SECOND, HttpConnectionFailed, sleep_us
@@ -13,13 +13,13 @@
 
 
 def changed(number):
-    return manifest([way(f"w{number}", "/balances")])
+    return manifest([manifest_route(f"w{number}", "/balances")])
 
 
 def test_a_lost_disk_votes_again_after_a_member_change():
     async def scenario(world):
-        await configured(world)
-        host = await first_with_a_blank_disk(world)
+        await start_configured(world)
+        host = await restart_first_core_with_blank_disk(world)
         link = f"{host}:7421"
         status, response = await world.operate(
             "POST", "/members", {"old": link, "new": link}, core=1
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("by_operator", [True, False])
 def test_an_interrupted_change_is_completed_by_a_repeated_call_or_by_a_member(by_operator):
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         world.zones["10.0.2.1"] = "a"
         await world.start("mdconf", "10.0.2.1")
         await world.eventually(lambda: world.daemon("mdconf", "10.0.2.1").store.membership)
@@ -131,7 +131,7 @@
 
 def test_after_the_loss_of_a_majority_an_operator_can_rescue_one_disk():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         assert await world.configure(changed(1)) == 2
         await sleep_us(SECOND)
         for host in world.core:
@@ -166,7 +166,7 @@
     """
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         silent = world.core[0]
         for other in (*world.core[1:], *world.application):
             world.web.cut(silent, other)
@@ -185,7 +185,7 @@
 
 def test_an_absent_process_can_not_become_a_member():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         body = {"old": f"{world.core[0]}:7421", "new": "10.0.2.9:7421"}
         status, response = await world.operate("POST", "/members", body, 1)
         assert (status, response["code"], response["absent"]) == (409, "absent", ["10.0.2.9:7421"])
--- a/tests/config_store/test_repair.py
+++ b/tests/config_store/test_repair.py
@@ -6,8 +6,8 @@
 
 import pytest
 import trio
-from facts import manifest, way
-from mesh import configured
+from manifests import manifest, manifest_route
+from mesh import start_configured
 
 from meadowdock.config_store import repair, revision
 from meadowdock.config_store.store import Store
@@ -16,7 +16,7 @@
 
 
 def changed(number):
-    return manifest([way(f"w{number}", "/balances")])
+    return manifest([manifest_route(f"w{number}", "/balances")])
 
 
 def files(world, host, kind):
@@ -29,7 +29,7 @@
 
 def test_a_start_with_a_damaged_key_gets_a_new_disk_id_and_rejoins():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         old_disk_id = world.daemon("mdconf", host).store.disk
         world.power_off("mdconf", host)
@@ -49,7 +49,7 @@
 
 def test_an_unreadable_disk_id_is_replaced_and_the_keys_are_kept():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         store = world.daemon("mdconf", host).store
         old_disk_id, states = store.disk, dict(store.acceptor.states)
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("kind", ["key", "blob"])
 def test_a_file_damaged_while_the_process_runs_is_repaired(kind):
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         await sleep_us(2 * SECOND)
         for other in world.core:  # a renewal would replace the damaged file of the lease
@@ -88,7 +88,7 @@
 
 def test_a_lagging_member_is_repaired_by_comparing_digests():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         acceptors = [world.daemon("mdconf", h).store.acceptor for h in world.core]
         # a majority accepted; the write to the first member was lost
         for acceptor in acceptors[1:]:
@@ -103,7 +103,7 @@
 
 def test_a_late_write_does_not_override_a_promise():
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         daemon = world.daemon("mdconf", host)
         ballot, value = daemon.store.acceptor.read("manifest/head")
@@ -122,7 +122,7 @@
     monkeypatch.setattr(revision, "HISTORY_LENGTH", 40)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         max_files, version = 0, 1
         for number in range(2000):
             core = number % 3
@@ -167,7 +167,7 @@
     monkeypatch.setattr(repair, "PLAN_LIFETIME_US", 4 * SECOND)
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         _, old_plan = await world.operate("POST", "/plan", changed(1))
         await sleep_us(5 * SECOND)
         status, response = await world.operate("POST", "/confirm", {"plan": old_plan["plan"]})
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize("fault", ["full", "stalled"])
 def test_a_full_or_stalled_disk_is_reported_and_the_member_recovers(fault):
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         host = world.core[0]
         disk, node = world.disks["mdconf", host], world.node("mdconf", host)
         full = fault == "full"
--- a/tests/consensus/test_register_contention.py
+++ b/tests/consensus/test_register_contention.py
@@ -6,9 +6,9 @@
 
 import pytest
 import trio
-from facts import manifest, way
-from mesh import configured
-from three_acceptors import answer_of
+from manifests import manifest, manifest_route
+from mesh import start_configured
+from three_acceptors import handle_request
 
 from meadowdock.consensus import Acceptor, NoQuorum, OutcomeUnknown, Proposer
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
@@ -49,7 +49,7 @@
         if member in self.dead:
             await sleep_us(deadline - monotonic_us())
             raise TimeoutError
-        answer = await answer_of(self.acceptors[member], method, args)
+        answer = await handle_request(self.acceptors[member], method, args)
         if self.loses_answers and self.rng.random() < 0.1:
             raise TimeoutError
         await sleep_us(self.rng.randrange(1, 3) * MILLISECOND)
@@ -153,7 +153,7 @@
     """Each call is answered well within 4 s, and the next call reads each acknowledged change."""
 
     async def scenario(world):
-        await configured(world)
+        await start_configured(world)
         for (role, _), disk in world.disks.items():
             if role == "mdconf":
                 disk.step_us = DISK_STEP
@@ -171,7 +171,7 @@
         version = 1
         for number in range(8):
             core_index, other_core_index = number % 2, (number + 1) % 2
-            routes = [way(f"w{number}", "/balances")]
+            routes = [manifest_route(f"w{number}", "/balances")]
             plan = await call("POST", "/plan", manifest(routes), core_index)
             answer = await call("POST", "/confirm", {"plan": plan["plan"]}, other_core_index)
             version += 1
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from gate_beliefs import HIGH, LOW, believe_hold, works
-from gates import all_done, asked, gate_of, gated, items
+from gates import default_items, gated, gateway_of, send_call, wait_until_done
+from gateway_estimates import HIGH, LOW, set_hold_time, work_us_by_path
 from item_builders import route
 
 from meadowdock.forwarding.admission import MAX_REMEMBERED_ROUTES, Admission
@@ -233,85 +233,85 @@
 
 
 LONG_LOW = route("longlow", prefix="/longlow/", priority=3, timeout_us=20 * SECOND)
-ONE_SLOT = {"slots": 1, "work_us": works(longlow=300, low=10)}
+ONE_SLOT = {"slots": 1, "work_us": work_us_by_path(longlow=300, low=10)}
 
 
 def test_late_retry_is_queued_behind_a_first_attempt_of_its_priority():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
+        gate = gateway_of(world, host)
         gate.admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate, 20 * MILLISECOND)
+        set_hold_time(gate, 20 * MILLISECOND)
         calls = [(await world.caller(host)).ask(b"/low/again", due_ms=900)]
         await sleep_us(5 * MILLISECOND)
         calls.append((await world.caller(host)).ask(b"/low/fresh", due_ms=2000))
-        await all_done([first, *calls])
+        await wait_until_done([first, *calls])
         assert [exchange.status for exchange in calls] == [200, 200]
         order = [ran.target for ran in world.ends[host].journal]
         assert order == [b"/longlow/x", b"/low/fresh", b"/low/again"]
 
-    gated(scenario, application=("desk",), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
+    gated(scenario, application=("desk",), items=default_items(LOW, LONG_LOW), endpoint=ONE_SLOT)
 
 
 def test_call_that_can_no_longer_meet_its_target_is_demoted_in_the_queue():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
+        gate = gateway_of(world, host)
         gate.admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate, 100 * MILLISECOND)
+        set_hold_time(gate, 100 * MILLISECOND)
         # its target counts from an attempt 800 ms ago: after 100 ms it can't be met any more
         old = (await world.caller(host)).ask(b"/low/old", due_ms=1200)
         await sleep_us(120 * MILLISECOND)
         assert gate.admission.queue("desk").waiting == {6: 0, 7: 1}
         new = (await world.caller(host)).ask(b"/low/new", due_ms=2000)
-        await all_done([first, old, new])
+        await wait_until_done([first, old, new])
         assert [exchange.status for exchange in (old, new)] == [200, 200]
         order = [ran.target for ran in world.ends[host].journal]
         assert order == [b"/longlow/x", b"/low/new", b"/low/old"]
 
-    gated(scenario, application=("desk",), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
+    gated(scenario, application=("desk",), items=default_items(LOW, LONG_LOW), endpoint=ONE_SLOT)
 
 
 def test_queue_at_a_peer_is_ordered_by_latency_target():
     async def scenario(world):
         local, peer = list(world.application)
-        gate_of(world, local).admission.time_spent_us("low", 2 * SECOND)
+        gateway_of(world, local).admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(peer)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate_of(world, peer), 20 * MILLISECOND)
+        set_hold_time(gateway_of(world, peer), 20 * MILLISECOND)
         calls = [(await world.caller(local)).ask(b"/low/again", due_ms=900)]
         await sleep_us(20 * MILLISECOND)
         calls.append((await world.caller(local)).ask(b"/low/fresh", due_ms=2000))
-        await all_done([first, *calls])
+        await wait_until_done([first, *calls])
         assert [exchange.status for exchange in calls] == [200, 200]
         order = [ran.target for ran in world.ends[peer].journal]
         assert order == [b"/longlow/x", b"/low/fresh", b"/low/again"]
 
-    gated(scenario, application=("", "desk"), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
+    gated(scenario, application=("", "desk"), items=default_items(LOW, LONG_LOW), endpoint=ONE_SLOT)
 
 
 def test_calls_without_a_response_count_for_the_hold_time():
     async def scenario(world):
         host = list(world.application)[0]
-        gate, end = gate_of(world, host), world.ends[host]
-        await asked(world, host)
+        gate, end = gateway_of(world, host), world.ends[host]
+        await send_call(world, host)
         assert gate.slowness.hold_us("desk") < 50 * MILLISECOND
         end.faults["*"] = ["silence"] * 30
         for _ in range(30):
-            exchange = await asked(world, host, due_ms=300)
+            exchange = await send_call(world, host, due_ms=300)
             assert exchange.status == 504
         assert gate.slowness.hold_us("desk") > 200 * MILLISECOND
         # a call that would be late is not queued for such a slot
         end.faults["*"] = ["silence"]
         occupying = (await world.caller(host)).ask(due_ms=300)
         await sleep_us(10 * MILLISECOND)
-        exchange = await asked(world, host, due_ms=300)
+        exchange = await send_call(world, host, due_ms=300)
         assert exchange.status == 503 and exchange.took < 20 * MILLISECOND
-        await all_done([occupying])
+        await wait_until_done([occupying])
 
     gated(scenario, application=("desk",), endpoint={"slots": 1, "work_us": 10 * MILLISECOND})
 
@@ -345,7 +345,7 @@
 def test_gateway_checks_its_slots_periodically():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
+        gate = gateway_of(world, host)
         gate.admission.slot_acquired(make_call(), monotonic_us())  # a slot that no call holds
         await sleep_us(300 * MILLISECOND)
         assert gate.dispatcher.invariants.violations[SLOTS_DIFFER] >= 1
@@ -353,7 +353,7 @@
         gate.admission.slot_released(make_call(), monotonic_us())
         world.trace.lines.clear()
 
-    gated(scenario, application=("desk",), items=items(HIGH))
+    gated(scenario, application=("desk",), items=default_items(HIGH))
 
 
 def new_figures(in_time, late):
@@ -379,17 +379,17 @@
 def test_admitted_calls_are_counted_as_in_time_or_late():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
+        gate = gateway_of(world, host)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate, 100 * MILLISECOND)  # the slot is actually held for 300 ms
+        set_hold_time(gate, 100 * MILLISECOND)  # the slot is actually held for 300 ms
         gate.dispatcher.figures.services.clear()
         gate.dispatcher.figures.since = monotonic_us()
         calls = [(await world.caller(host)).ask(b"/low/x"), (await world.caller(host)).ask(b"/p/y")]
-        await all_done([first, *calls])
+        await wait_until_done([first, *calls])
         by_priority = gate.dispatcher.figures.services["desk"]
         assert [calls[0].status, calls[1].status] == [200, 200]
         assert (by_priority[3].admitted_in_time, by_priority[3].admitted_late) == (1, 0)
         assert by_priority[0].started == 1 and by_priority[0].admitted_in_time == 1
 
-    gated(scenario, application=("desk",), items=items(LOW, LONG_LOW), endpoint=ONE_SLOT)
+    gated(scenario, application=("desk",), items=default_items(LOW, LONG_LOW), endpoint=ONE_SLOT)
--- a/tests/forwarding/test_gateway.py
+++ b/tests/forwarding/test_gateway.py
@@ -3,7 +3,17 @@
 from __future__ import annotations
 
 import pytest
-from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items, listed
+from gates import (
+    LIMITS,
+    SEEDS,
+    default_items,
+    gated,
+    gateway_of,
+    send_call,
+    set_rho,
+    wait_until_done,
+    wait_until_listed,
+)
 from item_builders import route, service
 
 from meadowdock.load_sharing import NodeLoad
@@ -18,7 +28,7 @@
 def test_caller_gets_the_complete_response_of_the_local_endpoint(seed):
     async def scenario(world):
         host = hosts(world)[0]
-        exchange = await asked(
+        exchange = await send_call(
             world, host, target=b"/p/a%20b?x=1&y=%2F", method=b"POST", body=b"\x00b"
         )
         assert exchange.status == 200 and exchange.line(b"X-Kept") == b"as it was"
@@ -40,7 +50,7 @@
                 for chunks in (True, False)
             ]
             calls += [caller.ask(b"/p/..//x;y", b"PUT", body=b""), caller.ask(b"/p/", b"DELETE")]
-            await all_done(calls)
+            await wait_until_done(calls)
             assert [exchange.status for exchange in calls] == [200] * 4
 
     gated(scenario, seed)
@@ -66,13 +76,13 @@
             (b"none.example", b"/p/x", None),
         ]
         for name, target, expected_service in cases:
-            exchange = await asked(world, host, host=name, target=target)
+            exchange = await send_call(world, host, host=name, target=target)
             assert [run.service for run in world.request_audit.runs(exchange.id)] == (
                 [expected_service] if expected_service else []
             )
             assert exchange.status == (200 if expected_service else 404)
 
-    gated(scenario, application=("desk", "paper"), items=items(*more))
+    gated(scenario, application=("desk", "paper"), items=default_items(*more))
 
 
 def test_traffic_split_is_by_weight():
@@ -83,7 +93,7 @@
         host = hosts(world)[0]
         caller = await world.caller(host)
         calls = [caller.ask(b"/split/%d" % number) for number in range(40)]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200}
         ran = [run.service for run in world.request_audit.runs()]
         assert (ran.count("desk"), ran.count("paper")) == (30, 10)
@@ -98,7 +108,7 @@
     gated(
         scenario,
         application=("desk", "paper"),
-        items=items(split, service("desk2")),
+        items=default_items(split, service("desk2")),
         endpoint={"slots": 50},
     )
 
@@ -113,7 +123,7 @@
         ]
         for host, name in ((first, b"desk"), (second, b"paper"), (nameless, b"guest")):
             for target in (b"/p/x", b"/paper/x"):  # one runs locally, one at a peer
-                exchange = await asked(world, host, target=target, lines=forged_headers)
+                exchange = await send_call(world, host, target=target, lines=forged_headers)
                 assert exchange.status == 200
                 (ran,) = world.request_audit.runs(exchange.id)
                 names = [name.lower() for name, _ in ran.lines]
@@ -134,7 +144,7 @@
         world.ends[host].work_us = lambda job: work_us_by_target[job.target]
         caller = await world.caller(host)
         calls = [caller.ask(b"/p/%d" % number) for number in range(3)]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert [exchange.status for exchange in calls] == [200] * 3
         begun = [ran.begun for ran in world.ends[host].journal]
         assert max(begun) - min(begun) < 10 * MILLISECOND
@@ -157,11 +167,11 @@
             return exchange
 
         world.ends[first].inner = inner
-        exchange = await asked(world, first)
+        exchange = await send_call(world, first)
         assert exchange.status == 200 and [exchange.status for exchange in inner_calls] == [200]
         assert len(world.request_audit.runs(inner_calls[0].id)) == 1
         world.ends[second].faults["*"] = ["close"] * 3
-        exchange = await asked(world, first)
+        exchange = await send_call(world, first)
         assert exchange.status == 500  # the endpoint's own response, with its call id
         assert exchange.line(b"md-call") == exchange.id
 
@@ -179,16 +189,16 @@
     :param rho: the load of the gateway's own node
     :param rhos: the load of each host on its load list
     """
-    gate = gate_of(world, host)
+    gate = gateway_of(world, host)
     if rho is not None:
-        busy(world, host, rho)
+        set_rho(world, host, rho)
     gate.update_loads(
         type(gate.loads.latest)(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()),
         {"desk": nodes_of(world, rhos)},
     )
     caller = await world.caller(host)
     calls = [caller.ask(b"/p/%d" % number) for number in range(count)]
-    await all_done(calls)
+    await wait_until_done(calls)
     assert {exchange.status for exchange in calls} == {200}
     ran = {run.id: run.instance for run in world.request_audit.runs()}
     host_of = {end.instance: host for host, end in world.ends.items()}
@@ -199,7 +209,7 @@
 def test_calls_stay_local_below_omega_and_are_relocated_round_robin_from_omega_on(seed):
     async def scenario(world):
         local, peer_b, peer_c, peer_d = hosts(world)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         for host in hosts(world):  # only the test sets loads and lists
             world.daemon("mdproxy", host).endpoints.measure_load = lambda at, share: {}
         world.daemon("mdproxy", local).use_load_list = lambda load_list, nodes: None
@@ -236,13 +246,13 @@
         host = hosts(world)[0]
         caller = await world.caller(host)
         # with this call the hold time is known
-        await all_done([caller.ask(b"/once/first", b"POST", due_ms=1000)])
+        await wait_until_done([caller.ask(b"/once/first", b"POST", due_ms=1000)])
         callers = [await world.caller(host) for _ in range(12)]
         calls = [
             caller.ask(b"/once/%d" % number, b"POST", due_ms=1000)
             for number, caller in enumerate(callers)
         ]
-        await all_done(calls)
+        await wait_until_done(calls)
         statuses = [exchange.status for exchange in calls]
         assert statuses.count(200) == 4 and statuses.count(503) == 8
         assert all(
@@ -275,7 +285,7 @@
         for target, caller in zip(targets, callers[1:], strict=True):
             later.append(caller.ask(target))
             await sleep_us(5 * MILLISECOND)
-        await all_done([first, *later])
+        await wait_until_done([first, *later])
         assert {exchange.status for exchange in [first, *later]} == {200}
         order = [ran.target for ran in world.ends[host].journal]
         assert order == [b"/p/0", b"/p/1", b"/p/2", b"/low/0", b"/low/1"]
@@ -289,7 +299,7 @@
         scenario,
         seed,
         application=("desk",),
-        items=items(low_route),
+        items=default_items(low_route),
         endpoint={"slots": 1, "work_us": 100 * MILLISECOND},
     )
 
@@ -304,7 +314,7 @@
         second, last = waiting.ask(b"/once/x"), third.ask()
         await sleep_us(20 * MILLISECOND)
         waiting.hang_up()
-        await all_done([first, last])
+        await wait_until_done([first, last])
         assert (first.status, last.status) == (200, 200)
         assert not world.request_audit.runs(second.id)
 
@@ -342,7 +352,7 @@
         world.heartbeat(local, endpoints[local], 1000)
         heartbeat_at = monotonic_us()
         calls += [caller.ask(b"/p/late%d" % number) for number, caller in enumerate(callers)]
-        await all_done(calls)
+        await wait_until_done(calls)
         # calls that were already sent may still arrive
         assert [
             id for at, id in endpoints[local].came_at if at > heartbeat_at + 20 * MILLISECOND
@@ -364,7 +374,7 @@
         world.web.slow[local] = (20 * MILLISECOND, 21 * MILLISECOND)
         exchange = (await world.caller(local)).ask(b"/once/x")
         await sleep_us(70 * MILLISECOND)
-        assert gate_of(world, local).dispatcher.calls and not world.ends[local].came_at
+        assert gateway_of(world, local).dispatcher.calls and not world.ends[local].came_at
         world.ends[local].draining = True
         world.heartbeat(local, world.ends[local], 1000)
         await exchange.done.wait()
@@ -376,7 +386,7 @@
 def test_waiting_call_is_relocated_as_soon_as_a_peer_is_listed():
     async def scenario(world):
         local, other = hosts(world)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         known = dict(gate.loads.nodes)
         gate.update_loads(gate.loads.latest, {})
         first, second = [(await world.caller(local)).ask(b"/p/%d" % number) for number in range(2)]
@@ -385,7 +395,7 @@
         gate.update_loads(gate.loads.latest, known)
         gate.reactor.end_turn()
         at = monotonic_us()
-        await all_done([first, second])
+        await wait_until_done([first, second])
         (ran,) = world.ends[other].journal
         assert (first.status, second.status) == (200, 200) and ran.begun - at < 20 * MILLISECOND
 
@@ -403,7 +413,7 @@
         exchange = (await world.caller(local)).ask(
             b"/p/x", b"PUT", body=bytes(33 << 20), due_ms=10_000
         )
-        await all_done([second, exchange])
+        await wait_until_done([second, exchange])
         assert (second.status, exchange.status) == (200, 503)
 
     routes = [
@@ -536,8 +546,8 @@
         host = hosts(world)[0]
         await world.set_items([route("new", 2, ("paper",), prefix="/new/"), deleted_route_p()])
         await sleep_us(2 * SECOND)
-        assert (await asked(world, host, target=b"/new/x")).status == 200
-        assert (await asked(world, host, target=b"/p/x")).status == 404
+        assert (await send_call(world, host, target=b"/new/x")).status == 200
+        assert (await send_call(world, host, target=b"/p/x")).status == 404
 
     gated(scenario, seed, application=("desk", "paper"))
 
@@ -546,4 +556,4 @@
     return {**route("p", 2, prefix="/p/"), "spec": None}
 
 
-__all__ = ["listed"]
+__all__ = ["wait_until_listed"]
--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -4,8 +4,25 @@
 
 import pytest
 import trio
-from gate_beliefs import HIGH, LONG, LOW, believe_hold, hold, hosts, works
-from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items
+from gates import (
+    LIMITS,
+    SEEDS,
+    default_items,
+    gated,
+    gateway_of,
+    send_call,
+    set_rho,
+    wait_until_done,
+)
+from gateway_estimates import (
+    HIGH,
+    LONG,
+    LOW,
+    hosts,
+    set_hold_time,
+    suppress_load_reports,
+    work_us_by_path,
+)
 from item_builders import route, service
 
 from meadowdock.forwarding.arrivals import NO_ENDPOINT_WAIT_SHARE
@@ -27,7 +44,7 @@
 
 def set_load_list(world, host, rhos):
     """Give the gateway a new load list of desk, with the loads {host: rho}."""
-    gate = gate_of(world, host)
+    gate = gateway_of(world, host)
     entries = tuple(list_entry(world, other, rho) for other, rho in rhos.items())
     gate.update_loads(
         LoadList(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()), {"desk": entries}
@@ -37,7 +54,7 @@
 
 def passive_rho(world, host):
     """Return a load at which a node is neither accepting nor offloading."""
-    thresholds = gate_of(world, host).dispatcher.thresholds
+    thresholds = gateway_of(world, host).dispatcher.thresholds
     return (thresholds.phi + thresholds.omega) / 2
 
 
@@ -49,7 +66,7 @@
 
 async def batch(world, host, count):
     """Send calls one after the other and return the host that ran each of them."""
-    calls = [await asked(world, host) for _ in range(count)]
+    calls = [await send_call(world, host) for _ in range(count)]
     assert {exchange.status for exchange in calls} == {200}
     return [hosts_that_ran(world, exchange)[0] for exchange in calls]
 
@@ -67,13 +84,13 @@
 def test_calls_without_a_local_endpoint_go_round_robin_to_accepting_nodes_of_the_zone(seed):
     async def scenario(world):
         caller_host, *ends = hosts(world)
-        listed = gate_of(world, caller_host).loads.nodes["desk"]
+        listed = gateway_of(world, caller_host).loads.nodes["desk"]
         assert {node.address: node.zone for node in listed} == {
             address_of(host): world.zones[host] for host in ends
         }
         same_zone = [host for host in ends if world.zones[host] == world.zones[caller_host]]
         assert len(same_zone) == 2 < len(ends)
-        hold(world)
+        suppress_load_reports(world)
         set_load_list(world, caller_host, dict.fromkeys(ends, 0.1))
         ran = await batch(world, caller_host, 6)
         assert set(ran[:2]) == set(same_zone) and ran[:2] == ran[2:4] == ran[4:]
@@ -104,8 +121,8 @@
     async def scenario(world):
         local, *others = hosts(world)
         assert len({world.zones[host] for host in others}) == 3
-        hold(world)
-        busy(world, local, gate_of(world, local).dispatcher.thresholds.omega)
+        suppress_load_reports(world)
+        set_rho(world, local, gateway_of(world, local).dispatcher.thresholds.omega)
         set_load_list(world, local, dict.fromkeys(others, 0.1))
         ran = await batch(world, local, 2 * len(others))
         assert set(ran[: len(others)]) == set(others)
@@ -118,13 +135,13 @@
 def test_call_of_a_full_endpoint_goes_to_a_peer_with_a_free_slot_if_no_node_accepts(seed):
     async def scenario(world):
         local, other = hosts(world)
-        hold(world)
+        suppress_load_reports(world)
         occupying = await occupied(world, local, 30 * MILLISECOND)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         for rho in (passive_rho(world, local), (1 + gate.dispatcher.thresholds.omega) / 2):
             set_load_list(world, local, {other: rho})
             sent_at = monotonic_us()
-            exchange = await asked(world, local, target=b"/once/x")
+            exchange = await send_call(world, local, target=b"/once/x")
             assert exchange.status == 200 and hosts_that_ran(world, exchange) == [other]
             assert world.request_audit.runs(exchange.id)[0].begun - sent_at < 20 * MILLISECOND
         assert gate.counts["rule.full-any-room"] == 2 and "desk" not in gate.admission.queues
@@ -133,15 +150,15 @@
         exchange = (await world.caller(local)).ask(b"/once/y")
         await sleep_us(30 * MILLISECOND)
         assert len(gate.admission.queues["desk"]) == 1 and not hosts_that_ran(world, exchange)
-        await all_done([exchange, *occupying])
+        await wait_until_done([exchange, *occupying])
         assert exchange.status == 200 and hosts_that_ran(world, exchange) == [local]
 
     gated(
         scenario,
         seed,
         application=("desk", "desk"),
-        items=items(LONG),
-        endpoint={"slots": 1, "work_us": works(long=1000)},
+        items=default_items(LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=1000)},
     )
 
 
@@ -149,22 +166,22 @@
 def test_peer_below_full_load_without_a_free_slot_rejects_and_the_call_waits_locally(seed):
     async def scenario(world):
         local, other = hosts(world)
-        hold(world)
+        suppress_load_reports(world)
         occupying = [await occupied(world, host, 10 * MILLISECOND) for host in (local, other)]
         set_load_list(world, local, {other: passive_rho(world, local)})
         exchange = (await world.caller(local)).ask(b"/once/y")
         await sleep_us(30 * MILLISECOND)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         assert gate.counts["spill.refused.busy"] == 1 and len(gate.admission.queues["desk"]) == 1
-        await all_done([exchange, *occupying[0], *occupying[1]])
+        await wait_until_done([exchange, *occupying[0], *occupying[1]])
         assert exchange.status == 200 and hosts_that_ran(world, exchange) == [local]
 
     gated(
         scenario,
         seed,
         application=("desk", "desk"),
-        items=items(LONG),
-        endpoint={"slots": 1, "work_us": works(long=500)},
+        items=default_items(LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=500)},
     )
 
 
@@ -175,10 +192,10 @@
 def test_slowness_factor_is_the_squared_ratio_up_to_four(own, fleet, index):
     async def scenario(world):
         host = hosts(world)[0]
-        hold(world)
-        gate = gate_of(world, host)
+        suppress_load_reports(world)
+        gate = gateway_of(world, host)
         assert gate.slowness.factor("paper", monotonic_us()) == 1.0  # nothing is known yet
-        believe_hold(gate, own * MILLISECOND)
+        set_hold_time(gate, own * MILLISECOND)
         gate.slowness.fleet_hold_us["desk"] = fleet * MILLISECOND
         assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(index)
         world.ends[host].left = True  # only the test sends heartbeats
@@ -191,7 +208,7 @@
 
 
 async def report_load(world, reported, stopped):
-    """Let each endpoint report a load until the event is set."""
+    """Make each endpoint report the load in `reported[0]` until the event is set."""
     while not stopped.is_set():
         for host in hosts(world):
             for endpoint in world.daemon("mdproxy", host).endpoints.by_address.values():
@@ -211,7 +228,7 @@
         async def rounds(count):
             for _ in range(count):
                 for host in hosts(world):
-                    await asked(world, host)
+                    await send_call(world, host)
 
         async def local_count(host):
             ran = await batch(world, host, 4)
@@ -226,7 +243,9 @@
         await rounds(30)
         reported[0] = 0.5
         await sleep_us(SECOND)
-        rho_of = {node.address: node.rho for node in gate_of(world, others[0]).loads.nodes["desk"]}
+        rho_of = {
+            node.address: node.rho for node in gateway_of(world, others[0]).loads.nodes["desk"]
+        }
         assert rho_of[address_of(slow)] > 0.8
         assert all(rho_of[address_of(host)] == pytest.approx(0.5) for host in others)
         assert [await local_count(host) for host in hosts(world)] == [0, 4, 4]
@@ -283,9 +302,9 @@
         for target, caller in zip((b"/low/0", b"/low/1", b"/p/1", b"/p/2"), callers, strict=True):
             calls.append(caller.ask(target))
             await sleep_us(8 * MILLISECOND)
-        assert len(gate_of(world, endpoint_host).admission.queues["desk"]) == 4
-        assert not gate_of(world, caller_host).admission.queues.get("desk")
-        await all_done(calls)
+        assert len(gateway_of(world, endpoint_host).admission.queues["desk"]) == 4
+        assert not gateway_of(world, caller_host).admission.queues.get("desk")
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200}
         order = [ran.target for ran in world.ends[endpoint_host].journal]
         assert order == [b"/p/0", b"/p/1", b"/p/2", b"/low/0", b"/low/1"]
@@ -294,7 +313,7 @@
         scenario,
         seed,
         application=("", "desk"),
-        items=items(route("low", prefix="/low/", priority=3)),
+        items=default_items(route("low", prefix="/low/", priority=3)),
         endpoint={"slots": 1, "work_us": 100 * MILLISECOND},
     )
 
@@ -313,11 +332,11 @@
 
     async def scenario(world):
         caller_host, endpoint_host = hosts(world)
-        gate = gate_of(world, endpoint_host)
+        gate = gateway_of(world, endpoint_host)
         for target, expected in ((b"/low/x", low), (b"/high/x", high)):
             occupying = await occupied(world, endpoint_host, 50 * MILLISECOND)
-            believe_hold(gate, mean_ms * MILLISECOND)
-            exchange = await asked(
+            set_hold_time(gate, mean_ms * MILLISECOND)
+            exchange = await send_call(
                 world, caller_host if relocated else endpoint_host, target=target
             )
             assert exchange.status == expected
@@ -330,17 +349,18 @@
                     else 20 * MILLISECOND
                 )
                 assert (
-                    not relocated or gate_of(world, caller_host).counts["spill.refused.busy"] >= 1
+                    not relocated
+                    or gateway_of(world, caller_host).counts["spill.refused.busy"] >= 1
                 )
                 retry_after_s = float(exchange.line(b"Retry-After"))
                 assert retry_after_s == pytest.approx(min(mean_ms / 1000, 0.44), abs=0.07)
-            await all_done(occupying)
+            await wait_until_done(occupying)
 
     gated(
         scenario,
         application=("", "desk"),
-        items=items(LOW, HIGH, LONG),
-        endpoint={"slots": 1, "work_us": works(long=300)},
+        items=default_items(LOW, HIGH, LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=300)},
     )
 
 
@@ -349,8 +369,8 @@
     async def scenario(world):
         caller_host, endpoint_host = hosts(world)
         occupying = await occupied(world, endpoint_host, 50 * MILLISECOND)
-        gate = gate_of(world, endpoint_host)
-        believe_hold(gate, 490 * MILLISECOND)
+        gate = gateway_of(world, endpoint_host)
+        set_hold_time(gate, 490 * MILLISECOND)
         exchange = (await world.caller(caller_host if relocated else endpoint_host)).ask(
             b"/high/x", due_ms=1000
         )
@@ -360,13 +380,13 @@
         assert exchange.status == 503 and exchange.line(b"Retry-After")
         assert 460 * MILLISECOND < exchange.took < 520 * MILLISECOND
         assert not len(gate.admission.queues["desk"])
-        await all_done(occupying)
+        await wait_until_done(occupying)
 
     gated(
         scenario,
         application=("", "desk"),
-        items=items(LOW, HIGH, LONG),
-        endpoint={"slots": 1, "work_us": works(long=3000)},
+        items=default_items(LOW, HIGH, LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=3000)},
     )
 
 
@@ -377,9 +397,9 @@
         occupying = []
         for host in ends:
             occupying += await occupied(world, host, 10 * MILLISECOND)
-            believe_hold(gate_of(world, host), 1100 * MILLISECOND)
-        gate, relocations = gate_of(world, caller_host), []
-        hold(world)  # with a new load list the peers would be asked again
+            set_hold_time(gateway_of(world, host), 1100 * MILLISECOND)
+        gate, relocations = gateway_of(world, caller_host), []
+        suppress_load_reports(world)  # with a new load list the peers would be asked again
         set_load_list(world, caller_host, dict.fromkeys(ends, 1.0))
         relocate = gate.dispatcher.peer_calls.relocate
 
@@ -388,19 +408,19 @@
             return relocate(call, node, may_queue)
 
         gate.dispatcher.peer_calls.relocate = recording_relocate
-        exchange = await asked(world, caller_host, target=b"/once/x")
+        exchange = await send_call(world, caller_host, target=b"/once/x")
         assert exchange.status == 503 and exchange.line(b"Retry-After")
         assert exchange.took < NO_ENDPOINT_WAIT_SHARE * 2 * SECOND + 20 * MILLISECOND
         queueing_peers = [address for address, may_wait in relocations if may_wait]
         assert len(queueing_peers) == len(set(queueing_peers)) == 2 == len(relocations)
-        await all_done(occupying)
+        await wait_until_done(occupying)
 
     gated(
         scenario,
         seed,
         application=("", *("desk",) * 5),
-        items=items(LONG),
-        endpoint={"slots": 1, "work_us": works(long=1000)},
+        items=default_items(LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=1000)},
     )
 
 
@@ -408,13 +428,13 @@
 def test_queued_call_of_a_peer_is_not_relocated_again_and_is_rejected_without_an_endpoint(seed):
     async def scenario(world):
         caller_host, full, free = hosts(world)
-        hold(world)
+        suppress_load_reports(world)
         occupying = await occupied(world, full, 50 * MILLISECOND)
         set_load_list(world, caller_host, {full: 0.1})
         set_load_list(world, full, {free: 1.0})
         exchange = (await world.caller(caller_host)).ask(b"/once/x")
         await sleep_us(50 * MILLISECOND)
-        full_gate = gate_of(world, full)
+        full_gate = gateway_of(world, full)
         assert len(full_gate.admission.queues["desk"]) == 1
         set_load_list(world, full, {free: 0.1})  # local calls would be relocated there
         await sleep_us(50 * MILLISECOND)
@@ -427,15 +447,15 @@
         assert exchange.status == 200 and hosts_that_ran(world, exchange) == [free]
         assert monotonic_us() - deregistered_at < 50 * MILLISECOND
         assert "spilled" not in full_gate.counts
-        assert gate_of(world, caller_host).counts["spill.refused.gone"] == 1
-        await all_done(occupying)
+        assert gateway_of(world, caller_host).counts["spill.refused.gone"] == 1
+        await wait_until_done(occupying)
 
     gated(
         scenario,
         seed,
         application=("", "desk", "desk"),
-        items=items(LONG),
-        endpoint={"slots": 1, "work_us": works(long=1500)},
+        items=default_items(LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=1500)},
     )
 
 
@@ -443,14 +463,14 @@
 def test_relocating_a_queued_call_may_start_the_next_one_locally(seed):
     async def scenario(world):
         local, other = hosts(world)
-        hold(world)
+        suppress_load_reports(world)
         set_load_list(world, local, {other: 1.0})
         occupying = await occupied(world, local, 50 * MILLISECOND)
         calls = []
         for number in range(2):
             calls.append((await world.caller(local)).ask(b"/once/%d" % number))
         await sleep_us(20 * MILLISECOND)
-        gate, endpoints = gate_of(world, local), world.daemon("mdproxy", local).endpoints
+        gate, endpoints = gateway_of(world, local), world.daemon("mdproxy", local).endpoints
         queue, endpoint = gate.admission.queues["desk"], endpoints.local_endpoint("desk")
         assert len(queue) == 2
         place = gate.dispatcher.place
@@ -465,7 +485,7 @@
         set_load_list(world, local, {other: 0.1})
         gate.dispatcher.place = place
         assert len(queue) == 0 and endpoint.in_flight == 2
-        await all_done([*calls, *occupying])
+        await wait_until_done([*calls, *occupying])
         assert [exchange.status for exchange in calls] == [200, 200]
         assert [hosts_that_ran(world, exchange) for exchange in calls] == [[other], [local]]
         assert len(queue) == 0 and endpoint.in_flight == 0
@@ -474,8 +494,8 @@
         scenario,
         seed,
         application=("desk", "desk"),
-        items=items(LONG),
-        endpoint={"slots": 1, "work_us": works(long=1000)},
+        items=default_items(LONG),
+        endpoint={"slots": 1, "work_us": work_us_by_path(long=1000)},
     )
 
 
@@ -494,7 +514,7 @@
 
 LOCAL_ENDPOINT = {
     "application": ("desk",),
-    "items": [service("desk", health="/health"), *items()[1:]],
+    "items": [service("desk", health="/health"), *default_items()[1:]],
     "app": "10.0.1.1:8000",
     "beat_us": 2 * SECOND,
 }
@@ -519,16 +539,16 @@
         await world.eventually(lambda: daemon.endpoints.by_address, within=500 * MILLISECOND)
         endpoint = daemon.endpoints.by_address[end.address]
         assert (endpoint.incarnation, endpoint.capacity) == (end.instance.decode(), 4)
-        exchange = await asked(world, host, target=b"/once/x")
+        exchange = await send_call(world, host, target=b"/once/x")
         assert exchange.status == 200
-        pool = gate_of(world, host).dispatcher.local_calls.pools[id(endpoint)]
+        pool = gateway_of(world, host).dispatcher.local_calls.pools[id(endpoint)]
         await sleep_us(SECOND - (monotonic_us() - started_at))
         registrations = len(world.trace.events(401))
         world.heartbeat(host, end, 1000, capacity=3)
         assert daemon.endpoints.by_address[end.address] is endpoint and endpoint.capacity == 3
         assert len(world.trace.events(401)) == registrations
-        exchange = await asked(world, host, target=b"/once/y")
-        assert exchange.status == 200 and gate_of(world, host).dispatcher.local_calls.pools == {
+        exchange = await send_call(world, host, target=b"/once/y")
+        assert exchange.status == 200 and gateway_of(world, host).dispatcher.local_calls.pools == {
             id(endpoint): pool
         }
 
@@ -553,7 +573,7 @@
         await world.eventually(lambda: not daemon.unready_reasons())
         await sleep_us(SECOND)
         assert answers and not daemon.endpoints.by_address
-        exchange = await asked(world, host)
+        exchange = await send_call(world, host)
         assert exchange.status == 503 and not hosts_that_ran(world, exchange)
 
     gated(scenario, **LOCAL_ENDPOINT)
@@ -575,7 +595,7 @@
         await world.start("mdproxy", caller_host)
         forwarder, gate = (
             world.daemon("mdproxy", caller_host).forwarder,
-            gate_of(world, caller_host),
+            gateway_of(world, caller_host),
         )
         expected = {address_of(host) for host in ends}
         await world.eventually(
@@ -619,7 +639,7 @@
     async def scenario(world):
         await sleep_us(2 * RETRY_BUDGET["window_us"])  # until the reserve of retries is available
         caller_host, bad, good = hosts(world)
-        gate, calls, stopped = gate_of(world, caller_host), [], trio.Event()
+        gate, calls, stopped = gateway_of(world, caller_host), [], trio.Event()
         link = gate.peers.link_address(address_of(bad))
         world.nursery.start_soon(send_steadily, world, caller_host, calls, stopped)
         await sleep_us(300 * MILLISECOND)
@@ -649,7 +669,7 @@
         recovered_at = monotonic_us()
         await sleep_us(1500 * MILLISECOND)
         stopped.set()
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200}
         later = [exchange for exchange in calls if exchange.at > broken_at]
         assert len(later) > 150 and max(exchange.took for exchange in later) < 60 * MILLISECOND
@@ -680,7 +700,8 @@
         async def watch():
             while not watch_ended.is_set():
                 listed = address_of(local) in {
-                    node.address for node in gate_of(world, caller_host).loads.nodes.get("desk", ())
+                    node.address
+                    for node in gateway_of(world, caller_host).loads.nodes.get("desk", ())
                 }
                 on_roster = address_of(local) in reg.proxies
                 observations.append(
@@ -698,7 +719,7 @@
 
         async def send_calls():
             for _ in range(10):
-                exchanges.append(await asked(world, caller_host, target=b"/once/x"))
+                exchanges.append(await send_call(world, caller_host, target=b"/once/x"))
                 await sleep_us(20 * MILLISECOND)
 
         world.nursery.start_soon(send_calls)
@@ -722,8 +743,8 @@
         scenario,
         seed,
         application=("", "desk"),
-        items=items(LONG),
-        endpoint={"slots": 4, "work_us": works(long=3000)},
+        items=default_items(LONG),
+        endpoint={"slots": 4, "work_us": work_us_by_path(long=3000)},
     )
 
 
@@ -817,6 +838,6 @@
     gated(
         scenario,
         application=("desk",),
-        items=[*(i for i in items(LONG) if i["kind"] != "limits"), long_idle_limits],
-        endpoint={"work_us": works(long=16_000)},
+        items=[*(i for i in default_items(LONG) if i["kind"] != "limits"), long_idle_limits],
+        endpoint={"work_us": work_us_by_path(long=16_000)},
     )
--- a/tests/forwarding/test_response_matching.py
+++ b/tests/forwarding/test_response_matching.py
@@ -8,9 +8,9 @@
 
 import pytest
 import trio
-from gates import SEEDS, all_done, asked, gate_of, gated
+from gates import SEEDS, gated, gateway_of, send_call, wait_until_done
 from item_builders import route
-from retry_counts import TRIES, budgeted, hosts
+from retry_budgets import RETRY_BUDGET, hosts, wait_for_retry_reserve
 
 from meadowdock.forwarding.peer_frames import CANCEL
 from meadowdock.rpc import ConnectionFailed, Rejected
@@ -27,7 +27,7 @@
 
 
 def link_of(world, local, peer):
-    gate = gate_of(world, local)
+    gate = gateway_of(world, local)
     return gate.peers.link(f"{peer}:{gate.peers.link_port}")
 
 
@@ -90,9 +90,9 @@
         await sleep_us(SECOND)
         assert (first.status, second.status) == (200, 502)
         assert world.request_audit.arrivals(second.id) == 1
-        assert (await asked(world, hosts(world)[0])).status == 200
+        assert (await send_call(world, hosts(world)[0])).status == 200
 
-    gated(scenario, application=("desk", "desk"), tries=TRIES)
+    gated(scenario, application=("desk", "desk"), tries=RETRY_BUDGET)
 
 
 def test_rejection_without_a_call_id_is_accepted_on_a_new_connection():
@@ -108,10 +108,10 @@
 
         end.turn_away = lambda job, status: (end.nursery.start_soon(reject, job), job)[1]
         end.faults["*"] = ["full"]
-        exchange = await asked(world, first, target=b"/once/x", method=b"POST")
+        exchange = await send_call(world, first, target=b"/once/x", method=b"POST")
         assert exchange.status == 200 and world.request_audit.arrivals(exchange.id) == 2
 
-    gated(scenario, application=("desk", "desk"), tries=TRIES)
+    gated(scenario, application=("desk", "desk"), tries=RETRY_BUDGET)
 
 
 @pytest.mark.parametrize("own_last", (True, False))
@@ -125,7 +125,7 @@
             job.conn.say(data.replace(own, b"\r\n".join(both)))
 
         respond_with(end, answer)
-        exchange = await asked(world, hosts(world)[0], target=b"/once/x", method=b"POST")
+        exchange = await send_call(world, hosts(world)[0], target=b"/once/x", method=b"POST")
         assert exchange.status == 502
 
     gated(scenario, application=("desk",))
@@ -141,7 +141,7 @@
                 data.replace(line(ran), line(ran) + b"\r\n" + line(ran))
             ),
         )
-        assert (await asked(world, hosts(world)[0])).status == 200
+        assert (await send_call(world, hosts(world)[0])).status == 200
 
     gated(scenario, application=("desk",))
 
@@ -151,10 +151,10 @@
     """After a reset the outcome is unknown, whether the endpoint got the whole request or a part."""
 
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         first, second = hosts(world)
         end = world.ends[first]
-        assert (await asked(world, first)).status == 200  # opens a connection
+        assert (await send_call(world, first)).status == 200  # opens a connection
         end.process.freeze()
         caller = await world.caller(first)
         exchange = caller.ask(b"/once/x", b"POST", body=b"x" * size, due_ms=4000)
@@ -163,25 +163,25 @@
             if wire.here == wire.peer == first and wire.wires is end.wires:
                 wire.break_now()
                 wire.other.break_now()
-        await all_done([exchange])
+        await wait_until_done([exchange])
         end.process.wake()
         await sleep_us(SECOND)
         assert exchange.status == 502
         assert exchange.id not in [ran.id for ran in world.ends[second].journal]
 
-    gated(scenario, application=("desk", "desk"), tries=TRIES)
+    gated(scenario, application=("desk", "desk"), tries=RETRY_BUDGET)
 
 
 def test_rejection_after_a_possible_run_is_reported_as_unknown():
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         left = ["reset"]
         for end in world.ends.values():
             end.fault_of = lambda id: left.pop() if left else "full"
-        exchange = await asked(world, hosts(world)[0])
+        exchange = await send_call(world, hosts(world)[0])
         assert exchange.status == 502 and len(world.request_audit.runs(exchange.id)) == 1
 
-    gated(scenario, application=("desk", "desk"), tries=TRIES)
+    gated(scenario, application=("desk", "desk"), tries=RETRY_BUDGET)
 
 
 @pytest.mark.parametrize("due_ms", (1000, 4000))
@@ -191,7 +191,7 @@
     """This also holds when the gateway resumes and finds the call in its buffer."""
 
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         local, bad, good = hosts(world)
         await ready_link(world, local, bad)
         await ready_link(world, local, good)
@@ -202,7 +202,7 @@
             caller.ask(b"/once/%d" % number, b"POST", due_ms=due_ms)
             for number, caller in enumerate(callers)
         ]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200, 502}
         await sleep_us(frozen_ms * MILLISECOND)
         proxy.wake()
@@ -214,14 +214,16 @@
             for ran in world.request_audit.runs(exchange.id):
                 assert ran.begun <= exchange.at + due_ms * MILLISECOND
 
-    gated(scenario, seed, application=("", "desk", "desk"), tries=TRIES, endpoint={"slots": 20})
+    gated(
+        scenario, seed, application=("", "desk", "desk"), tries=RETRY_BUDGET, endpoint={"slots": 20}
+    )
 
 
 def test_call_abandoned_before_its_link_is_ready_is_never_sent():
     async def scenario(world):
         local, peer = hosts(world)
         world.web.slow[peer] = (140 * MILLISECOND, 150 * MILLISECOND)
-        exchange = await asked(world, local, target=b"/once/x", method=b"POST", due_ms=250)
+        exchange = await send_call(world, local, target=b"/once/x", method=b"POST", due_ms=250)
         assert exchange.status == 504
         await sleep_us(3 * SECOND)
         assert not world.request_audit.arrivals(exchange.id)
@@ -237,7 +239,7 @@
         exchange = (await world.caller(local)).ask(b"/once/x", b"POST", due_ms=300)
         await sleep_us(500 * MILLISECOND)
         world.web.heal()
-        await all_done([exchange])
+        await wait_until_done([exchange])
         await sleep_us(SECOND)
         assert exchange.status == 504 and not world.request_audit.arrivals(exchange.id)
 
@@ -258,7 +260,7 @@
         await sleep_us(20 * MILLISECOND)
         assert next(iter(link.pending)).peer_handle[0] == slot
         world.web.heal()
-        await all_done([second])
+        await wait_until_done([second])
         assert (first.status, second.status) == (504, 200)
         assert link_of(world, local, peer) is link
 
@@ -273,7 +275,7 @@
         link = await ready_link(world, local, peer)
         received, original = [], link.on_data
         link.on_data = lambda data: (received.append(data), original(data))
-        assert (await asked(world, local, target=b"/once/1")).status == 200
+        assert (await send_call(world, local, target=b"/once/1")).status == 200
         answer = b"".join(received)
         world.processes[f"mdproxy@{peer}"].net.reset()
         await sleep_us(2 * SECOND)
@@ -283,9 +285,9 @@
         exchange = (await world.caller(local)).ask(b"/once/2", b"POST")
         await sleep_us(100 * MILLISECOND)
         assert next(iter(fresh.pending)).peer_handle == (0, 0)  # the handle of the first call, too
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         world.processes[f"mdproxy@{local}"].enter(lambda: gate.reactor.turn(fresh.on_data, answer))
-        await all_done([exchange])
+        await wait_until_done([exchange])
         await sleep_us(SECOND)
         assert exchange.status == 502
 
@@ -295,7 +297,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_restarted_gateway_answers_no_call_of_its_former_process(seed):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         local, peer = hosts(world)
         await ready_link(world, local, peer)
         caller = await world.caller(local)
@@ -309,7 +311,7 @@
         assert lost.status == 502
         await world.eventually(lambda: world.daemon("mdproxy", peer).endpoints.by_address)
         await sleep_us(2 * SECOND)
-        exchange = await asked(world, local, target=b"/once/2", method=b"POST")
+        exchange = await send_call(world, local, target=b"/once/2", method=b"POST")
         assert exchange.status == 200
         assert world.request_audit.arrivals(lost.id) == 1
 
@@ -317,7 +319,7 @@
         scenario,
         seed,
         application=("", "desk"),
-        tries=TRIES,
+        tries=RETRY_BUDGET,
         endpoint={"work_us": 300 * MILLISECOND},
     )
 
@@ -325,14 +327,14 @@
 def test_cancel_does_not_end_a_started_call():
     async def scenario(world):
         local, *_ = hosts(world)
-        gate = gate_of(world, local)
+        gate = gateway_of(world, local)
         exchange = (await world.caller(local)).ask(b"/once/x", b"POST")
         await sleep_us(100 * MILLISECOND)
         (call,) = gate.dispatcher.calls
         world.processes[f"mdproxy@{local}"].enter(
             lambda: gate.reactor.turn(call.peer_link.send, [CANCEL, *call.peer_handle])
         )
-        await all_done([exchange])
+        await wait_until_done([exchange])
         assert exchange.status == 200 and world.request_audit.arrivals(exchange.id) == 1
 
     gated(scenario, application=("", "desk", "desk"), endpoint={"work_us": 300 * MILLISECOND})
@@ -346,12 +348,14 @@
         world.ends[peer].fault_of = lambda id: "full"
         world.ends[peer].work_us = 1
         for due_ms in range(100, 300, 20):
-            exchange = await asked(world, local, target=b"/once/x", method=b"POST", due_ms=due_ms)
+            exchange = await send_call(
+                world, local, target=b"/once/x", method=b"POST", due_ms=due_ms
+            )
             assert exchange.status in (503, 504)
         await sleep_us(2 * SECOND)
         assert not world.request_audit.runs()
 
-    gated(scenario, application=("", "desk"), tries=TRIES)
+    gated(scenario, application=("", "desk"), tries=RETRY_BUDGET)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -363,7 +367,7 @@
         end.slots = 10
         caller = await world.caller(hosts(world)[0])
         calls = [caller.ask(b"/p/%d" % number, due_ms=2000) for number in range(6)]
-        await all_done(calls)
+        await wait_until_done(calls)
         assert {exchange.status for exchange in calls} == {200}
 
     gated(scenario, seed, application=("desk",), endpoint={"slots": 10})
@@ -398,7 +402,7 @@
             caller.wire.send(second.data)
         else:
             caller.wire.send(first.data + second.data)
-        await all_done([first, second])
+        await wait_until_done([first, second])
         assert first.status == 200 and not second.status
         await sleep_us(SECOND)
         assert not world.request_audit.arrivals(second.id)
@@ -424,7 +428,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_gateway_that_was_frozen_sends_no_call_twice(frozen_ms, seed):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         local, *_ = hosts(world)
         callers = [await world.caller(local) for _ in range(12)]
         calls = [
@@ -437,13 +441,13 @@
         late = (await world.caller(local)).ask(b"/once/late", b"POST", due_ms=1000)
         await sleep_us(frozen_ms * MILLISECOND)
         process.wake()
-        await all_done([*calls, late])
+        await wait_until_done([*calls, late])
         await sleep_us(2 * SECOND)
         for exchange in calls:
             assert world.request_audit.arrivals(exchange.id) <= 1
 
     terms = {"work_us": 100 * MILLISECOND}
-    gated(scenario, seed, application=("desk", "desk", "desk"), tries=TRIES, endpoint=terms)
+    gated(scenario, seed, application=("desk", "desk", "desk"), tries=RETRY_BUDGET, endpoint=terms)
 
 
 DURATION_US = 20 * SECOND
@@ -566,7 +570,7 @@
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_random_faults_of_gateways_endpoints_and_network(seed):
     async def scenario(world):
-        await budgeted(world)
+        await wait_for_retry_reserve(world)
         injector, calls, deadline = FaultInjector(world), [], monotonic_us() + DURATION_US
         world.web.tear = 3000
         for end in world.ends.values():
@@ -585,7 +589,7 @@
             assert len(world.request_audit.runs(exchange.id)) <= 2
 
     services = ("desk", "desk", "paper", "paper", "")
-    gated(scenario, seed, application=services, tries=TRIES, endpoint={"slots": 8})
+    gated(scenario, seed, application=services, tries=RETRY_BUDGET, endpoint={"slots": 8})
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -629,6 +633,6 @@
         change = {"items": [route("p", prefix="/p/", version=9)]}
         assert (await world.operate("POST", "/items", change))[0] == 200
         await sleep_us(2 * SECOND)
-        assert (await asked(world, hosts(world)[0], target=b"/p/x")).status == 200
+        assert (await send_call(world, hosts(world)[0], target=b"/p/x")).status == 200
 
     gated(scenario, seed, core=3, application=("desk", "desk"))
--- a/tests/load_sharing/test_route_changes.py
+++ b/tests/load_sharing/test_route_changes.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from facts import manifest, way
-from mesh import answers, counts, hosts, serving
+from manifests import manifest, manifest_route
+from mesh import counts, hosts, request_handler, serving
 from returns.pipeline import is_successful
 
 from meadowdock.load_sharing import NodeLoad
@@ -51,7 +51,7 @@
     async def scenario(world):
         journal = []
         await serving(world, journal)
-        moved = way("balances", "/balances", service="paper")
+        moved = manifest_route("balances", "/balances", service="paper")
         host = await keep_old_manifest_at_first(world, without("balances", moved))
         rejection = (await world.client(host).call("GET", "/balances/1")).failure()
         assert rejection.verdict.value == "not-run"
@@ -69,7 +69,7 @@
         forwarder = world.daemon("mdproxy", host).forwarder
         old = forwarder.nodes_by_service["desk"]
         world.kill(f"endpoint@{other}:8000")
-        await world.endpoint(other, "desk", answers(10 * MILLISECOND, journal))
+        await world.endpoint(other, "desk", request_handler(10 * MILLISECOND, journal))
         await sleep_us(SECOND)
         assert forwarder.nodes_by_service["desk"][0].incarnation != old[0].incarnation
         forwarder.placement.loads.nodes = {"desk": (NodeLoad(*old[0]),)}
