--- a/packages/audit/meadowdock/audit/__init__.py
+++ b/packages/audit/meadowdock/audit/__init__.py
@@ -2,7 +2,7 @@
 
 Each accepted change has one signed record (JWS, RFC 7515, Ed25519), which refers to the previous
 record by its SHA-256. The newest record is part of the current revision of the configuration. That
-revision changes only after a quorum has durably stored the newest record in a file of its own.
+revision changes only after a durable quorum has stored the newest record in a file of its own.
 """
 
 from __future__ import annotations
--- a/packages/config_store/meadowdock/config_store/lease_messages.py
+++ b/packages/config_store/meadowdock/config_store/lease_messages.py
@@ -13,7 +13,8 @@
 LEASE_HELD = "lease_held"  # another holder's lease may still be valid
 LEASE_LOST = "lease_lost"  # the requester no longer holds the lease to renew or release
 NO_MAJORITY = "no_majority"
-COLLECTOR_KEY = "duty/collector"  # consensus key of the load collector's lease
+# Consensus key of the load collector's lease; stored since release 1, so it must not change.
+COLLECTOR_KEY = "duty/collector"
 
 
 @dataclass(frozen=True)
--- a/packages/load_sharing/meadowdock/load_sharing/policy.py
+++ b/packages/load_sharing/meadowdock/load_sharing/policy.py
@@ -93,7 +93,7 @@
 
     placement: Placement
     target: NodeLoad | None
-    rule: str  # the name under which the decision is counted
+    rule: str  # the name under which the decision is counted, and by which tests check it
 
 
 class RoundRobin:
--- a/packages/model_checker/meadowdock/model_checker/state.py
+++ b/packages/model_checker/meadowdock/model_checker/state.py
@@ -1,4 +1,4 @@
-"""Scenarios and the states of their exploration; both are immutable."""
+"""Scenarios and the states of their exploration; immutable, so that they can be compared."""
 
 from __future__ import annotations
 
--- a/packages/rpc/meadowdock/rpc/handshake.py
+++ b/packages/rpc/meadowdock/rpc/handshake.py
@@ -42,8 +42,8 @@
     """The process at the other end of a connection.
 
     :ivar name: the name of the process.
-    :ivar address: the address of its own rpc server, as stated in the handshake; empty if this side
-        opened the connection.
+    :ivar address: the address of its own rpc server, as stated in the handshake and covered by the
+        proofs; empty if this side opened the connection.
     """
 
     name: str
--- a/tests/config_store/test_quorum_monitor.py
+++ b/tests/config_store/test_quorum_monitor.py
@@ -231,7 +231,10 @@
 
 
 def test_backoff_after_lost_ballots_is_proportional_to_the_duration_of_an_attempt():
-    """Other proposers are ahead thirty times; an attempt takes a millisecond."""
+    """Other proposers are ahead in ten attempts, at three members each.
+
+    An attempt takes a millisecond.
+    """
 
     async def scenario(world):
         await founded(world)
