--- a/packages/client/meadowdock/client/messages.py
+++ b/packages/client/meadowdock/client/messages.py
@@ -12,10 +12,10 @@
 class EndpointRequest:
     """A request as an endpoint's handler receives it.
 
-    caller: the name of the caller, which the proxy has authenticated. key: the idempotency key, if
-    any. repeat: whether the caller may have sent this key before. call_id: the mesh's id of this
-    call. due_us: the microseconds that the caller had left when the proxy sent the request; 0 if it
-    set no limit. body: the JSON value.
+    caller: the name of the caller, which the proxy sets and never takes from the caller's headers.
+    key: the idempotency key, if any. repeat: whether the caller may have sent this key before.
+    call_id: the mesh's id of this call. due_us: the microseconds that the caller had left when the
+    proxy sent the request; 0 if it set no limit. body: the JSON value.
     """
 
     method: str
--- a/packages/forwarding/meadowdock/forwarding/call.py
+++ b/packages/forwarding/meadowdock/forwarding/call.py
@@ -60,7 +60,7 @@
     join_deadline: int  # it may join a queue only if it will likely start by then
     wait_deadline: int  # when it must leave the queue
     arrived_at: int = 0  # when it arrived at this node
-    target_deadline: int = 0  # the end of its latency target
+    target_deadline: int = 0  # the end of its latency target: until then a response has full value
     max_attempts: int = 1  # how often it may be sent to an endpoint
     route: str = ""  # its route's name, or its priority if a peer of the previous version sent it
     hold_us: int = 0  # on its arrival, the mean time for which calls of its route held a slot here
--- a/packages/forwarding/meadowdock/forwarding/dialect.py
+++ b/packages/forwarding/meadowdock/forwarding/dialect.py
@@ -13,7 +13,7 @@
     call_id: bytes = b"md-call"  # identifies an attempt; the endpoint returns it in its response
     deadline: bytes = b"md-due"  # the remaining time, in units of deadline_unit_us
     deadline_unit_us: int = 1
-    stamp: bytes = b""  # on successful responses of endpoints; b"" if the deployment has none
+    stamp: bytes = b""  # proves that a successful response is an endpoint's; b"" if there is none
     target_instance: bytes = b"md-incarnation"  # the only instance that may run the call
     health_instance: bytes = b"md-incarnation"  # the instance that answers a health check
     load: bytes = b"md-load"  # on responses: "running,waiting,slots"
--- a/packages/forwarding/meadowdock/forwarding/peer_link.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_link.py
@@ -45,7 +45,8 @@
 # Handshake frames need no secret key: the proofs of the fleet key are inside them.
 HANDSHAKE_KEY = b"\x00" * 32
 CONNECT_TIMEOUT_US = 400 * MILLISECOND
-HANDSHAKE_TIMEOUT_US = 2 * CONNECT_TIMEOUT_US  # since the dial, or since HELLO was answered
+# Since the dial, after which an opener gives up. The answerer counts it from its answer to HELLO.
+HANDSHAKE_TIMEOUT_US = 2 * CONNECT_TIMEOUT_US
 PING_INTERVAL_US = 200 * MILLISECOND
 # A link with pending calls is closed if nothing was received on it for this long.
 SILENCE_TIMEOUT_US = 600 * MILLISECOND
--- a/packages/forwarding/meadowdock/forwarding/upstream.py
+++ b/packages/forwarding/meadowdock/forwarding/upstream.py
@@ -30,7 +30,9 @@
     from meadowdock.forwarding.local_calls import LocalCalls
 
 KEEP_ALIVE_US = 8 * SECOND  # the idle time-out if the endpoint does not announce one
-KEEP_ALIVE_MARGIN_US = 700 * MILLISECOND  # subtracted from an announced idle time-out
+# An idle connection is used no longer than until this time before the end of the announced idle
+# time-out, since the endpoint closes it by itself then.
+KEEP_ALIVE_MARGIN_US = 700 * MILLISECOND
 CONNECT_TIMEOUT_US = 500 * MILLISECOND
 RESPONSE_BODY_MAX_BYTES = 64 << 20
 ANSWERED_IDS_MAX = 32  # earlier calls of a connection whose duplicate responses are recognized
--- a/packages/process/meadowdock/process/daemon.py
+++ b/packages/process/meadowdock/process/daemon.py
@@ -48,7 +48,7 @@
         raise NotImplementedError
 
     async def announce_shutdown(self) -> None:
-        """Notify peers that this process is about to stop, and hand over its leases."""
+        """Notify peers that this process is about to stop, and hand over its vote or lease."""
 
     async def drain(self) -> None:
         """Wait until no work is in flight."""
--- a/packages/proxy/meadowdock/proxy/gateway_endpoints.py
+++ b/packages/proxy/meadowdock/proxy/gateway_endpoints.py
@@ -68,7 +68,8 @@
     def __init__(self, server: GatewayProxy, on_change: Callable[[], None]) -> None:
         self.server = server
         self.node, self.registry = server.node, server.endpoints
-        self.on_change = on_change  # ends the reactor's turn, so that buffered output is sent
+        # ends the reactor's turn, so that the output of waiting calls that have started is sent
+        self.on_change = on_change
         self.last_sequence: dict[str, int] = {}
         self.departed: OrderedDict[str, bool] = OrderedDict()
 
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -91,7 +91,8 @@
         try:
             routing_table = await self.node.runtime.offload(self.build, staging.revision)
         except RECOVERABLE_ERRORS as cause:
-            # A peer sent a malformed chunk: the chunks that were fetched are dropped.
+            # A peer sent a malformed chunk: the chunks that were fetched are dropped, so that the
+            # next staging fetches them again.
             self.node.log(105, task="staging", cause=repr(cause))
             for name in staging.missing:
                 self.chunks.pop(name, None)
