--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -1,4 +1,7 @@
-"""Random sequences of operations and faults, compared with simple models: register and items."""
+"""Random sequences of operations and faults, compared with simple models.
+
+The models are those of the register, whose members change, and of the items.
+"""
 
 from __future__ import annotations
 
