--- a/tests/config_store/test_quorum_monitor.py
+++ b/tests/config_store/test_quorum_monitor.py
@@ -234,7 +234,10 @@
 
 
 def test_backoff_after_lost_ballots_is_proportional_to_the_duration_of_an_attempt():
-    """Thirty prepares are refused because of higher ballots; each takes a millisecond."""
+    """Other proposers are ahead in ten attempts, at three members each.
+
+    An attempt takes a millisecond.
+    """
 
     async def scenario(world):
         await start_core(world)
