--- a/packages/simulator/meadowdock/simulator/__main__.py
+++ b/packages/simulator/meadowdock/simulator/__main__.py
@@ -16,7 +16,7 @@
 
 import fire
 
-from meadowdock.simulator.checkers import lags, returned
+from meadowdock.simulator.checkers import activation_lags, recovery_time
 from meadowdock.simulator.digest import (
     differing,
     digests,
@@ -49,7 +49,13 @@
 
 def extremes(history):
     """How far apart machines switched, and how long service took to return."""
-    return dict(zip(MOST, (max(lags(history).values(), default=0), returned(history)), strict=True))
+    return dict(
+        zip(
+            MOST,
+            (max(activation_lags(history).values(), default=0), recovery_time(history)),
+            strict=True,
+        )
+    )
 
 
 class Commands:
--- a/packages/simulator/meadowdock/simulator/disk.py
+++ b/packages/simulator/meadowdock/simulator/disk.py
@@ -67,8 +67,6 @@
         await super().move(folder, to)
         self.lasting = dict(self.files)
 
-    # ------------------------------------------------------------ faults
-
     def power_off(self):
         """What was being written aside is torn: a part of it may be found there later."""
         torn = {f"{n}.aside": d[: self.rng.randrange(len(d) + 1)] for n, d in self.writing.items()}
--- a/packages/simulator/meadowdock/simulator/faults.py
+++ b/packages/simulator/meadowdock/simulator/faults.py
@@ -54,9 +54,6 @@
     )
 
 
-# ---------------------------------------------------------------- processes end
-
-
 @kind(3)
 async def kill_proxy(day, place, span):
     await day.one(day.proxies(), place, span, day.kill)
@@ -121,9 +118,6 @@
     await hit
 
 
-# ---------------------------------------------------------------- planned
-
-
 @kind(3)
 async def stop_proxy(day, place, span):
     await day.restart(day.proxies(), place, span)
@@ -169,9 +163,6 @@
         day.touched -= {("mdconf", new), ("mdreg", new), reg}
 
 
-# ---------------------------------------------------------------- endpoints
-
-
 async def replace(day, place, span, service_of):
     with day.hold(day.placed(), place) as chosen:
         if chosen is None:
@@ -250,9 +241,6 @@
     day.world.web.losing.pop(address, None)
 
 
-# ---------------------------------------------------------------- the network
-
-
 def between(local, remote):
     return {p for a in local for b in remote if a != b for p in ((a, b), (b, a))}
 
@@ -326,9 +314,6 @@
     day.world.meddle.pop("load.list", None)
 
 
-# ---------------------------------------------------------------- standing still
-
-
 @kind(3)
 async def freeze_proxy(day, place, span):
     await day.freeze(day.proxies(), place, span)
@@ -356,9 +341,6 @@
             nursery.start_soon(day.freeze, [process], 0, span)
 
 
-# ---------------------------------------------------------------- disks
-
-
 @kind(2)
 async def lose_disk(day, place, span):
     """The power goes and with it the disk; the machine comes back with a blank one."""
@@ -414,9 +396,6 @@
     disk.full = False
 
 
-# ---------------------------------------------------------------- operators
-
-
 @kind(2)
 async def broken_manifest(day, place, span):
     """Invalid ones, racing with what the operators do anyway."""
--- a/packages/simulator/meadowdock/simulator/net.py
+++ b/packages/simulator/meadowdock/simulator/net.py
@@ -1,4 +1,4 @@
-"""A network in memory: delay, cuts in one direction or both, resets, processes that vanish."""
+"""An in-memory network with delays, one-way or two-way partitions, resets and killed processes."""
 
 from __future__ import annotations
 
@@ -18,39 +18,41 @@
 
 
 class Web:
-    """Invariant: cuts holds ordered pairs of hosts; what is sent over a cut pair waits, as TCP
-    would keep sending it, and arrives after the cut is healed unless an end is closed."""
+    """The network that all processes share: listeners, delays, partitions and link rates.
+
+    Invariant: cuts holds ordered pairs (sender, receiver) of hosts. Data sent over a cut pair waits,
+    as TCP would retransmit it, and arrives after the cut is healed unless one end is closed.
+    """
 
     def __init__(self, rng, delay_us=(200, 1500)):
         self.rng, self.delay_us = rng, delay_us
         self.links = {}  # address -> (nursery, handler, net)
         self.apps = {}  # address -> (app, net)
         self.cuts = set()
-        self.losing = {}  # address -> share of its answers that are lost after the work
-        self.slow = {}  # host -> (least, most) that each message to or from it takes longer
-        self.rates = {}  # host -> bytes a second that its link carries, each way; absent: any
-        self.busy = {}  # (host, "out" or "in") -> when its link is through with what was sent
+        self.losing = {}  # address -> share of its responses that are lost after the work is done
+        self.slow = {}  # host -> (min, max) extra us for each message to or from it
+        self.rates = {}  # host -> bandwidth in bytes/s, each way; absent: unlimited
+        self.busy = {}  # (host, "out" or "in") -> when its link has transmitted all queued bytes
         self.received = Counter()  # host -> bytes over links between processes
-        self.sendings = []  # (at, "spill" or "endpoint", call's id), as each leaves
+        self.sendings = []  # (time, "spill" or "endpoint", call's id) of each call sent
         self.healed = trio.Event()
         self.listeners, self.ends = {}, {}  # of wires.py: listening addresses; open ends, in order
-        self.tear = 0  # most bytes that a reader of a wire gets at once; 0: all that has come
+        self.tear = 0  # max bytes that a reader of a wire gets at once; 0: no limit
 
     def delay(self, *hosts):
-        more = sum(self.rng.randrange(*self.slow[h]) for h in hosts if h in self.slow)
-        return self.rng.randrange(*self.delay_us) + more
+        extra = sum(self.rng.randrange(*self.slow[h]) for h in hosts if h in self.slow)
+        return self.rng.randrange(*self.delay_us) + extra
 
     def transmit(self, sender, receiver, size):
-        """How long it takes until the last byte is through both hosts' links, behind what was sent
-        over them before."""
+        """Queue bytes on both hosts' links; return the time in us until the last one is through."""
         self.received[receiver] += size
-        through = monotonic_us()
-        for end in ((sender, "out"), (receiver, "in")):
-            if end[0] in self.rates:
-                through = max(through, self.busy.get(end, 0))
-                through += size * SECOND // self.rates[end[0]]
-                self.busy[end] = through
-        return through - monotonic_us()
+        finished_at = monotonic_us()
+        for link in ((sender, "out"), (receiver, "in")):
+            if link[0] in self.rates:
+                finished_at = max(finished_at, self.busy.get(link, 0))
+                finished_at += size * SECOND // self.rates[link[0]]
+                self.busy[link] = finished_at
+        return finished_at - monotonic_us()
 
     def cut(self, a, b, both=True):
         self.cuts |= {(a, b), *([(b, a)] if both else [])}
@@ -66,14 +68,17 @@
         self.heal_links(set(self.cuts))
 
     async def carry(self, a, b):
-        """The time on the way from a to b; longer than any cut between them."""
+        """Wait for the delay from a to b, and until no cut separates them."""
         await sleep_us(self.delay(a, b))
         while (a, b) in self.cuts:
             await self.healed.wait()
 
 
-class Half(trio.abc.Stream):
-    """One end. Invariant: inbox is in order; each item carries its earliest arrival."""
+class StreamEnd(trio.abc.Stream):
+    """One end of an in-memory stream.
+
+    Invariant: inbox is in order; each entry carries the time before which it must not be read.
+    """
 
     def __init__(self, web, local, remote):
         self.web, self.local, self.remote = web, local, remote
@@ -91,9 +96,9 @@
 
     def arrive(self, data):
         last = self.inbox[-1][0] if self.inbox else 0
-        takes = self.web.delay(self.local, self.remote)
-        takes += self.web.transmit(self.remote, self.local, len(data))
-        self.inbox.append((max(last, monotonic_us() + takes), data))
+        delay_us = self.web.delay(self.local, self.remote)
+        delay_us += self.web.transmit(self.remote, self.local, len(data))
+        self.inbox.append((max(last, monotonic_us() + delay_us), data))
         self.arrived.set()
 
     async def receive_some(self, max_bytes=None):
@@ -112,7 +117,7 @@
                         await self.arrival_or_forever()
                 else:
                     self.inbox.popleft()
-                    # as a socket's buffer: all that has come is read at once, up to an end
+                    # like a socket buffer: one read returns everything received, up to the end
                     while (
                         data
                         and self.inbox
@@ -149,18 +154,21 @@
 
 
 class SimNet:
-    """The network seam of one process. Invariant: halves holds its open ends; a killed process's
-    ends are all reset, and its listeners are gone."""
+    """The network interface of one process.
+
+    Invariant: halves holds the process's stream ends; when the process is killed they are all
+    reset and its listeners are removed.
+    """
 
     def __init__(self, web, host):
         self.web, self.host = web, host
         self.halves = set()
         self.alive = True
-        self.belongs = lambda: None
+        self.set_task_owner = lambda: None
         self.process_wires = []
 
     def wires(self, nursery, reactor):
-        """Connections of raw bytes, as meadowdock.forwarding.sockets has them."""
+        """Create the raw-byte connections that meadowdock.forwarding.sockets provides on a machine."""
         self.process_wires.append(SimWires(self, nursery, reactor))
         return self.process_wires[-1]
 
@@ -174,21 +182,21 @@
         remote = Address(address).host
         await self.web.carry(self.host, remote)
         await self.web.carry(remote, self.host)
-        found = self.web.links.get(address)
-        if found is None or not found[2].alive:
+        listener = self.web.links.get(address)
+        if listener is None or not listener[2].alive:
             raise ConnectionRefusedError(address)
-        nursery, handler, net = found
-        mine, theirs = Half(self.web, self.host, remote), Half(self.web, remote, self.host)
-        mine.other, theirs.other = theirs, mine
-        self.halves.add(mine)
-        net.halves.add(theirs)
+        nursery, handler, net = listener
+        near, far = StreamEnd(self.web, self.host, remote), StreamEnd(self.web, remote, self.host)
+        near.other, far.other = far, near
+        self.halves.add(near)
+        net.halves.add(far)
 
-        async def answer():
-            net.belongs()
-            await handler(theirs)
+        async def serve():
+            net.set_task_owner()
+            await handler(far)
 
-        nursery.start_soon(answer)
-        return mine
+        nursery.start_soon(serve)
+        return near
 
     async def serve_http(
         self, app, address, stopping, grace_us, task_status=trio.TASK_STATUS_IGNORED
@@ -205,7 +213,7 @@
         return SimHttp(self, Address(address))
 
     def reset(self):
-        """Every open connection breaks, at both ends."""
+        """Break every open connection at both ends."""
         for half in self.halves:
             half.reset()
             half.other.reset()
@@ -213,7 +221,7 @@
             wires.reset()
 
     def vanish(self):
-        """As a killed process: its ends are reset, its addresses refuse."""
+        """Disappear as a killed process does: connections are reset, addresses refuse."""
         self.alive = False
         for half in self.halves:
             half.closed = True
@@ -221,13 +229,16 @@
         for wires in self.process_wires:
             wires.vanish()
         for table in (self.web.links, self.web.apps):
-            for address in [a for a, found in table.items() if found[-1] is self]:
+            for address in [a for a, entry in table.items() if entry[-1] is self]:
                 del table[address]
 
 
 class SimHttp:
-    """One connection, at the level of requests: the other side's app is called in a task of its
-    own, since a caller that hangs up does not stop what the other side does."""
+    """One HTTP connection at the level of requests.
+
+    The server's app runs in a task of its own, because a client that disconnects does not stop the
+    work on the server.
+    """
 
     def __init__(self, net, address):
         self.net, self.address = net, address
@@ -280,21 +291,21 @@
             + [(b"content-length", str(len(body)).encode())],
             "client": (local, 1),
         }
-        hung, done = trio.Event(), trio.Event()
+        disconnected, done = trio.Event(), trio.Event()
         events = deque([{"type": "http.request", "body": body, "more_body": False}])
         sent_events = []
 
         async def receive():
             if events:
                 return events.popleft()
-            await hung.wait()
+            await disconnected.wait()
             return {"type": "http.disconnect"}
 
         async def send(event):
             sent_events.append(event)
 
         async def serve():
-            net.belongs()  # this task is of the other process
+            net.set_task_owner()  # this task belongs to the server's process
             try:
                 await web.carry(local, remote)
                 if net.alive:
@@ -308,7 +319,7 @@
         try:
             await done.wait()
         finally:
-            hung.set()
+            disconnected.set()
         if web.rng.random() < web.losing.get(self.address, 0):
             return None
         if not net.alive or not sent_events or sent_events[-1].get("more_body"):
--- a/packages/simulator/meadowdock/simulator/scale/fleet.py
+++ b/packages/simulator/meadowdock/simulator/scale/fleet.py
@@ -26,7 +26,7 @@
         process = original(name, host, work)
         process.net = kind(world.web, host)
         process.net.meter, process.net.node = meter, name
-        process.net.belongs = partial(owner.set, process)
+        process.net.set_task_owner = partial(owner.set, process)
         return process
 
     world.launch = launch
--- a/packages/simulator/meadowdock/simulator/scale/loopback.py
+++ b/packages/simulator/meadowdock/simulator/scale/loopback.py
@@ -26,7 +26,7 @@
 from meadowdock.simulator.scale.fleet import stand_in
 from meadowdock.simulator.scale.meter import ANY_METHOD, Meter, Unread, metered
 from meadowdock.simulator.scale.places import VOTERS, manifest, places
-from meadowdock.simulator.world import KEY, PARTS
+from meadowdock.simulator.world import DAEMON_CLASSES, KEY
 
 current_node = ContextVar("current_node", default=None)
 LOOPBACK_NET = "127.91"
@@ -87,7 +87,7 @@
             current_node.set(boot.name)
             async with trio.open_nursery() as nursery:
                 node = Node(boot, runtime, nursery, Log(boot.name, self.log))
-                await nursery.start(node.run, PARTS[role])
+                await nursery.start(node.run, DAEMON_CLASSES[role])
                 self.nodes[boot.name] = node
                 if role == "mdproxy":
                     nursery.start_soon(stand_in, node, self.application[host])
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -125,8 +125,6 @@
         self.over = False
         self.uid = 0
 
-    # ------------------------------------------------------------ endpoints
-
     async def place_endpoint(self, host, service, wait=True):
         address = f"{host}:8000"
         knobs = self.knobs.setdefault(address, dict(KNOBS))
@@ -149,8 +147,6 @@
         self.endpoints[host] = endpoint
         return endpoint
 
-    # ------------------------------------------------------------ callers
-
     async def call(self, host, kind, caller, token=None):
         self.uid += 1
         uid = f"u{self.uid}"
@@ -216,8 +212,6 @@
                 kinds, name, token = ["ledger"], "paper", endpoint.token
             self.world.nursery.start_soon(self.call, host, self.rng.choice(kinds), name, token)
 
-    # ------------------------------------------------------------ operators
-
     async def change(self, mark, core, ways=0):
         base = 0
         start = monotonic_us()
@@ -297,8 +291,6 @@
             self.world.nursery.start_soon(self.read, self.rng.randrange(cores))
             await sleep_us(self.rng.randrange(SECOND, 4 * SECOND))
 
-    # ------------------------------------------------------------ faults
-
     async def storm(self):
         async with trio.open_nursery() as nursery:
             for fault in self.faults:
@@ -441,8 +433,6 @@
         except HttpConnectionFailed:
             return None
 
-    # ------------------------------------------------------------ who is kept from whom
-
     def linked(self, a, b):
         cuts = self.world.web.cuts
         return a == b or ((a, b) not in cuts and (b, a) not in cuts)
@@ -484,8 +474,6 @@
             last = monotonic_us()
             await sleep_us(LOOK)
 
-    # ------------------------------------------------------------ the day
-
     async def live(self):
         world = self.world
         await world.start_all()
--- a/packages/simulator/meadowdock/simulator/standin/endpoint.py
+++ b/packages/simulator/meadowdock/simulator/standin/endpoint.py
@@ -40,8 +40,6 @@
         self.size = 0  # of an answer's padding
         self.process = None
 
-    # ------------------------------------------------------------ serving
-
     async def serve(self, net, nursery, task_status=trio.TASK_STATUS_IGNORED):
         reactor = Reactor()
         nursery.start_soon(reactor.run)
@@ -171,8 +169,6 @@
             return 200
         return 504 if monotonic_us() >= job.due else 500
 
-    # ------------------------------------------------------------ answers
-
     def answer(self, status, lines, body, length=True):
         header_lines = [*lines]
         if self.reports_load:
--- a/packages/simulator/meadowdock/simulator/wires.py
+++ b/packages/simulator/meadowdock/simulator/wires.py
@@ -35,8 +35,6 @@
         self.inbox, self.unread = deque(), 0
         self.arrived, self.room = trio.Event(), trio.Event()
 
-    # ------------------------------------------------------------ out
-
     def send(self, data):
         if self.closed or self.finishing or not data:
             return
@@ -133,8 +131,6 @@
         self.arrived.set()
         self.room.set()
 
-    # ------------------------------------------------------------ in
-
     def arrive(self, data, more_us=0):
         if self.closed:
             return
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -1,4 +1,7 @@
-"""A world of processes under one seed. `run` gives the same trace for the same seed."""
+"""A simulated deployment: processes, machines, network and disks under one seed.
+
+`run` produces the same trace for the same seed.
+"""
 
 from __future__ import annotations
 
@@ -25,16 +28,19 @@
 from meadowdock.simulator.net import SimNet, Web
 from meadowdock.simulator.standin import RequestAudit, StandIn, StandInCaller
 
-PARTS = {"mdproxy": ProxyServer, "mdreg": RegistryServer, "mdconf": ConfigStore}
+DAEMON_CLASSES = {"mdproxy": ProxyServer, "mdreg": RegistryServer, "mdconf": ConfigStore}
 KEY = "5a" * 32
-GATE_PORT, LINKS_OF_GATES = 7440, 7402
+GATE_PORT, GATEWAY_LINK_PORT = 7440, 7402
 DIALECT = Dialect(deadline_unit_us=1000, stamp=b"md-stamp")
 WALL = 1_700_000_000 * SECOND
 
 
 class Clock(trio.abc.Clock):
-    """Virtual time. Trio asks how long to sleep only when no task can run: then it is the next
-    deadline at once. (trio's MockClock takes a whole idle round of the scheduler for each.)"""
+    """Virtual time that jumps to the next deadline whenever no task can run.
+
+    Trio asks for the time to sleep only when all tasks are blocked, so the clock can be advanced
+    right there. trio's MockClock needs a full idle round of the scheduler for each jump.
+    """
 
     def __init__(self):
         self.at = 0.0
@@ -52,13 +58,13 @@
         return 0
 
 
-async def inline(work, *args):
+async def run_inline(work, *args):
     await trio.lowlevel.checkpoint()
     return work(*args)
 
 
 class Trace(io.StringIO):
-    """Takes the processes' log lines, with the virtual time."""
+    """A log stream that keeps each line of the processes with its virtual time."""
 
     def __init__(self):
         super().__init__()
@@ -72,13 +78,17 @@
         return [(at, line) for at, line in self.lines if line["number"] in numbers]
 
 
-# Which process a task belongs to. Tasks inherit it; a request's task at the other side sets it.
+# The process that a task belongs to. Child tasks inherit it; a task that serves a request on the
+# receiving side sets it.
 owner = contextvars.ContextVar("owner", default=None)
 
 
 def hook_scheduler():
-    """Let a task of a frozen process wait: its wake-ups are kept until the process goes on. Trio
-    has no public door for this, so the simulator, and it alone, wraps its scheduler."""
+    """Wrap trio's scheduler so that tasks of a frozen or slowed process wait.
+
+    Wake-ups of a frozen process are kept until it is resumed. Trio has no public interface for
+    this; no other part of the project touches trio's internals.
+    """
     runner = trio._core._run.Runner
     if getattr(runner, "md_hooked", False):
         return
@@ -87,7 +97,7 @@
     def reschedule(self, task, *outcome):
         process = task.context.get(owner)
         if process is not None and process.frozen is not None:
-            task._abort_func = None  # woken already: nothing may wake it again
+            task._abort_func = None  # already woken: a cancellation must not wake it again
             process.frozen.append((task, outcome))
         elif process is not None and process.processors is not None:
             task._abort_func = None
@@ -96,7 +106,7 @@
             original(self, task, *outcome)
 
     def resume(self, task, outcome):
-        """The turn has come: as reschedule, without the process' processor."""
+        """Reschedule a task whose turn on the simulated processor is over."""
         if self.frozen is not None:
             self.frozen.append((task, outcome))
         else:
@@ -111,18 +121,22 @@
 
 
 class Process:
-    """Invariants: scope is the whole process; once it is cancelled its net is gone. frozen is
-    None, or the wake-ups that came since the freeze, in order."""
+    """A simulated operating-system process.
+
+    Invariants: scope covers all tasks of the process, and once it is cancelled the process's
+    network is gone. frozen is None, or the wake-ups since the freeze in their order.
+    """
 
     def __init__(self, world, name, host):
         self.world, self.name, self.host = world, name, host
         self.net = SimNet(world.web, host)
-        self.net.belongs = partial(owner.set, self)
+        self.net.set_task_owner = partial(owner.set, self)
         self.scope = trio.CancelScope()
         self.up, self.over = trio.Event(), trio.Event()
         self.node = None
         self.frozen = None
-        self.processors, self.busy_until = None, 0  # of overload.py: whose turns cost time
+        # set by overload.py: processors on which each turn of this process takes time
+        self.processors, self.busy_until = None, 0
 
     async def run(self, work):
         owner.set(self)
@@ -134,7 +148,7 @@
         self.over.set()
 
     def enter(self, work):
-        """Call a function as a turn of this process: tasks that it starts are of it."""
+        """Call a function as this process: the tasks that it starts belong to the process."""
 
         def turn():
             owner.set(self)
@@ -148,7 +162,11 @@
         self.wake()
 
     def freeze(self):
-        """As SIGSTOP: nothing of it runs, its clock goes on, its sockets take what fits."""
+        """Stop the process as SIGSTOP does.
+
+        None of its tasks run, its clock advances, and its sockets accept data until their buffers
+        are full.
+        """
         if self.frozen is None:
             self.frozen = []
 
@@ -159,7 +177,10 @@
 
 
 class World:
-    """Invariant: everything random comes from rng, everything timed from the virtual clock."""
+    """A simulated deployment with its processes, disks, network and stand-ins.
+
+    Invariant: all randomness comes from generators under the seed, all time from the virtual clock.
+    """
 
     def __init__(self, seed, nursery):
         self.seed, self.nursery = seed, nursery
@@ -169,17 +190,20 @@
         self.disks, self.processes = {}, {}
         self.core, self.application = [], {}
         self.zones = {}
-        self.gated, self.boots = False, {}
+        self.gated, self.proxy_boot_settings = False, {}
         self.request_audit = RequestAudit(DIALECT)
-        self.meddle = {}  # method -> None, it is lost on its way, or how much later it leaves
-        self.started = 0
-
-    # ------------------------------------------------------------ places
-
-    def place(self, core=3, application=("desk", "desk"), gate=False, **boots):
-        """gate: mdproxies are GatewayProxies, the register is founded by the seeds. boots: further facts
-        of every boot of a mdproxy."""
-        self.gated, self.boots = gate, boots
+        # method -> None: calls of it are lost on the way; or by how many us they are delayed
+        self.meddle = {}
+        self.start_count = 0
+
+    def place(self, core=3, application=("desk", "desk"), gate=False, **proxy_boot_settings):
+        """Assign hosts, services and zones.
+
+        :param gate: whether each mdproxy is a GatewayProxy, and the register's first members come
+            from the seeds.
+        :param proxy_boot_settings: further boot settings of every mdproxy.
+        """
+        self.gated, self.proxy_boot_settings = gate, proxy_boot_settings
         self.core = [f"10.0.0.{n}" for n in range(1, core + 1)]
         self.application = {f"10.0.1.{n}": s for n, s in enumerate(application, 1)}
         hosts = [*self.core, *self.application]
@@ -197,16 +221,18 @@
             facts["seeds"] = [f"{h}:7421" for h in self.core[:3]]
         if role == "mdconf":
             members = [] if self.gated else [f"{h}:7421" for h in self.core]
-            losses = (len(self.core) - 1) // 2  # a lone core machine can bear none
+            losses = (len(self.core) - 1) // 2  # a single core machine tolerates no loss
             facts |= {"data": "sim", "members": members, "losses": min(losses, 2)}
         elif role == "mdproxy" and self.gated:
-            facts |= {"gate": f"{host}:{GATE_PORT}", "gate_port": LINKS_OF_GATES, **self.boots}
+            facts |= {
+                "gate": f"{host}:{GATE_PORT}",
+                "gate_port": GATEWAY_LINK_PORT,
+                **self.proxy_boot_settings,
+            }
             if self.application.get(host):
                 facts["service"] = self.application[host]
         return checked(role, facts)
 
-    # ------------------------------------------------------------ processes
-
     def launch(self, name, host, work):
         process = self.processes[name] = Process(self, name, host)
         self.nursery.start_soon(process.run, work)
@@ -215,41 +241,41 @@
     async def start(self, role, host):
         boot = self.boot(role, host)
         disk = self.disks.setdefault((role, host), SimDisk(random.Random(f"{host}{self.seed}")))
-        self.started += 1
-        rng = random.Random(f"{role}{host}{self.started}{self.seed}")
+        self.start_count += 1
+        rng = random.Random(f"{role}{host}{self.start_count}{self.seed}")
 
         async def work(process, nursery):
             wall = lambda: WALL + monotonic_us()  # noqa: E731
-            runtime = Runtime(process.net, disk, rng, offload=inline, wall_us=wall)
+            runtime = Runtime(process.net, disk, rng, offload=run_inline, wall_us=wall)
             process.node = Node(boot, runtime, nursery, Log(boot.name, self.trace, timed=False))
-            self.listen(process.node.rpc)
+            self.intercept_calls(process.node.rpc)
             disk.on_loss = process.kill
             gated = self.gated and role == "mdproxy"
-            await nursery.start(process.node.run, GateProxy if gated else PARTS[role])
+            await nursery.start(process.node.run, GateProxy if gated else DAEMON_CLASSES[role])
             process.up.set()
 
         process = self.launch(f"{role}@{host}", host, work)
         await process.up.wait()
         return process
 
-    def listen(self, links):
-        """Stands where a process' calls over links leave it: notes spills, and meddles."""
+    def intercept_calls(self, links):
+        """Wrap a process's outgoing calls: record spills, and lose or delay calls as set in meddle."""
         original = links.call
 
         async def call(address, method, args, due):
             if method == "call.run":
                 self.web.sendings.append((monotonic_us(), "spill", args["id"]))
             if method in self.meddle:
-                late = self.meddle[method]
-                if late is None:
+                delay_us = self.meddle[method]
+                if delay_us is None:
                     raise ConnectionFailed(True, "lost on the way")
-                await sleep_us(late)
+                await sleep_us(delay_us)
             return await original(address, method, args, due)
 
         links.call = call
 
     async def stop(self, name):
-        """As the platform's polite signal."""
+        """Stop a process gracefully, as the platform's SIGTERM does; return the time in us."""
         process = self.processes.pop(name)
         begun = monotonic_us()
         process.node.shutdown.requested.set()
@@ -280,8 +306,6 @@
     def daemon(self, role, host):
         return self.node(role, host).daemon
 
-    # ------------------------------------------------------------ endpoints and callers
-
     async def endpoint(
         self,
         host,
@@ -295,13 +319,13 @@
         record=None,
     ):
         address = f"{host}:{port}"
-        self.started += 1
+        self.start_count += 1
         endpoint = kind(
             None,
             service,
             address,
             f"{host}:7400",
-            f"i{self.started}",
+            f"i{self.start_count}",
             handler,
             capacity,
             load,
@@ -321,11 +345,11 @@
         return endpoint
 
     async def stand_in(self, host, service=None, port=8000, sends_heartbeats=True, **terms):
-        """An endpoint of raw bytes that sends heartbeats to the proxy of its machine."""
-        self.started += 1
+        """Start a raw-byte endpoint that sends heartbeats to the proxy of its machine."""
+        self.start_count += 1
         address = f"{host}:{port}"
         service = service or self.application[host]
-        endpoint = StandIn(service, address, f"i{self.started}", DIALECT, **terms)
+        endpoint = StandIn(service, address, f"i{self.start_count}", DIALECT, **terms)
         self.request_audit.endpoints.append(endpoint)
 
         async def work(process, nursery):
@@ -346,11 +370,11 @@
             self.heartbeat(host, endpoint, sequence)
             await sleep_us(every)
 
-    def heartbeat(self, host, endpoint, sequence, **facts):
+    def heartbeat(self, host, endpoint, sequence, **overrides):
         proxy = self.processes.get(f"mdproxy@{host}")
         if proxy is None or proxy.frozen is not None or proxy.node is None:
             return
-        facts_sent = {
+        heartbeat = {
             "service": endpoint.service,
             "address": endpoint.address,
             "instance": endpoint.instance.decode(),
@@ -358,13 +382,16 @@
             "draining": endpoint.draining,
             "warm_us": 0,
             "sequence": sequence,
-            **facts,
+            **overrides,
         }
         if proxy.node.daemon is not None:
-            proxy.enter(lambda: proxy.node.daemon.endpoint_heartbeat(facts_sent))
+            proxy.enter(lambda: proxy.node.daemon.endpoint_heartbeat(heartbeat))
 
     async def caller(self, host, address=None):
-        """A caller's connection from this machine to its gate; failed is set if it came to none."""
+        """Connect a caller on this machine to its gateway.
+
+        The caller's `failed` is set if no connection was established.
+        """
         net = SimNet(self.web, host)
         reactor = Reactor()
         wires = net.wires(self.nursery, reactor)
@@ -376,7 +403,7 @@
         return caller
 
     async def set_items(self, items, core=0):
-        """A change by items; gives its version."""
+        """Change the configuration by items; return the new version."""
         status, answer = await self.operate("POST", "/items", {"items": items}, core)
         assert status == 200, answer
         return answer["version"]
@@ -387,7 +414,7 @@
         return Client(net, f"{host}:7400", token)
 
     async def http(self, host, method, address, path, facts=None, headers=()):
-        """One plain request; gives (status, headers, facts)."""
+        """Send one plain request; return (status, headers, decoded JSON body)."""
         net = SimNet(self.web, host)
         net.home = self.nursery
         body = facts if isinstance(facts, bytes) else json.dumps(facts).encode() if facts else b""
@@ -400,7 +427,7 @@
         return status, answer
 
     async def configure(self, manifest, core=0):
-        """Plan and confirm; gives the version."""
+        """Plan and confirm a manifest; return its version."""
         status, planned = await self.operate("POST", "/plan", manifest, core)
         assert status == 200, planned
         status, answer = await self.operate("POST", "/confirm", {"plan": planned["plan"]}, core)
@@ -408,21 +435,21 @@
         return answer["version"]
 
     async def eventually(self, check, within=10 * SECOND, every=20 * MILLISECOND):
-        """Wait, in virtual time, until check() is true; gives how long that took."""
+        """Wait, in virtual time, until check() is true; return how long that took in us."""
         begun = monotonic_us()
         while not check():
             if monotonic_us() - begun > within:
-                raise AssertionError(f"not within {within} us: {check.__name__}")
+                raise AssertionError(f"not true within {within} us: {check.__name__}")
             await sleep_us(every)
         return monotonic_us() - begun
 
 
 def run(scenario, seed=1, **places):
-    """Run `scenario(world)` under a seed; gives what it gives. Nothing here takes real time."""
+    """Run `scenario(world)` under a seed on the virtual clock; return its result."""
     hook_scheduler()
-    order = trio._core._run  # trio has no public door to its scheduler's randomness
-    order._ALLOW_DETERMINISTIC_SCHEDULING = True
-    order._r.seed(seed)
+    scheduler = trio._core._run  # trio has no public interface to its scheduler's randomness
+    scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True
+    scheduler._r.seed(seed)
 
     async def main():
         async with trio.open_nursery() as nursery:
@@ -432,11 +459,11 @@
                 return await scenario(world)
             finally:
                 for process in world.processes.values():
-                    process.wake()  # who is frozen can't end
+                    process.wake()  # a frozen process cannot end
                     process.processors = None
                 for disk in world.disks.values():
                     if disk.stalled is not None:
-                        disk.stalled.set()  # nor who waits for a disk
+                        disk.stalled.set()  # nor can a process that waits for its disk
                 nursery.cancel_scope.cancel()
 
     return trio.run(main, clock=Clock())
--- a/tests/simulator/test_days.py
+++ b/tests/simulator/test_days.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from meadowdock.simulator.checkers import returned, verify
+from meadowdock.simulator.checkers import recovery_time, verify
 from meadowdock.simulator.faults import KINDS, MAJOR, Fault
 from meadowdock.simulator.scenario import KNOBS, Day, live
 from meadowdock.simulator.world import run
@@ -46,7 +46,7 @@
     """Counted from the moment when the machines are back, with no calm before."""
     breaches, history, _ = live(1, (Fault(2 * S, kind, 1, 4 * S),))
     assert breaches == []
-    assert returned(history) < 15 * S
+    assert recovery_time(history) < 15 * S
 
 
 def test_faults_that_overlap_at_one_place_are_both_undone():
