--- a/packages/simulator/meadowdock/simulator/digest.py
+++ b/packages/simulator/meadowdock/simulator/digest.py
@@ -1,8 +1,8 @@
-"""Digests of simulated runs: equal as long as the behaviour is equal, whatever things are named.
+"""Digests of simulated runs, which change with the behaviour but not with names in the code.
 
-A digest is the SHA-256 of what a run did, as numbers and as bytes on the wire. Names that belong
-to the code (events, log fields, attributes, roles of processes, outcomes of acts) are left out, or
-stand as numbers in the order of their first appearance, so that renaming them changes no digest.
+A digest is the SHA-256 of what a run did. Names that belong to the code (events, log fields,
+attributes, roles of processes, outcomes of operations) are left out, or are replaced by numbers in
+the order of their first appearance, so that renaming them changes no digest.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from typing import Any
 
 from meadowdock.simulator.history import History
-from meadowdock.simulator.scenario import live
+from meadowdock.simulator.scenario import run_day
 
-HASH_SEED = "0"  # on some days the order of a set of strings decides who is told first
+HASH_SEED = "0"  # on some days the order of a set of strings decides who is notified first
 
 Digests = dict[str, dict[str, str]]  # section -> seed -> hexadecimal digest
 
@@ -37,7 +37,7 @@
         self.numbers: dict[str, int] = {}
 
     def __call__(self, name: str) -> int:
-        """The number of a name."""
+        """Return the number of a name."""
         return self.numbers.setdefault(name, len(self.numbers))
 
 
@@ -48,24 +48,24 @@
         self.hash = hashlib.sha256()
 
     def row(self, *values: Any) -> None:
-        """Take one row of numbers and texts into the hash."""
+        """Add one row of numbers and texts to the hash."""
         self.hash.update(json.dumps(values).encode() + b"\n")
 
     def hexadecimal(self) -> str:
-        """The digest of all rows so far."""
+        """Return the digest of all rows so far."""
         return self.hash.hexdigest()
 
 
 def add_log(trace: CanonicalTrace, lines: Iterable[tuple[int, dict]]) -> None:
-    """Each log line: virtual time, the process' role as a number, its host, the event's number."""
+    """Add each log line: virtual time, the process's role as a number, host, the event's number."""
     role_number = Numbering()
-    for at, line in lines:
+    for logged_at, line in lines:
         role, _, host = line["of"].partition("@")
-        trace.row("log", at, role_number(role), host, line["number"])
+        trace.row("log", logged_at, role_number(role), host, line["number"])
 
 
 def add_calls(trace: CanonicalTrace, history: History) -> None:
-    """Each call, as its caller saw it."""
+    """Add each call, as its caller saw it."""
     for call in history.asked:
         trace.row(
             "call",
@@ -81,32 +81,40 @@
 
 
 def add_executions(trace: CanonicalTrace, history: History) -> None:
-    """Each execution, as its endpoint saw it, and each sending that left a process."""
-    for ran in history.ran:
-        trace.row("execution", ran.uid, ran.kind, ran.caller, ran.at, ran.address, ran.endpoint)
+    """Add each execution, as its endpoint saw it, and each call that a process sent."""
+    for execution in history.ran:
+        trace.row(
+            "execution",
+            execution.uid,
+            execution.kind,
+            execution.caller,
+            execution.at,
+            execution.address,
+            execution.endpoint,
+        )
     sending_number = Numbering()
-    for at, kind, _ in history.sendings:
-        trace.row("sending", at, sending_number(kind))
+    for sent_at, kind, _ in history.sendings:
+        trace.row("sending", sent_at, sending_number(kind))
 
 
 def add_operators(trace: CanonicalTrace, history: History) -> None:
-    """Each operator's act, with its kind and its outcome as numbers."""
-    act_number, outcome_number = Numbering(), Numbering()
-    for done in history.operated:
+    """Add each operation of an operator, with its kind and its outcome as numbers."""
+    kind_number, outcome_number = Numbering(), Numbering()
+    for operation in history.operated:
         trace.row(
             "operator",
-            act_number(done.act),
-            done.start,
-            done.end,
-            outcome_number(done.outcome),
-            done.version,
-            done.mark,
+            kind_number(operation.act),
+            operation.start,
+            operation.end,
+            outcome_number(operation.outcome),
+            operation.version,
+            operation.mark,
         )
 
 
 def day_digest(seed: int) -> str:
-    """The digest of one simulated day."""
-    _, history, lines = live(seed)
+    """Run one simulated day and return its digest."""
+    _, history, lines = run_day(seed)
     trace = CanonicalTrace()
     add_log(trace, lines)
     add_calls(trace, history)
@@ -116,16 +124,16 @@
 
 
 def digests(seeds: Iterable[int], jobs: int | None = None) -> Digests:
-    """Play days in parallel, under one hash seed; gives their digests in the order of the seeds."""
+    """Run days in parallel under one hash seed; return their digests in the order of the seeds."""
     seeds = list(seeds)
     with fixed_hash_seed(), ProcessPoolExecutor(jobs, get_context("spawn")) as pool:
-        found = list(pool.map(day_digest, seeds))
-    return {"days": dict(zip(map(str, seeds), found, strict=True))}
+        day_digests = list(pool.map(day_digest, seeds))
+    return {"days": dict(zip(map(str, seeds), day_digests, strict=True))}
 
 
 @contextmanager
 def fixed_hash_seed() -> Iterator[None]:
-    """Processes spawned within have HASH_SEED."""
+    """Spawn processes with HASH_SEED as their hash seed within the context."""
     former = os.environ.get("PYTHONHASHSEED")
     os.environ["PYTHONHASHSEED"] = HASH_SEED
     try:
@@ -137,15 +145,15 @@
             os.environ["PYTHONHASHSEED"] = former
 
 
-def differing(found: Digests, golden: Digests) -> list[str]:
-    """Which of the digests found are not those of the golden file, or not in it.
+def differing(computed: Digests, golden: Digests) -> list[str]:
+    """Return which of the computed digests differ from the golden file's, or are missing there.
 
     >>> differing({"days": {"1": "a", "2": "b", "3": "c"}}, {"days": {"1": "a", "2": "x"}})
     ['days 2', 'days 3']
     """
     return [
         f"{section} {key}"
-        for section, keys in found.items()
+        for section, keys in computed.items()
         for key, digest in keys.items()
         if golden.get(section, {}).get(key) != digest
     ]
@@ -156,8 +164,8 @@
     return json.loads(Path(path).read_text())
 
 
-def write_digests(path: str | Path, found: Digests) -> None:
+def write_digests(path: str | Path, computed: Digests) -> None:
     """Write a golden file."""
     path = Path(path)
     path.parent.mkdir(parents=True, exist_ok=True)
-    path.write_text(json.dumps(found, indent=1) + "\n")
+    path.write_text(json.dumps(computed, indent=1) + "\n")
--- a/packages/simulator/meadowdock/simulator/faults.py
+++ b/packages/simulator/meadowdock/simulator/faults.py
@@ -1,4 +1,7 @@
-"""Kinds of faults that strike a day. Each undoes itself after its span, or sooner."""
+"""The kinds of faults that are injected into a simulated day.
+
+Each fault undoes itself by the end of its duration. The name of its function is the fault's kind.
+"""
 
 from __future__ import annotations
 
@@ -9,150 +12,169 @@
 
 from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
-STORM = 20 * SECOND
-# kind -> (weight in the draw, what it does with (day, place, span))
+FAULTS_SPAN_US = 20 * SECOND
+# kind -> (weight in the random choice, function of (day, pick, duration_us))
 KINDS = {}
-# what may take service away from many at once; each is also tried alone
+# faults that may interrupt service on many machines at once; each is also tested alone
 MAJOR = ("black_out", "kill_all", "power_all_conf", "lose_zone", "lose_zones", "cut_core")
 
 
-def kind(weight):
-    def register(strike):
-        KINDS[strike.__name__] = weight, strike
-        return strike
+def fault_kind(weight):
+    def register(inject):
+        KINDS[inject.__name__] = weight, inject
+        return inject
 
     return register
 
 
 @dataclass(frozen=True)
 class Fault:
-    at: int  # from the storm's begin
+    start_us: int  # since the day's faults began
     kind: str
-    place: int  # which machine, modulo their number
-    span: int
+    pick: int  # selects the target, modulo the number of candidates
+    duration_us: int
 
     def __str__(self):
-        return f"{self.at / SECOND:6.2f} s  {self.kind} {self.place} for {self.span / SECOND:.2f} s"
+        return (
+            f"{self.start_us / SECOND:6.2f} s  {self.kind} {self.pick} "
+            f"for {self.duration_us / SECOND:.2f} s"
+        )
 
 
-def draw(seed, most=6):
+def draw_faults(seed, max_faults=6):
+    """Return the random faults of a day, ordered by start."""
     rng = random.Random(f"faults{seed}")
     kinds = [name for name, (weight, _) in KINDS.items() for _ in range(weight)]
     return tuple(
         sorted(
             (
                 Fault(
-                    rng.randrange(0, STORM * 3 // 4),
+                    rng.randrange(0, FAULTS_SPAN_US * 3 // 4),
                     rng.choice(kinds),
                     rng.randrange(60),
                     rng.randrange(300 * MILLISECOND, 5 * SECOND),
                 )
-                for _ in range(rng.randint(1, most))
+                for _ in range(rng.randint(1, max_faults))
             ),
-            key=lambda fault: fault.at,
+            key=lambda fault: fault.start_us,
         )
     )
 
 
-@kind(3)
-async def kill_proxy(day, place, span):
-    await day.one(day.proxies(), place, span, day.kill)
+@fault_kind(3)
+async def kill_proxy(day, pick, duration_us):
+    await day.stop_and_restart_one(day.proxy_targets(), pick, duration_us, day.kill)
 
 
-@kind(2)
-async def kill_reg(day, place, span):
-    await day.one(day.regs(), place, span, day.kill)
+@fault_kind(2)
+async def kill_reg(day, pick, duration_us):
+    await day.stop_and_restart_one(day.registry_targets(), pick, duration_us, day.kill)
 
 
-@kind(3)
-async def power_conf(day, place, span):
-    await day.one(day.confs(), place, span, day.power)
+@fault_kind(3)
+async def power_conf(day, pick, duration_us):
+    await day.stop_and_restart_one(day.config_store_targets(), pick, duration_us, day.power_off)
 
 
-@kind(2)
-async def power_machine(day, place, span):
-    """All that runs on one machine, core or application, at once."""
-    hosts = day.everybody()
-    await day.down_and_up(day.on([hosts[place % len(hosts)]]), span, day.power)
+@fault_kind(2)
+async def power_machine(day, pick, duration_us):
+    """Power off one machine, core or application, with everything that runs on it."""
+    hosts = day.all_hosts()
+    await day.stop_and_restart(
+        day.targets_on([hosts[pick % len(hosts)]]), duration_us, day.power_off
+    )
 
 
-@kind(1)
-async def power_all_conf(day, place, span):
-    await day.down_and_up(day.confs(), span, day.power)
+@fault_kind(1)
+async def power_all_conf(day, pick, duration_us):
+    await day.stop_and_restart(day.config_store_targets(), duration_us, day.power_off)
 
 
-@kind(1)
-async def kill_all(day, place, span):
-    await day.down_and_up([*day.proxies(), *day.regs()], span, day.kill)
+@fault_kind(1)
+async def kill_all(day, pick, duration_us):
+    await day.stop_and_restart(
+        [*day.proxy_targets(), *day.registry_targets()], duration_us, day.kill
+    )
 
 
-@kind(1)
-async def black_out(day, place, span):
-    await day.down_and_up(day.on(day.everybody()), span, day.power)
+@fault_kind(1)
+async def black_out(day, pick, duration_us):
+    await day.stop_and_restart(day.targets_on(day.all_hosts()), duration_us, day.power_off)
 
 
-@kind(1)
-async def lose_zone(day, place, span):
-    await day.down_and_up(day.on(day.zone(place)), span, day.power)
+@fault_kind(1)
+async def lose_zone(day, pick, duration_us):
+    await day.stop_and_restart(day.targets_on(day.hosts_in_zone(pick)), duration_us, day.power_off)
 
 
-@kind(1)
-async def lose_zones(day, place, span):
-    """Two zones, the second a little later."""
+@fault_kind(1)
+async def lose_zones(day, pick, duration_us):
+    """Power off two zones, the second a little later."""
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(day.down_and_up, day.on(day.zone(place)), span, day.power)
-        await sleep_us(span // 3)
-        await day.down_and_up(day.on(day.zone(place + 1)), span // 2, day.power)
+        nursery.start_soon(
+            day.stop_and_restart,
+            day.targets_on(day.hosts_in_zone(pick)),
+            duration_us,
+            day.power_off,
+        )
+        await sleep_us(duration_us // 3)
+        await day.stop_and_restart(
+            day.targets_on(day.hosts_in_zone(pick + 1)), duration_us // 2, day.power_off
+        )
 
 
-@kind(2)
-async def hit_collector(day, place, span):
-    """The one that holds the duty at this moment, killed or frozen."""
-    holders = [
+@fault_kind(2)
+async def hit_collector(day, pick, duration_us):
+    """Kill or freeze the registry that holds the collector's duty at this moment."""
+    collectors = [
         ("mdreg", h)
         for h in day.world.core
         if f"mdreg@{h}" in day.world.processes
         and day.world.daemon("mdreg", h).election.epoch is not None
     ]
-    hit = day.one(holders, 0, span, day.kill) if place % 2 else day.freeze(holders, 0, span)
-    await hit
+    injection = (
+        day.stop_and_restart_one(collectors, 0, duration_us, day.kill)
+        if pick % 2
+        else day.freeze(collectors, 0, duration_us)
+    )
+    await injection
 
 
-@kind(3)
-async def stop_proxy(day, place, span):
-    await day.restart(day.proxies(), place, span)
+@fault_kind(3)
+async def stop_proxy(day, pick, duration_us):
+    await day.restart_gracefully(day.proxy_targets(), pick, duration_us)
 
 
-@kind(1)
-async def stop_reg(day, place, span):
-    await day.restart(day.regs(), place, span)
+@fault_kind(1)
+async def stop_reg(day, pick, duration_us):
+    await day.restart_gracefully(day.registry_targets(), pick, duration_us)
 
 
-@kind(2)
-async def stop_conf(day, place, span):
-    await day.restart(day.confs(), place, span)
+@fault_kind(2)
+async def stop_conf(day, pick, duration_us):
+    await day.restart_gracefully(day.config_store_targets(), pick, duration_us)
 
 
-@kind(1)
-async def swap_member(day, place, span):
-    """A core machine's place is taken by a new one, under load."""
-    with day.hold([("mdconf", h) for h in day.world.core], place) as chosen:
+@fault_kind(1)
+async def swap_member(day, pick, duration_us):
+    """Replace a core machine by a new one, under load."""
+    with day.reserve([("mdconf", h) for h in day.world.core], pick) as chosen:
         reg = chosen and ("mdreg", chosen[1])
-        if chosen is None or reg in day.touched:
+        if chosen is None or reg in day.reserved:
             return
         world, old = day.world, chosen[1]
-        day.newcomers += 1
-        new = f"10.0.2.{day.newcomers}"
+        day.replacement_count += 1
+        new = f"10.0.2.{day.replacement_count}"
         world.zones[new] = world.zones[old]
-        day.touched |= {("mdconf", new), ("mdreg", new), reg}
+        day.reserved |= {("mdconf", new), ("mdreg", new), reg}
         await world.start("mdreg", new)
         await world.start("mdconf", new)
-        facts = {"old": f"{old}:7421", "new": f"{new}:7421"}
+        request = {"old": f"{old}:7421", "new": f"{new}:7421"}
         changed = False
         with deadline_scope(monotonic_us() + 6 * SECOND):
             while not changed:
                 core = next((i for i, h in enumerate(world.core) if h != old), 0)
-                changed = await day.members_accepted(facts, core)
+                changed = await day.try_members_change(request, core)
                 await sleep_us(300 * MILLISECOND)
         if changed:
             world.core[world.core.index(old)] = new
@@ -160,16 +182,20 @@
         for role in ("mdreg", "mdconf"):
             if f"{role}@{removed}" in world.processes:
                 world.kill(f"{role}@{removed}")
-        day.touched -= {("mdconf", new), ("mdreg", new), reg}
+        day.reserved -= {("mdconf", new), ("mdreg", new), reg}
+
 
+async def replace(day, pick, duration_us, service_of):
+    """Kill an endpoint; start one of another service there for 2 s if service_of says so.
 
-async def replace(day, place, span, service_of):
-    with day.hold(day.placed(), place) as chosen:
+    The machine's own endpoint is started again in the end.
+    """
+    with day.reserve(day.endpoint_targets(), pick) as chosen:
         if chosen is None:
             return
         host = chosen[1]
         day.world.kill(f"endpoint@{host}:8000")
-        await sleep_us(span)
+        await sleep_us(duration_us)
         own = day.world.application[host]
         other = service_of(own)
         if other != own:
@@ -179,20 +205,20 @@
         await day.place_endpoint(host, own, wait=False)
 
 
-@kind(3)
-async def kill_endpoint(day, place, span):
-    await replace(day, place, span, lambda own: own)
+@fault_kind(3)
+async def kill_endpoint(day, pick, duration_us):
+    await replace(day, pick, duration_us, lambda own: own)
 
 
-@kind(2)
-async def reuse_address(day, place, span):
-    """The address passes to another service at once, and later back."""
-    await replace(day, place, span // 50, lambda own: "paper" if own == "desk" else "desk")
+@fault_kind(2)
+async def reuse_address(day, pick, duration_us):
+    """Give an endpoint's address to another service almost at once, and give it back later."""
+    await replace(day, pick, duration_us // 50, lambda own: "paper" if own == "desk" else "desk")
 
 
-@kind(3)
-async def drain(day, place, span):
-    with day.hold(day.placed(), place) as chosen:
+@fault_kind(3)
+async def drain(day, pick, duration_us):
+    with day.reserve(day.endpoint_targets(), pick) as chosen:
         if chosen is None:
             return
         host = chosen[1]
@@ -207,37 +233,39 @@
             )
             if status == 200:
                 day.history.drains[endpoint.incarnation] = monotonic_us()
-        await sleep_us(max(span, 3 * SECOND))
+        await sleep_us(max(duration_us, 3 * SECOND))
         day.world.kill(f"endpoint@{host}:8000")
         await day.place_endpoint(host, day.world.application[host], wait=False)
 
 
-@kind(2)
-async def slow(day, place, span):
-    await day.turn([place], span, took_us=600 * MILLISECOND)
+@fault_kind(2)
+async def slow(day, pick, duration_us):
+    await day.degrade_endpoints([pick], duration_us, took_us=600 * MILLISECOND)
 
 
-@kind(2)
-async def overload(day, place, span):
-    """Every endpoint so slow that all calls together are beyond all capacity."""
-    await day.turn(range(len(day.knobs)), span, took_us=900 * MILLISECOND)
+@fault_kind(2)
+async def overload(day, pick, duration_us):
+    """Make every endpoint so slow that the load exceeds the total capacity."""
+    await day.degrade_endpoints(
+        range(len(day.endpoint_behaviour)), duration_us, took_us=900 * MILLISECOND
+    )
 
 
-@kind(3)
-async def garbage(day, place, span):
-    await day.turn([place], span, garbage=0.5)
+@fault_kind(3)
+async def garbage(day, pick, duration_us):
+    await day.degrade_endpoints([pick], duration_us, garbage=0.5)
 
 
-@kind(1)
-async def garbage_all(day, place, span):
-    await day.turn(range(len(day.knobs)), span, garbage=0.5)
+@fault_kind(1)
+async def garbage_all(day, pick, duration_us):
+    await day.degrade_endpoints(range(len(day.endpoint_behaviour)), duration_us, garbage=0.5)
 
 
-@kind(3)
-async def lose_answers(day, place, span):
-    address = sorted(day.knobs)[place % len(day.knobs)]
+@fault_kind(3)
+async def lose_answers(day, pick, duration_us):
+    address = sorted(day.endpoint_behaviour)[pick % len(day.endpoint_behaviour)]
     day.world.web.losing[address] = 0.5
-    await sleep_us(span)
+    await sleep_us(duration_us)
     day.world.web.losing.pop(address, None)
 
 
@@ -245,166 +273,168 @@
     return {p for a in local for b in remote if a != b for p in ((a, b), (b, a))}
 
 
-async def cut(day, pairs, span):
+async def cut(day, pairs, duration_us):
     day.world.web.cuts |= pairs
-    await sleep_us(span)
+    await sleep_us(duration_us)
     day.world.web.heal_links(pairs)
 
 
-@kind(3)
-async def cut_core(day, place, span):
-    """One core machine, or a side of the core, away from all the rest."""
+@fault_kind(3)
+async def cut_core(day, pick, duration_us):
+    """Partition one core machine, or a minority of the core, from all other machines."""
     core = list(day.world.core)
-    side = core[: 1 + place % (len(core) // 2)]
-    await cut(day, between(side, set(day.everybody()) - set(side)), span)
+    side = core[: 1 + pick % (len(core) // 2)]
+    await cut(day, between(side, set(day.all_hosts()) - set(side)), duration_us)
 
 
-@kind(2)
-async def cut_off_core(day, place, span):
-    """All application machines, or every second one, away from the whole core."""
+@fault_kind(2)
+async def cut_off_core(day, pick, duration_us):
+    """Partition all application machines, or every second one, from the whole core."""
     application = list(day.world.application)
-    await cut(day, between(application[:: 1 + place % 2], day.world.core), span)
+    await cut(day, between(application[:: 1 + pick % 2], day.world.core), duration_us)
 
 
-@kind(2)
-async def one_way(day, place, span):
-    hosts = day.everybody()
-    chosen = hosts[place % len(hosts)]
-    await cut(day, {(h, chosen) for h in hosts if h != chosen}, span)
+@fault_kind(2)
+async def one_way(day, pick, duration_us):
+    hosts = day.all_hosts()
+    chosen = hosts[pick % len(hosts)]
+    await cut(day, {(h, chosen) for h in hosts if h != chosen}, duration_us)
 
 
-@kind(3)
-async def isolate(day, place, span):
+@fault_kind(3)
+async def isolate(day, pick, duration_us):
     application = list(day.world.application)
-    chosen = application[place % len(application)]
-    await cut(day, between([chosen], day.everybody()), span)
+    chosen = application[pick % len(application)]
+    await cut(day, between([chosen], day.all_hosts()), duration_us)
 
 
-@kind(2)
-async def cut_zones(day, place, span):
-    """Between the application machines of one zone and the others; all reach the core."""
-    inside = set(day.zone(place)) & set(day.world.application)
-    await cut(day, between(inside, set(day.world.application) - inside), span)
+@fault_kind(2)
+async def cut_zones(day, pick, duration_us):
+    """Partition the application machines of one zone from the others; all still reach the core."""
+    inside = set(day.hosts_in_zone(pick)) & set(day.world.application)
+    await cut(day, between(inside, set(day.world.application) - inside), duration_us)
 
 
-@kind(2)
-async def reset_links(day, place, span):
-    """Every connection of one machine breaks at once."""
-    host = day.everybody()[place % len(day.everybody())]
+@fault_kind(2)
+async def reset_links(day, pick, duration_us):
+    """Reset every connection of one machine at once."""
+    host = day.all_hosts()[pick % len(day.all_hosts())]
     for process in list(day.world.processes.values()):
         if process.host == host:
             process.net.reset()
     await sleep_us(0)
 
 
-@kind(2)
-async def slow_links(day, place, span):
-    """A machine whose every message takes 20 to 120 ms more, each another time."""
-    host = day.everybody()[place % len(day.everybody())]
+@fault_kind(2)
+async def slow_links(day, pick, duration_us):
+    """Delay every message to or from one machine by a random 20 to 120 ms."""
+    host = day.all_hosts()[pick % len(day.all_hosts())]
     day.world.web.slow[host] = 20 * MILLISECOND, 120 * MILLISECOND
-    await sleep_us(span)
+    await sleep_us(duration_us)
     day.world.web.slow.pop(host, None)
 
 
-@kind(2)
-async def late_lists(day, place, span):
-    """Load lists that come late, or not at all."""
-    day.world.meddle["load.list"] = None if place % 2 else 700 * MILLISECOND
-    await sleep_us(span)
+@fault_kind(2)
+async def late_lists(day, pick, duration_us):
+    """Delay or lose all load lists."""
+    day.world.meddle["load.list"] = None if pick % 2 else 700 * MILLISECOND
+    await sleep_us(duration_us)
     day.world.meddle.pop("load.list", None)
 
 
-@kind(3)
-async def freeze_proxy(day, place, span):
-    await day.freeze(day.proxies(), place, span)
+@fault_kind(3)
+async def freeze_proxy(day, pick, duration_us):
+    await day.freeze(day.proxy_targets(), pick, duration_us)
 
 
-@kind(2)
-async def freeze_reg(day, place, span):
-    await day.freeze(day.regs(), place, span)
+@fault_kind(2)
+async def freeze_reg(day, pick, duration_us):
+    await day.freeze(day.registry_targets(), pick, duration_us)
 
 
-@kind(2)
-async def freeze_conf(day, place, span):
-    await day.freeze(day.confs(), place, span)
+@fault_kind(2)
+async def freeze_conf(day, pick, duration_us):
+    await day.freeze(day.config_store_targets(), pick, duration_us)
 
 
-@kind(2)
-async def freeze_endpoint(day, place, span):
-    await day.freeze(day.placed(), place, span)
+@fault_kind(2)
+async def freeze_endpoint(day, pick, duration_us):
+    await day.freeze(day.endpoint_targets(), pick, duration_us)
 
 
-@kind(1)
-async def freeze_zone(day, place, span):
+@fault_kind(1)
+async def freeze_zone(day, pick, duration_us):
     async with trio.open_nursery() as nursery:
-        for process in day.on(day.zone(place)):
-            nursery.start_soon(day.freeze, [process], 0, span)
+        for process in day.targets_on(day.hosts_in_zone(pick)):
+            nursery.start_soon(day.freeze, [process], 0, duration_us)
 
 
-@kind(2)
-async def lose_disk(day, place, span):
-    """The power goes and with it the disk; the machine comes back with a blank one."""
-    await day.lose_disks(1, place, span)
+@fault_kind(2)
+async def lose_disk(day, pick, duration_us):
+    """Power off a config store and lose its disk; it restarts with a blank one."""
+    await day.lose_disks(1, pick, duration_us)
 
 
-@kind(1)
-async def lose_minority(day, place, span):
-    """As many disks at once as the register can bear."""
-    await day.lose_disks((len(day.world.core) - 1) // 2, place, span)
+@fault_kind(1)
+async def lose_minority(day, pick, duration_us):
+    """Lose as many disks at once as the register tolerates."""
+    await day.lose_disks((len(day.world.core) - 1) // 2, pick, duration_us)
 
 
-@kind(2)
-async def rot(day, place, span):
-    """A file of the register, or a range file, goes bad under the running process."""
-    with day.hold(day.confs(), place) as chosen:
+@fault_kind(2)
+async def rot(day, pick, duration_us):
+    """Corrupt a file of the register, or a range file, under the running process."""
+    with day.reserve(day.config_store_targets(), pick) as chosen:
         disk = chosen and day.world.disks[chosen]
         names = sorted(n for n in disk.files if n[:4] in ("key/", "blob")) if disk else []
         if not names:
             return
-        disk.rot(names[place % len(names)])
-        await sleep_us(span)
-        if place % 2:  # and then it is started on it
-            await day.down_and_up([chosen], SECOND, day.kill, already_touched=True)
-            await day.repaired(chosen[1])
+        disk.rot(names[pick % len(names)])
+        await sleep_us(duration_us)
+        if pick % 2:  # then restart the process on the corrupt file
+            await day.stop_and_restart([chosen], SECOND, day.kill, already_reserved=True)
+            await day.wait_until_repaired(chosen[1])
 
 
-@kind(2)
-async def stall_disk(day, place, span):
-    with day.hold([("disk", host) for host in day.world.core], place) as chosen:
+@fault_kind(2)
+async def stall_disk(day, pick, duration_us):
+    with day.reserve([("disk", host) for host in day.world.core], pick) as chosen:
         if chosen is None:
             return
         disk = day.world.disks["mdconf", chosen[1]]
         disk.stalled = trio.Event()
-        await sleep_us(span)
+        await sleep_us(duration_us)
         stalled, disk.stalled = disk.stalled, None
         stalled.set()
 
 
-@kind(2)
-async def slow_disk(day, place, span):
-    disk = day.world.disks["mdconf", day.world.core[place % len(day.world.core)]]
+@fault_kind(2)
+async def slow_disk(day, pick, duration_us):
+    disk = day.world.disks["mdconf", day.world.core[pick % len(day.world.core)]]
     disk.step_us = 40 * MILLISECOND
-    await sleep_us(span)
+    await sleep_us(duration_us)
     disk.step_us = 300
 
 
-@kind(2)
-async def full_disk(day, place, span):
-    disk = day.world.disks["mdconf", day.world.core[place % len(day.world.core)]]
+@fault_kind(2)
+async def full_disk(day, pick, duration_us):
+    disk = day.world.disks["mdconf", day.world.core[pick % len(day.world.core)]]
     disk.full = True
-    await sleep_us(span)
+    await sleep_us(duration_us)
     disk.full = False
 
 
-@kind(2)
-async def broken_manifest(day, place, span):
-    """Invalid ones, racing with what the operators do anyway."""
+@fault_kind(2)
+async def broken_manifest(day, pick, duration_us):
+    """Submit invalid manifests, racing with the operators' own changes."""
     for number in range(3):
-        await day.break_manifest(place + number)
-        await sleep_us(span // 3)
+        await day.submit_invalid_manifest(pick + number)
+        await sleep_us(duration_us // 3)
 
 
-@kind(1)
-async def large_manifest(day, place, span):
-    """Many hundreds of ways, racing with small changes."""
-    await day.change(f"large{place}-{monotonic_us()}", place % len(day.world.core), ways=600)
+@fault_kind(1)
+async def large_manifest(day, pick, duration_us):
+    """Configure a manifest of 600 routes, racing with small changes."""
+    await day.change_configuration(
+        f"large{pick}-{monotonic_us()}", pick % len(day.world.core), ways=600
+    )
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -1,4 +1,4 @@
-"""Random days: load, operators and faults from one seed, then calm, then the checks."""
+"""Simulated days: load, operators and faults from one seed, a calm period, then the checks."""
 
 from __future__ import annotations
 
@@ -22,18 +22,19 @@
     sleep_us,
 )
 from meadowdock.simulator.checkers import verify
-from meadowdock.simulator.faults import KINDS, draw
-from meadowdock.simulator.history import Asked, History, Operated, Ran
+from meadowdock.simulator.faults import KINDS, draw_faults
+from meadowdock.simulator.history import Asked, Execution, History, Operated
 from meadowdock.simulator.net import SimNet
 from meadowdock.simulator.world import run
 
-CALM = 17 * SECOND
-BUSY, QUIET = 60 * MILLISECOND, 150 * MILLISECOND  # mean gap between calls at one machine
-KNOBS = {"took_us": 15 * MILLISECOND, "garbage": 0.0}  # of a healthy endpoint
-LOOK = 25 * MILLISECOND
-# never what was asked for; beside these an answer may be another call's, header and all
+CALM_US = 17 * SECOND  # without faults, at the day's end
+# mean gap between calls at one machine, during the faults and in the calm after them
+BUSY_GAP_US, QUIET_GAP_US = 60 * MILLISECOND, 150 * MILLISECOND
+HEALTHY_ENDPOINT = {"took_us": 15 * MILLISECOND, "garbage": 0.0}
+WATCH_INTERVAL_US = 25 * MILLISECOND
+# bodies that are no call's valid response; a faulty endpoint may also repeat its last response
 GARBAGE = [b'{"uid": ', b"", b'{"uid": "x"} {}', b"\xff\xfe", b"NaN"]
-REPAIR = 12 * SECOND  # a blank disk is a member again by then
+REPAIR_WITHIN_US = 12 * SECOND  # for a member whose disk was lost to vote again
 
 
 def manifest(mark, ways=0):
@@ -71,104 +72,120 @@
     }
 
 
-def broken(mark, how):
-    """Manifests that must be refused, each in another way."""
-    facts = manifest(mark)
-    wrong = [
-        b"{" + json.dumps(facts).encode(),
-        json.dumps(facts | {"zones": []}).encode(),
-        json.dumps(facts | {"budgets": []}).encode(),
-        json.dumps(facts | {"ways": facts["ways"] + facts["ways"][:1]}).encode(),
-        json.dumps(facts | {"load": {"phi": 0.9, "omega": 0.5}}).encode(),
+def invalid_manifest(mark, variant):
+    """Return a manifest that must be refused; each variant is invalid in another way."""
+    valid = manifest(mark)
+    invalid = [
+        b"{" + json.dumps(valid).encode(),
+        json.dumps(valid | {"zones": []}).encode(),
+        json.dumps(valid | {"budgets": []}).encode(),
+        json.dumps(valid | {"ways": valid["ways"] + valid["ways"][:1]}).encode(),
+        json.dumps(valid | {"load": {"phi": 0.9, "omega": 0.5}}).encode(),
         b"[" * 5000,
     ]
-    return wrong[how % len(wrong)]
+    return invalid[variant % len(invalid)]
 
 
-class Odd(Endpoint):
-    """An endpoint that may answer with what belongs to another call, header and all."""
+class FaultyEndpoint(Endpoint):
+    """An endpoint that may answer with garbage, or with another call's headers and body.
+
+    Invariant: a response is replaced only on its way out; the endpoint's record keeps the true one.
+    """
 
-    # Invariant: what is spoiled is spoiled on its way out; the endpoint's record holds its true answer
     table = RouteTable()
     table.exact = Endpoint.table.exact
-    last = spoilt = None  # (headers, body) of the last answer; what the next answer is instead
+    last_response = None  # (headers, body)
+    replacement = None  # a body, or (headers, body), to be sent in place of the next response
 
     @table.otherwise
     async def handle_request(self, request):
-        reply = await super().handle_request(request)
-        spoilt, self.spoilt = self.spoilt, None
-        if isinstance(spoilt, tuple):
-            reply.headers, reply.body = spoilt
-        elif spoilt is not None:
-            reply.body = spoilt
-        self.last = reply.headers, reply.body
-        return reply
+        response = await super().handle_request(request)
+        replacement, self.replacement = self.replacement, None
+        if isinstance(replacement, tuple):
+            response.headers, response.body = replacement
+        elif replacement is not None:
+            response.body = replacement
+        self.last_response = response.headers, response.body
+        return response
 
 
 class Day:
-    """Invariants: touched holds what a fault is at work on, so that none is hit twice at once;
-    every fault's undoing is done by the storm's end; blank holds the core machines whose disk was
-    lost and that were not yet seen to vote again."""
+    """One simulated day with its load, operators and faults.
+
+    A target of a fault is a pair (role, host). Invariants: reserved holds the targets of current
+    faults, so that none is hit by two at once; every fault is undone before the calm begins;
+    blank_disks holds the core machines whose disk was lost and that have not voted since.
+    """
 
     def __init__(self, world, faults):
         self.world, self.faults = world, faults
         self.rng = random.Random(f"day{world.seed}")
         self.history = History()
-        self.knobs = {}  # address -> {"took_us", "garbage"}
-        self.endpoints = {}  # host -> (mdlib Endpoint, process name)
-        self.touched, self.blank = set(), set()
-        self.ready = {}
+        self.endpoint_behaviour = {}  # address -> {"took_us", "garbage"}
+        self.endpoints = {}  # host -> its endpoint
+        self.reserved, self.blank_disks = set(), set()
+        self.ready = {}  # host -> whether its proxy last reported to be ready
         self.records = {}  # (host, service) -> the disk with its endpoint's record of keys
-        self.strikes = {name: partial(strike, self) for name, (_, strike) in KINDS.items()}
-        self.newcomers = 0
-        self.begun = 0
-        self.over = False
-        self.uid = 0
+        self.injectors = {name: partial(inject, self) for name, (_, inject) in KINDS.items()}
+        self.replacement_count = 0
+        self.faults_begun = 0
+        self.finished = False
+        self.call_count = 0
 
     async def place_endpoint(self, host, service, wait=True):
         address = f"{host}:8000"
-        knobs = self.knobs.setdefault(address, dict(KNOBS))
+        behaviour = self.endpoint_behaviour.setdefault(address, dict(HEALTHY_ENDPOINT))
         endpoint = None
 
-        async def handle(got):
-            kind, uid = got.path.strip("/").split("/")[:2]
+        async def handle(request):
+            kind, uid = request.path.strip("/").split("/")[:2]
             self.history.ran.append(
-                Ran(uid, kind, got.caller, monotonic_us(), service, address, endpoint.incarnation)
+                Execution(
+                    uid,
+                    kind,
+                    request.caller,
+                    monotonic_us(),
+                    service,
+                    address,
+                    endpoint.incarnation,
+                )
             )
-            await sleep_us(int(knobs["took_us"] * self.rng.uniform(0.5, 1.5)))
-            if self.rng.random() < knobs["garbage"]:
-                endpoint.spoilt = self.rng.choice([*GARBAGE, endpoint.last or GARBAGE[0]])
-            return 200, {"uid": uid, "caller": got.caller, "whole": True}
+            await sleep_us(int(behaviour["took_us"] * self.rng.uniform(0.5, 1.5)))
+            if self.rng.random() < behaviour["garbage"]:
+                endpoint.replacement = self.rng.choice(
+                    [*GARBAGE, endpoint.last_response or GARBAGE[0]]
+                )
+            return 200, {"uid": uid, "caller": request.caller, "whole": True}
 
         record = ExecutionRecord(self.records.setdefault((host, service), MemoryDisk()))
         endpoint = await self.world.endpoint(
-            host, service, handle, capacity=6, wait=wait, kind=Odd, record=record
+            host, service, handle, capacity=6, wait=wait, kind=FaultyEndpoint, record=record
         )
         self.endpoints[host] = endpoint
         return endpoint
 
     async def call(self, host, kind, caller, token=None):
-        self.uid += 1
-        uid = f"u{self.uid}"
+        self.call_count += 1
+        uid = f"u{self.call_count}"
         keyed = kind == "withdrawals" and self.rng.random() < 0.7
-        asked = await self.send(uid, host, kind, caller, token, keyed)
-        if keyed and asked.verdict == "may-have-run" and self.rng.random() < 0.8:
-            # the caller wants to know: at the same machine or another, soon or later
+        call = await self.send(uid, host, kind, caller, token, keyed)
+        if keyed and call.verdict == "may-have-run" and self.rng.random() < 0.8:
+            # the caller repeats the call under its key, at the same machine or another
             await sleep_us(self.rng.randrange(50 * MILLISECOND, 3 * SECOND))
             desks = [h for h, service in self.world.application.items() if service == "desk"]
-            again = host if self.rng.random() < 0.5 else self.rng.choice(desks)
-            await self.send(uid, again, kind, caller, token, keyed, repeat=True)
+            second_host = host if self.rng.random() < 0.5 else self.rng.choice(desks)
+            await self.send(uid, second_host, kind, caller, token, keyed, repeat=True)
 
     async def send(self, uid, host, kind, caller, token, keyed, repeat=False):
-        asked = Asked(uid, host, kind, caller, monotonic_us())
-        self.history.asked.append(asked)
+        call = Asked(uid, host, kind, caller, monotonic_us())
+        self.history.asked.append(call)
         net = SimNet(self.world.web, host)
         net.home = self.world.nursery
-        once = kind == "withdrawals"
-        lines = [(b"md-token", token.encode())] if token else []
-        lines += [(b"md-key", uid.encode())] if keyed else []
-        lines += [(b"md-repeat", b"1")] if repeat else []
-        body = b'{"amount": 1}' if once else b""
+        runs_once = kind == "withdrawals"
+        headers = [(b"md-token", token.encode())] if token else []
+        headers += [(b"md-key", uid.encode())] if keyed else []
+        headers += [(b"md-repeat", b"1")] if repeat else []
+        body = b'{"amount": 1}' if runs_once else b""
         sent = False
 
         def started():
@@ -177,18 +194,21 @@
 
         with deadline_scope(monotonic_us() + 6 * SECOND):
             try:
-                status, headers, answer = await net.http(f"{host}:7400").request(
-                    "POST" if once else "GET", f"/{kind}/{uid}", lines, body, started
+                response = await net.http(f"{host}:7400").request(
+                    "POST" if runs_once else "GET", f"/{kind}/{uid}", headers, body, started
                 )
-                asked.heard(status, headers, answer)
+                call.heard(*response)
             except HttpConnectionFailed:
-                asked.broke(sent or repeat)
-        asked.answered = monotonic_us()
-        return asked
+                call.broke(sent or repeat)
+        call.answered = monotonic_us()
+        return call
 
     async def probe(self, host):
-        """As the platform: asks ready once a second, and sends nobody to who is not."""
-        while not self.over:
+        """Probe a proxy's readiness once a second, as the platform does.
+
+        No callers are sent to a proxy that is not ready.
+        """
+        while not self.finished:
             self.ready[host] = False
             try:
                 with deadline_scope(monotonic_us() + SECOND):
@@ -198,9 +218,9 @@
                 pass
             await sleep_us(SECOND)
 
-    async def callers(self, host):
-        while not self.over:
-            gap_us = QUIET if self.history.calm_from else BUSY
+    async def send_calls(self, host):
+        while not self.finished:
+            gap_us = QUIET_GAP_US if self.history.calm_from else BUSY_GAP_US
             await sleep_us(int(self.rng.expovariate(1 / gap_us)))
             if not self.ready.get(host, True):
                 continue
@@ -212,10 +232,10 @@
                 kinds, name, token = ["ledger"], "paper", endpoint.token
             self.world.nursery.start_soon(self.call, host, self.rng.choice(kinds), name, token)
 
-    async def change(self, mark, core, ways=0):
+    async def change_configuration(self, mark, core, ways=0):
         base = 0
         start = monotonic_us()
-        done = Operated("confirm", start, start, "refused", mark=mark)
+        operation = Operated("confirm", start, start, "refused", mark=mark)
         try:
             with deadline_scope(monotonic_us() + 15 * SECOND):
                 status, answer = await self.world.operate(
@@ -224,121 +244,128 @@
                 if status != 200 or not answer["plan"]:
                     return
                 base = answer["base"]
-                done.start, done.outcome, done.base = monotonic_us(), "unclear", base
-                self.history.operated.append(done)
+                operation.start, operation.outcome, operation.base = monotonic_us(), "unclear", base
+                self.history.operated.append(operation)
                 status, answer = await self.world.operate(
                     "POST", "/confirm", {"plan": answer["plan"]}, core
                 )
                 if status == 200:
-                    done.outcome, done.version = "ok", answer["version"]
+                    operation.outcome, operation.version = "ok", answer["version"]
                 elif status in (409, 503, 404):
-                    done.outcome = "refused"
+                    operation.outcome = "refused"
         except HttpConnectionFailed:
             pass
         finally:
-            done.end = monotonic_us()
+            operation.end = monotonic_us()
 
     async def read(self, core):
-        done = Operated("read", monotonic_us(), 0, "refused")
+        operation = Operated("read", monotonic_us(), 0, "refused")
         try:
             with deadline_scope(monotonic_us() + 8 * SECOND):
                 status, answer = await self.world.operate("GET", "/manifest", core=core)
                 if status == 200:
-                    done.outcome, done.version = "ok", answer["version"]
+                    operation.outcome, operation.version = "ok", answer["version"]
                     marks = [
                         w["name"] for w in answer["manifest"]["ways"] if w["path"][:6] == "/mark/"
                     ]
-                    done.mark = marks[0] if marks else ""
+                    operation.mark = marks[0] if marks else ""
         except HttpConnectionFailed:
             pass
-        done.end = monotonic_us()
-        self.history.operated.append(done)
-        return done.outcome == "ok"
+        operation.end = monotonic_us()
+        self.history.operated.append(operation)
+        return operation.outcome == "ok"
 
-    async def break_manifest(self, how):
-        mark = f"broken{how}-{monotonic_us()}"
+    async def submit_invalid_manifest(self, variant):
+        mark = f"broken{variant}-{monotonic_us()}"
         try:
             with deadline_scope(monotonic_us() + 8 * SECOND):
                 status, answer = await self.world.operate(
-                    "POST", "/plan", broken(mark, how), how % len(self.world.core)
+                    "POST", "/plan", invalid_manifest(mark, variant), variant % len(self.world.core)
                 )
                 self.history.broken.append((mark, status))
         except HttpConnectionFailed:
             pass
 
-    async def members_accepted(self, facts, core):
-        """One try of a member change; is it done?"""
+    async def try_members_change(self, request, core):
+        """Try a change of members once; return whether it was accepted."""
         try:
-            status, _ = await self.world.operate("POST", "/members", facts, core)
+            status, _ = await self.world.operate("POST", "/members", request, core)
             return status == 200
         except HttpConnectionFailed:
             return False
 
-    async def check_trail(self, core):
+    async def verify_audit_trail(self, core):
         status, answer = await self.world.operate("GET", "/audit", core=core)
         if status == 200:
             self.history.trail = audit.verify(
                 answer["records"], answer["key"], answer["version"], answer["anchor"]
             )
 
-    async def operators(self):
+    async def operate(self):
         number = 0
         cores = len(self.world.core)
-        while not self.over:
-            for _ in range(self.rng.choice([1, 1, 2])):  # two at once, now and then
+        while not self.finished:
+            for _ in range(self.rng.choice([1, 1, 2])):  # sometimes two changes at once
                 number += 1
-                self.world.nursery.start_soon(self.change, f"m{number}", self.rng.randrange(cores))
+                self.world.nursery.start_soon(
+                    self.change_configuration, f"m{number}", self.rng.randrange(cores)
+                )
             self.world.nursery.start_soon(self.read, self.rng.randrange(cores))
             await sleep_us(self.rng.randrange(SECOND, 4 * SECOND))
 
-    async def storm(self):
+    async def inject_faults(self):
         async with trio.open_nursery() as nursery:
             for fault in self.faults:
-                nursery.start_soon(self.strike, fault)
+                nursery.start_soon(self.inject, fault)
 
-    async def strike(self, fault):
-        await sleep_us(self.begun + fault.at - monotonic_us())
-        await self.strikes[fault.kind](fault.place, fault.span)
+    async def inject(self, fault):
+        await sleep_us(self.faults_begun + fault.start_us - monotonic_us())
+        await self.injectors[fault.kind](fault.pick, fault.duration_us)
 
     @contextmanager
-    def hold(self, options, place):
-        """The place's turn among what is free, held against other faults; or None."""
-        free = [o for o in options if o not in self.touched]
-        chosen = free[place % len(free)] if free else None
-        self.touched |= {chosen} - {None}
+    def reserve(self, candidates, pick):
+        """Choose a target that no other fault has reserved, and reserve it; yield it, or None."""
+        free = [target for target in candidates if target not in self.reserved]
+        chosen = free[pick % len(free)] if free else None
+        self.reserved |= {chosen} - {None}
         yield chosen
-        self.touched.discard(chosen)
+        self.reserved.discard(chosen)
 
-    def placed(self):
+    def endpoint_targets(self):
         return [("endpoint", host) for host in self.endpoints]
 
-    def proxies(self):
+    def proxy_targets(self):
         return [("mdproxy", h) for h in self.world.application]
 
-    def regs(self):
+    def registry_targets(self):
         return [("mdreg", h) for h in self.world.core]
 
-    def confs(self):
+    def config_store_targets(self):
         return [("mdconf", h) for h in self.world.core]
 
-    def everybody(self):
+    def all_hosts(self):
         return [*self.world.core, *self.world.application]
 
-    def zone(self, place):
-        return [h for h in self.everybody() if self.world.zones[h] == "abc"[place % 3]]
+    def hosts_in_zone(self, pick):
+        return [h for h in self.all_hosts() if self.world.zones[h] == "abc"[pick % 3]]
 
-    def on(self, hosts):
-        """All that runs on these machines; endpoints last, as they need their proxy."""
-        every = [*self.regs(), *self.confs(), *self.proxies(), *self.placed()]
-        return [rh for rh in every if rh[1] in hosts]
+    def targets_on(self, hosts):
+        """Return everything that runs on the hosts; endpoints last, as they need their proxy."""
+        targets = [
+            *self.registry_targets(),
+            *self.config_store_targets(),
+            *self.proxy_targets(),
+            *self.endpoint_targets(),
+        ]
+        return [target for target in targets if target[1] in hosts]
 
-    def name(self, role, host):
+    def process_name(self, role, host):
         return f"{role}@{host}:8000" if role == "endpoint" else f"{role}@{host}"
 
     def kill(self, role, host):
-        self.world.kill(self.name(role, host))
+        self.world.kill(self.process_name(role, host))
 
-    def power(self, role, host):
+    def power_off(self, role, host):
         self.kill(role, host)
         if role == "mdconf":
             self.world.disks[role, host].power_off()
@@ -349,132 +376,145 @@
         else:
             await self.world.start(role, host)
 
-    async def down_and_up(self, roles_hosts, span, end, already_touched=False):
-        """End processes, and start them again after a while."""
-        mine = [rh for rh in roles_hosts if already_touched or rh not in self.touched]
-        self.touched |= set(mine)
-        for role, host in mine:
-            end(role, host)
-        await sleep_us(span)
+    async def stop_and_restart(self, targets, duration_us, stop, already_reserved=False):
+        """Stop processes by `stop`, and start them again after a while."""
+        stopped = [t for t in targets if already_reserved or t not in self.reserved]
+        self.reserved |= set(stopped)
+        for role, host in stopped:
+            stop(role, host)
+        await sleep_us(duration_us)
         async with trio.open_nursery() as nursery:
-            for role, host in mine:
+            for role, host in stopped:
                 nursery.start_soon(self.start, role, host)
-        if not already_touched:
-            self.touched -= set(mine)
+        if not already_reserved:
+            self.reserved -= set(stopped)
 
-    async def one(self, options, place, span, end):
-        with self.hold(options, place) as chosen:
+    async def stop_and_restart_one(self, candidates, pick, duration_us, stop):
+        with self.reserve(candidates, pick) as chosen:
             if chosen:
-                await self.down_and_up([chosen], span, end, already_touched=True)
+                await self.stop_and_restart([chosen], duration_us, stop, already_reserved=True)
 
-    async def restart(self, options, place, span):
-        with self.hold(options, place) as chosen:
+    async def restart_gracefully(self, candidates, pick, duration_us):
+        with self.reserve(candidates, pick) as chosen:
             if chosen is None:
                 return
             begun = monotonic_us()
-            await self.world.stop(self.name(*chosen))
+            await self.world.stop(self.process_name(*chosen))
             if chosen[0] == "mdproxy":
                 self.history.stops.append((chosen[1], begun, monotonic_us()))
-            await sleep_us(span // 4)
+            await sleep_us(duration_us // 4)
             await self.start(*chosen)
 
-    async def freeze(self, options, place, span):
-        with self.hold(options, place) as chosen:
+    async def freeze(self, candidates, pick, duration_us):
+        with self.reserve(candidates, pick) as chosen:
             if chosen is None:
                 return
-            process = self.world.processes[self.name(*chosen)]
+            process = self.world.processes[self.process_name(*chosen)]
             process.freeze()
-            await sleep_us(span)
+            await sleep_us(duration_us)
             process.wake()
 
-    async def turn(self, places, span, **changes):
-        addresses = sorted(self.knobs)
-        turned = [self.knobs[addresses[place % len(addresses)]] for place in places]
-        for knobs in turned:
-            knobs.update(changes)
-        await sleep_us(span)
-        for knobs in turned:
-            knobs.update({name: KNOBS[name] for name in changes})  # whoever else turned them
-
-    async def lose_disks(self, count, place, span):
-        """Only as many as leave a majority of whole disks, whatever else is blank already."""
+    async def degrade_endpoints(self, picks, duration_us, **changes):
+        """Change the behaviour of some endpoints for a time."""
+        addresses = sorted(self.endpoint_behaviour)
+        degraded = [self.endpoint_behaviour[addresses[pick % len(addresses)]] for pick in picks]
+        for behaviour in degraded:
+            behaviour.update(changes)
+        await sleep_us(duration_us)
+        for behaviour in degraded:
+            # back to healthy values, also if an overlapping fault changed them
+            behaviour.update({name: HEALTHY_ENDPOINT[name] for name in changes})
+
+    async def lose_disks(self, count, pick, duration_us):
+        """Lose the disks of up to `count` members, but never of a majority.
+
+        Disks that are still blank after earlier faults count as lost.
+        """
         core = len(self.world.core)
-        options = [("mdconf", h) for h in self.world.core[place % core :] + self.world.core]
-        most = min(count, (core - 1) // 2 - len(self.blank))
-        chosen = [rh for rh in dict.fromkeys(options) if rh not in self.touched][: max(0, most)]
-        self.touched |= set(chosen)
-        self.blank |= {host for _, host in chosen}
+        candidates = [("mdconf", h) for h in self.world.core[pick % core :] + self.world.core]
+        allowed = min(count, (core - 1) // 2 - len(self.blank_disks))
+        free = [target for target in dict.fromkeys(candidates) if target not in self.reserved]
+        chosen = free[: max(0, allowed)]
+        self.reserved |= set(chosen)
+        self.blank_disks |= {host for _, host in chosen}
         for role, host in chosen:
-            self.power(role, host)
+            self.power_off(role, host)
             self.world.lose_disk(role, host)
-        await sleep_us(span)
+        await sleep_us(duration_us)
         async with trio.open_nursery() as nursery:
             for role, host in chosen:
                 nursery.start_soon(self.world.start, role, host)
         for _, host in chosen:
-            await self.repaired(host)
-        self.touched -= set(chosen)
-
-    async def repaired(self, host):
-        """Wait until a member whose disk was lost votes again. Invariant: a host stays in blank
-        until then, however long that takes."""
-        with deadline_scope(monotonic_us() + REPAIR) as limit:
-            while (await self.why_not(host)) != []:
+            await self.wait_until_repaired(host)
+        self.reserved -= set(chosen)
+
+    async def wait_until_repaired(self, host):
+        """Wait until a member whose disk was lost votes again.
+
+        Invariant: a host stays in blank_disks until then, however long that takes.
+        """
+        with deadline_scope(monotonic_us() + REPAIR_WITHIN_US) as limit:
+            while (await self.unready_reasons(host)) != []:
                 await sleep_us(200 * MILLISECOND)
         if limit.cancelled_caught:
             self.history.unrepaired.append(host)
         else:
-            self.blank.discard(host)
+            self.blank_disks.discard(host)
 
-    async def why_not(self, host):
+    async def unready_reasons(self, host):
         try:
             _, _, answer = await self.world.http(host, "GET", f"{host}:7420", "/ready")
             return answer["why"]
         except HttpConnectionFailed:
             return None
 
-    def linked(self, a, b):
+    def connected(self, a, b):
         cuts = self.world.web.cuts
         return a == b or ((a, b) not in cuts and (b, a) not in cuts)
 
-    def works(self, role, host):
+    def is_running(self, role, host):
         process = self.world.processes.get(f"{role}@{host}")
         return process is not None and process.frozen is None and process.up.is_set()
 
-    def members(self):
+    def working_members(self):
         return [
             h
             for h in self.world.core
-            if self.works("mdconf", h)
-            and h not in self.blank
+            if self.is_running("mdconf", h)
+            and h not in self.blank_disks
             and self.world.disks["mdconf", h].stalled is None
             and not self.world.disks["mdconf", h].full
         ]
 
-    def in_contact(self, host):
-        """Does this run let the proxy there reach a member that reaches a majority?"""
-        members, most = self.members(), len(self.world.core) // 2 + 1
-        return self.works("mdproxy", host) and any(
-            self.linked(host, member) and sum(self.linked(member, m) for m in members) >= most
+    def can_reach_quorum(self, host):
+        """Return whether the host's proxy can reach a member that can reach a majority."""
+        members, majority = self.working_members(), len(self.world.core) // 2 + 1
+        return self.is_running("mdproxy", host) and any(
+            self.connected(host, member)
+            and sum(self.connected(member, m) for m in members) >= majority
             for member in members
         )
 
-    async def watch(self):
-        """Keeps history.away: looks often, and takes a doubtful moment as away."""
-        last = monotonic_us()
+    async def record_partitions(self):
+        """Keep history.away up to date by polling.
+
+        The intervals around a partition, in which it began or ended, count as part of it.
+        """
+        last_poll = monotonic_us()
         while True:
             for host in self.world.application:
-                spans = self.history.away.setdefault(host, [])
-                if self.in_contact(host):
+                partitions = self.history.away.setdefault(host, [])
+                if self.can_reach_quorum(host):
                     continue
-                if spans and spans[-1][1] >= last:
-                    spans[-1][1] = monotonic_us() + LOOK
+                if partitions and partitions[-1][1] >= last_poll:
+                    partitions[-1][1] = monotonic_us() + WATCH_INTERVAL_US
                 else:
-                    spans.append([last, monotonic_us() + LOOK])
-            last = monotonic_us()
-            await sleep_us(LOOK)
+                    partitions.append([last_poll, monotonic_us() + WATCH_INTERVAL_US])
+            last_poll = monotonic_us()
+            await sleep_us(WATCH_INTERVAL_US)
 
-    async def live(self):
+    async def run(self):
+        """Start the deployment, play the day and return its history."""
         world = self.world
         await world.start_all()
         await world.eventually(lambda: not world.node("mdconf", world.core[0]).unready_reasons())
@@ -487,53 +527,56 @@
             await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
             await self.place_endpoint(host, service)
         await sleep_us(SECOND)
-        self.begun = monotonic_us()
+        self.faults_begun = monotonic_us()
         self.history.sendings = world.web.sendings
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.watch)
+            nursery.start_soon(self.record_partitions)
             for host in world.application:
                 nursery.start_soon(self.probe, host)
-                nursery.start_soon(self.callers, host)
-            nursery.start_soon(self.operators)
-            await self.storm()
+                nursery.start_soon(self.send_calls, host)
+            nursery.start_soon(self.operate)
+            await self.inject_faults()
             self.history.calm_from = monotonic_us()
-            await sleep_us(CALM)
-            self.over = True
+            await sleep_us(CALM_US)
+            self.finished = True
             nursery.cancel_scope.cancel()
         await sleep_us(5 * SECOND)
         for core in range(len(world.core)):
             if await self.read(core):
-                await self.check_trail(core)
+                await self.verify_audit_trail(core)
                 break
         self.history.end = monotonic_us()
         return self.history
 
 
-PLACES = [
+TOPOLOGIES = [
     {"core": 3, "application": ("desk", "desk", "desk", "paper", "paper")},
     {"core": 5, "application": ("desk", "desk", "paper", "paper")},
 ]
 
 
-def live(seed, faults=None):
-    """One day: (breaches, history, trace lines). The same seed and faults give the same."""
-    faults = draw(seed) if faults is None else faults
-    kept = {}
+def run_day(seed, faults=None):
+    """Run one day; return (breaches, history, trace lines).
+
+    The result depends only on the seed and the faults.
+    """
+    faults = draw_faults(seed) if faults is None else faults
+    worlds = []
 
     async def scenario(world):
-        kept["world"] = world
-        return await Day(world, faults).live()
+        worlds.append(world)
+        return await Day(world, faults).run()
 
-    history = run(scenario, seed, **PLACES[seed % len(PLACES)])
-    return verify(history), history, kept["world"].trace.lines
+    history = run(scenario, seed, **TOPOLOGIES[seed % len(TOPOLOGIES)])
+    return verify(history), history, worlds[0].trace.lines
 
 
 def shorten(seed, faults, promise):
-    """Leave out faults as long as the same promise is still broken."""
+    """Remove faults one by one as long as the same promise is still broken; return the rest."""
     index = 0
     while index < len(faults):
         fewer = faults[:index] + faults[index + 1 :]
-        if any(b.promise == promise for b in live(seed, fewer)[0]):
+        if any(b.promise == promise for b in run_day(seed, fewer)[0]):
             faults = fewer
         else:
             index += 1
--- a/tests/simulator/test_checkers.py
+++ b/tests/simulator/test_checkers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from meadowdock.simulator.checkers import CHECKS, verify
-from meadowdock.simulator.history import Asked, History, Operated, Ran
+from meadowdock.simulator.history import Asked, Execution, History, Operated
 
 S = 1_000_000
 
@@ -24,7 +24,7 @@
         history.asked.append(asked)
         history.sendings.append((sent + 400, "endpoint", uid))
         if asked.verdict != "not-run":
-            history.ran.append(Ran(uid, kind, caller, sent + 500, service, "a:1", "i1"))
+            history.ran.append(Execution(uid, kind, caller, sent + 500, service, "a:1", "i1"))
 
     call("u1", "balances", "guest", S)
     call("u2", "withdrawals", "guest", 2 * S)
@@ -53,7 +53,7 @@
 PLANTED = {
     "a run-once call runs at most once": lambda h: h.ran.append(copy.copy(ran(h, "u2"))),
     "a not-run answer is true for ever": lambda h: h.ran.append(
-        Ran("u5", "balances", "guest", 39 * S, "desk", "a:1", "i2")
+        Execution("u5", "balances", "guest", 39 * S, "desk", "a:1", "i2")
     ),
     "an answer is the caller's own, whole, and a success only of what ran": lambda h: asked(
         h, "u1"
