--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -248,7 +248,7 @@
             wall = lambda: WALL + monotonic_us()  # noqa: E731
             runtime = Runtime(process.net, disk, rng, offload=run_inline, wall_us=wall)
             process.node = Node(boot, runtime, nursery, Log(boot.name, self.trace, timed=False))
-            self.intercept_calls(process.node.rpc)
+            self.listen(process.node.rpc)
             disk.on_loss = process.kill
             gated = self.gated and role == "mdproxy"
             await nursery.start(process.node.run, GateProxy if gated else DAEMON_CLASSES[role])
@@ -258,7 +258,7 @@
         await process.up.wait()
         return process
 
-    def intercept_calls(self, links):
+    def listen(self, links):
         """Wrap a process's outgoing calls: record spills, and lose or delay calls as set in meddle."""
         original = links.call
 
