--- a/packages/simulator/meadowdock/simulator/wires.py
+++ b/packages/simulator/meadowdock/simulator/wires.py
@@ -1,4 +1,4 @@
-"""meadowdock.forwarding.sockets in memory: connections of raw bytes over the simulated web."""
+"""An in-memory meadowdock.forwarding.sockets: raw-byte connections over the simulated network."""
 
 from __future__ import annotations
 
@@ -10,8 +10,10 @@
 from meadowdock.forwarding.sockets import LINGER_US, READ_SIZE
 from meadowdock.runtime import Address, deadline_scope, monotonic_us
 
-WINDOW = 262_144  # bytes on the way or unread at the other end; more is held by the sender
-END, RESET = b"", None
+# bytes in flight or unread at the other end; the sender keeps what exceeds it
+WINDOW_BYTES = 262_144
+END, RESET = b"", None  # entries of an inbox that end it
+NEVER_US = 1 << 61
 
 
 def reset_error():
@@ -19,9 +21,11 @@
 
 
 class SimWire:
-    """One end, with meadowdock.forwarding.sockets.SocketConnection's interface. Invariants: inbox is in order, each entry with
-    its earliest arrival (bytes, END or RESET); unread is the size of its bytes; on_end is called
-    once, and not after close()."""
+    """One end of a connection, with the interface of meadowdock.forwarding.sockets.SocketConnection.
+
+    Invariants: inbox is in order, each entry (bytes, END or RESET) with the time before which it
+    must not be read; unread is the size of its bytes; on_end is called once, and not after close().
+    """
 
     def __init__(self, wires, peer):
         self.wires, self.peer = wires, peer
@@ -33,13 +37,13 @@
         self.read_paused = None
         self.blocked_since = 0
         self.inbox, self.unread = deque(), 0
-        self.arrived, self.room = trio.Event(), trio.Event()
+        self.arrived, self.window_opened = trio.Event(), trio.Event()
 
     def send(self, data):
         if self.closed or self.finishing or not data:
             return
         if not self.unsent:
-            data = data[self.put(data) :]
+            data = data[self.write(data) :]
             if not data:
                 return
         self.unsent.append(data)
@@ -47,32 +51,32 @@
         if not self.writing:
             self.writing = True
             self.blocked_since = monotonic_us()
-            self.wires.nursery.start_soon(self.drain)
+            self.wires.nursery.start_soon(self.write_unsent)
 
-    def put(self, data):
-        """What the other end's kernel takes of it; gives how many bytes that is."""
+    def write(self, data):
+        """Write what the window of the other end allows; return how many bytes that is."""
         other = self.other
         if self.broken:
-            return len(data)  # the reading task meets the same end
+            return len(data)  # the reading task handles the broken connection
         if other.closed:
             self.arrive(RESET, self.web.delay(self.here, self.peer))
             return len(data)
-        size = min(len(data), WINDOW - other.unread)
+        size = min(len(data), WINDOW_BYTES - other.unread)
         if size > 0:
             other.arrive(data[:size])
         return max(size, 0)
 
-    async def drain(self):
+    async def write_unsent(self):
         while self.unsent and not self.closed:
             data = b"".join(self.unsent)
-            sent = self.put(data)
+            sent = self.write(data)
             if sent:
                 self.blocked_since = monotonic_us()
                 self.unsent = [data[sent:]] if sent < len(data) else []
                 self.unsent_size = len(data) - sent
             else:
-                self.room = trio.Event()
-                await self.room.wait()
+                self.window_opened = trio.Event()
+                await self.window_opened.wait()
         self.writing = False
         if not self.closed:
             self.blocked_since = 0
@@ -96,69 +100,69 @@
                 self.half_close()
 
     def half_close(self):
-        self.tell_end(END)
+        self.send_end(END)
         self.wires.reactor.at(monotonic_us() + LINGER_US, self.close)
 
-    def tell_end(self, how):
-        if not self.other.closed and (not self.ended or how is RESET):
-            self.other.arrive(how)
+    def send_end(self, ending):
+        if not self.other.closed and (not self.ended or ending is RESET):
+            self.other.arrive(ending)
         self.ended = True
 
     def close(self):
-        """As a socket's close: a reset, if bytes lie unread."""
+        """Close as a socket does: with a reset if bytes are unread or unsent."""
         if not self.closed:
             self.end_with(RESET if self.unread or self.unsent else END)
 
     def abort(self):
-        """A reset in order behind what was sent."""
+        """Reset the connection; the peer reads what was sent before it meets the reset."""
         if not self.closed:
             self.end_with(RESET)
 
-    def end_with(self, how):
+    def end_with(self, ending):
         self.closed = True
         self.unsent, self.unsent_size = [], 0
         self.resume()
-        self.tell_end(how)
+        self.send_end(ending)
         self.arrived.set()
-        self.room.set()
-        self.other.room.set()
+        self.window_opened.set()
+        self.other.window_opened.set()
         self.wires.open.pop(self, None)
         self.web.ends.pop(self, None)
 
     def break_now(self):
-        """The connection is reset under both ends; what was on the way is lost."""
+        """Break this end at once; data in flight to it is lost."""
         self.broken = True
         self.arrived.set()
-        self.room.set()
+        self.window_opened.set()
 
-    def arrive(self, data, more_us=0):
+    def arrive(self, data, extra_us=0):
         if self.closed:
             return
         last = self.inbox[-1][0] if self.inbox else 0
-        at = max(last, monotonic_us() + more_us + self.web.delay(self.peer, self.here))
-        self.inbox.append((at, data))
+        arrives_at = max(last, monotonic_us() + extra_us + self.web.delay(self.peer, self.here))
+        self.inbox.append((arrives_at, data))
         self.unread += len(data or b"")
         self.arrived.set()
 
     async def next_data(self):
-        """Bytes, END or RESET, as soon as some may be read."""
+        """Wait for bytes, END or RESET that may be read, and return them."""
         web = self.web
         while not self.closed:
             if self.broken:
                 return RESET
-            at = self.inbox[0][0] if self.inbox else 1 << 61
-            if at <= monotonic_us() and (self.peer, self.here) not in web.cuts:
+            arrives_at = self.inbox[0][0] if self.inbox else NEVER_US
+            if arrives_at <= monotonic_us() and (self.peer, self.here) not in web.cuts:
                 if self.read_paused is not None:
                     await self.read_paused.wait()
                     continue
-                return self.take()
-            with deadline_scope(at if at > monotonic_us() else 1 << 61):
+                return self.read_available()
+            with deadline_scope(arrives_at if arrives_at > monotonic_us() else NEVER_US):
                 await self.arrived.wait()
             self.arrived = trio.Event()
         return END
 
-    def take(self):
-        """All that has come, as a socket's buffer; torn where the web tears."""
+    def read_available(self):
+        """Return all that has arrived, up to READ_SIZE or a random size below web.tear."""
         web, inbox = self.web, self.inbox
         _, data = inbox.popleft()
         if not data:
@@ -171,7 +175,7 @@
                 inbox.appendleft((monotonic_us(), data[size:]))
                 data = data[:size]
         self.unread -= len(data)
-        self.other.room.set()
+        self.other.window_opened.set()
         return data
 
     async def read(self):
@@ -192,7 +196,10 @@
 
 
 class Listener:
-    """A listening address. Invariant: backlog holds ends that its process has not accepted yet."""
+    """A listening address.
+
+    Invariant: backlog holds the connections that its process has not accepted yet.
+    """
 
     def __init__(self, wires):
         self.wires = wires
@@ -200,14 +207,14 @@
 
 
 class SimWires:
-    """The traffic of one process, with meadowdock.forwarding.sockets.SocketNetwork's interface."""
+    """One process's raw-byte connections, with the interface of sockets.SocketNetwork."""
 
     def __init__(self, net, nursery, reactor):
         self.net, self.web, self.host = net, net.web, net.host
         self.nursery, self.reactor = nursery, reactor
-        self.open = {}  # as an ordered set
+        self.open = {}  # used as an ordered set
 
-    def adopt(self, peer):
+    def create_wire(self, peer):
         wire = SimWire(self, peer)
         self.open[wire] = None
         self.web.ends[wire] = None
@@ -219,25 +226,25 @@
         try:
             task_status.started()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.take, listener, accept)
+                nursery.start_soon(self.accept_loop, listener, accept)
                 if closing is None:
                     await trio.sleep_forever()
                 await closing.wait()
                 nursery.cancel_scope.cancel()
-            self.take_all(listener, accept)
+            self.accept_pending(listener, accept)
         finally:
             if self.web.listeners.get(address) is listener:
                 del self.web.listeners[address]
             for wire in listener.backlog:
                 wire.abort()
 
-    async def take(self, listener, accept):
+    async def accept_loop(self, listener, accept):
         while True:
-            self.take_all(listener, accept)
+            self.accept_pending(listener, accept)
             await listener.arrived.wait()
             listener.arrived = trio.Event()
 
-    def take_all(self, listener, accept):
+    def accept_pending(self, listener, accept):
         while listener.backlog:
             wire = listener.backlog.popleft()
             accept(wire)
@@ -255,8 +262,8 @@
             if listener is None or not listener.wires.net.alive:
                 cause = ConnectionRefusedError(errno.ECONNREFUSED, "ECONNREFUSED")
             else:
-                wire = self.adopt(remote)
-                wire.other = listener.wires.adopt(self.host)
+                wire = self.create_wire(remote)
+                wire.other = listener.wires.create_wire(self.host)
                 wire.other.other = wire
                 listener.backlog.append(wire.other)
                 listener.arrived.set()
@@ -271,11 +278,15 @@
             await wire.read()
 
     def vanish(self, reset_peers=True):
-        """As a killed process: the others hear a reset; nothing, if the machine is gone."""
+        """Disappear as a killed process does.
+
+        :param reset_peers: whether the peers receive a reset. They receive nothing if the machine
+            itself is gone.
+        """
         for wire in list(self.open):
             if not reset_peers:
                 wire.ended = True
-                wire.tell_end = lambda how: None
+                wire.send_end = lambda ending: None
             wire.end_with(RESET)
         for address in [a for a, listener in self.web.listeners.items() if listener.wires is self]:
             del self.web.listeners[address]
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -101,7 +101,7 @@
             process.frozen.append((task, outcome))
         elif process is not None and process.processors is not None:
             task._abort_func = None
-            process.processors.take(process, task, outcome)
+            process.processors.schedule(process, task, outcome)
         else:
             original(self, task, *outcome)
 
