--- a/packages/simulator/meadowdock/simulator/standin/connection.py
+++ b/packages/simulator/meadowdock/simulator/standin/connection.py
@@ -1,4 +1,4 @@
-"""An endpoint's side of a connection from the mesh."""
+"""The stand-in endpoint's side of a connection from the mesh, and the requests on it."""
 
 from __future__ import annotations
 
@@ -11,57 +11,61 @@
 
 @dataclass(eq=False)
 class Job:
-    """A request that came, until it is answered."""
+    """A received request that has not been answered yet."""
 
     conn: object
-    first: bytes
+    start_line: bytes
     lines: list
     body: bytes
     due: int
-    came: int
+    received_at: int
     inner: list = field(default_factory=list)
 
     def __post_init__(self):
-        self.method, self.target, _ = self.first.split(b" ")
-        self.facts = {name.lower(): value for name, value in self.lines}
+        self.method, self.target, _ = self.start_line.split(b" ")
+        self.headers = {name.lower(): value for name, value in self.lines}
 
 
-class Conn:
-    """A connection from the mesh. Invariant: one job of it at a time; others wait in `behind`."""
+class MeshConnection:
+    """A connection from the mesh.
+
+    Invariant: it has one job at a time; further requests wait in `pending`.
+    """
 
     def __init__(self, endpoint, wire):
         self.endpoint, self.wire = endpoint, wire
-        self.reader, self.behind = Reader(), deque()
+        self.reader, self.pending = Reader(), deque()
         self.job = None
-        self.again = b""  # a late second answer, in the place of the next one
-        self.quiet_since = monotonic_us()
+        self.again = b""  # a late second response, sent when the next request begins
+        self.idle_since = monotonic_us()
         self.over = False
 
     def on_data(self, data):
-        self.quiet_since = monotonic_us()
+        self.idle_since = monotonic_us()
         try:
-            found = self.reader.feed(data)
+            messages = self.reader.feed(data)
         except (Malformed, ValueError) as cause:
             self.endpoint.malformed.append(cause)
             self.wire.abort()
             self.on_end("malformed")
             return
-        self.behind.extend(found)
-        self.next()
+        self.pending.extend(messages)
+        self.begin_next()
 
-    def next(self):
-        if self.job is None and self.behind and not self.over:
-            first, lines, body = self.behind.popleft()
+    def begin_next(self):
+        if self.job is None and self.pending and not self.over:
+            start_line, lines, body = self.pending.popleft()
             if self.again:
-                again, self.again = self.again, b""
-                self.wire.send(again)
-            self.job = self.endpoint.came(self, first, lines, body)
+                second_response, self.again = self.again, b""
+                self.wire.send(second_response)
+            self.job = self.endpoint.receive(self, start_line, lines, body)
 
     def say(self, data, keep=True):
-        self.job, self.quiet_since = None, monotonic_us()
+        """Send a response; then begin the next request, or close if `keep` is false."""
+        self.job, self.idle_since = None, monotonic_us()
         self.wire.send(data)
         if keep:
-            self.next()
+            self.begin_next()
         else:
             self.over = True
             self.wire.finish()
--- a/packages/simulator/meadowdock/simulator/standin/faults.py
+++ b/packages/simulator/meadowdock/simulator/standin/faults.py
@@ -1,4 +1,4 @@
-"""The ways in which a stand-in endpoint's answer fails, by name."""
+"""The faults of a stand-in endpoint's responses, by name."""
 
 from __future__ import annotations
 
@@ -12,70 +12,73 @@
 
 
 class FaultyAnswers:
-    """The faults of answers of a StandIn: fault_NAME(job, ran, data), data being the bytes of the
-    proper answer to a job that ran."""
+    """The response faults of a StandIn.
 
-    def fault_reset(self, job, ran, data):
+    Each is a method fault_NAME(job, execution, data), in which data is the correct response to a
+    job that was executed. Faults without a method are handled by StandIn itself.
+    """
+
+    def fault_reset(self, job, execution, data):
         job.conn.on_end("fault")
         job.conn.wire.abort()
 
-    def fault_close(self, job, ran, data):
+    def fault_close(self, job, execution, data):
         job.conn.say(b"", keep=False)
 
-    def fault_short(self, job, ran, data):
+    def fault_short(self, job, execution, data):
         job.conn.say(data[: len(data) - 5], keep=False)
 
-    def fault_short_head(self, job, ran, data):
+    def fault_short_head(self, job, execution, data):
         job.conn.say(data[:30], keep=False)
 
-    def fault_garbage(self, job, ran, data):
+    def fault_garbage(self, job, execution, data):
         job.conn.say(b"\x00\xff nothing of the kind\r\n\r\n")
 
-    def fault_twice(self, job, ran, data):
+    def fault_twice(self, job, execution, data):
         job.conn.say(data + data)
 
-    def fault_twice_late(self, job, ran, data):
+    def fault_twice_late(self, job, execution, data):
         job.conn.say(data)
         job.conn.again = data
 
-    def fault_twice_soon(self, job, ran, data):
-        """The second copy follows a moment later, whatever is under way by then."""
+    def fault_twice_soon(self, job, execution, data):
+        """Send a second copy 3 ms later, whatever has been sent since."""
         job.conn.say(data)
-        self.nursery.start_soon(self.say_later, job.conn, data)
+        self.nursery.start_soon(self.send_later, job.conn, data)
 
-    async def say_later(self, conn, data):
+    async def send_later(self, conn, data):
         await sleep_us(3 * MILLISECOND)
         conn.wire.send(data)
 
-    def fault_spare(self, job, ran, data):
+    def fault_spare(self, job, execution, data):
         job.conn.say(data + b"left over")
 
-    def fault_spare_late(self, job, ran, data):
+    def fault_spare_late(self, job, execution, data):
         job.conn.say(data)
         job.conn.again = b"left over\r\n\r\n"
 
-    def fault_unstamped(self, job, ran, data):
-        words = self.dialect
-        job.conn.say(self.answer(200, [(words.call_id, ran.id)], b"no stamp"))
+    def fault_unstamped(self, job, execution, data):
+        dialect = self.dialect
+        job.conn.say(self.answer(200, [(dialect.call_id, execution.id)], b"no stamp"))
 
-    def fault_nameless(self, job, ran, data):
+    def fault_nameless(self, job, execution, data):
         job.conn.say(self.answer(200, [(self.dialect.stamp, b"x")], b"no id"))
 
-    def fault_mixed_up(self, job, ran, data):
-        job.conn.say(data.replace(b": " + ran.id, b": another"))
+    def fault_mixed_up(self, job, execution, data):
+        job.conn.say(data.replace(b": " + execution.id, b": another"))
 
-    def fault_encoded(self, job, ran, data):
+    def fault_encoded(self, job, execution, data):
         job.conn.say(data.replace(b"X-Kept: as it was", b"Content-Encoding: gzip"))
 
-    def fault_unframed(self, job, ran, data):
-        words = self.dialect
-        lines = [(words.call_id, ran.id), (words.stamp, b"s")]
+    def fault_unframed(self, job, execution, data):
+        dialect = self.dialect
+        lines = [(dialect.call_id, execution.id), (dialect.stamp, b"s")]
         job.conn.say(self.answer(200, lines, b"until the end", length=False), keep=False)
 
-    def fault_own_503(self, job, ran, data):
-        """It ran, and yet says what would be a promise."""
-        job.conn.say(self.answer(503, [(self.dialect.call_id, ran.id)], b"overloaded"))
+    def fault_own_503(self, job, execution, data):
+        """Answer 503 although the call ran; a 503 of the mesh itself would mean that it did not run."""
+        job.conn.say(self.answer(503, [(self.dialect.call_id, execution.id)], b"overloaded"))
 
-    def fault_own_500(self, job, ran, data):
-        ran.status = 500
+    def fault_own_500(self, job, execution, data):
+        execution.status = 500
         job.conn.say(data.replace(b"HTTP/1.1 200", b"HTTP/1.1 500"))
--- a/packages/simulator/meadowdock/simulator/standin/messages.py
+++ b/packages/simulator/meadowdock/simulator/standin/messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages out of raw bytes, strictly, by a parser that shares nothing with the mesh's."""
+"""A strict HTTP/1.1 parser for the stand-ins, which shares no code with the mesh's."""
 
 from __future__ import annotations
 
@@ -7,71 +7,81 @@
 
 
 class Malformed(Exception):
-    """Bytes that are no HTTP/1.1 message."""
+    """The bytes are not an HTTP/1.1 message."""
 
 
 class Reader:
-    """Messages of a byte stream, strictly. Invariant: held are bytes of no whole message yet."""
+    """A reader of the messages of a byte stream.
+
+    Invariant: buffered holds bytes that are no complete message yet.
+    """
 
     def __init__(self):
         self.buffered = b""
-        self.bare = deque()  # of answers: is the next one to a HEAD
+        self.to_head_requests = deque()  # for each response expected: whether it is to a HEAD
 
     def feed(self, data):
-        """The whole messages: (first line, [(name, value)], body); raises Malformed."""
+        """Return the messages that data completes: (start line, [(name, value)], body).
+
+        :raises Malformed: if the bytes are not a message.
+        """
         self.buffered += data
-        found = []
+        messages = []
         while (message := self.message()) is not None:
-            found.append(message)
-        return found
+            messages.append(message)
+        return messages
 
     def message(self):
-        """The next message if all of it has come, else None."""
-        head, blank, rest_of = self.buffered.partition(b"\r\n\r\n")
-        if not blank:
+        """Return the next message if it is complete, else None."""
+        head, blank_line, rest = self.buffered.partition(b"\r\n\r\n")
+        if not blank_line:
             if (
                 self.buffered
                 and not self.buffered[:5].strip(b"ABCDEFGHIJKLMNOPQRSTUVWXYZ /") == b""
             ):
                 raise Malformed(self.buffered[:40])
             return None
-        first, lines = parse_head(head)
-        facts = {name.lower(): value for name, value in lines}
-        answer = first.startswith(b"HTTP/1.1 ")
-        status = int(first.split(b" ")[1]) if answer else 0
-        final = answer and status >= 200
-        bare = bool(self.bare and self.bare[0]) if final else answer
-        if bare or status in (204, 304):
-            body, left = b"", rest_of
-        elif b"transfer-encoding" in facts:
-            body, left = dechunked(rest_of)
+        start_line, headers = parse_head(head)
+        values = {name.lower(): value for name, value in headers}
+        is_response = start_line.startswith(b"HTTP/1.1 ")
+        status = int(start_line.split(b" ")[1]) if is_response else 0
+        is_final = is_response and status >= 200
+        to_head_request = bool(self.to_head_requests and self.to_head_requests[0])
+        has_no_body = to_head_request if is_final else is_response
+        if has_no_body or status in (204, 304):
+            body, unread = b"", rest
+        elif b"transfer-encoding" in values:
+            body, unread = dechunked(rest)
         else:
-            size = int(facts.get(b"content-length", 0))
-            body, left = (rest_of[:size], rest_of[size:]) if len(rest_of) >= size else (None, None)
+            size = int(values.get(b"content-length", 0))
+            body, unread = (rest[:size], rest[size:]) if len(rest) >= size else (None, None)
         if body is None:
             return None
-        if answer and status >= 200 and self.bare:
-            self.bare.popleft()
-        self.buffered = left
-        return first, lines, body
+        if is_response and status >= 200 and self.to_head_requests:
+            self.to_head_requests.popleft()
+        self.buffered = unread
+        return start_line, headers, body
 
 
 def parse_head(head):
-    """(first line, [(name, value)]); raises Malformed."""
-    first, *rows = head.split(b"\r\n")
-    lines = []
-    for row in rows:
-        name, colon, value = row.partition(b":")
+    """Return (start line, [(name, value)]) of a message's head.
+
+    :raises Malformed: if a line has not the form of a header, or the start line is not HTTP/1.1's.
+    """
+    start_line, *lines = head.split(b"\r\n")
+    headers = []
+    for line in lines:
+        name, colon, value = line.partition(b":")
         if not colon or name != name.strip() or not name:
-            raise Malformed(row)
-        lines.append((name, value.strip()))
-    if not first.startswith(b"HTTP/1.1 ") and not first.endswith(b" HTTP/1.1"):
-        raise Malformed(first)
-    return first, lines
+            raise Malformed(line)
+        headers.append((name, value.strip()))
+    if not start_line.startswith(b"HTTP/1.1 ") and not start_line.endswith(b" HTTP/1.1"):
+        raise Malformed(start_line)
+    return start_line, headers
 
 
 def dechunked(data):
-    """(body, bytes behind it) of a chunked body; (None, None) before its end has come."""
+    """Return (body, the bytes behind it) of a chunked body, or (None, None) if it is incomplete."""
     body = b""
     while True:
         size, end, data = data.partition(b"\r\n")
@@ -86,11 +96,11 @@
 
 
 def chunked(body, size=7):
-    """A body in chunks of a size."""
+    """Encode a body in chunks of a size."""
     parts = [body[at : at + size] for at in range(0, len(body), size)]
     return b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in parts) + b"0\r\n\r\n"
 
 
 def stamp_of(instance, id, body):
-    """The stamp by which an endpoint's answer to a call is proved to be its own."""
+    """Return the stamp which proves that an instance's response belongs to a call."""
     return b"%s.%s.%s" % (instance, id, hashlib.blake2b(body, digest_size=8).hexdigest().encode())
--- a/packages/simulator/meadowdock/simulator/standin/records.py
+++ b/packages/simulator/meadowdock/simulator/standin/records.py
@@ -1,4 +1,4 @@
-"""What the stand-ins write down: runs of an endpoint, requests of a caller."""
+"""The records that the stand-ins keep: executions of an endpoint, requests of a caller."""
 
 from __future__ import annotations
 
@@ -8,8 +8,11 @@
 
 
 @dataclass
-class Ran:
-    """One run. Invariant: in an endpoint's journal from the moment that its work began."""
+class Execution:
+    """One execution of a call.
+
+    Invariant: it is in the endpoint's journal from the moment that its work began.
+    """
 
     id: bytes
     method: bytes
@@ -21,20 +24,23 @@
     instance: bytes
     service: str
     begun: int
-    answered: bytes = None  # the body of its answer
+    answered: bytes = None  # the body of the response
     status: int = 0
 
 
 @dataclass(eq=False)
-class Asked:
-    """One request. Invariant: done is set with its answer, or with the end of its connection."""
+class SentRequest:
+    """One request of a caller.
+
+    Invariant: done is set with the response, or when the connection ends.
+    """
 
     id: bytes
     method: bytes
     target: bytes
     host: bytes
     body: bytes
-    service: str  # of the machine where it started
+    service: str  # of the machine that sent it
     at: int
     status: int = 0
     lines: list = None
@@ -44,4 +50,5 @@
     done: trio.Event = field(default_factory=trio.Event)
 
     def line(self, name):
+        """Return the value of a response header, or None."""
         return next((v for n, v in self.lines or () if n.lower() == name.lower()), None)
--- a/packages/simulator/meadowdock/simulator/standin/request_audit.py
+++ b/packages/simulator/meadowdock/simulator/standin/request_audit.py
@@ -1,15 +1,15 @@
-"""What callers asked and endpoints ran, compared with each other."""
+"""An audit that compares the callers' requests with the endpoints' executions."""
 
 from __future__ import annotations
 
 from meadowdock.simulator.standin.messages import stamp_of
 
-# statuses that promise that nothing ran
-PROMISES = (408, 421, 429, 503)
+# statuses which guarantee that the call did not run
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class RequestAudit:
-    """What callers asked and endpoints ran, compared with each other."""
+    """The requests of all callers and the executions of all endpoints of a run."""
 
     def __init__(self, dialect):
         self.dialect = dialect
@@ -21,48 +21,65 @@
         return b"call-%d" % self.number
 
     def runs(self, id=None):
-        found = [ran for e in self.endpoints for ran in e.journal]
-        return found if id is None else [ran for ran in found if ran.id == id]
+        """Return the executions of a call, or all executions."""
+        executions = [execution for e in self.endpoints for execution in e.journal]
+        return executions if id is None else [each for each in executions if each.id == id]
 
     def arrivals(self, id):
+        """Return how often a call was received by an endpoint."""
         return sum(1 for e in self.endpoints for _, known in e.came_at if known == id)
 
-    def broken(self, repeatable=lambda asked: True):
-        """Every breach of what the path promises, as text. repeatable(asked) tells its route's."""
-        ids = {a.id: a for a in self.asked}
-        found = [f"strays {c.strays}" for c in self.callers if c.strays]
-        found += [f"{e.address} got {e.malformed}" for e in self.endpoints if e.malformed]
-        for ran in self.runs():
-            asked = ids.get(ran.id)
-            if asked is None:
-                found.append(f"nobody asked for {ran.id} {ran.target}")
+    def broken(self, repeatable=lambda request: True):
+        """Return a text for each breach of the traffic path's guarantees.
+
+        :param repeatable: whether the route of a request allows more than one execution.
+        """
+        requests = {request.id: request for request in self.asked}
+        breaches = [f"responses without a request: {c.strays}" for c in self.callers if c.strays]
+        breaches += [
+            f"{e.address} received malformed requests: {e.malformed}"
+            for e in self.endpoints
+            if e.malformed
+        ]
+        for execution in self.runs():
+            request = requests.get(execution.id)
+            if request is None:
+                breaches.append(f"no caller sent {execution.id} {execution.target}")
                 continue
-            sent = (asked.method, asked.target, asked.host, asked.body)
-            if sent != (ran.method, ran.target, ran.host, ran.body):
-                found.append(f"changed: {sent} ran as {ran}")
-            if ran.caller != (asked.service or "guest").encode():
-                found.append(f"{ran.id} ran as a call of {ran.caller}, not {asked.service}")
-        for asked in self.asked:
-            runs = self.runs(asked.id)
-            if not repeatable(asked) and len(runs) > 1:
-                found.append(f"{asked.id} ran {len(runs)} times")
-            if asked.status in PROMISES and runs:
-                found.append(f"{asked.id} ran and was told {asked.status}")
-            if asked.status // 100 == 2:
-                found += self.unproved(asked, runs)
-            elif asked.status and asked.line(self.dialect.call_id) not in (None, asked.id):
-                found.append(f"{asked.id} got the answer of {asked.line(self.dialect.call_id)}")
-        return found
+            sent = (request.method, request.target, request.host, request.body)
+            if sent != (execution.method, execution.target, execution.host, execution.body):
+                breaches.append(f"changed on the way: {sent} ran as {execution}")
+            if execution.caller != (request.service or "guest").encode():
+                breaches.append(
+                    f"{execution.id} ran as a call of {execution.caller}, not {request.service}"
+                )
+        for request in self.asked:
+            executions = self.runs(request.id)
+            if not repeatable(request) and len(executions) > 1:
+                breaches.append(f"{request.id} ran {len(executions)} times")
+            if request.status in NOT_RUN_STATUSES and executions:
+                breaches.append(f"{request.id} ran and was answered {request.status}")
+            if request.status // 100 == 2:
+                breaches += self.response_mismatches(request, executions)
+            elif request.status and request.line(self.dialect.call_id) not in (None, request.id):
+                breaches.append(
+                    f"{request.id} got the answer of {request.line(self.dialect.call_id)}"
+                )
+        return breaches
 
-    def unproved(self, asked, runs):
-        if asked.line(self.dialect.call_id) != asked.id:
-            return [f"{asked.id} got the answer of {asked.line(self.dialect.call_id)}"]
-        for ran in runs:
-            want = ran.answered if asked.method != b"HEAD" else b""
-            proof = stamp_of(ran.instance, ran.id, ran.answered or b"")
-            is_the_answer = asked.answer == want and asked.status == ran.status
-            if is_the_answer and (
-                not self.dialect.stamp or asked.line(self.dialect.stamp) == proof
+    def response_mismatches(self, request, executions):
+        """Return a breach unless a success is the exact response of one of its executions."""
+        if request.line(self.dialect.call_id) != request.id:
+            return [f"{request.id} got the answer of {request.line(self.dialect.call_id)}"]
+        for execution in executions:
+            expected = execution.answered if request.method != b"HEAD" else b""
+            stamp = stamp_of(execution.instance, execution.id, execution.answered or b"")
+            is_response = request.answer == expected and request.status == execution.status
+            if is_response and (
+                not self.dialect.stamp or request.line(self.dialect.stamp) == stamp
             ):
                 return []
-        return [f"{asked.id}: {asked.status} {asked.answer[:60]} is no run's whole answer"]
+        return [
+            f"{request.id}: {request.status} {request.answer[:60]} is not the complete response "
+            "of an execution"
+        ]
