--- a/packages/simulator/meadowdock/simulator/scale/break_table.py
+++ b/packages/simulator/meadowdock/simulator/scale/break_table.py
@@ -1,64 +1,71 @@
-"""The table of what breaks first as the fleet grows."""
+"""The table of which bounds the fleet exceeds first as it grows."""
 
 from __future__ import annotations
 
 import math
 
 from meadowdock.simulator.scale.figures import (
-    at_all,
     collector_percent,
-    good_runs,
+    mechanism_values,
     proxy_percent,
+    proxy_total_kb_s,
+    role_total,
     settled_runs,
+    settled_values,
     sizes_of,
-    whole_of_proxy,
-    whole_of_role,
 )
-from meadowdock.simulator.scale.fitting import crossing, fit, told_by
+from meadowdock.simulator.scale.fitting import crossing, fit, fitted_function
 from meadowdock.simulator.scale.places import TARGET
-from meadowdock.simulator.scale.text import markdown, shown
+from meadowdock.simulator.scale.text import format_number, markdown_table
 
-WAVE_US = 0.9e6  # for staging on all proxies
-FRAMES_A_STAGE = 2
+STAGING_WAVE_US = 0.9e6  # the time in which a change is staged on all proxies
+FRAMES_PER_STAGE = 2
 CONFIGURATION_KB = 10_000
 
 
-def first_over(sizes, values, bound):
-    """The first size at which the fit of the values is over a bound, as the page shows it."""
-    return shown(crossing(told_by(fit(sizes, values)), bound))
+def first_size_over(sizes, values, bound):
+    """Format the first size at which the fit of the values exceeds a bound."""
+    return format_number(crossing(fitted_function(fit(sizes, values)), bound))
 
 
-def break_table(facts: dict) -> str:
-    """What breaks, and from which size on."""
-    rows = [*processor_rows(facts), *byte_rows(facts), *core_rows(facts), *other_rows(facts)]
-    return markdown(["what", "first size", "how it breaks"], rows)
+def break_table(measurements: dict) -> str:
+    """Format what exceeds its bound, and from which size on."""
+    rows = [
+        *processor_rows(measurements),
+        *byte_rows(measurements),
+        *core_rows(measurements),
+        *configuration_rows(measurements),
+    ]
+    return markdown_table(["what", "first size", "how it breaks"], rows)
 
 
-def processor_rows(facts):
-    """A proxy's processor time."""
-    over = crossing(proxy_percent(facts), TARGET["core_percent"])
-    return [("a proxy's processor time, all parts", shown(over), "over 1.4 % of a core")]
+def processor_rows(measurements):
+    """Return the row of a proxy's processor time."""
+    over = crossing(proxy_percent(measurements), TARGET["core_percent"])
+    return [("a proxy's processor time, all parts", format_number(over), "over 1.4 % of a core")]
 
 
-def byte_rows(facts):
-    """A proxy's bytes."""
-    counts, sizes, bound = facts["counted"], sizes_of(facts), TARGET["kb_s"]
-    whole = first_over(sizes, whole_of_proxy(counts), bound)
-    lists = first_over(sizes, at_all(counts, "mdproxy", "lists", "kb_s"), bound)
+def byte_rows(measurements):
+    """Return the rows of a proxy's bytes."""
+    counts, sizes, bound = measurements["counted"], sizes_of(measurements), TARGET["kb_s"]
+    total = first_size_over(sizes, proxy_total_kb_s(counts), bound)
+    lists = first_size_over(sizes, mechanism_values(counts, "mdproxy", "lists", "kb_s"), bound)
     return [
-        ("a proxy's bytes, all parts", whole, f"over {bound} KB/s"),
+        ("a proxy's bytes, all parts", total, f"over {bound} KB/s"),
         ("lists alone, at a proxy", lists, f"over {bound} KB/s"),
     ]
 
 
-def core_rows(facts):
-    """The processes of the core."""
-    collector = shown(crossing(collector_percent(facts), 100))
-    registry = first_over(*good_runs(facts, "mdreg_percent"), 100)
-    store = first_over(*good_runs(facts, "mdconf_percent"), 100)
-    cost_us = us_a_frame(facts)
-    staged = shown(math.floor(WAVE_US / FRAMES_A_STAGE / cost_us))
-    staging = f"2 frames a proxy a wave at {shown(cost_us)} us each: over the 0.9 s of a wave"
+def core_rows(measurements):
+    """Return the rows of the core's processes."""
+    collector = format_number(crossing(collector_percent(measurements), 100))
+    registry = first_size_over(*settled_values(measurements, "mdreg_percent"), 100)
+    store = first_size_over(*settled_values(measurements, "mdconf_percent"), 100)
+    cost_us = us_per_frame(measurements)
+    staged = format_number(math.floor(STAGING_WAVE_US / FRAMES_PER_STAGE / cost_us))
+    staging = (
+        f"2 frames a proxy a wave at {format_number(cost_us)} us each: over the 0.9 s of a wave"
+    )
     return [
         ("the collector's process", collector, "over one core"),
         ("an mdreg without that duty: beats, rosters", registry, "over one core"),
@@ -67,16 +74,18 @@
     ]
 
 
-def us_a_frame(facts):
-    """What a frame cost an mdconf in the largest real run."""
-    last, counts = settled_runs(facts)[-1], facts["counted"]
-    frames_s = told_by(fit(sizes_of(facts), whole_of_role(counts, "mdconf", "frames_s")))
+def us_per_frame(measurements):
+    """Return the processor time per frame of an mdconf in the largest real run."""
+    last, counts = settled_runs(measurements)[-1], measurements["counted"]
+    frames_s = fitted_function(
+        fit(sizes_of(measurements), role_total(counts, "mdconf", "frames_s"))
+    )
     return last["mdconf_percent"] * 1e4 / frames_s(last["nodes"])
 
 
-def other_rows(facts):
-    """Retries, links and the size of the configuration."""
-    counts, sizes = facts["counted"], sizes_of(facts)
+def configuration_rows(measurements):
+    """Return the rows of retries, links and the size of the configuration."""
+    counts, sizes = measurements["counted"], sizes_of(measurements)
     links = counts[-1]["links"]
     configuration_kb = [count["states"]["manifest"] / 1000 for count in counts]
     return [
@@ -88,12 +97,12 @@
         (
             "links that are never closed (reckoned)",
             "513",
-            f"a proxy had {shown(links['mdproxy'])} of its own after {shown(links['age_s'])} s at "
+            f"a proxy had {format_number(links['mdproxy'])} of its own after {format_number(links['age_s'])} s at "
             f"{sizes[-1]} nodes; in the end all others, both ways: over 1,024 files",
         ),
         (
             "a whole manifest on each node",
-            first_over(sizes, configuration_kb, CONFIGURATION_KB),
+            first_size_over(sizes, configuration_kb, CONFIGURATION_KB),
             "over 10 MB packed; no bound of ours is near",
         ),
     ]
--- a/packages/simulator/meadowdock/simulator/scale/fitting.py
+++ b/packages/simulator/meadowdock/simulator/scale/fitting.py
@@ -1,4 +1,4 @@
-"""Slopes: which simple function of the fleet's size fits the measured values, and where it leads."""
+"""Simple functions of the fleet's size fitted to measured values, and their extrapolation."""
 
 from __future__ import annotations
 
@@ -9,65 +9,72 @@
 from meadowdock.simulator.scale.places import TARGET
 
 
-def line(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
-    """(intercept, slope) of the line through the values."""
-    found = statistics.linear_regression(sizes, values)
-    return found.intercept, found.slope
+def linear_fit(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
+    """Return (intercept, slope) of the line through the values."""
+    regression = statistics.linear_regression(sizes, values)
+    return regression.intercept, regression.slope
 
 
-# In order of simplicity: a form must miss by a point less than the simpler ones to be taken, and
-# what grows a little is not called constant.
-CONSTANT = 6  # most percent that a constant may miss by
+# In order of simplicity: a form is chosen over simpler ones only if it misses by more than one
+# percentage point less. The limit for constants keeps slow growth from counting as constant.
+CONSTANT_MISS_MAX_PERCENT = 6
 FORMS = {
     "a": (lambda sizes, values: (statistics.mean(values), 0.0), lambda a, b, n: a),
-    "a + b n": (line, lambda a, b, n: a + b * n),
+    "a + b n": (linear_fit, lambda a, b, n: a + b * n),
     "a n + b n^2": (
-        lambda sizes, values: line(sizes, [v / n for n, v in zip(sizes, values, strict=True)]),
+        lambda sizes, values: linear_fit(
+            sizes, [v / n for n, v in zip(sizes, values, strict=True)]
+        ),
         lambda a, b, n: a * n + b * n * n,
     ),
 }
 
 
 def miss_percent(form: str, sizes: Sequence[float], values: Sequence[float]) -> float:
-    """How far off a form is at the largest size when that is left out of its fit."""
-    learn, tell = FORMS[form]
-    guess = tell(*learn(sizes[:-1], values[:-1]), sizes[-1])
-    return 100 * abs(guess - values[-1]) / max(abs(values[-1]), 1e-9)
+    """Return by how much a form misses the largest size when that is left out of its fit."""
+    fit_parameters, evaluate = FORMS[form]
+    predicted = evaluate(*fit_parameters(sizes[:-1], values[:-1]), sizes[-1])
+    return 100 * abs(predicted - values[-1]) / max(abs(values[-1]), 1e-9)
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> dict:
-    """The form that is nearest at the largest size when that is left out; then fitted to all sizes.
-    Gives form, a, b, how far off (percent) it was there, and its value at TARGET's nodes.
+    """Fit the form that predicts the largest size best when that is left out; use all sizes then.
 
-    >>> found = fit([10, 20, 40, 80], [10 * 3 + 2 * 100, 860, 3320, 13040])
-    >>> found["form"], round(found["a"], 6), round(found["b"], 6), found["miss_percent"] < 1e-6
+    Return the form, its parameters a and b, by how many percent it missed the largest size, and its
+    value at TARGET's nodes.
+
+    >>> fitted = fit([10, 20, 40, 80], [10 * 3 + 2 * 100, 860, 3320, 13040])
+    >>> fitted["form"], round(fitted["a"], 6), round(fitted["b"], 6), fitted["miss_percent"] < 1e-6
     ('a n + b n^2', 3.0, 2.0, True)
     """
     misses = {form: miss_percent(form, sizes, values) for form in FORMS}
-    if line(sizes, values)[1] < 0:
-        misses = {"a": misses["a"]}  # what falls with size isn't followed down
-    elif misses["a"] > CONSTANT:
+    if linear_fit(sizes, values)[1] < 0:
+        misses = {"a": misses["a"]}  # a falling trend is not extrapolated below zero
+    elif misses["a"] > CONSTANT_MISS_MAX_PERCENT:
         del misses["a"]
     form = next(f for f in misses if misses[f] <= min(misses.values()) + 1)
-    learn, tell = FORMS[form]
-    a, b = learn(sizes, values)
+    fit_parameters, evaluate = FORMS[form]
+    a, b = fit_parameters(sizes, values)
     n = TARGET["nodes"]
-    return {"form": form, "a": a, "b": b, "miss_percent": misses[form], "at": tell(a, b, n)}
+    return {"form": form, "a": a, "b": b, "miss_percent": misses[form], "at": evaluate(a, b, n)}
+
 
+def fitted_function(fitted: dict) -> Callable[[float], float]:
+    """Return a fit as a function of n."""
+    return partial(FORMS[fitted["form"]][1], fitted["a"], fitted["b"])
 
-def told_by(found: dict) -> Callable[[float], float]:
-    """The function of n that a fit is."""
-    return partial(FORMS[found["form"]][1], found["a"], found["b"])
 
+def crossing(evaluate: Callable[[float], float], bound: float) -> int | None:
+    """Return the smallest integer n at which a rising function exceeds a bound.
 
-def crossing(tell: Callable[[float], float], bound: float) -> int | None:
-    """The smallest whole n at which a rising function is over a bound, or None below 100,000."""
+    Return None if that is not below 100,000.
+    """
     low, high = 1, 100_000
-    if tell(high) <= bound:
+    if evaluate(high) <= bound:
         return None
     while low < high:
         middle = (low + high) // 2
-        if tell(middle) > bound:
+        if evaluate(middle) > bound:
             high = middle
         else:
             low = middle + 1
--- a/packages/simulator/meadowdock/simulator/scale/fleet.py
+++ b/packages/simulator/meadowdock/simulator/scale/fleet.py
@@ -8,23 +8,23 @@
 
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.simulator.net import SimNet
-from meadowdock.simulator.scale.meter import Meter, Metered, metered
+from meadowdock.simulator.scale.meter import Meter, MeteredStream, metered_net
 from meadowdock.simulator.scale.places import VOTERS, manifest, places
 from meadowdock.simulator.world import owner
 
-SETTLING = 6 * SECOND  # past every first greeting and the first epoch
-CHANGE_WITHIN = 30 * SECOND
-HOLLOW_CAPACITY = 4
-HOLLOW_HEARTBEAT = 400 * MILLISECOND
+SETTLING_US = 6 * SECOND  # all first handshakes and the first lease epoch are over by then
+CHANGE_WITHIN_US = 30 * SECOND
+ENDPOINT_CAPACITY = 4
+HEARTBEAT_INTERVAL_US = 400 * MILLISECOND
 
 
-def count_links(world, meter):
-    """Stands where the world launches processes: each gets a net that counts."""
-    original, kind = world.launch, metered(SimNet, Metered)
+def meter_links(world, meter):
+    """Give each process that the world launches a network that counts frames."""
+    original, net_class = world.launch, metered_net(SimNet, MeteredStream)
 
     def launch(name, host, work):
         process = original(name, host, work)
-        process.net = kind(world.web, host)
+        process.net = net_class(world.web, host)
         process.net.meter, process.net.node = meter, name
         process.net.set_task_owner = partial(owner.set, process)
         return process
@@ -32,8 +32,8 @@
     world.launch = launch
 
 
-def fewer_voters(world):
-    """Only the first core machines have an mdconf, and only these are the register's members."""
+def limit_voters(world):
+    """Make only the first VOTERS core machines the register's members in all boot settings."""
     original = world.boot
 
     def boot(role, host):
@@ -47,32 +47,36 @@
 
 
 async def stand_in(node, service):
-    """An endpoint that is always there and idle, told to the proxy's book without a socket."""
-    book, host = node.daemon.endpoints, node.settings.host
-    token = book.register(
-        service, f"{host}:8000", "hollow", HOLLOW_CAPACITY, monotonic_us(), node.runtime.wall_us()
+    """Register an idle endpoint with a proxy and send its heartbeats, without a socket."""
+    endpoints, host = node.daemon.endpoints, node.settings.host
+    token = endpoints.register(
+        service, f"{host}:8000", "hollow", ENDPOINT_CAPACITY, monotonic_us(), node.runtime.wall_us()
     )
     while not node.stopping:
-        book.heartbeat(token, HOLLOW_CAPACITY, False, 0.1, monotonic_us())
-        await sleep_us(HOLLOW_HEARTBEAT)
+        endpoints.heartbeat(token, ENDPOINT_CAPACITY, False, 0.1, monotonic_us())
+        await sleep_us(HEARTBEAT_INTERVAL_US)
 
 
-def listed(daemon):
-    """How many endpoints a proxy has on its load lists."""
+def listed_endpoints(daemon):
+    """Return how many endpoints a proxy has on its load lists."""
     return sum(map(len, daemon.forwarder.nodes_by_service.values()))
 
 
-class Hollow:
-    """A fleet in a World: all nodes up, a configuration in force, every endpoint on every list."""
+class HollowFleet:
+    """A fleet of hollow nodes in a World.
+
+    Once started, all nodes are up, a configuration is in force, and every proxy lists every
+    endpoint.
+    """
 
     def __init__(self, world, n):
         self.world, self.n, self.meter = world, n, Meter()
         world.core, world.application, world.zones = places(n)
-        count_links(world, self.meter)
-        fewer_voters(world)
+        meter_links(world, self.meter)
+        limit_voters(world)
 
     def proxies(self):
-        """The nodes of the proxies that run."""
+        """Return the nodes of the running proxies."""
         return [
             self.world.node("mdproxy", host)
             for host in self.world.application
@@ -80,7 +84,7 @@
         ]
 
     def core(self, role):
-        """The nodes of a core role."""
+        """Return the nodes of a core role."""
         hosts = self.world.core if role == "mdreg" else self.world.core[:VOTERS]
         return [self.world.node(role, host) for host in hosts]
 
@@ -89,8 +93,8 @@
         process = await self.world.start("mdproxy", host)
         process.node.nursery.start_soon(stand_in, process.node, self.world.application[host])
 
-    async def up(self):
-        """Start and configure everything, and let it settle."""
+    async def start(self):
+        """Start and configure all nodes, and wait until they have settled."""
         world = self.world
         async with trio.open_nursery() as nursery:
             for host in world.core:
@@ -99,34 +103,39 @@
                 nursery.start_soon(world.start, "mdconf", host)
             for host in world.application:
                 nursery.start_soon(self.start_proxy, host)
-        await self.wanted(lambda: not any(node.unready_reasons() for node in self.core("mdconf")))
+        await self.wait_until(
+            lambda: not any(node.unready_reasons() for node in self.core("mdconf"))
+        )
         await world.configure(manifest(self.n))
-        await self.wanted(self.all_listed)
-        await sleep_us(SETTLING)
+        await self.wait_until(self.all_listed)
+        await sleep_us(SETTLING_US)
 
-    async def wanted(self, check, within=60 * SECOND):
-        """Wait until check() is true; gives how long that took."""
+    async def wait_until(self, check, within=60 * SECOND):
+        """Wait until check() is true; return how long that took in us."""
         return await self.world.eventually(check, within=within)
 
     def all_listed(self):
-        """Whether every proxy lists every endpoint that runs."""
+        """Return whether every proxy lists every running endpoint."""
         proxies = self.proxies()
-        return all(listed(proxy.daemon) == len(proxies) for proxy in proxies)
+        return all(listed_endpoints(proxy.daemon) == len(proxies) for proxy in proxies)
 
     def in_force(self, version, among=None):
-        """Whether a configuration is in force on all proxies, or on those given."""
+        """Return whether a configuration is in force on all proxies, or on those given."""
         nodes = self.proxies() if among is None else among
         return all(node.daemon.delivery.version >= version for node in nodes)
 
     async def change(self, wait_us, core=0, among=None):
-        """One change, from the operator's confirm until it is in force: (seconds, version)."""
+        """Change the configuration and wait until it is in force; return (seconds, version).
+
+        The time includes retries of the operator while the register has no majority.
+        """
         begun, version = monotonic_us(), None
         while version is None:
             try:
                 version = await self.world.configure(manifest(self.n, wait_us), core)
-            except AssertionError:  # refused while the register's majority forms again
-                if monotonic_us() - begun > CHANGE_WITHIN:
+            except AssertionError:  # refused while the register has no majority
+                if monotonic_us() - begun > CHANGE_WITHIN_US:
                     raise
                 await sleep_us(200 * MILLISECOND)
-        await self.wanted(partial(self.in_force, version, among))
+        await self.wait_until(partial(self.in_force, version, among))
         return (monotonic_us() - begun) / SECOND, version
--- a/packages/simulator/meadowdock/simulator/scale/loopback.py
+++ b/packages/simulator/meadowdock/simulator/scale/loopback.py
@@ -1,4 +1,4 @@
-"""Nodes of a fleet over loopback sockets, in one process, and what they cost there."""
+"""Nodes of a fleet over loopback sockets, all in one process, and the measurement of their cost."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 )
 from meadowdock.settings import checked
 from meadowdock.simulator.scale.fleet import stand_in
-from meadowdock.simulator.scale.meter import ANY_METHOD, Meter, Unread, metered
+from meadowdock.simulator.scale.meter import ANY_METHOD, ByteMeteredStream, Meter, metered_net
 from meadowdock.simulator.scale.places import VOTERS, manifest, places
 from meadowdock.simulator.world import DAEMON_CLASSES, KEY
 
 current_node = ContextVar("current_node", default=None)
-LOOPBACK_NET = "127.91"
-OPERATE_WITHIN = 40 * SECOND
+LOOPBACK_SUBNET = "127.91"
+OPERATE_WITHIN_US = 40 * SECOND
 
 
 class TaskTimes(trio.abc.Instrument):
-    """Processor time of each node's tasks, in ns."""
+    """An instrument that sums the processor time of each node's tasks, in ns."""
 
     def __init__(self):
-        self.spent, self.at = Counter(), 0
+        self.spent, self.step_begun = Counter(), 0
 
     def before_task_step(self, task):
-        self.at = time.thread_time_ns()
+        self.step_begun = time.thread_time_ns()
 
     def after_task_step(self, task):
-        self.spent[task.context.get(current_node)] += time.thread_time_ns() - self.at
+        self.spent[task.context.get(current_node)] += time.thread_time_ns() - self.step_begun
 
 
 def resident_mb():
-    """Memory of this process."""
+    """Return the resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
@@ -56,14 +56,14 @@
     """Some nodes of a fleet on 127.x addresses, all in this process."""
 
     def __init__(self, n, nursery, folder):
-        self.core, self.application, self.zones = places(n, LOOPBACK_NET)
+        self.core, self.application, self.zones = places(n, LOOPBACK_SUBNET)
         self.n, self.nursery, self.folder, self.nodes = n, nursery, folder, {}
-        self.meter, self.net = Meter(), metered(Net, Unread)
+        self.meter, self.net = Meter(), metered_net(Net, ByteMeteredStream)
         self.log = open(os.devnull, "w", encoding="utf-8")  # noqa: SIM115
 
     def boot(self, role, host):
-        """The checked boot settings of a node."""
-        facts = {
+        """Return the validated boot settings of a node."""
+        settings = {
             "host": host,
             "hall": self.zones[host],
             "seeds": [f"{seed}:7411" for seed in self.core[:3]],
@@ -72,11 +72,11 @@
         }
         if role == "mdconf":
             data = os.path.join(self.folder, host)
-            facts |= {"data": data, "members": [f"{h}:7421" for h in self.core[:VOTERS]]}
-        return checked(role, facts)
+            settings |= {"data": data, "members": [f"{h}:7421" for h in self.core[:VOTERS]]}
+        return checked(role, settings)
 
     async def start(self, role, host):
-        """Start a node; returns when it is up."""
+        """Start a node and wait until it is up."""
         boot = self.boot(role, host)
         net = self.net(host)
         net.meter, net.node = self.meter, boot.name
@@ -97,25 +97,28 @@
         await up.wait()
 
     async def configure(self, wait_us):
-        """Plan and confirm a configuration as an operator; gives its version."""
+        """Plan and confirm a configuration as an operator; return its version."""
         body = json.dumps(manifest(self.n, wait_us)).encode()
         plan = (await self.operate("/plan", body))["plan"]
         return (await self.operate("/confirm", json.dumps({"plan": plan}).encode()))["version"]
 
     async def operate(self, path, body):
-        """One order to the first core machine, again until it is taken; gives the answer."""
-        address, here = f"{self.core[0]}:7420", next(iter(self.application))
-        deadline = monotonic_us() + OPERATE_WITHIN
+        """Send a request to the first core machine, with retries until it succeeds.
+
+        :raises RuntimeError: if none succeeded within OPERATE_WITHIN_US.
+        """
+        address, client_host = f"{self.core[0]}:7420", next(iter(self.application))
+        deadline = monotonic_us() + OPERATE_WITHIN_US
         while monotonic_us() < deadline:
-            answer = await Net(here).http(address).request("POST", path, [], body)
+            answer = await Net(client_host).http(address).request("POST", path, [], body)
             if answer[0] == 200:
                 return json.loads(answer[2])
             await sleep_us(200 * MILLISECOND)
-        raise RuntimeError(f"{path}: {answer}")
+        raise RuntimeError(f"{path} did not succeed in time; last answer: {answer}")
 
 
 async def measure_window(loopback, at, window, times):
-    """Sleep until `at`, then take processor time and bytes of one window."""
+    """Sleep until `at`, then measure processor time and bytes of one window."""
     await trio.sleep(max(0, at - time.time()))
     cpu, spent = time.process_time(), Counter(times.spent)
     bytes_before = Counter(loopback.meter.bytes)
@@ -123,18 +126,19 @@
     await trio.sleep(window)
     seconds, cpu = time.monotonic() - begun, time.process_time() - cpu
     steps = times.spent - spent
-    scale = cpu * 1e9 / max(1, sum(steps.values()))  # the loop's own work goes with the tasks
+    # the event loop's own work is shared out in proportion to the tasks' times
+    scale = cpu * 1e9 / max(1, sum(steps.values()))
     sizes = loopback.meter.bytes - bytes_before
     nodes = {
         name: {
             "core_percent": steps[name] * scale / 1e7 / seconds,
-            "kb_s": both_ways(sizes, name) / 1000 / seconds,
+            "kb_s": bytes_both_ways(sizes, name) / 1000 / seconds,
         }
         for name in loopback.nodes
     }
     return {"core_percent": 100 * cpu / seconds, "resident_mb": resident_mb(), "nodes": nodes}
 
 
-def both_ways(sizes, name):
-    """Bytes that a node sent and received."""
+def bytes_both_ways(sizes, name):
+    """Return the bytes that a node sent and received."""
     return sum(sizes[name, ANY_METHOD, direction] for direction in ("sent", "received"))
--- a/packages/simulator/meadowdock/simulator/scale/meter.py
+++ b/packages/simulator/meadowdock/simulator/scale/meter.py
@@ -11,8 +11,8 @@
 from meadowdock.runtime import SECOND, monotonic_us
 
 GREETING = "greeting"
-ANY_METHOD = "any"  # of bytes whose frames weren't opened
-GROUPS = {
+ANY_METHOD = "any"  # for bytes whose frames were not decoded
+MECHANISMS = {
     "reg.beat": "beats",
     "load.ask": "lists",
     "load.list": "lists",
@@ -25,37 +25,43 @@
 }
 
 
-def group_of(method: str) -> str:
-    """The mechanism that a wire method belongs to."""
-    return GROUPS.get(method, "register")
+def mechanism_of(method: str) -> str:
+    """Return the mechanism that a wire method belongs to."""
+    return MECHANISMS.get(method, "register")
 
 
 class Meter:
-    """Invariant: frames and bytes of each (node, method, direction) are only ever added to; a
-    frame is counted once it is complete."""
+    """Counters of frames and bytes.
+
+    Invariant: the counts of each (node, method, direction) only grow; a frame is counted once it is
+    complete.
+    """
 
     def __init__(self):
         self.frames, self.bytes = Counter(), Counter()
         self.by_second = Counter()  # (node, second) -> bytes
 
-    def note(self, node, method, direction, size):
+    def record(self, node, method, direction, size):
         """Count one frame."""
         self.frames[node, method, direction] += 1
         self.bytes[node, method, direction] += size
         self.by_second[node, monotonic_us() // SECOND] += size
 
-    def taken(self):
-        """Copies of the counts of frames and of bytes so far."""
+    def snapshot(self):
+        """Return copies of the counts of frames and of bytes."""
         return Counter(self.frames), Counter(self.bytes)
 
     def since(self, before):
-        """The counts of frames and of bytes beyond those taken before."""
-        return [after - start for after, start in zip(self.taken(), before, strict=True)]
+        """Return the counts of frames and of bytes since an earlier snapshot."""
+        return [after - start for after, start in zip(self.snapshot(), before, strict=True)]
+
 
+class MeteredStream(trio.abc.Stream):
+    """A link's stream that counts its frames.
 
-class Metered(trio.abc.Stream):
-    """A link's stream. Invariants: methods maps the ids of calls that were seen to their methods;
-    the first frames of a direction are the greeting's: two of the opener, one of the answerer."""
+    Invariants: methods maps the ids of the calls seen to their methods; the first frames of a
+    direction belong to the handshake, two from the opener and one from the other side.
+    """
 
     def __init__(self, stream, meter, node, opener):
         self.stream, self.meter, self.node = stream, meter, node
@@ -64,7 +70,7 @@
         self.methods = {}
 
     def count(self, direction, data):
-        """Count the frames that data completes."""
+        """Count the frames that the data completes."""
         unread = self.unread[direction]
         unread += data
         while len(unread) >= LENGTH_SIZE:
@@ -73,10 +79,10 @@
                 return
             method = self.method(direction, bytes(unread[LENGTH_SIZE + TAG_SIZE : size]))
             del unread[:size]
-            self.meter.note(self.node, method, direction, size)
+            self.meter.record(self.node, method, direction, size)
 
     def method(self, direction, body):
-        """The method that a frame asks for or answers."""
+        """Return the method that a frame requests or answers."""
         if self.greeting[direction]:
             self.greeting[direction] -= 1
             return GREETING
@@ -101,26 +107,29 @@
         await self.stream.aclose()
 
 
-class Unread(Metered):
-    """Only bytes are counted; frames aren't opened, so that their cost isn't measured."""
+class ByteMeteredStream(MeteredStream):
+    """A link's stream that counts bytes only.
+
+    Frames are not decoded, so that the cost of decoding is not measured.
+    """
 
     def count(self, direction, data):
         self.meter.bytes[self.node, ANY_METHOD, direction] += len(data)
 
 
-def metered(net_class, stream_class):
-    """The class of a net whose links are counted."""
+def metered_net(net_class, stream_class):
+    """Return a subclass of a network class whose streams are counted."""
 
-    class Counted(net_class):
+    class MeteredNet(net_class):
         meter = node = None
 
         async def open_stream(self, address):
             return stream_class(await super().open_stream(address), self.meter, self.node, True)
 
         async def serve_streams(self, address, handler, task_status=trio.TASK_STATUS_IGNORED):
-            async def counted(stream):
+            async def count_frames(stream):
                 await handler(stream_class(stream, self.meter, self.node, False))
 
-            await super().serve_streams(address, counted, task_status=task_status)
+            await super().serve_streams(address, count_frames, task_status=task_status)
 
-    return Counted
+    return MeteredNet
--- a/packages/simulator/meadowdock/simulator/scale/places.py
+++ b/packages/simulator/meadowdock/simulator/scale/places.py
@@ -1,10 +1,10 @@
-"""The size that the fleet is to grow to, and the places and configuration of a fleet of n nodes."""
+"""The fleet size to plan for, and the layout and configuration of a fleet of n nodes."""
 
 from __future__ import annotations
 
 import math
 
-# What the fleet is to grow to. Bytes are those of frames, sent and received together, without
+# The planned fleet and its bounds. Bytes are those of frames, sent and received together, without
 # the headers of TCP and IP.
 TARGET = {
     "nodes": 1200,
@@ -19,28 +19,29 @@
     "kb_s": 11,
     "core": 5,
 }
-CORE, VOTERS = TARGET["core"], 3  # core machines; of them, those with a register member
+CORE, VOTERS = TARGET["core"], 3  # core machines; how many of them have a register member
 ZONES = "abcdef"
-HOSTS_OF_A_NET = 200
-INITIAL_WAIT_US, CHANGED_WAIT_US = 2_000_000, 1_900_000  # what a change of configuration changes
+HOSTS_PER_SUBNET = 200
+# the endpoint timeout before and after a change of the configuration
+INITIAL_WAIT_US, CHANGED_WAIT_US = 2_000_000, 1_900_000
 
 
 def services_of(n: int) -> int:
-    """How many services a fleet of n endpoints has."""
+    """Return how many services a fleet of n endpoints has."""
     return max(1, math.ceil(n * TARGET["services"] / TARGET["nodes"]))
 
 
 def service_name(number: int) -> str:
-    """The name of a service by its number."""
+    """Return the name of a service by its number."""
     return f"service-{number:03}"
 
 
 def places(n: int, net: str = "10.0") -> tuple[list[str], dict[str, str], dict[str, str]]:
-    """(core hosts, {application host: its service}, {host: zone})."""
+    """Return (core hosts, {application host: its service}, {host: zone}) of a fleet."""
     core = [f"{net}.0.{k + 1}" for k in range(CORE)]
     application = {}
     for k in range(n):
-        host = f"{net}.{1 + k // HOSTS_OF_A_NET}.{k % HOSTS_OF_A_NET + 1}"
+        host = f"{net}.{1 + k // HOSTS_PER_SUBNET}.{k % HOSTS_PER_SUBNET + 1}"
         application[host] = service_name(k % services_of(n))
     zones = {
         host: ZONES[k % len(ZONES)] for hosts in (core, application) for k, host in enumerate(hosts)
@@ -49,7 +50,7 @@
 
 
 def manifest(n: int, wait_us: int = INITIAL_WAIT_US) -> dict:
-    """A configuration with two routes for each service, which two services may call."""
+    """Return a configuration with two routes for each service, which two services may call."""
     names = [service_name(k) for k in range(services_of(n))]
     stage = {"wait_us": 200_000, "tries": 1}
     budget = {
@@ -71,7 +72,7 @@
 
 
 def route(names: list[str], k: int, method: str, repeat: str) -> dict:
-    """The route of one method of the k-th service."""
+    """Return the route of one method of the k-th service."""
     service = names[k]
     callers = {names[k - 1], names[k - len(names) // 2 - 1]}
     return {
--- a/packages/simulator/meadowdock/simulator/scale/processes.py
+++ b/packages/simulator/meadowdock/simulator/scale/processes.py
@@ -10,16 +10,16 @@
 
 import trio
 
-from meadowdock.simulator.scale.fleet import listed
+from meadowdock.simulator.scale.fleet import listed_endpoints
 from meadowdock.simulator.scale.loopback import Loopback, TaskTimes, measure_window, resident_mb
 from meadowdock.simulator.scale.places import CHANGED_WAIT_US, CORE, INITIAL_WAIT_US, VOTERS
 
-SETTLED_SHARE = 0.99  # of the endpoints, on the lists during the window
-SWITCH_INTERVAL = 0.0005  # s
+SETTLED_SHARE = 0.99  # of the endpoints must be on the lists during the window
+SWITCH_INTERVAL_S = 0.0005
 
 
 async def wait_for(check, within):
-    """Wait in real time until check() is true; gives whether it is."""
+    """Wait in real time until check() is true or the time is up; return the last check()."""
     with trio.move_on_after(within):
         while not check():
             await trio.sleep(0.005)
@@ -27,8 +27,7 @@
 
 
 async def core_process(n, at, window, folder, ended):
-    """All core nodes, until `ended` is set; gives what they cost in the window that begins at
-    `at`."""
+    """Run all core nodes until `ended` is set; return their cost in the window from `at` on."""
     times = TaskTimes()
     trio.lowlevel.add_instrument(times)
     base = resident_mb()
@@ -38,18 +37,18 @@
             await loopback.start("mdreg", host)
         for host in loopback.core[:VOTERS]:
             await loopback.start("mdconf", host)
-        found = await measure_window(loopback, at, window, times)
+        window_cost = await measure_window(loopback, at, window, times)
         nodes = loopback.nodes.values()
         collector = [node.settings.name for node in nodes if getattr(node.daemon, "epoch", None)]
         while not ended.is_set():
             await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
-    return {**found, "base_mb": base, "collector": collector}
+    return {**window_cost, "base_mb": base, "collector": collector}
 
 
 async def proxy_process(n, at, window):
-    """All proxies: what they cost in the window that begins at `at`, and one change."""
-    times = TaskTimes()  # left idle: all nodes here are alike, and an instrument costs time itself
+    """Run all proxies; return their cost in the window from `at` on, and the time of one change."""
+    times = TaskTimes()  # not installed: all nodes are alike here, and an instrument costs time
     base = resident_mb()
     async with trio.open_nursery() as nursery:
         loopback = Loopback(n, nursery, None)
@@ -59,17 +58,19 @@
         await trio.sleep(3)
         await loopback.configure(INITIAL_WAIT_US)
         before_window = max(0, at - time.time() - 1)
-        await wait_for(lambda: all(listed(node.daemon) == n for node in nodes), before_window)
+        await wait_for(
+            lambda: all(listed_endpoints(node.daemon) == n for node in nodes), before_window
+        )
         late = max(0, time.time() - at)
         shares = []
         nursery.start_soon(watch_lists, nodes, n, shares)
-        found = await measure_window(loopback, at, window, times)
+        window_cost = await measure_window(loopback, at, window, times)
         share = statistics.mean(shares)
         took = await change_seconds(loopback)
         links = statistics.mean(len(node.rpc.connections) for node in nodes)
         nursery.cancel_scope.cancel()
     return {
-        **found,
+        **window_cost,
         "base_mb": base,
         "listed_share": share,
         "late_s": late,
@@ -79,14 +80,14 @@
 
 
 async def watch_lists(nodes, n, shares):
-    """Note again and again which share of the endpoints the proxies list."""
+    """Append the share of the endpoints that the proxies list, every 0.5 s."""
     while True:
-        shares.append(statistics.mean(listed(node.daemon) / n for node in nodes))
+        shares.append(statistics.mean(listed_endpoints(node.daemon) / n for node in nodes))
         await trio.sleep(0.5)
 
 
 async def change_seconds(loopback):
-    """How long one change took to be in force on all proxies, or None."""
+    """Return how long one change took to be in force on all proxies, or None if it was not."""
     begun = time.monotonic()
     version = await loopback.configure(CHANGED_WAIT_US)
     nodes = loopback.nodes.values()
@@ -96,9 +97,9 @@
     return time.monotonic() - begun if in_force else None
 
 
-def in_process(work, pipe, *args):
-    """Run `work` in this process and send what it gives, or how it broke."""
-    sys.setswitchinterval(SWITCH_INTERVAL)
+def run_and_report(work, pipe, *args):
+    """Run `work` in this process and send its result, or {"broke": its error}."""
+    sys.setswitchinterval(SWITCH_INTERVAL_S)
     try:
         pipe.send(trio.run(work, *args))
     except BaseException as cause:
@@ -107,16 +108,18 @@
 
 
 class Worker:
-    """A process of ours that reports once."""
+    """A child process that reports once."""
 
     def __init__(self, context, work, *args):
         self.pipe, theirs = context.Pipe()
-        self.process = context.Process(target=in_process, args=(work, theirs, *args), daemon=True)
+        self.process = context.Process(
+            target=run_and_report, args=(work, theirs, *args), daemon=True
+        )
         self.process.start()
         theirs.close()
 
     def report(self, deadline):
-        """What it sent, or {"broke"}."""
+        """Return the process's report, or {"broke": ...} if there is none in time."""
         if self.pipe.poll(max(0, deadline - time.time())):
             try:
                 return self.pipe.recv()
@@ -125,14 +128,14 @@
         return {"broke": "no report"}
 
     def end(self):
-        """Wait for its end; kill it if that doesn't come."""
+        """Wait until the process ends; kill it after 5 s."""
         self.process.join(5)
         if self.process.is_alive():
             self.process.kill()
 
 
-def timed(n: int, window: float = 12.0) -> dict:
-    """Processor time and memory at one size, in two processes on loopback addresses."""
+def measure_processes(n: int, window: float = 12.0) -> dict:
+    """Measure processor time and memory at one size, in two processes on loopback addresses."""
     context = multiprocessing.get_context("spawn")
     ended = context.Event()
     at = time.time() + 14 + n / 10
@@ -150,9 +153,9 @@
 
 
 def summary(n, core, proxies):
-    """One row of docs/capacity.json from the reports of both processes."""
+    """Return one row of docs/capacity.json from the reports of both processes."""
     proxy_kb_s = [cost["kb_s"] for cost in proxies["nodes"].values()]
-    percents = core_percents(core)
+    percents = percents_by_role(core)
     return {
         "nodes": n,
         "settled": proxies["listed_share"] >= SETTLED_SHARE and not proxies["late_s"],
@@ -173,8 +176,8 @@
     }
 
 
-def core_percents(core):
-    """Percent of a core of each core node, by role; the collector apart."""
+def percents_by_role(core):
+    """Return the core nodes' percentages of a processor core by role, the collector's apart."""
     percents = {"mdreg": [], "collector": [], "mdconf": []}
     for name, cost in core["nodes"].items():
         role = "collector" if name in core["collector"] else name.partition("@")[0]
--- a/packages/simulator/meadowdock/simulator/scale/tables.py
+++ b/packages/simulator/meadowdock/simulator/scale/tables.py
@@ -1,13 +1,13 @@
-"""Tables of what was counted on the virtual clock: traffic, states, faults; and the hops' budget."""
+"""Tables of the counts on the virtual clock (traffic, states, faults), and of the hops' budget."""
 
 from __future__ import annotations
 
-from meadowdock.simulator.scale.figures import at_all, sizes_of, whole_of_proxy
+from meadowdock.simulator.scale.figures import mechanism_values, proxy_total_kb_s, sizes_of
 from meadowdock.simulator.scale.fitting import fit
 from meadowdock.simulator.scale.places import CORE, TARGET
-from meadowdock.simulator.scale.text import formula, markdown, shown
+from meadowdock.simulator.scale.text import format_number, formula, markdown_table
 
-# role, mechanism, what carries it, what it is counted by
+# role, mechanism, the messages that carry it, what its bytes are counted per
 ROWS = (
     ("mdproxy", "beats", "a direct beat to every mdreg, 2/s", "s"),
     ("mdproxy", "lists", "one ask and one combined list an interval (0.5 s)", "s"),
@@ -31,82 +31,99 @@
 }
 
 
-def counted_table(facts: dict) -> str:
-    """Frames and bytes of each role's mechanisms."""
-    rows = [counted_row(facts, *row) for row in ROWS]
-    n, largest = TARGET["nodes"], sizes_of(facts)[-1]
+def traffic_table(measurements: dict) -> str:
+    """Format frames and bytes of each role's mechanisms."""
+    rows = [traffic_row(measurements, *row) for row in ROWS]
+    n, largest = TARGET["nodes"], sizes_of(measurements)[-1]
     head = ["role", "carried by", f"frames/s at {n}", f"KB/s at {largest}", "KB/s of n"]
     head += [f"off at {largest}", f"KB/s at {n}"]
-    return markdown(head, [*rows, counted_whole(facts)])
+    return markdown_table(head, [*rows, traffic_total_row(measurements)])
 
 
-def counted_row(facts, role, group, carried, per):
-    """One mechanism of a role."""
-    counts, sizes = facts["counted"], sizes_of(facts)
-    frames = fit(sizes, at_all(counts, role, group, "frames_s"))
-    values = at_all(counts, role, group, "kb_s")
+def traffic_row(measurements, role, group, carried, per):
+    """Format the row of one mechanism of a role."""
+    counts, sizes = measurements["counted"], sizes_of(measurements)
+    frames = fit(sizes, mechanism_values(counts, role, group, "frames_s"))
+    values = mechanism_values(counts, role, group, "kb_s")
     kilobytes = fit(sizes, values)
-    at_target = shown(kilobytes["at"])
+    at_target = format_number(kilobytes["at"])
     return (
         role,
         carried,
-        shown(frames["at"]),
-        shown(values[-1]),
+        format_number(frames["at"]),
+        format_number(values[-1]),
         formula(kilobytes),
         f"{kilobytes['miss_percent']:.1f} %",
         f"{at_target} KB a {per}" if per == "change" else at_target,
     )
 
 
-def counted_whole(facts):
-    """All mechanisms of a proxy together."""
-    values = whole_of_proxy(facts["counted"])
-    whole = fit(sizes_of(facts), values)
+def traffic_total_row(measurements):
+    """Format the row of all mechanisms of a proxy together."""
+    values = proxy_total_kb_s(measurements["counted"])
+    total_fit = fit(sizes_of(measurements), values)
     return (
         "mdproxy",
         "all of these together",
         "",
-        shown(values[-1]),
-        formula(whole),
-        f"{whole['miss_percent']:.1f} %",
-        shown(whole["at"]),
+        format_number(values[-1]),
+        formula(total_fit),
+        f"{total_fit['miss_percent']:.1f} %",
+        format_number(total_fit["at"]),
     )
 
 
-def state_table(facts: dict) -> str:
-    """What each role holds."""
-    counts, sizes = facts["counted"], sizes_of(facts)
+def state_table(measurements: dict) -> str:
+    """Format the size of the state that each role holds."""
+    counts, sizes = measurements["counted"], sizes_of(measurements)
     rows = []
     for role, what in STATES.items():
         values = [count["states"][role] / 1000 for count in counts]
-        found = fit(sizes, values)
-        miss = f"{found['miss_percent']:.1f} %"
-        rows.append((role, what, shown(values[-1]), formula(found), miss, shown(found["at"])))
+        fitted = fit(sizes, values)
+        miss = f"{fitted['miss_percent']:.1f} %"
+        rows.append(
+            (
+                role,
+                what,
+                format_number(values[-1]),
+                formula(fitted),
+                miss,
+                format_number(fitted["at"]),
+            )
+        )
     head = ["held by", "state", f"KB at {sizes[-1]}", "KB of n", f"off at {sizes[-1]}"]
-    return markdown([*head, f"KB at {TARGET['nodes']}"], rows)
+    return markdown_table([*head, f"KB at {TARGET['nodes']}"], rows)
 
 
-def fault_table(facts: dict) -> str:
-    """What faults did."""
+def fault_table(measurements: dict) -> str:
+    """Format the effects of faults."""
     rows = [
         (
             fault["fault"],
             fault["hit"],
-            shown(fault["change_s"]),
-            shown(fault["everywhere_after_heal_s"]) if "everywhere_after_heal_s" in fault else "",
-            shown(fault["lists_right_s"]),
-            shown(fault["peak_kb_s"]),
+            format_number(fault["change_s"]),
+            format_number(fault["everywhere_after_heal_s"])
+            if "everywhere_after_heal_s" in fault
+            else "",
+            format_number(fault["lists_right_s"]),
+            format_number(fault["peak_kb_s"]),
         )
-        for fault in facts["faults"]
+        for fault in measurements["faults"]
+    ]
+    head = [
+        "fault",
+        f"hit, of {measurements['faults'][0]['nodes']} proxies and {CORE} core machines",
     ]
-    head = ["fault", f"hit, of {facts['faults'][0]['nodes']} proxies and {CORE} core machines"]
     head += ["change in force on all that can hear, s", "on the rest after the heal, s"]
-    return markdown([*head, "lists right again after, s", "most KB in a node's second"], rows)
+    return markdown_table([*head, "lists right again after, s", "most KB in a node's second"], rows)
+
 
+def hop_table(measurements: dict) -> str:
+    """Format the budget of latency and processor time for each hop.
 
-def hop_table(facts: dict) -> str:
-    """hops in the file: {"p99_us": of one hop, "core_us": processor time of one hop}."""
-    hops = facts.get("hops") or {}
+    In the file, hops is {"p99_us": latency of one hop, "core_us": processor time of one hop}.
+    """
+    hops = measurements.get("hops") or {}
     p99_us, core_us = hops.get("p99_us"), hops.get("core_us")
     depth, added_us = TARGET["depth"], TARGET["added_us"]
     each = TARGET["calls_s"] / TARGET["nodes"]
@@ -124,9 +141,9 @@
         hop_row("measured: processor time of one hop", core_us, "us"),
         hop_row(chain, chain_us, "us"),
     ]
-    return markdown(["latency and depth (reckoned but where it says measured)", ""], rows)
+    return markdown_table(["latency and depth (reckoned but where it says measured)", ""], rows)
 
 
 def hop_row(what, value, unit):
-    """One figure, or that it wasn't measured."""
+    """Format one figure, or that it was not measured."""
     return what, "**not run yet**" if value is None else f"{value:,.1f} {unit}"
--- a/packages/simulator/meadowdock/simulator/scale/text.py
+++ b/packages/simulator/meadowdock/simulator/scale/text.py
@@ -1,14 +1,14 @@
-"""Numbers, formulas and tables as the page shows them."""
+"""Formatting of numbers, formulas and tables for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 
 
-def shown(value: float | None) -> str:
-    """A number as the page shows it.
+def format_number(value: float | None) -> str:
+    """Format a number with three significant digits, or without decimals from 100 on.
 
-    >>> shown(0.012345), shown(3.211), shown(45678.9), shown(None)
+    >>> format_number(0.012345), format_number(3.211), format_number(45678.9), format_number(None)
     ('0.0123', '3.21', '45,679', 'none')
     """
     if value is None:
@@ -16,32 +16,32 @@
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
-def shown_series(sizes: Sequence[int], values: Sequence[float]) -> str:
-    """Values with the sizes that they were measured at.
+def format_series(sizes: Sequence[int], values: Sequence[float]) -> str:
+    """Format values with the sizes at which they were measured.
 
-    >>> shown_series([1, 8], [2.5, 3])
+    >>> format_series([1, 8], [2.5, 3])
     '2.5 at 1, 3 at 8'
     """
-    return ", ".join(f"{shown(v)} at {n}" for n, v in zip(sizes, values, strict=True))
+    return ", ".join(f"{format_number(v)} at {n}" for n, v in zip(sizes, values, strict=True))
 
 
-def formula(found: dict) -> str:
-    """A fit as a formula of n.
+def formula(fitted: dict) -> str:
+    """Format a fit as a formula of n.
 
     >>> formula({"form": "a + b n", "a": 2, "b": -0.5}), formula({"form": "a", "a": 2, "b": 0})
     ('2 - 0.5 n', '2')
     """
-    a, b = f"{round(found['a'], 9) + 0.0:.3g}", f"{abs(found['b']):.3g}"
-    sign = "-" if found["b"] < 0 else "+"
+    a, b = f"{round(fitted['a'], 9) + 0.0:.3g}", f"{abs(fitted['b']):.3g}"
+    sign = "-" if fitted["b"] < 0 else "+"
     return {
         "a": a,
         "a + b n": f"{a} {sign} {b} n",
         "a n + b n^2": f"{a} n {sign} {b} n^2",
-    }[found["form"]]
+    }[fitted["form"]]
 
 
-def markdown(head: Sequence[str], rows: Iterable[Sequence]) -> str:
-    """A table in Markdown."""
+def markdown_table(head: Sequence[str], rows: Iterable[Sequence]) -> str:
+    """Format a table in Markdown."""
     return "\n".join(
         [
             "| " + " | ".join(head) + " |",
--- a/packages/simulator/meadowdock/simulator/scale/timed_tables.py
+++ b/packages/simulator/meadowdock/simulator/scale/timed_tables.py
@@ -1,17 +1,17 @@
-"""Tables of what the real processes cost, and of the bounds that they held."""
+"""Tables of the real processes' cost, and of whether they kept within the bounds."""
 
 from __future__ import annotations
 
 from meadowdock.simulator.scale.figures import (
     collector_percent,
-    good_runs,
     proxy_percent,
+    proxy_total_kb_s,
+    settled_values,
     sizes_of,
-    whole_of_proxy,
 )
-from meadowdock.simulator.scale.fitting import crossing, fit, told_by
+from meadowdock.simulator.scale.fitting import crossing, fit, fitted_function
 from meadowdock.simulator.scale.places import TARGET
-from meadowdock.simulator.scale.text import formula, markdown, shown, shown_series
+from meadowdock.simulator.scale.text import format_number, format_series, formula, markdown_table
 
 ONE_CORE = 100  # percent
 TIMES = (  # key of a timed run, role, unit, bound
@@ -28,67 +28,80 @@
 }
 
 
-def timed_table(facts: dict) -> str:
-    """Processor time and memory of each role."""
-    rows = [timed_row(facts, *row) for row in TIMES]
-    rows += [list_row(facts, key, role) for key, role in LIST_COSTS.items()]
+def cost_table(measurements: dict) -> str:
+    """Format processor time and memory of each role."""
+    rows = [cost_row(measurements, *row) for row in TIMES]
+    rows += [list_row(measurements, key, role) for key, role in LIST_COSTS.items()]
     rows += [
-        with_lists_row("mdproxy", proxy_percent(facts), TARGET["core_percent"]),
-        with_lists_row("mdreg that collects", collector_percent(facts), ONE_CORE),
+        cost_with_lists_row("mdproxy", proxy_percent(measurements), TARGET["core_percent"]),
+        cost_with_lists_row("mdreg that collects", collector_percent(measurements), ONE_CORE),
     ]
     head = ["role", "unit", "measured", "of n", "off at the largest", f"at {TARGET['nodes']}"]
-    return markdown([*head, "over the bound"], rows)
+    return markdown_table([*head, "over the bound"], rows)
 
 
-def timed_row(facts, key, role, unit, bound):
-    """One figure of the real runs."""
-    sizes, values = good_runs(facts, key)
-    found = fit(sizes, values)
-    over = crossing(told_by(found), bound)
+def cost_row(measurements, key, role, unit, bound):
+    """Format the row of one figure of the real runs."""
+    sizes, values = settled_values(measurements, key)
+    fitted = fit(sizes, values)
+    over = crossing(fitted_function(fitted), bound)
     return (
         role,
         unit,
-        shown_series(sizes, values),
-        formula(found),
-        f"{found['miss_percent']:.0f} %",
-        shown(found["at"]),
-        f"{bound} from {shown(over)}" if over else f"{bound} never",
+        format_series(sizes, values),
+        formula(fitted),
+        f"{fitted['miss_percent']:.0f} %",
+        format_number(fitted["at"]),
+        f"{bound} from {format_number(over)}" if over else f"{bound} never",
     )
 
 
-def list_row(facts, key, role):
-    """The cost of one list."""
-    sizes = [cost["nodes"] for cost in facts["lists"]]
-    values = [cost[key] for cost in facts["lists"]]
-    found = fit(sizes, values)
-    miss = f"{found['miss_percent']:.0f} %"
-    return role, "us", shown_series(sizes, values), formula(found), miss, shown(values[-1]), ""
+def list_row(measurements, key, role):
+    """Format the row of the cost of one list."""
+    sizes = [cost["nodes"] for cost in measurements["lists"]]
+    values = [cost[key] for cost in measurements["lists"]]
+    fitted = fit(sizes, values)
+    miss = f"{fitted['miss_percent']:.0f} %"
+    return (
+        role,
+        "us",
+        format_series(sizes, values),
+        formula(fitted),
+        miss,
+        format_number(values[-1]),
+        "",
+    )
 
 
-def with_lists_row(role, tell, bound):
-    """Processor time with the lists of the full size, reckoned."""
+def cost_with_lists_row(role, percent, bound):
+    """Format the row of the extrapolated processor time with lists of the full size."""
     return (
         f"{role}, with its lists (reckoned)",
         "% of a core",
         "",
         "of the rows above",
         "",
-        shown(tell(TARGET["nodes"])),
-        f"{bound} from {shown(crossing(tell, bound))}",
+        format_number(percent(TARGET["nodes"])),
+        f"{bound} from {format_number(crossing(percent, bound))}",
     )
 
 
-def held_table(facts: dict) -> str:
-    """Which bounds the real runs held."""
-    kilobytes = dict(zip(sizes_of(facts), whole_of_proxy(facts["counted"]), strict=True))
-    rows = [held_row(run, kilobytes) for run in facts["timed"]]
+def bounds_table(measurements: dict) -> str:
+    """Format which bounds the real runs kept within."""
+    kilobytes = dict(
+        zip(sizes_of(measurements), proxy_total_kb_s(measurements["counted"]), strict=True)
+    )
+    rows = [bounds_row(run, kilobytes) for run in measurements["timed"]]
     head = ["nodes", "endpoints on the lists, mean", "change in force everywhere, s"]
     head += ["% of a core a node", "MB a process"]
-    return markdown([*head, "KB/s a node", "all bounds held"], rows)
+    return markdown_table([*head, "KB/s a node", "all bounds held"], rows)
+
 
+def bounds_row(run, kilobytes):
+    """Format the row of one real run.
 
-def held_row(run, kilobytes):
-    """One real run. kilobytes: {size: KB/s of a proxy, counted on the virtual clock}."""
+    :param kilobytes: {size: KB/s of a proxy, counted on the virtual clock}.
+    """
     if "broke" in run:
         return run["nodes"], *"-----", "did not run to its end"
     memory_mb = run["base_mb"] + run["proxy_mb"]
@@ -97,16 +110,16 @@
     return (
         run["nodes"],
         f"{100 * run['listed_share']:.0f} %",
-        shown(run["change_s"]),
-        shown(run["proxy_percent"]),
-        shown(memory_mb),
-        shown(kb_s),
+        format_number(run["change_s"]),
+        format_number(run["proxy_percent"]),
+        format_number(memory_mb),
+        format_number(kb_s),
         f"no: {', '.join(broken)}" if broken else "yes",
     )
 
 
 def broken_bounds(run, memory_mb, kb_s):
-    """The names of the bounds that a run did not hold."""
+    """Return the names of the bounds that a run exceeded."""
     late = run["change_s"] is None or run["change_s"] > TARGET["change_s"]
     broken = {
         "a list was not whole": not run["settled"],
--- a/tests/simulator/test_day_digests.py
+++ b/tests/simulator/test_day_digests.py
@@ -1,5 +1,7 @@
-"""Simulated days, and overloads of gates, do, to the microsecond, what they did when the golden files were
-written. `mdsim digest --check tests/golden/day_digests.json` compares all days."""
+"""Simulated days and overloads of gateways behave exactly as recorded in the golden files.
+
+`mdsim digest --check tests/golden/day_digests.json` compares all days.
+"""
 
 from __future__ import annotations
 
@@ -23,21 +25,27 @@
 GOLDEN = Path(__file__).parents[1] / "golden"
 DAYS = read_digests(GOLDEN / "day_digests.json")
 GATED = read_digests(GOLDEN / "gated_overload_digests.json")
-FAST_SEEDS = ("44", "48", "30")  # the days that take the least time
-GATED_SPAN = 1 * SECOND
+FAST_SEEDS = ("44", "48", "30")  # the days that take the least real time
+GATED_SPAN_US = 1 * SECOND
 
 
 def gated_overload_digest(seed: int) -> str:
-    """A short overload of gates: what callers were told, what ran, and all that was logged."""
+    """Return the digest of a short overload of gateways: answers, executions and log lines."""
     demands = (LONG, SHORT)
     trace = CanonicalTrace()
 
     async def scenario(world):
-        await offer(world, list(world.application), demands, GATED_SPAN, seed)
-        for call in world.request_audit.asked:
-            trace.row("call", call.id.decode(), call.at, call.took, call.status)
-        for ran in world.request_audit.runs():
-            trace.row("execution", ran.id.decode(), ran.instance.decode(), ran.begun, ran.status)
+        await offer(world, list(world.application), demands, GATED_SPAN_US, seed)
+        for request in world.request_audit.asked:
+            trace.row("call", request.id.decode(), request.at, request.took, request.status)
+        for execution in world.request_audit.runs():
+            trace.row(
+                "execution",
+                execution.id.decode(),
+                execution.instance.decode(),
+                execution.begun,
+                execution.status,
+            )
         add_log(trace, world.trace.lines)
 
     gated(
@@ -51,16 +59,16 @@
 
 
 @pytest.mark.parametrize("seed", FAST_SEEDS)
-def test_a_day_is_the_same_as_when_its_digest_was_written(seed):
+def test_day_has_the_golden_digest(seed):
     assert digests([int(seed)], jobs=1)["days"][seed] == DAYS["days"][seed]
 
 
 @pytest.mark.parametrize("seed", sorted(GATED["gated overload"]))
-def test_an_overload_of_gates_is_the_same_as_when_its_digest_was_written(seed):
+def test_overload_of_gateways_has_the_golden_digest(seed):
     assert gated_overload_digest(int(seed)) == GATED["gated overload"][seed]
 
 
-def test_the_check_names_the_seeds_that_differ(tmp_path, monkeypatch, capsys):
+def test_digest_check_names_the_seeds_that_differ(tmp_path, monkeypatch, capsys):
     golden = tmp_path / "golden.json"
     write_digests(golden, {"days": {"1": "same", "2": "former"}})
     monkeypatch.setattr(
@@ -73,7 +81,7 @@
     assert capsys.readouterr().out.endswith("differ:\ndays 2\ndays 3\n")
 
 
-def test_the_check_passes_over_equal_digests(tmp_path, monkeypatch):
+def test_digest_check_passes_with_equal_digests(tmp_path, monkeypatch):
     golden = tmp_path / "golden.json"
     write_digests(golden, {"days": {"1": "same"}})
     monkeypatch.setattr("meadowdock.simulator.__main__.digests", lambda *_: {"days": {"1": "same"}})
--- a/tests/simulator/test_overload.py
+++ b/tests/simulator/test_overload.py
@@ -1,4 +1,4 @@
-"""An overload that lasts: what is served in aim, against what the endpoints could do."""
+"""A lasting overload: the share of calls served within their latency target, by priority."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from meadowdock.runtime import MILLISECOND
 
-# the same works, but no rank tells them apart
-SHORT_ALIKE = replace(
+# the same service times, with equal priority and equal targets
+SHORT_EQUAL_PRIORITY = replace(
     SHORT, priority=LONG.priority, aim_us=200 * MILLISECOND, due_us=400 * MILLISECOND
 )
 
@@ -28,22 +28,22 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_lowest_rank_is_served_in_aim_with_the_room_that_the_others_leave(seed):
+def test_lowest_priority_is_served_in_target_with_the_capacity_that_others_leave(seed):
     demands = (LONG, SHORT)
-    found = overloaded(seed, demands)
-    most = most_in_aim(demands, SLOTS)
-    long, short = found[LONG.prefix], found[SHORT.prefix]
+    outcomes = overloaded(seed, demands)
+    max_shares = most_in_aim(demands, SLOTS)
+    long, short = outcomes[LONG.prefix], outcomes[SHORT.prefix]
     assert short.in_aim >= 0.9 * short.asked, short
-    assert long.in_aim >= 0.75 * most[LONG.prefix] * long.asked, (long, most)
+    assert long.in_aim >= 0.75 * max_shares[LONG.prefix] * long.asked, (long, max_shares)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_kinds_of_one_rank_are_told_apart_by_their_routes(seed):
-    demands = (LONG, SHORT_ALIKE)
-    found = overloaded(seed, demands)
-    long, short = found[LONG.prefix], found[SHORT_ALIKE.prefix]
+def test_service_times_of_equal_priority_are_learned_per_route(seed):
+    demands = (LONG, SHORT_EQUAL_PRIORITY)
+    outcomes = overloaded(seed, demands)
+    long, short = outcomes[LONG.prefix], outcomes[SHORT_EQUAL_PRIORITY.prefix]
     ended = long.in_aim + long.late + short.in_aim + short.late
     assert long.in_aim + short.in_aim >= 0.9 * ended, (long, short)
-    # nobody is before the other: the room is shared, and most of it is used in aim
-    used = long.in_aim * LONG.mean_us + short.in_aim * SHORT_ALIKE.mean_us
+    # neither goes before the other: they share the capacity, and most of it serves calls in target
+    used = long.in_aim * LONG.mean_us + short.in_aim * SHORT_EQUAL_PRIORITY.mean_us
     assert used >= 0.75 * SLOTS * SPAN, (long, short)
--- a/tests/simulator/test_scale.py
+++ b/tests/simulator/test_scale.py
@@ -1,4 +1,4 @@
-"""The fleet's growth: counts are exact, fits find what made them, the page says what was measured."""
+"""Control-plane cost by fleet size: exact counts, fits, and the page docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -14,57 +14,58 @@
 from meadowdock.simulator.scale import (
     TABLES,
     Meter,
-    Metered,
-    counted,
+    MeteredStream,
+    count_frames,
     crossing,
-    filled,
+    filled_page,
     fit,
+    fitted_function,
     places,
     services_of,
-    told_by,
 )
 
 DOCS = os.path.join(os.path.dirname(__file__), "..", "..", "docs")
-SECONDS = 10  # of counted's window
-REGS, ROUNDS = 5, 20  # mdregs; a list each 0.5 s
+WINDOW_S = 10  # the default of count_frames
+REGISTRIES, ROUNDS = 5, 20  # a round of load lists each 0.5 s
 
 
 @pytest.fixture(scope="module", params=[6, 12])
 def counts(request):
-    return counted(request.param, seed=3)
+    return count_frames(request.param, seed=3)
 
 
-def kept(name):
+def read_doc(name):
     with open(os.path.join(DOCS, name), encoding="utf-8") as file:
         return file.read()
 
 
-def test_each_interval_every_proxy_is_asked_and_told_once(counts):
+def test_collector_asks_and_informs_every_proxy_once_per_interval(counts):
     n = counts["nodes"]
     assert counts["rounds"] == ROUNDS
     assert counts["lists_told"] == ROUNDS * n
-    # an ask, its answer, a list, its answer
-    lists = 4 * ROUNDS / SECONDS
-    assert counts["roles"]["collector"]["lists"]["frames_s"] == pytest.approx(lists * n)
-    assert counts["roles"]["mdproxy"]["lists"]["frames_s"] == pytest.approx(lists)
+    frames_s = 4 * ROUNDS / WINDOW_S  # load.ask, its answer, load.list, its answer
+    assert counts["roles"]["collector"]["lists"]["frames_s"] == pytest.approx(frames_s * n)
+    assert counts["roles"]["mdproxy"]["lists"]["frames_s"] == pytest.approx(frames_s)
 
 
-def test_every_proxy_beats_to_every_mdreg(counts):
+def test_every_proxy_sends_heartbeats_to_every_registry(counts):
     n = counts["nodes"]
-    each = 2 * 2  # two beats a second, each answered
-    assert counts["roles"]["mdproxy"]["beats"]["frames_s"] == pytest.approx(each * REGS, rel=0.03)
-    # of each mdreg: from all proxies, and to and from the other mdregs
-    wanted = each * (n + 2 * (REGS - 1))
-    assert counts["roles"]["mdreg"]["beats"]["frames_s"] == pytest.approx(wanted, rel=0.03)
+    frames_s = 2 * 2  # two heartbeats a second, each answered
+    assert counts["roles"]["mdproxy"]["beats"]["frames_s"] == pytest.approx(
+        frames_s * REGISTRIES, rel=0.03
+    )
+    # of each registry: from all proxies, and to and from the other registries
+    expected = frames_s * (n + 2 * (REGISTRIES - 1))
+    assert counts["roles"]["mdreg"]["beats"]["frames_s"] == pytest.approx(expected, rel=0.03)
 
 
-def test_a_change_is_staged_and_switched_on_every_proxy(counts):
+def test_change_is_staged_and_switched_on_every_proxy(counts):
     assert counts["roles"]["deliverer"]["delivery"]["frames_s"] == 4 * counts["nodes"]
     assert counts["change_s"] < 11
 
 
 def test_counts_are_the_same_under_the_same_seed():
-    assert counted(6, seed=5, window=2_000_000) == counted(6, seed=5, window=2_000_000)
+    assert count_frames(6, seed=5, window=2_000_000) == count_frames(6, seed=5, window=2_000_000)
 
 
 def test_both_ends_of_a_link_count_the_same_frames():
@@ -88,30 +89,30 @@
             self.nursery = nursery
 
         async def open_stream(self, address):
-            mine, theirs = trio.testing.memory_stream_pair()
-            far = Metered(theirs, meter, "far", opener=False)
-            self.nursery.start_soon(serve_connection, far, key, Rng, "far", Handlers, Log())
-            return Metered(mine, meter, "near", opener=True)
+            near, far = trio.testing.memory_stream_pair()
+            server = MeteredStream(far, meter, "far", opener=False)
+            self.nursery.start_soon(serve_connection, server, key, Rng, "far", Handlers, Log())
+            return MeteredStream(near, meter, "near", opener=True)
 
     async def main():
         async with trio.open_nursery() as nursery:
             links = ConnectionPool(nursery, Net(nursery), key, Rng, Peer("near", "n:1"), Log())
-            due = round(trio.current_time() * 1e6) + 5_000_000
+            deadline = round(trio.current_time() * 1e6) + 5_000_000
             for size in (1, 1000, 70_000):
-                await links.call("f:1", "some.method", "y" * size, due)
+                await links.call("f:1", "some.method", "y" * size, deadline)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock())
     for method, frames in (("greeting", (2, 1)), ("some.method", (3, 3))):
-        for one, other in (("near", "far"), ("far", "near")):
-            assert meter.frames[one, method, "sent"] == frames[one == "far"]
-            for table in (meter.frames, meter.bytes):
-                assert table[one, method, "sent"] == table[other, method, "received"]
-    plain = FrameAuthenticator(b"", b"")
-    assert meter.bytes["near", "some.method", "sent"] > 71_001 + 3 * len(plain.seal(b""))
+        for sender, receiver in (("near", "far"), ("far", "near")):
+            assert meter.frames[sender, method, "sent"] == frames[sender == "far"]
+            for counters in (meter.frames, meter.bytes):
+                assert counters[sender, method, "sent"] == counters[receiver, method, "received"]
+    authenticator = FrameAuthenticator(b"", b"")
+    assert meter.bytes["near", "some.method", "sent"] > 71_001 + 3 * len(authenticator.seal(b""))
 
 
-def test_the_fleet_has_its_services_and_zones():
+def test_fleet_has_the_planned_services_and_zones():
     core, application, zones = places(1200)
     assert len(application) == 1200 and len(core) == 5
     assert len(set(application.values())) == services_of(1200) == 190
@@ -119,47 +120,48 @@
 
 
 @pytest.mark.parametrize(
-    "form, tell", [("a + b n", lambda n: 7 + 0.5 * n), ("a n + b n^2", lambda n: 2 * n + n * n / 8)]
+    "form, function",
+    [("a + b n", lambda n: 7 + 0.5 * n), ("a n + b n^2", lambda n: 2 * n + n * n / 8)],
 )
-def test_a_fit_finds_what_made_the_values(form, tell):
+def test_fit_finds_the_function_behind_the_values(form, function):
     sizes = [10, 20, 40, 80]
-    found = fit(sizes, [tell(n) for n in sizes])
-    assert found["form"] == form
-    assert found["miss_percent"] < 1e-6
-    assert found["at"] == pytest.approx(tell(1200))
-    first = crossing(told_by(found), 500)
-    assert tell(first) > 500 >= tell(first - 1)
+    fitted = fit(sizes, [function(n) for n in sizes])
+    assert fitted["form"] == form
+    assert fitted["miss_percent"] < 1e-6
+    assert fitted["at"] == pytest.approx(function(1200))
+    first = crossing(fitted_function(fitted), 500)
+    assert function(first) > 500 >= function(first - 1)
 
 
-def test_a_fit_says_how_far_off_it_was():
+def test_fit_reports_by_how_much_it_misses():
     assert fit([10, 20, 40, 80], [10, 20, 40, 100])["miss_percent"] > 5
 
 
-def test_what_never_grows_never_crosses():
-    assert crossing(told_by(fit([10, 20, 40, 80], [3, 3, 3, 3])), 4) is None
+def test_constant_values_never_cross_a_bound():
+    assert crossing(fitted_function(fit([10, 20, 40, 80], [3, 3, 3, 3])), 4) is None
 
 
-def test_what_falls_is_not_followed_below_zero():
-    found = fit([10, 20, 40, 80], [9, 8, 6, 2])
-    assert found["form"] == "a" and found["at"] == pytest.approx(25 / 4)
+def test_falling_values_are_not_extrapolated():
+    fitted = fit([10, 20, 40, 80], [9, 8, 6, 2])
+    assert fitted["form"] == "a" and fitted["at"] == pytest.approx(25 / 4)
 
 
-def test_the_page_shows_what_was_measured():
-    facts, page = json.loads(kept("capacity.json")), kept("CAPACITY.md")
-    assert filled(page, facts) == page
+def test_page_shows_the_measurements():
+    measurements, page = json.loads(read_doc("capacity.json")), read_doc("CAPACITY.md")
+    assert filled_page(page, measurements) == page
 
 
-def test_a_page_of_other_figures_is_told():
-    facts, page = json.loads(kept("capacity.json")), kept("CAPACITY.md")
-    facts["counted"][-1]["roles"]["mdproxy"]["beats"]["kb_s"] += 1
-    assert filled(page, facts) != page
+def test_page_of_other_measurements_differs():
+    measurements, page = json.loads(read_doc("capacity.json")), read_doc("CAPACITY.md")
+    measurements["counted"][-1]["roles"]["mdproxy"]["beats"]["kb_s"] += 1
+    assert filled_page(page, measurements) != page
 
 
-def test_a_page_without_a_place_is_refused():
+def test_page_without_markers_is_refused():
     with pytest.raises(ValueError, match=next(iter(TABLES))):
-        filled("# Capacity\n", json.loads(kept("capacity.json")))
+        filled_page("# Capacity\n", json.loads(read_doc("capacity.json")))
 
 
-def test_at_least_four_sizes_over_a_factor_of_ten():
-    sizes = [c["nodes"] for c in json.loads(kept("capacity.json"))["counted"]]
+def test_measured_sizes_are_at_least_four_and_span_a_factor_of_ten():
+    sizes = [count["nodes"] for count in json.loads(read_doc("capacity.json"))["counted"]]
     assert len(sizes) >= 4 and max(sizes) >= 10 * min(sizes)
