--- a/packages/simulator/meadowdock/simulator/checkers.py
+++ b/packages/simulator/meadowdock/simulator/checkers.py
@@ -159,10 +159,10 @@
 def in_force(history):
     """Find answers under an older version than one accepted at least 2 s before the call.
 
-    An older version is allowed only where the run itself, by history.away, kept the machine from
-    the core so that it had no 2 s of contact since the change was accepted. What the machine
-    reports about itself is no excuse. A machine that was kept from the core for
-    REPORTS_CUT_OFF_WITHIN_US must also have marked the answer as cut off.
+    An older version is allowed only if the run itself partitioned the machine from the core
+    (history.away), so that it had no 2 s of contact since the change was accepted. What the machine
+    reports about itself is no excuse. If the partition had lasted for REPORTS_CUT_OFF_WITHIN_US, the
+    answer must also be marked as cut off.
     """
     accepted = [o for o in history.operated if o.act == "confirm" and o.outcome == "ok"]
     newest = RunningMaximum((o.end + IN_FORCE_WITHIN_US, o.version) for o in accepted)
@@ -210,7 +210,8 @@
     """Return {version: us} for how long machines answered by older versions after it was in use.
 
     A lag runs from the first answer under the version to the start of the last call that was
-    answered under an older one. Machines that the run kept from the core meanwhile don't count.
+    answered under an older one. Machines that the run partitioned from the core meanwhile don't
+    count.
     """
     first_answers = {}
     for call in sorted(answers_with_version(history), key=lambda call: call.answered):
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -38,6 +38,11 @@
 
 
 def manifest(mark, ways=0):
+    """Return a manifest with the routes of the stand-ins, identified by the route named mark.
+
+    :param ways: how many further routes it has.
+    """
+
     def stages(endpoint_us):
         return {
             "arrival": {"wait_us": 200_000, "tries": 1},
@@ -45,7 +50,7 @@
             "endpoint": {"wait_us": endpoint_us, "tries": 1},
         }
 
-    def way(name, service, callers, method, repeat, path=None):
+    def route(name, service, callers, method, repeat, path=None):
         return {
             "name": name,
             "callers": callers,
@@ -62,12 +67,15 @@
         ],
         "budgets": [{"name": "std", **stages(1_500_000)}],
         "ways": [
-            way("balances", "desk", ["guest"], "GET", "safe"),
-            way("withdrawals", "desk", ["guest"], "POST", "once"),
-            way("ledger", "desk", ["paper"], "GET", "safe"),
-            way("statements", "paper", ["guest"], "GET", "safe"),
-            way(mark, "paper", ["guest"], "GET", "safe", f"/mark/{mark}"),
-            *(way(f"w{n}", "paper", ["guest"], "GET", "safe", f"/many/w{n}") for n in range(ways)),
+            route("balances", "desk", ["guest"], "GET", "safe"),
+            route("withdrawals", "desk", ["guest"], "POST", "once"),
+            route("ledger", "desk", ["paper"], "GET", "safe"),
+            route("statements", "paper", ["guest"], "GET", "safe"),
+            route(mark, "paper", ["guest"], "GET", "safe", f"/mark/{mark}"),
+            *(
+                route(f"w{n}", "paper", ["guest"], "GET", "safe", f"/many/w{n}")
+                for n in range(ways)
+            ),
         ],
     }
 
@@ -133,6 +141,7 @@
         self.call_count = 0
 
     async def place_endpoint(self, host, service, wait=True):
+        """Start an endpoint whose behaviour faults can change."""
         address = f"{host}:8000"
         behaviour = self.endpoint_behaviour.setdefault(address, dict(HEALTHY_ENDPOINT))
         endpoint = None
@@ -165,6 +174,7 @@
         return endpoint
 
     async def call(self, host, kind, caller, token=None):
+        """Make one call, and sometimes a repeat by its key if its outcome is unknown."""
         self.call_count += 1
         uid = f"u{self.call_count}"
         keyed = kind == "withdrawals" and self.rng.random() < 0.7
@@ -177,6 +187,7 @@
             await self.send(uid, second_host, kind, caller, token, keyed, repeat=True)
 
     async def send(self, uid, host, kind, caller, token, keyed, repeat=False):
+        """Send one request to the host's proxy; return its record in the history."""
         call = Asked(uid, host, kind, caller, monotonic_us())
         self.history.asked.append(call)
         net = SimNet(self.world.web, host)
@@ -219,6 +230,7 @@
             await sleep_us(SECOND)
 
     async def send_calls(self, host):
+        """Make random calls at a machine until the day ends, while its proxy is ready."""
         while not self.finished:
             gap_us = QUIET_GAP_US if self.history.calm_from else BUSY_GAP_US
             await sleep_us(int(self.rng.expovariate(1 / gap_us)))
@@ -233,6 +245,7 @@
             self.world.nursery.start_soon(self.call, host, self.rng.choice(kinds), name, token)
 
     async def change_configuration(self, mark, core, ways=0):
+        """Plan and confirm a manifest as an operator, and record the outcome."""
         base = 0
         start = monotonic_us()
         operation = Operated("confirm", start, start, "refused", mark=mark)
@@ -302,6 +315,7 @@
             )
 
     async def operate(self):
+        """Change and read the configuration at random until the day ends."""
         number = 0
         cores = len(self.world.core)
         while not self.finished:
@@ -395,6 +409,7 @@
                 await self.stop_and_restart([chosen], duration_us, stop, already_reserved=True)
 
     async def restart_gracefully(self, candidates, pick, duration_us):
+        """Stop a process gracefully and start it again; record stops of proxies."""
         with self.reserve(candidates, pick) as chosen:
             if chosen is None:
                 return
@@ -406,6 +421,7 @@
             await self.start(*chosen)
 
     async def freeze(self, candidates, pick, duration_us):
+        """Freeze a process for a time."""
         with self.reserve(candidates, pick) as chosen:
             if chosen is None:
                 return
@@ -477,6 +493,7 @@
         return process is not None and process.frozen is None and process.up.is_set()
 
     def working_members(self):
+        """Return the members whose process runs on a usable disk."""
         return [
             h
             for h in self.world.core
--- a/packages/simulator/meadowdock/simulator/wires.py
+++ b/packages/simulator/meadowdock/simulator/wires.py
@@ -254,6 +254,7 @@
         self.nursery.start_soon(self.connect, Address(address), due, owner)
 
     async def connect(self, address, due, owner):
+        """Connect within the deadline; call the owner's on_open, or on_fail with the cause."""
         wire, cause, remote = None, "no connection in time", address.host
         with deadline_scope(due):
             await self.web.carry(self.host, remote)
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -43,22 +43,23 @@
     """
 
     def __init__(self):
-        self.at = 0.0
+        self.now_s = 0.0
 
     def start_clock(self):
         pass
 
     def current_time(self):
-        return self.at
+        return self.now_s
 
     def deadline_to_sleep_time(self, deadline):
         if deadline == float("inf"):
             return deadline
-        self.at = max(self.at, deadline)
+        self.now_s = max(self.now_s, deadline)
         return 0
 
 
 async def run_inline(work, *args):
+    """Run a function at once, in place of the worker thread that a real process would use."""
     await trio.lowlevel.checkpoint()
     return work(*args)
 
@@ -75,7 +76,8 @@
             self.lines.append((monotonic_us(), json.loads(text)))
 
     def events(self, *numbers):
-        return [(at, line) for at, line in self.lines if line["number"] in numbers]
+        """Return the (time, line) pairs of the events with these numbers."""
+        return [(logged_at, line) for logged_at, line in self.lines if line["number"] in numbers]
 
 
 # The process that a task belongs to. Child tasks inherit it; a task that serves a request on the
@@ -87,7 +89,7 @@
     """Wrap trio's scheduler so that tasks of a frozen or slowed process wait.
 
     Wake-ups of a frozen process are kept until it is resumed. Trio has no public interface for
-    this; no other part of the project touches trio's internals.
+    this, so the simulator replaces a method of its scheduler.
     """
     runner = trio._core._run.Runner
     if getattr(runner, "md_hooked", False):
@@ -150,13 +152,14 @@
     def enter(self, work):
         """Call a function as this process: the tasks that it starts belong to the process."""
 
-        def turn():
+        def run_as_process():
             owner.set(self)
             return work()
 
-        return contextvars.copy_context().run(turn)
+        return contextvars.copy_context().run(run_as_process)
 
     def kill(self):
+        """Kill the process as SIGKILL does: its connections are reset."""
         self.net.vanish()
         self.scope.cancel()
         self.wake()
@@ -171,6 +174,7 @@
             self.frozen = []
 
     def wake(self):
+        """Continue a frozen process as SIGCONT does."""
         paused_tasks, self.frozen = self.frozen or [], None
         for task, outcome in paused_tasks:
             trio.lowlevel.reschedule(task, *outcome)
@@ -210,7 +214,8 @@
         self.zones = {host: "abc"[index % 3] for index, host in enumerate(hosts)}
 
     def boot(self, role, host):
-        facts = {
+        """Return the validated boot settings of a daemon."""
+        settings = {
             "host": host,
             "hall": self.zones[host],
             "seeds": [f"{h}:7411" for h in self.core[:3]],
@@ -218,40 +223,42 @@
             "nodes_expected": max(1, len(self.application)),
         }
         if self.gated:
-            facts["seeds"] = [f"{h}:7421" for h in self.core[:3]]
+            settings["seeds"] = [f"{h}:7421" for h in self.core[:3]]
         if role == "mdconf":
             members = [] if self.gated else [f"{h}:7421" for h in self.core]
             losses = (len(self.core) - 1) // 2  # a single core machine tolerates no loss
-            facts |= {"data": "sim", "members": members, "losses": min(losses, 2)}
+            settings |= {"data": "sim", "members": members, "losses": min(losses, 2)}
         elif role == "mdproxy" and self.gated:
-            facts |= {
+            settings |= {
                 "gate": f"{host}:{GATE_PORT}",
                 "gate_port": GATEWAY_LINK_PORT,
                 **self.proxy_boot_settings,
             }
             if self.application.get(host):
-                facts["service"] = self.application[host]
-        return checked(role, facts)
+                settings["service"] = self.application[host]
+        return checked(role, settings)
 
     def launch(self, name, host, work):
+        """Start a process that runs work(process, nursery)."""
         process = self.processes[name] = Process(self, name, host)
         self.nursery.start_soon(process.run, work)
         return process
 
     async def start(self, role, host):
+        """Start a daemon on the disk of its role and host, and wait until it is up."""
         boot = self.boot(role, host)
         disk = self.disks.setdefault((role, host), SimDisk(random.Random(f"{host}{self.seed}")))
         self.start_count += 1
         rng = random.Random(f"{role}{host}{self.start_count}{self.seed}")
 
         async def work(process, nursery):
-            wall = lambda: WALL + monotonic_us()  # noqa: E731
-            runtime = Runtime(process.net, disk, rng, offload=run_inline, wall_us=wall)
+            wall_us = lambda: WALL + monotonic_us()  # noqa: E731
+            runtime = Runtime(process.net, disk, rng, offload=run_inline, wall_us=wall_us)
             process.node = Node(boot, runtime, nursery, Log(boot.name, self.trace, timed=False))
             self.listen(process.node.rpc)
             disk.on_loss = process.kill
-            gated = self.gated and role == "mdproxy"
-            await nursery.start(process.node.run, GateProxy if gated else DAEMON_CLASSES[role])
+            is_gateway = self.gated and role == "mdproxy"
+            await nursery.start(process.node.run, GateProxy if is_gateway else DAEMON_CLASSES[role])
             process.up.set()
 
         process = self.launch(f"{role}@{host}", host, work)
@@ -286,6 +293,7 @@
         self.processes.pop(name).kill()
 
     def power_off(self, role, host):
+        """Kill a daemon and cut the power of its disk."""
         self.processes.pop(f"{role}@{host}").kill()
         self.disks[role, host].power_off()
 
@@ -293,6 +301,7 @@
         del self.disks[role, host]
 
     async def start_all(self):
+        """Start all daemons, and wait until they are up."""
         async with trio.open_nursery() as nursery:
             for host in self.core:
                 nursery.start_soon(self.start, "mdreg", host)
@@ -318,6 +327,12 @@
         kind=Endpoint,
         record=None,
     ):
+        """Start an endpoint of the client library and wait until its proxy knows it.
+
+        :param wait: whether to wait for its enrolment.
+        :param kind: the class of the endpoint.
+        :param record: its record of executed keys, or None.
+        """
         address = f"{host}:{port}"
         self.start_count += 1
         endpoint = kind(
@@ -371,6 +386,7 @@
             await sleep_us(every)
 
     def heartbeat(self, host, endpoint, sequence, **overrides):
+        """Hand a heartbeat of a raw-byte endpoint to the proxy of its machine, if that runs."""
         proxy = self.processes.get(f"mdproxy@{host}")
         if proxy is None or proxy.frozen is not None or proxy.node is None:
             return
@@ -444,8 +460,11 @@
         return monotonic_us() - begun
 
 
-def run(scenario, seed=1, **places):
-    """Run `scenario(world)` under a seed on the virtual clock; return its result."""
+def run(scenario, seed=1, **layout):
+    """Run `scenario(world)` under a seed on the virtual clock; return its result.
+
+    :param layout: the arguments of World.place.
+    """
     hook_scheduler()
     scheduler = trio._core._run  # trio has no public interface to its scheduler's randomness
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True
@@ -454,7 +473,7 @@
     async def main():
         async with trio.open_nursery() as nursery:
             world = World(seed, nursery)
-            world.place(**places)
+            world.place(**layout)
             try:
                 return await scenario(world)
             finally:
