--- a/packages/simulator/meadowdock/simulator/checkers.py
+++ b/packages/simulator/meadowdock/simulator/checkers.py
@@ -137,7 +137,7 @@
 def answers_with_version(history):
     """Return the calls that were answered under a manifest.
 
-    A proxy that has no manifest yet answers with version 0.
+    A proxy that has no manifest yet answers with version 0; such calls are left out.
     """
     return [call for call in history.asked if call.version]
 
@@ -175,7 +175,7 @@
                 continue
             if reachable_for(partitions, change.end, call.sent, IN_FORCE_WITHIN_US):
                 yield (
-                    f"{call.host} answered {call.uid} by version {call.version}, "
+                    f"{call.host} answered {call.uid} under version {call.version}, "
                     f"{change.version} was accepted"
                 )
                 break
@@ -186,7 +186,7 @@
             )
             if partitioned and not call.cut_off:
                 yield (
-                    f"{call.host} answered {call.uid} by version {call.version} "
+                    f"{call.host} answered {call.uid} under version {call.version} "
                     "without marking it as cut off"
                 )
 
@@ -201,7 +201,7 @@
         for call in calls:
             if call.version < newest.value_at(call.sent):
                 yield (
-                    f"{host} answered {call.uid} by version {call.version} "
+                    f"{host} answered {call.uid} under version {call.version} "
                     f"after {newest.value_at(call.sent)}"
                 )
 
--- a/packages/simulator/meadowdock/simulator/net.py
+++ b/packages/simulator/meadowdock/simulator/net.py
@@ -55,9 +55,11 @@
         return finished_at - monotonic_us()
 
     def cut(self, a, b, both=True):
+        """Cut the way from a to b, and back too if `both`."""
         self.cuts |= {(a, b), *([(b, a)] if both else [])}
 
     def heal_links(self, pairs):
+        """End the cuts of these pairs; what waited for them is delivered."""
         self.cuts -= set(pairs)
         self.healed.set()
         self.healed = trio.Event()
--- a/packages/simulator/meadowdock/simulator/standin/endpoint.py
+++ b/packages/simulator/meadowdock/simulator/standin/endpoint.py
@@ -33,7 +33,7 @@
         self.journal, self.turned, self.malformed = [], [], []
         self.came_at = []  # (time, id) of each received request
         self.conns = set()
-        self.cap = 1 << 30  # the most connections
+        self.cap = 1 << 30  # max connections
         self.idle_us = 0  # idle connections are closed after this time; 0: never
         self.alive_s = 0  # the timeout that is announced in Keep-Alive; 0: none
         self.draining = self.left = False
@@ -101,6 +101,7 @@
         return faults.pop(0) if faults else None
 
     def turn_away(self, job, status):
+        """Refuse a job with a response that is marked as not run; return the job."""
         id = job.headers.get(self.dialect.call_id.lower(), b"")
         self.turned.append((monotonic_us(), id, status))
         self.nursery.start_soon(self.send_refusal, job, id, status)
