--- a/packages/admin_http/meadowdock/admin_http/app.py
+++ b/packages/admin_http/meadowdock/admin_http/app.py
@@ -10,6 +10,7 @@
 from meadowdock.admin_http.exceptions import BodyTooLarge, ClientDisconnected
 from meadowdock.admin_http.messages import Headers, Request, Response
 from meadowdock.admin_http.routes import RouteTable
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import monotonic_us
 
 HEALTH_CHECK_PATHS = ("/live", "/ready")
@@ -22,7 +23,7 @@
 class App:
     """An ASGI 3.0 application over a table of routes.
 
-    owner: the first argument of each handler. log: receives event 801 when a handler fails.
+    owner: the first argument of each handler. log: receives INTERNAL_ERROR when a handler fails.
     Invariant: requests_in_flight counts the requests that were received and not yet answered.
     last_request_at: when the last request other than a health check arrived, in microseconds of the
     monotonic clock. closing: each response asks the client to close the connection.
@@ -72,7 +73,7 @@
             raise
         except Exception as cause:  # a defect of the handler: it may have run in part
             if self.log:
-                self.log(801, path=request.path, cause=repr(cause))
+                self.log(log_events.INTERNAL_ERROR, path=request.path, cause=repr(cause))
             body = {"code": "broke", "verdict": "may-have-run"}
             return 500, *Response(500, body, MAY_HAVE_RUN_HEADERS).encoded()
 
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -21,6 +21,7 @@
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration import split_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
+from meadowdock.logs import events as log_events
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import MILLISECOND, deadline_scope, fingerprint, monotonic_us, sleep_us
 
@@ -203,7 +204,7 @@
         await server.node.runtime.offload(lambda: server.audit_signer.key)
         committed = await self.propose(server.plans.transition(plan_id, plan), deadline)
         server.revisions.learn(committed)
-        server.node.log(605, plan=plan_id, version=committed.version)
+        server.node.log(log_events.PLAN_COMMITTED, plan=plan_id, version=committed.version)
         server.node.nursery.start_soon(server.delivery.deliver, committed)
         return committed
 
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -10,6 +10,7 @@
 
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.consensus import FailureDomain
+from meadowdock.logs import events as log_events
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import monotonic_us, sleep_us
 
@@ -199,7 +200,7 @@
         domains[self.store.disk] = self.failure_domain
         membership = MembershipConfiguration(1, voters).with_failure_domains(domains)
         await self.store.adopt(membership)
-        self.node.log(601, members=sorted(voters.values()))
+        self.node.log(log_events.BOOTSTRAPPED, members=sorted(voters.values()))
         requests = {a: (a, "member.adopt", membership.to_record()) for a in answers}
         await self.node.rpc.call_all(requests, monotonic_us() + self.timing.hello_timeout_us)
 
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -18,6 +18,7 @@
 from meadowdock.config_store.timing import MembershipTiming
 from meadowdock.config_store.voting import VotingMember
 from meadowdock.consensus import FailureDomain, NoQuorum, OutcomeUnknown, Tolerance, VoterSets
+from meadowdock.logs import events as log_events
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us, sleep_us
 
@@ -286,7 +287,7 @@
     def log_change(self, membership):
         """Log the voters after a change."""
         voters = sorted(membership.voters.values())
-        self.node.log(607, version=membership.version, members=voters)
+        self.node.log(log_events.MEMBERS_CHANGED, version=membership.version, members=voters)
 
     async def is_answering(self, address):
         """Whether the process at an address answers.
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -31,6 +31,7 @@
 )
 from meadowdock.configuration.items import current_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import monotonic_us
 
 if TYPE_CHECKING:
@@ -115,7 +116,7 @@
             {**dict(chunks), plan_id: plan_body},
             monotonic_us() + 2 * self.server.operator_timing.change_us,
         )
-        self.server.node.log(604, plan=plan_id, base=current.version)
+        self.server.node.log(log_events.PLAN_STORED, plan=plan_id, base=current.version)
         return PlannedChange(plan_id, current.version, changes)
 
     async def checked_configuration(self, body: bytes) -> dict[str, Any]:
@@ -202,7 +203,7 @@
         committed = Revision.from_record(record)
         self.server.revisions.learn(committed)
         version = committed.version_of(plan_id)
-        self.server.node.log(605, plan=plan_id, version=version)
+        self.server.node.log(log_events.PLAN_COMMITTED, plan=plan_id, version=version)
         self.server.node.nursery.start_soon(self.server.delivery.deliver, committed)
         return version
 
--- a/packages/config_store/meadowdock/config_store/repair.py
+++ b/packages/config_store/meadowdock/config_store/repair.py
@@ -12,6 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from meadowdock.consensus import KeyStateLost
+from meadowdock.logs import events as log_events
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import SECOND, fingerprint, monotonic_us, sleep_us
 
@@ -69,7 +70,7 @@
     def record_repair(self, kind: str, **fields: object) -> None:
         """Count and log one repair."""
         self.counts[kind] += 1
-        self.node.log(606, what=kind, **fields)
+        self.node.log(log_events.REPAIRED, what=kind, **fields)
 
     async def scrub(self) -> None:
         """Read the next few files in turn, and repair damaged ones.
--- a/packages/config_store/meadowdock/config_store/revision_reader.py
+++ b/packages/config_store/meadowdock/config_store/revision_reader.py
@@ -13,6 +13,7 @@
 from meadowdock.config_store.revision import EMPTY_REVISION, Revision
 from meadowdock.config_store.store import CURRENT_REVISION_KEY
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import SECOND, deadline_scope, monotonic_us, sleep_us
 
 if TYPE_CHECKING:
@@ -89,7 +90,7 @@
     def note_no_quorum(self) -> None:
         """Mark this member as not ready until a quorum read succeeds."""
         if not self.no_quorum:
-            self.server.node.log(603, members=len(self.server.proposer.voters()))
+            self.server.node.log(log_events.NO_QUORUM, members=len(self.server.proposer.voters()))
         self.no_quorum = True
 
     def learn(self, revision: Revision) -> None:
--- a/packages/consensus/meadowdock/consensus/acceptor.py
+++ b/packages/consensus/meadowdock/consensus/acceptor.py
@@ -26,6 +26,7 @@
     Refusal,
     WriteRequest,
 )
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import add_checksum, fingerprint, verify_checksum
 
 if TYPE_CHECKING:
@@ -175,7 +176,7 @@
         newest = max(versions)
         body = verify_checksum(await self.disk.read(f"key/{folder}/{newest}"))
         if body is None:
-            self.log(602, folder=folder, file=newest)
+            self.log(log_events.KEY_FILE_CORRUPT, folder=folder, file=newest)
             self.states[folder] = None
             return
         record = ormsgpack.unpackb(body)
--- a/packages/forwarding/meadowdock/forwarding/figures.py
+++ b/packages/forwarding/meadowdock/forwarding/figures.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass, field
 
 from meadowdock.forwarding.call import Call
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us
 
 REPORT_INTERVAL_US = SECOND
@@ -106,7 +107,7 @@
             if any(figures.rejected for figures in priorities.values()):
                 by_priority = {each: summary(priorities[each]) for each in sorted(priorities)}
                 self.log(
-                    407,
+                    log_events.SERVICE_OVERLOADED,
                     service=service,
                     ms=length // MILLISECOND,
                     ranks=by_priority,
--- a/packages/forwarding/meadowdock/forwarding/invariants.py
+++ b/packages/forwarding/meadowdock/forwarding/invariants.py
@@ -8,6 +8,7 @@
 from meadowdock.forwarding.admission import Admission
 from meadowdock.forwarding.call import Call
 from meadowdock.forwarding.figures import PriorityFigures
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import SECOND
 
 LOG_INTERVAL_US = SECOND  # violations of one kind are logged at most once per interval
@@ -23,7 +24,7 @@
 
 
 class Invariants:
-    """Counts violations by name and logs them as event 802.
+    """Counts violations by name and logs them as INVARIANT_VIOLATED.
 
     - late_before_in_time: a queued call was started after its latency target, although a call of
       the same or a higher priority that could still meet its target was waiting.
@@ -45,7 +46,9 @@
         self.violations[name] += 1
         if now - self.logged_at.get(name, -LOG_INTERVAL_US) >= LOG_INTERVAL_US:
             self.logged_at[name] = now
-            self.log(802, invariant=name, count=self.violations[name], **fields)
+            self.log(
+                log_events.INVARIANT_VIOLATED, invariant=name, count=self.violations[name], **fields
+            )
 
     def check_start(self, call: Call, admission: Admission, now: int) -> None:
         """Check that a call which is taken from the queue may start before the remaining ones."""
--- a/packages/forwarding/meadowdock/forwarding/local_calls.py
+++ b/packages/forwarding/meadowdock/forwarding/local_calls.py
@@ -7,6 +7,7 @@
 from meadowdock.forwarding.call import Call, OutcomeUnknown, Served
 from meadowdock.forwarding.outcome_codes import CANCELLED, CONNECT_FAILED
 from meadowdock.forwarding.upstream import UpstreamPool
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import monotonic_us
 
 if TYPE_CHECKING:
@@ -73,7 +74,11 @@
 
     def on_other_instance(self, endpoint: Endpoint) -> None:
         """Remove an endpoint whose address belongs to another instance now."""
-        self.log(405, address=endpoint.address, why="another instance answers")
+        self.log(
+            log_events.ENDPOINT_CHECK_FAILED,
+            address=endpoint.address,
+            why="another instance answers",
+        )
         self.registry.remove(endpoint, "another instance answers")
 
     def on_not_run(self, call: Call, code: str) -> None:
--- a/packages/forwarding/meadowdock/forwarding/peer_link.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_link.py
@@ -33,6 +33,7 @@
     encode_outcome,
     frame_sent_at,
 )
+from meadowdock.logs import events as log_events
 from meadowdock.rpc.frame import FrameAuthenticator, derive_key
 from meadowdock.rpc.queueing_delay import QueueingDelayEstimator
 from meadowdock.runtime import MILLISECOND, monotonic_us
@@ -109,7 +110,7 @@
                 else:
                     self.on_handshake_frame(frame)
         except (ValueError, TypeError, IndexError) as cause:
-            self.peers.log(201, cause=repr(cause))
+            self.peers.log(log_events.CONNECTION_REJECTED, cause=repr(cause))
             self.close(cause)
 
     def close(self, cause: object) -> None:
--- a/packages/forwarding/meadowdock/forwarding/peers.py
+++ b/packages/forwarding/meadowdock/forwarding/peers.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING
 
 from meadowdock.forwarding.peer_link import IncomingLink, OutgoingLink
+from meadowdock.logs import events as log_events
 from meadowdock.rpc.frame import derive_key
 from meadowdock.runtime import MILLISECOND, PauseDetector, monotonic_us
 
@@ -84,7 +85,7 @@
         if self.outgoing.get(link.address) is link:
             del self.outgoing[link.address]
         self.backoff_until[link.address] = monotonic_us() + RECONNECT_BACKOFF_US
-        self.log(202, peer=link.address, cause=str(cause))
+        self.log(log_events.CONNECTION_LOST, peer=link.address, cause=str(cause))
 
     def check_links(self, now: int) -> None:
         """Close silent links and reopen ended ones; called periodically."""
--- a/packages/forwarding/meadowdock/forwarding/reactor.py
+++ b/packages/forwarding/meadowdock/forwarding/reactor.py
@@ -12,6 +12,7 @@
 
 import trio
 
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import deadline_scope, monotonic_us
 
 if TYPE_CHECKING:
@@ -87,7 +88,7 @@
         except Exception as defect:
             if self.log is None:
                 raise
-            self.log(801, cause=repr(defect), line=origin(defect))
+            self.log(log_events.INTERNAL_ERROR, cause=repr(defect), line=origin(defect))
             return False
         finally:
             self.end_turn()
--- a/packages/logs/meadowdock/logs/catalogue.py
+++ b/packages/logs/meadowdock/logs/catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue of log events, which defines their numbers and names.
+"""The catalogue of log events: the name and the meaning of each number in `events`.
 
 Operators' tools rely on the numbers, whose meanings never change. docs/events.md documents the
 catalogue.
@@ -11,6 +11,8 @@
 
 from typing import NamedTuple
 
+from meadowdock.logs import events as log_events
+
 
 class EventKind(NamedTuple):
     """The name and the meaning of an event number."""
@@ -20,67 +22,95 @@
 
 
 CATALOGUE = {
-    101: EventKind("started", "the process serves; says role and addresses"),
-    102: EventKind("stopping", "asked to stop; requests in flight go on"),
-    103: EventKind("stopped", "all requests in flight are done, or the time for them is over"),
-    104: EventKind("shutdown_aborted", "a second signal: the process stops at once"),
-    105: EventKind(
+    log_events.STARTED: EventKind("started", "the process serves; says role and addresses"),
+    log_events.STOPPING: EventKind("stopping", "asked to stop; requests in flight go on"),
+    log_events.STOPPED: EventKind(
+        "stopped", "all requests in flight are done, or the time for them is over"
+    ),
+    log_events.SHUTDOWN_ABORTED: EventKind(
+        "shutdown_aborted", "a second signal: the process stops at once"
+    ),
+    log_events.TASK_FAILED: EventKind(
         "task_failed", "a background task failed with an unexpected error and was started again"
     ),
-    201: EventKind(
+    log_events.CONNECTION_REJECTED: EventKind(
         "connection_rejected", "a peer failed the proof of the fleet key, or sent a malformed frame"
     ),
-    202: EventKind("connection_lost", "an open rpc connection broke"),
-    301: EventKind("peer_seen", "a process joined, or came back with a new incarnation"),
-    302: EventKind("peer_removed", "no heartbeat of a process came for the window, or it left"),
-    401: EventKind("endpoint_enrolled", "an endpoint enrolled or came back"),
-    402: EventKind(
+    log_events.CONNECTION_LOST: EventKind("connection_lost", "an open rpc connection broke"),
+    log_events.PEER_SEEN: EventKind(
+        "peer_seen", "a process joined, or came back with a new incarnation"
+    ),
+    log_events.PEER_REMOVED: EventKind(
+        "peer_removed", "no heartbeat of a process came for the window, or it left"
+    ),
+    log_events.ENDPOINT_ENROLLED: EventKind(
+        "endpoint_enrolled", "an endpoint enrolled or came back"
+    ),
+    log_events.ENDPOINT_DRAINING: EventKind(
         "endpoint_draining", "an endpoint reported that it drains; it gets no new requests"
     ),
-    403: EventKind(
+    log_events.ENDPOINT_REMOVED: EventKind(
         "endpoint_removed", "an endpoint left, missed its heartbeats, or lost its address"
     ),
-    404: EventKind(
+    log_events.ENDPOINT_EJECTED: EventKind(
         "endpoint_ejected",
         "no connection to an endpoint; it gets no requests until its next heartbeat",
     ),
-    405: EventKind(
+    log_events.ENDPOINT_CHECK_FAILED: EventKind(
         "endpoint_check_failed", "the identity or a response of an endpoint failed its checks"
     ),
-    406: EventKind(
+    log_events.ENDPOINT_HEARTBEAT_REJECTED: EventKind(
         "endpoint_heartbeat_rejected",
         "a heartbeat that can't be read, or not of this machine's endpoint",
     ),
-    407: EventKind(
+    log_events.SERVICE_OVERLOADED: EventKind(
         "service_overloaded",
         "requests of a service found no capacity in the last second: figures of this node",
     ),
-    501: EventKind("configuration_staged", "a newer configuration is complete and validated here"),
-    502: EventKind("configuration_activated", "a newer configuration is in force here"),
-    503: EventKind(
+    log_events.CONFIGURATION_STAGED: EventKind(
+        "configuration_staged", "a newer configuration is complete and validated here"
+    ),
+    log_events.CONFIGURATION_ACTIVATED: EventKind(
+        "configuration_activated", "a newer configuration is in force here"
+    ),
+    log_events.CORE_UNREACHABLE: EventKind(
         "core_unreachable", "the core can't be reached; the last configuration stays in force"
     ),
-    504: EventKind(
+    log_events.CONFIGURATION_REVALIDATED: EventKind(
         "configuration_revalidated", "the version was confirmed again after a pause or a partition"
     ),
-    601: EventKind("bootstrapped", "the first members are fixed"),
-    602: EventKind(
+    log_events.BOOTSTRAPPED: EventKind("bootstrapped", "the first members are fixed"),
+    log_events.KEY_FILE_CORRUPT: EventKind(
         "key_file_corrupt",
         "a key file failed its fingerprint at the start; this disk goes on as another",
     ),
-    603: EventKind("no_quorum", "too few members answered"),
-    604: EventKind("plan_stored", "an operator's plan is stored on a majority"),
-    605: EventKind("plan_committed", "an operator's plan is the current revision"),
-    606: EventKind("repaired", "a missing, corrupt or lagging file was repaired: what says which"),
-    607: EventKind("members_changed", "the voters are others now"),
-    701: EventKind("lease_acquired", "this process holds a lease under a new epoch"),
-    702: EventKind("lease_lost", "a higher epoch was seen; the lease is dropped"),
-    703: EventKind("load_list_rejected", "a load list of an older epoch was rejected"),
-    704: EventKind("load_list_stale", "no load list came for the stale window"),
-    705: EventKind(
+    log_events.NO_QUORUM: EventKind("no_quorum", "too few members answered"),
+    log_events.PLAN_STORED: EventKind("plan_stored", "an operator's plan is stored on a majority"),
+    log_events.PLAN_COMMITTED: EventKind(
+        "plan_committed", "an operator's plan is the current revision"
+    ),
+    log_events.REPAIRED: EventKind(
+        "repaired", "a missing, corrupt or lagging file was repaired: what says which"
+    ),
+    log_events.MEMBERS_CHANGED: EventKind("members_changed", "the voters are others now"),
+    log_events.LEASE_ACQUIRED: EventKind(
+        "lease_acquired", "this process holds a lease under a new epoch"
+    ),
+    log_events.LEASE_LOST: EventKind("lease_lost", "a higher epoch was seen; the lease is dropped"),
+    log_events.LOAD_LIST_REJECTED: EventKind(
+        "load_list_rejected", "a load list of an older epoch was rejected"
+    ),
+    log_events.LOAD_LIST_STALE: EventKind(
+        "load_list_stale", "no load list came for the stale window"
+    ),
+    log_events.LEASE_EXPIRED: EventKind(
         "lease_expired",
         "the config store could not be asked in time; this process collects no more",
     ),
-    801: EventKind("internal_error", "a request met an unexpected error inside this process"),
-    802: EventKind("invariant_violated", "an invariant did not hold: says which, and how often"),
+    log_events.INTERNAL_ERROR: EventKind(
+        "internal_error", "a request met an unexpected error inside this process"
+    ),
+    log_events.INVARIANT_VIOLATED: EventKind(
+        "invariant_violated", "an invariant did not hold: says which, and how often"
+    ),
 }
--- a/packages/logs/meadowdock/logs/log.py
+++ b/packages/logs/meadowdock/logs/log.py
@@ -30,7 +30,7 @@
     def __call__(self, number: int, **fields: Any) -> None:
         """Write an event with its fields.
 
-        :param number: the number of the event in the catalogue.
+        :param number: the number of the event, from `meadowdock.logs.events`.
         :raises KeyError: the number is not in the catalogue.
         """
         line = {"of": self.of, "number": number, **fields, "event": CATALOGUE[number].name}
--- a/packages/membership/meadowdock/membership/view.py
+++ b/packages/membership/meadowdock/membership/view.py
@@ -13,6 +13,7 @@
 
 import immutables
 
+from meadowdock.logs import events as log_events
 from meadowdock.membership.entry import KnownMember, MemberEntry, RemovedMember
 from meadowdock.runtime import SECOND, PauseDetector
 
@@ -116,14 +117,16 @@
         if self.logged_incarnations.get(entry.address) == entry.incarnation:
             return
         self.logged_incarnations[entry.address] = entry.incarnation
-        self.log(301, peer=entry.address, role=entry.role, incarnation=entry.incarnation)
+        self.log(
+            log_events.PEER_SEEN, peer=entry.address, role=entry.role, incarnation=entry.incarnation
+        )
         if len(self.logged_incarnations) > LOGGED_INCARNATIONS_MAX:
             del self.logged_incarnations[next(iter(self.logged_incarnations))]
 
     def remove(self, entry: MemberEntry, now: int, reason: str) -> None:
         """Remove a member that left or is silent, until a newer entry of it is received."""
         if self.logged_incarnations.pop(entry.address, None) is not None:
-            self.log(302, peer=entry.address, role=entry.role, why=reason)
+            self.log(log_events.PEER_REMOVED, peer=entry.address, role=entry.role, why=reason)
         self.removed = self.removed.set(entry.address, RemovedMember(entry.freshness, now))
         if entry.address in self.entries:
             self.entries = self.entries.delete(entry.address)
--- a/packages/process/meadowdock/process/node.py
+++ b/packages/process/meadowdock/process/node.py
@@ -13,6 +13,7 @@
 
 from meadowdock.admin_http import App
 from meadowdock.logs import Log
+from meadowdock.logs import events as log_events
 from meadowdock.membership import GossipMembership, MemberEntry
 from meadowdock.process.daemon import Daemon
 from meadowdock.process.health import with_health_checks
@@ -83,7 +84,11 @@
         await self.nursery.start(self.listeners.serve, self.runtime.net, grace_us)
         settings = self.settings
         self.log(
-            101, role=settings.role, link=settings.link, http=settings.http, zone=settings.zone
+            log_events.STARTED,
+            role=settings.role,
+            link=settings.link,
+            http=settings.http,
+            zone=settings.zone,
         )
         task_status.started()
         await self.shutdown.requested.wait()
--- a/packages/process/meadowdock/process/shutdown.py
+++ b/packages/process/meadowdock/process/shutdown.py
@@ -11,6 +11,7 @@
 
 import trio
 
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
 if TYPE_CHECKING:
@@ -52,7 +53,7 @@
     async def run(self) -> None:
         """Shut the node down, then cancel its nursery."""
         node = self.node
-        node.log(102, requests_in_flight=node.listeners.requests_in_flight())
+        node.log(log_events.STOPPING, requests_in_flight=node.listeners.requests_in_flight())
         node.stopping = True
         node.listeners.end_connections()
         self.deadline = monotonic_us() + self.timeout_us
@@ -67,13 +68,13 @@
         node.listeners.closing.set()
         with deadline_scope(max(self.deadline, monotonic_us()) + LAST_REQUESTS_US):
             await node.listeners.closed.wait()
-        node.log(103, requests_in_flight=node.listeners.requests_in_flight())
+        node.log(log_events.STOPPED, requests_in_flight=node.listeners.requests_in_flight())
         node.nursery.cancel_scope.cancel()
 
     async def abort_when_requested(self, scope: trio.CancelScope) -> None:
         """Wait for a second signal, then abort the requests in flight and cancel the scope."""
         await self.abort_requested.wait()
-        self.node.log(104)
+        self.node.log(log_events.SHUTDOWN_ABORTED)
         self.node.daemon.abort_requests()
         scope.cancel()
 
--- a/packages/process/meadowdock/process/supervision.py
+++ b/packages/process/meadowdock/process/supervision.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from meadowdock.logs import Log
+from meadowdock.logs import events as log_events
 from meadowdock.process.daemon import BackgroundTask
 from meadowdock.process.exceptions import RECOVERABLE_ERRORS
 from meadowdock.runtime import MILLISECOND, sleep_us
@@ -18,5 +19,5 @@
             await task()
             return
         except* RECOVERABLE_ERRORS as group:
-            log(105, task=name, cause=repr(group.exceptions[:MAX_LOGGED_CAUSES]))
+            log(log_events.TASK_FAILED, task=name, cause=repr(group.exceptions[:MAX_LOGGED_CAUSES]))
         await sleep_us(RESTART_DELAY_US)
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -12,6 +12,7 @@
 import trio
 
 from meadowdock.configuration import RoutingTable
+from meadowdock.logs import events as log_events
 from meadowdock.proxy.staging import Stager
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us, sleep_us
@@ -158,9 +159,9 @@
         # Cut off until the stores' version is in force here, or staged for its normal activation.
         unconfirmed = not (reached and complete)
         if unconfirmed and not self.cut_off:
-            self.node.log(503, version=self.version)
+            self.node.log(log_events.CORE_UNREACHABLE, version=self.version)
         elif not unconfirmed and (self.cut_off or pending_revalidation is not None):
-            self.node.log(504, version=self.version)
+            self.node.log(log_events.CONFIGURATION_REVALIDATED, version=self.version)
         self.cut_off = unconfirmed
         if pending_revalidation is not None:
             pending_revalidation.set()
@@ -265,7 +266,9 @@
         first_staged = self.staged is None
         since = monotonic_us() if first_staged else self.staged.since
         self.staged = StagedRevision(routing_table, revision, since)
-        self.node.log(501, version=routing_table.version, fetched=fetched)
+        self.node.log(
+            log_events.CONFIGURATION_STAGED, version=routing_table.version, fetched=fetched
+        )
         if self.active is not None and (
             self.activate_at_once or routing_table.version <= self.highest_active_elsewhere
         ):
@@ -304,7 +307,7 @@
         self.stager.retain_chunks([staged.revision])
         self.use_routing_table(staged.routing_table)
         self.node.view.advance_heartbeat(version=staged.routing_table.version)
-        self.node.log(502, version=staged.routing_table.version)
+        self.node.log(log_events.CONFIGURATION_ACTIVATED, version=staged.routing_table.version)
 
     @handlers.on("manifest.stage")
     async def on_stage_request(self, peer, revision):
--- a/packages/proxy/meadowdock/proxy/endpoint_connections.py
+++ b/packages/proxy/meadowdock/proxy/endpoint_connections.py
@@ -5,6 +5,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
+from meadowdock.logs import events as log_events
 from meadowdock.proxy.endpoints import Endpoint, EndpointRegistry
 from meadowdock.runtime import HttpConnectionFailed
 from meadowdock.runtime.http_client import HttpConnection
@@ -51,7 +52,9 @@
         expected = {"service": endpoint.service, "incarnation": endpoint.incarnation}
         if status != 200 or not has_fields(body, expected):
             await connection.close()
-            self.node.log(405, address=endpoint.address, why="identity")
+            self.node.log(
+                log_events.ENDPOINT_CHECK_FAILED, address=endpoint.address, why="identity"
+            )
             self.endpoints.remove(endpoint, "identity")
             raise HttpConnectionFailed(False, f"another process answers at {endpoint.address}")
 
--- a/packages/proxy/meadowdock/proxy/endpoints.py
+++ b/packages/proxy/meadowdock/proxy/endpoints.py
@@ -11,6 +11,7 @@
 from typing import NamedTuple
 
 from meadowdock.load_sharing import Gauge, load_level
+from meadowdock.logs import events as log_events
 from meadowdock.proxy.exceptions import RegistrationDenied
 from meadowdock.proxy.tokens import TokenClaims, TokenSigner
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us
@@ -152,7 +153,7 @@
         self.by_address[endpoint.address] = endpoint
         self.service_loads.setdefault(endpoint.service, ServiceLoad(endpoint.heartbeat_at))
         self.log(
-            401,
+            log_events.ENDPOINT_ENROLLED,
             service=endpoint.service,
             address=endpoint.address,
             incarnation=endpoint.incarnation,
@@ -189,7 +190,9 @@
         """Send no new calls to the endpoint from now on."""
         if not endpoint.draining:
             endpoint.draining = True
-            self.log(402, service=endpoint.service, address=endpoint.address)
+            self.log(
+                log_events.ENDPOINT_DRAINING, service=endpoint.service, address=endpoint.address
+            )
             self.notify_waiters(endpoint.service)
 
     def deregister(self, token: str) -> None:
@@ -218,7 +221,9 @@
         self.by_address.pop(endpoint.address, None)
         self.connections_to_close += endpoint.idle_connections
         endpoint.idle_connections = []
-        self.log(403, service=endpoint.service, address=endpoint.address, why=why)
+        self.log(
+            log_events.ENDPOINT_REMOVED, service=endpoint.service, address=endpoint.address, why=why
+        )
         self.notify_waiters(endpoint.service)
 
     def mark_unreachable(self, endpoint: Endpoint) -> None:
@@ -228,7 +233,9 @@
         """
         if not endpoint.unreachable and not endpoint.removed:
             endpoint.unreachable = True
-            self.log(404, service=endpoint.service, address=endpoint.address)
+            self.log(
+                log_events.ENDPOINT_EJECTED, service=endpoint.service, address=endpoint.address
+            )
             self.notify_waiters(endpoint.service)
 
     def remove_expired(self, at: int) -> None:
--- a/packages/proxy/meadowdock/proxy/forwarder.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -12,6 +12,7 @@
 from meadowdock.configuration import RoutingTable
 from meadowdock.forwarding.placement import Placement, Thresholds, local_state
 from meadowdock.load_sharing import FORWARD, LOCAL, Choice, LoadList, NodeLoad
+from meadowdock.logs import events as log_events
 from meadowdock.outcome import NOT_RUN, REJECTION_CODES
 from meadowdock.proxy.call import Call, EndpointResponse, Outcome, Step
 from meadowdock.proxy.endpoint_connections import EndpointConnections
@@ -374,7 +375,12 @@
             headers = check_endpoint_response(endpoint, service, call.id, status, headers, body)
         except InvalidEndpointResponse as invalid:
             await connection.close()
-            self.node.log(405, address=endpoint.address, why=str(invalid), call=call.id)
+            self.node.log(
+                log_events.ENDPOINT_CHECK_FAILED,
+                address=endpoint.address,
+                why=str(invalid),
+                call=call.id,
+            )
             raise EndpointOutcomeUnknown("bad_answer", "answer.bad") from invalid
         self.connections.release(endpoint, connection)
         return CheckedResponse(status, headers, body)
--- a/packages/proxy/meadowdock/proxy/load_reporting.py
+++ b/packages/proxy/meadowdock/proxy/load_reporting.py
@@ -10,6 +10,7 @@
 from typing import TYPE_CHECKING
 
 from meadowdock.load_sharing import LoadList
+from meadowdock.logs import events as log_events
 from meadowdock.proxy.endpoints import ServiceReport
 from meadowdock.proxy.messages import (
     LOAD_LIST_METHOD,
@@ -57,7 +58,7 @@
         load_list = self.server.forwarder.load_list
         stale = load_list.stale(monotonic_us(), load["stale_us"])
         if stale and not self.stale_logged:
-            self.node.log(704, seq=load_list.seq, epoch=load_list.epoch)
+            self.node.log(log_events.LOAD_LIST_STALE, seq=load_list.seq, epoch=load_list.epoch)
         self.stale_logged = stale
 
     @handlers.on(LOAD_REQUEST_METHOD)
@@ -84,7 +85,12 @@
         current = self.server.forwarder.load_list
         highest_epoch = max(current.epoch, epoch_floor)
         if message.epoch < highest_epoch:
-            self.node.log(703, epoch=message.epoch, known=highest_epoch, of=peer.name)
+            self.node.log(
+                log_events.LOAD_LIST_REJECTED,
+                epoch=message.epoch,
+                known=highest_epoch,
+                of=peer.name,
+            )
             raise Rejected("old_epoch", epoch=highest_epoch)
         if (message.epoch, message.seq) > (current.epoch, current.seq):
             load_list = LoadList(message.epoch, message.seq, monotonic_us())
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -11,6 +11,7 @@
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration.chunk_fetch import ChunkFetch, ChunkFetcher
 from meadowdock.configuration.chunk_server import serve_chunks
+from meadowdock.logs import events as log_events
 from meadowdock.process import RECOVERABLE_ERRORS
 from meadowdock.runtime import monotonic_us
 
@@ -92,7 +93,7 @@
             routing_table = await self.node.runtime.offload(self.build, staging.revision)
         except RECOVERABLE_ERRORS as cause:
             # A peer sent a malformed chunk: the chunks that were fetched are dropped.
-            self.node.log(105, task="staging", cause=repr(cause))
+            self.node.log(log_events.TASK_FAILED, task="staging", cause=repr(cause))
             for name in staging.missing:
                 self.chunks.pop(name, None)
             return
--- a/packages/registry/meadowdock/registry/election.py
+++ b/packages/registry/meadowdock/registry/election.py
@@ -10,6 +10,7 @@
 from collections.abc import Awaitable, Callable
 
 from meadowdock.config_store.lease_messages import COLLECTOR_KEY
+from meadowdock.logs import events as log_events
 from meadowdock.process import Node
 from meadowdock.registry.lease_client import LeaseClient, lease_duration
 from meadowdock.registry.messages import RegistryHeartbeat
@@ -85,7 +86,9 @@
         self.highest_epoch = max(self.highest_epoch, epoch)
         granted = self.lease.granted
         if granted is not None and self.highest_epoch > granted.epoch:
-            self.node.log(702, lease=COLLECTOR, epoch=granted.epoch, seen=self.highest_epoch)
+            self.node.log(
+                log_events.LEASE_LOST, lease=COLLECTOR, epoch=granted.epoch, seen=self.highest_epoch
+            )
             self.lease.drop()
             self.reclaiming = False
 
@@ -93,7 +96,7 @@
         """Stop using a lease that could not be renewed in time."""
         granted = self.lease.granted
         if granted is not None and self.lease.expired:
-            self.node.log(705, lease=COLLECTOR, epoch=granted.epoch)
+            self.node.log(log_events.LEASE_EXPIRED, lease=COLLECTOR, epoch=granted.epoch)
             self.lease.drop()
             self.reclaiming = True
 
@@ -121,7 +124,7 @@
         elif self.epoch is not None:
             self.reclaiming = False
             self.learn_epoch(self.epoch)
-            self.node.log(701, lease=COLLECTOR, epoch=self.epoch)
+            self.node.log(log_events.LEASE_ACQUIRED, lease=COLLECTOR, epoch=self.epoch)
             await self.announce()
 
     def learn_holder(self, refusal: Rejected | None) -> None:
--- a/packages/registry/meadowdock/registry/server.py
+++ b/packages/registry/meadowdock/registry/server.py
@@ -6,6 +6,7 @@
 
 from meadowdock import process
 from meadowdock.admin_http import RouteTable
+from meadowdock.logs import events as log_events
 from meadowdock.registry.election import CollectorElection
 from meadowdock.registry.heartbeats import HEARTBEAT_INTERVAL_US, HeartbeatSender
 from meadowdock.registry.load_collector import LoadCollector
@@ -106,7 +107,7 @@
         """
         if table.update(heartbeat, monotonic_us()):
             self.node.log(
-                301,
+                log_events.PEER_SEEN,
                 peer=heartbeat.address,
                 role=heartbeat.role,
                 incarnation=heartbeat.incarnation,
@@ -153,7 +154,9 @@
             *self.registries.expire(now_us, paused_us),
         ]
         for heartbeat in expired:
-            self.node.log(302, peer=heartbeat.address, role=heartbeat.role, why="silent")
+            self.node.log(
+                log_events.PEER_REMOVED, peer=heartbeat.address, role=heartbeat.role, why="silent"
+            )
 
     async def send_heartbeats(self) -> None:
         """Send a heartbeat to the other registries at once."""
--- a/packages/rpc/meadowdock/rpc/connection_pool.py
+++ b/packages/rpc/meadowdock/rpc/connection_pool.py
@@ -9,13 +9,13 @@
 import ormsgpack
 import trio
 
+from meadowdock.logs import events as log_events
 from meadowdock.rpc.client import ClientConnection
 from meadowdock.rpc.exceptions import CONNECTION_ERRORS, ConnectionFailed, Rejected, RpcError
 from meadowdock.rpc.handshake import Peer, client_handshake
 from meadowdock.runtime import MILLISECOND, Net, deadline_scope, monotonic_us
 
 CONNECT_TIMEOUT = 500 * MILLISECOND  # us
-CONNECTION_ENDED = 202  # number of the log event
 
 Key = TypeVar("Key", bound=Hashable)
 Call = tuple[str, str, Any]  # address, method, arguments
@@ -101,7 +101,9 @@
     async def run(self, connection: ClientConnection) -> None:
         """Run a connection until it ends, then log why."""
         await connection.run()
-        self.log(CONNECTION_ENDED, peer=connection.peer.name, cause=str(connection.failure))
+        self.log(
+            log_events.CONNECTION_LOST, peer=connection.peer.name, cause=str(connection.failure)
+        )
 
     async def call_all(
         self, calls: Mapping[Key, Call], deadline_us: int
--- a/packages/rpc/meadowdock/rpc/server.py
+++ b/packages/rpc/meadowdock/rpc/server.py
@@ -8,6 +8,7 @@
 import ormsgpack
 import trio
 
+from meadowdock.logs import events as log_events
 from meadowdock.rpc.exceptions import CONNECTION_ERRORS, Rejected
 from meadowdock.rpc.frame_writer import FrameWriter
 from meadowdock.rpc.handlers import Handlers
@@ -26,11 +27,6 @@
 HANDSHAKE_TIMEOUT = SECOND  # us
 MAX_QUEUED_RESPONSES = 1024
 
-# Numbers of log events
-TASK_FAILED = 105
-HANDSHAKE_FAILED = 201
-CONNECTION_ENDED = 202
-
 
 async def serve_connection(
     stream: trio.abc.Stream,
@@ -58,7 +54,7 @@
             # a client that closed the connection during the handshake, because another server
             # answered sooner, is no failure
             if not isinstance(cause, (EOFError, trio.BrokenResourceError)):
-                log(HANDSHAKE_FAILED, cause=repr(cause))
+                log(log_events.CONNECTION_REJECTED, cause=repr(cause))
             return
         await ServerConnection(stream, session, handlers, log).run()
 
@@ -91,7 +87,9 @@
                 await self.read(nursery)
             except CONNECTION_ERRORS as cause:
                 if not isinstance(cause, EOFError):
-                    self.log(CONNECTION_ENDED, peer=self.session.peer.name, cause=repr(cause))
+                    self.log(
+                        log_events.CONNECTION_LOST, peer=self.session.peer.name, cause=repr(cause)
+                    )
             finally:
                 nursery.cancel_scope.cancel()
 
@@ -150,5 +148,5 @@
         except Rejected as rejected:
             return Rejection(request.call_id, rejected.code, rejected.details).encode()
         except Exception as cause:  # a bug in a handler must not end the connection
-            self.log(TASK_FAILED, task=f"link:{request.method}", cause=repr(cause))
+            self.log(log_events.TASK_FAILED, task=f"link:{request.method}", cause=repr(cause))
             return Rejection(request.call_id, "broke", {"cause": repr(cause)}).encode()
--- a/packages/soak/meadowdock/soak/soak.py
+++ b/packages/soak/meadowdock/soak/soak.py
@@ -7,6 +7,7 @@
 
 import trio
 
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.soak.faults import Fault, draw
 from meadowdock.soak.fleet import SoakFleet, topology
@@ -153,7 +154,12 @@
         """Hold what was seen against what must hold."""
         result, traffic = self.result, self.traffic
         result.broken += traffic.request_audit.broken(lambda a: not a.target.startswith(b"/once/"))
-        result.broken += [f"event {event}" for event in self.fleet.events(105, 801, 802)]
+        result.broken += [
+            f"event {event}"
+            for event in self.fleet.events(
+                log_events.TASK_FAILED, log_events.INTERNAL_ERROR, log_events.INVARIANT_VIOLATED
+            )
+        ]
         result.broken += self.fleet.tracebacks()
         for name, process in self.fleet.processes.items():
             self.found(process.handle.poll() is None, f"{name} ended by itself")
--- a/tests/project/test_docs.py
+++ b/tests/project/test_docs.py
@@ -8,6 +8,7 @@
 import pytest
 
 from meadowdock.logs import CATALOGUE
+from meadowdock.logs import events as log_events
 from meadowdock.outcome import REJECTION_CODES, SECOND
 
 DOCS = os.path.join(os.path.dirname(__file__), "..", "..", "docs")
@@ -82,7 +83,7 @@
     assert missing == []
 
 
-LOGGED = re.compile(r"log\((\d{3})\b")
+LOGGED = re.compile(r"log\(\s*(?:log_events\.)?([A-Z_]+|\d{3})\b")
 
 
 def modules_that_log():
@@ -94,9 +95,10 @@
             if not name.endswith(".py") or "simulator" in path or "soak" in path:
                 continue
             with open(path, encoding="utf-8") as file:
-                for number in LOGGED.findall(file.read()):
+                for event in LOGGED.findall(file.read()):
+                    number = int(event) if event.isdigit() else getattr(log_events, event)
                     module = path.split("/meadowdock/")[1]
-                    found.setdefault(int(number), set()).add(module)
+                    found.setdefault(number, set()).add(module)
     return found
 
 
