--- a/packages/config_store/meadowdock/config_store/audit_log_transfer.py
+++ b/packages/config_store/meadowdock/config_store/audit_log_transfer.py
@@ -252,7 +252,7 @@
         state = self.audit_log.state()
         states = await self.fetch_states(deadline)
         voters = [list(self.store.membership.voters)]
-        if not holds_majorities(voters, {self.store.disk, *states}):
+        if not holds_majorities(voters, {self.store.disk_id, *states}):
             raise NoQuorum("audit log of the voters")
         for peer_state in states.values():
             state = state.merged_with(peer_state)
@@ -261,7 +261,7 @@
     def newcomers(self) -> dict[str, trio.Event]:
         """Return {address: event} of the other members that the change in progress adds."""
         newcomers = self.store.membership.newcomers
-        disks = set(newcomers) - {self.store.disk}
+        disks = set(newcomers) - {self.store.disk_id}
         return {newcomers[disk]: trio.Event() for disk in disks}
 
     @handlers.on("trail.catch_up")
--- a/packages/config_store/meadowdock/config_store/broadcast.py
+++ b/packages/config_store/meadowdock/config_store/broadcast.py
@@ -34,7 +34,7 @@
     def peers(self) -> dict[str, str]:
         """Return {disk id: address} of all other members."""
         store = self.server.store
-        return {disk: address for disk, address in store.members.items() if disk != store.disk}
+        return {disk: address for disk, address in store.members.items() if disk != store.disk_id}
 
     async def call_peers(self, method: str, args: object, deadline: int) -> dict[str, Any]:
         """Call a method of all other members, and return {disk id: answer} of those that answer."""
@@ -58,7 +58,7 @@
         is_enough = is_enough or self.server.proposer.is_durable
         written: set[str] = set()
         done = trio.Event()
-        writes = {self.server.store.disk: write_locally()}
+        writes = {self.server.store.disk_id: write_locally()}
         writes |= {disk: write_remotely(address) for disk, address in self.peers().items()}
         pending = set(writes)
 
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -64,14 +64,14 @@
         store = self.server.store
         if not store.is_voter:
             return
-        others = store.voter_sets.without(store.disk)
+        others = store.voter_sets.without(store.disk_id)
         answering = {answer.disk for answer in self.server.reachable().values()}
         if not others.is_durable(answering):
             return  # without this member no write is possible anyway
         self.retired = True
 
         def is_durable(voter_sets: VoterSets, members: Iterable[str]) -> bool:
-            return voter_sets.without(store.disk).is_durable(members)
+            return voter_sets.without(store.disk_id).is_durable(members)
 
         with deadline_scope(min(deadline, monotonic_us() + SECURE_TIMEOUT_US)):
             try:
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -124,10 +124,10 @@
     def reachable(self):
         """Return {address: PeerStatus} of all processes that answer, including this one."""
         own_status = PeerStatus(
-            self.store.disk,
+            self.store.disk_id,
             self.started_at,
             monotonic_us(),
-            self.store.files.failure() is None,
+            self.store.disk.failure() is None,
             self.node.stopping,
             self.failure_domain,
         )
@@ -152,15 +152,15 @@
         if poller and poller["link"] != self.node.settings.link:
             self.recent_pollers[poller["link"]] = monotonic_us()
         return {
-            "disk": self.store.disk,
+            "disk": self.store.disk_id,
             "record": self.store.membership.to_record() if self.store.membership else None,
             "founders": self.bootstrap_members if self.is_blank() else None,
-            "well": self.store.files.failure() is None,
+            "well": self.store.disk.failure() is None,
             "leaving": self.node.stopping,
             "zone": self.failure_domain.zone,
             "region": self.failure_domain.region,
             "quorum": self.quorum_monitor.has_quorum(),
-            "doors": self.operator_doors(),
+            "doors": self.operator_addresses(),
         }
 
     def is_blank(self):
@@ -195,9 +195,9 @@
             for address in self.bootstrap_members
             if address != self.node.settings.link
         }
-        voters[self.store.disk] = self.node.settings.link
+        voters[self.store.disk_id] = self.node.settings.link
         domains = {hello["disk"]: failure_domain_of(hello) for hello in answers.values()}
-        domains[self.store.disk] = self.failure_domain
+        domains[self.store.disk_id] = self.failure_domain
         membership = MembershipConfiguration(1, voters).with_failure_domains(domains)
         await self.store.adopt(membership)
         self.node.log(log_events.BOOTSTRAPPED, members=sorted(voters.values()))
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -228,7 +228,7 @@
         change in progress is to be completed.
         """
         membership = self.store.membership
-        if membership is None or self.changes_in_progress or self.store.files.failure():
+        if membership is None or self.changes_in_progress or self.store.disk.failure():
             return None
         if membership.is_joint:
             if self.joint_seen[0] != membership.version:
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -47,7 +47,7 @@
         """
         self.changes_in_progress += 1
         try:
-            disks = await self.disks_at(addresses, deadline)
+            disks = await self.resolve_disks(addresses, deadline)
             by_address = self.failure_domains_by_address(self.reachable())
             failure_domains = {d: by_address[a] for d, a in disks.items() if a in by_address}
             membership = await self.propose_membership(
@@ -84,7 +84,7 @@
         state, the change is reverted. If another member completed the change in the meantime and
         began a new one, the new one is not completed here: its keys have not been transferred yet.
         """
-        if self.is_stuck(membership):
+        if self.has_stalled(membership):
             return await self.revert_change(membership, deadline)
         await self.transfer_state(deadline)
 
@@ -97,7 +97,7 @@
             raise MembershipConflict("another_change", next=completed.next_voters)
         return completed
 
-    def is_stuck(self, membership: MembershipConfiguration) -> bool:
+    def has_stalled(self, membership: MembershipConfiguration) -> bool:
         """Whether the change in progress can't be completed.
 
         That is so if a newcomer failed, or the transfer to it takes longer than MAX_ATTEMPTS
@@ -135,7 +135,7 @@
         await self.propose_membership(revert, deadline)
         raise MembershipConflict("newcomer_gone", absent=sorted(membership.newcomers.values()))
 
-    async def disks_at(self, addresses: Addresses, deadline: int) -> dict[str, str]:
+    async def resolve_disks(self, addresses: Addresses, deadline: int) -> dict[str, str]:
         """Return {disk id: address} of the disks at these addresses.
 
         A voter that doesn't answer is listed with its known disk.
@@ -145,7 +145,7 @@
         own_address, voters = self.node.settings.link, self.store.membership.voters
         disks = await self.answering_disks(addresses, deadline)
         if own_address in addresses:
-            disks[self.store.disk] = own_address
+            disks[self.store.disk_id] = own_address
         unknown = set(addresses) - set(disks.values())
         disks |= {d: a for d, a in voters.items() if a in unknown and d not in disks}
         absent = sorted(set(addresses) - set(disks.values()))
@@ -189,7 +189,7 @@
         """
         old_sets, members = self.store.voter_sets, self.store.members
         # Durability may be impossible until members are added, so a quorum is enough here.
-        enough = VoterSets.is_quorum
+        is_enough = VoterSets.is_quorum
 
         def update(record: Mapping[str, Any] | None) -> dict[str, Any]:
             stored = self.store.membership
@@ -197,7 +197,7 @@
             base = MembershipConfiguration.from_record(record) if newer else stored
             return change(base).to_record()
 
-        record = await self.proposer.change(MEMBERSHIP_KEY, update, deadline, enough)
+        record = await self.proposer.change(MEMBERSHIP_KEY, update, deadline, is_enough)
         membership = MembershipConfiguration.from_record(record)
         voter_sets = VoterSets(old_sets.sets + membership.voter_sets().sets)
         recipients = {**members, **membership.members}
@@ -219,7 +219,7 @@
         """
         with disk_failures_rejected():
             await self.store.adopt(MembershipConfiguration.from_record(record))
-        return {"disk": self.store.disk, "version": self.store.membership.version}
+        return {"disk": self.store.disk_id, "version": self.store.membership.version}
 
     @handlers.on("member.keys")
     async def on_keys(self, peer: object, record: Mapping[str, Any]) -> Answers:
@@ -232,7 +232,7 @@
         """
         with disk_failures_rejected():
             await self.store.adopt(MembershipConfiguration.from_record(record))
-        return {"disk": self.store.disk, "keys": sorted(self.store.acceptor.keys.values())}
+        return {"disk": self.store.disk_id, "keys": sorted(self.store.acceptor.keys.values())}
 
     async def broadcast_to(
         self,
@@ -240,11 +240,11 @@
         method: str,
         args: object,
         deadline: int,
-        enough: Callable[[Iterable[str]], bool],
+        is_enough: Callable[[Iterable[str]], bool],
     ) -> Answers:
         """Call a method of these members, and return {disk id: answer}.
 
-        It returns as soon as enough(answers) holds, all have answered, or the deadline passes;
+        It returns as soon as is_enough(answers) holds, all have answered, or the deadline passes;
         slower members still get the request. An answer under another disk id is ignored.
 
         :param members: {disk id: address}
@@ -254,7 +254,7 @@
 
         async def call(disk: str, address: str) -> None:
             try:
-                if disk == self.store.disk:
+                if disk == self.store.disk_id:
                     handler = {"member.adopt": self.on_adopt, "member.keys": self.on_keys}[method]
                     answer = await handler(None, args)
                 else:
@@ -264,7 +264,7 @@
             except (ConnectionFailed, Rejected, OSError):
                 pass
             pending.discard(disk)
-            if not pending or enough(answers):
+            if not pending or is_enough(answers):
                 done.set()
 
         for disk, address in sorted(members.items()):
--- a/packages/config_store/meadowdock/config_store/rescue.py
+++ b/packages/config_store/meadowdock/config_store/rescue.py
@@ -23,6 +23,6 @@
     version = state.value["version"] if state and state.value else 0
     if change and store.membership:
         rescued_version = store.membership.version + RESCUE_VERSION_STEP
-        await store.adopt(MembershipConfiguration(rescued_version, {store.disk: address}))
+        await store.adopt(MembershipConfiguration(rescued_version, {store.disk_id: address}))
     record = store.membership.to_record() if store.membership else None
-    return f"disk {store.disk}, manifest version {version}, members' record {record}"
+    return f"disk {store.disk_id}, manifest version {version}, members' record {record}"
--- a/packages/config_store/meadowdock/config_store/revision_reader.py
+++ b/packages/config_store/meadowdock/config_store/revision_reader.py
@@ -102,7 +102,7 @@
     async def run(self) -> None:
         """Keep the current revision known and its chunks on this disk, and remove old chunks."""
         while True:
-            await self.server.store.files.retry_after_failure()
+            await self.server.store.disk.retry_after_failure()
             if self.server.store.membership:
                 try:
                     revision = await self.read(monotonic_us() + REFRESH_TIMEOUT_US)
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -101,7 +101,7 @@
         """The timeouts of operators' requests."""
         return OperatorTiming(self.node.settings.ack_us)
 
-    def operator_doors(self) -> dict[str, str]:
+    def operator_addresses(self) -> dict[str, str]:
         """Return {listener name: address} where operators reach this member."""
         return {operator_api.LISTENER: self.node.settings.http}
 
@@ -130,7 +130,7 @@
         if self.store.membership is None:
             return ["the register isn't founded, or its members aren't known yet"]
         reasons = []
-        disk_fault = self.store.files.failure()
+        disk_fault = self.store.disk.failure()
         if disk_fault:
             reasons.append(disk_fault)
         if not self.store.is_established_voter and not self.is_spare():
@@ -152,21 +152,21 @@
         if self.store.membership:
             await self.handover.secure_state(self.node.shutdown.deadline - DRAIN_RESERVE_US)
 
-    async def transfer_files(self, deadline: int, enough: IsEnough | None = None) -> None:
+    async def transfer_files(self, deadline: int, is_enough: IsEnough | None = None) -> None:
         """Transfer the audit log and the chunks of the current revision to the other members.
 
-        It returns once enough(disk ids of the members that have them) holds. Without `enough`, all
-        newcomers and a quorum of both sides are required.
+        It returns once is_enough(disk ids of the members that have them) holds. Without
+        `is_enough`, all newcomers and a quorum of both sides are required.
 
         :raises NoQuorum: they are on too few members by the deadline
         """
-        enough = enough or self.transferred(self.store.membership)
+        is_enough = is_enough or self.transferred(self.store.membership)
         current = Revision.from_record(await self.proposer.read(CURRENT_REVISION_KEY, deadline))
         await self.audit_log_transfer.transfer_to_quorum(
-            partial(self.broadcast.write_to_quorum, is_enough=enough), deadline
+            partial(self.broadcast.write_to_quorum, is_enough=is_enough), deadline
         )
         plan_ids = (plan_id for _, plan_id in current.history)
         bodies = await self.chunks.fetch(sorted({*current.chunks, *plan_ids}))
         if not set(current.chunks) <= set(bodies):
             raise NoQuorum(f"chunks of version {current.version}")
-        await self.broadcast.replicate_chunks(bodies, deadline, enough)
+        await self.broadcast.replicate_chunks(bodies, deadline, is_enough)
--- a/packages/config_store/meadowdock/config_store/state_transfer.py
+++ b/packages/config_store/meadowdock/config_store/state_transfer.py
@@ -30,7 +30,7 @@
         side_sets = side_alone.voter_sets(self.tolerance)
         required = set(required)
 
-        def enough(members):
+        def is_enough(members):
             complete = set(members)
             return (
                 joint.is_quorum(complete)
@@ -38,7 +38,7 @@
                 and (side_sets.is_durable(complete) or not side_sets.can_be_durable())
             )
 
-        return enough
+        return is_enough
 
     def transferred(self, membership):
         """Return the predicate for completing the change in progress.
@@ -63,11 +63,11 @@
 
         Some of it may have been accepted by newcomers alone.
         """
-        enough = self.transferred_to(membership.voters, membership)
-        await self.transfer_listed_keys(membership, enough, deadline)
-        await self.transfer_files(deadline, enough)
+        is_enough = self.transferred_to(membership.voters, membership)
+        await self.transfer_listed_keys(membership, is_enough, deadline)
+        await self.transfer_files(deadline, is_enough)
 
-    async def transfer_listed_keys(self, membership, enough, deadline):
+    async def transfer_listed_keys(self, membership, is_enough, deadline):
         """Transfer all keys that the old voters list, to both sides."""
 
         def listed(answers):
@@ -79,12 +79,12 @@
         if not listed(answers):
             raise NoQuorum("the keys of the old voters")
         keys = sorted({key for answer in answers.values() for key in answer["keys"]})
-        await self.transfer_keys(keys, deadline, lambda _, members: enough(members))
+        await self.transfer_keys(keys, deadline, lambda _, members: is_enough(members))
 
-    async def transfer_keys(self, keys, deadline, enough):
+    async def transfer_keys(self, keys, deadline, is_enough):
         """Rewrite the value of each key, until enough members have accepted it.
 
-        :param enough: a predicate on (voter sets, members that accepted the value)
+        :param is_enough: a predicate on (voter sets, members that accepted the value)
         :raises NoQuorum: not all of them could be written by the deadline.
         """
         failures, limit = [], trio.CapacityLimiter(MAX_CONCURRENT_KEYS)
@@ -93,7 +93,7 @@
             async with limit:
                 try:
                     if not failures:
-                        await self.proposer.change(key, lambda old: old, deadline, enough)
+                        await self.proposer.change(key, lambda old: old, deadline, is_enough)
                 except (NoQuorum, OutcomeUnknown) as cause:
                     failures.append(cause)
 
--- a/packages/config_store/meadowdock/config_store/status.py
+++ b/packages/config_store/meadowdock/config_store/status.py
@@ -36,7 +36,7 @@
         "majority": from_quorum,
         "members": members,
         "members_change": membership.next_voters if membership else None,
-        "disk_here": server.store.files.failure() or "good",
+        "disk_here": server.store.disk.failure() or "good",
         "mended_here": dict(server.repairer.counts),
         "catching_up": {"audit_records": len(server.store.audit_log.missing(revision.version))},
         "regs": {
@@ -65,7 +65,7 @@
     hello = await server.broadcast.call_peers("member.hello", None, deadline)
     answering = {disk for disk, answer in hello.items() if answer["disk"] == disk}
     return {
-        address: {"disk": disk, "answers": disk == server.store.disk or disk in answering}
+        address: {"disk": disk, "answers": disk == server.store.disk_id or disk in answering}
         for disk, address in server.store.members.items()
     }
 
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -32,33 +32,33 @@
     """
 
     def __init__(self, disk: Disk, rng: Random, log: Callable[..., None]) -> None:
-        self.files, self.rng, self.log = MonitoredDisk(disk), rng, log
-        self.acceptor = Acceptor(cast("Disk", self.files), log)
+        self.disk, self.rng, self.log = MonitoredDisk(disk), rng, log
+        self.acceptor = Acceptor(cast("Disk", self.disk), log)
         self.chunk_lock = trio.Lock()  # held while a chunk is looked up or removed
         self.chunk_used_at: dict[str, int] = {}  # chunk -> when it was last requested
         self.started_at = monotonic_us()
         self.adopt_lock = trio.Lock()
         self.blank_at_start = False
-        self.disk = ""  # the disk id; empty until load() has run
+        self.disk_id = ""  # empty until load() has run
         self.membership: MembershipConfiguration | None = None
         self.tolerance = NO_LOSSES
-        self.audit_log = AuditLog(cast("Disk", self.files))
+        self.audit_log = AuditLog(cast("Disk", self.disk))
 
     async def load(self) -> None:
         """Read the membership configuration, audit log, keys and disk id from the disk.
 
         A disk that has lost state gets a new id.
         """
-        versions = await self.files.names("members")
+        versions = await self.disk.names("members")
         # The newest readable one. Even an older one is useful for the addresses of the members.
         for version in reversed(versions):
-            body = verify_checksum(await self.files.read(f"members/{version}"))
+            body = verify_checksum(await self.disk.read(f"members/{version}"))
             if body is not None:
                 self.membership = MembershipConfiguration.from_record(ormsgpack.unpackb(body))
                 break
         lost_configuration = bool(versions) and (body is None or version != versions[-1])
         await self.audit_log.load()
-        disk_id = verify_checksum(await self.files.read("disk"))
+        disk_id = verify_checksum(await self.disk.read("disk"))
         await self.acceptor.load()
         lost = self.acceptor.lost_keys()
         self.blank_at_start = not versions and not self.acceptor.states
@@ -67,11 +67,11 @@
             # promises, or an older configuration would let replaced voters vote. It continues under
             # a new id and keeps the configuration, to apply for the place of the old disk.
             disk_id = f"{self.rng.getrandbits(64):016x}".encode()
-            await self.files.write("disk", add_checksum(disk_id))
+            await self.disk.write("disk", add_checksum(disk_id))
         if lost:
-            await self.files.move("key", f"aside-{disk_id.decode()}")
-            self.acceptor = Acceptor(cast("Disk", self.files), self.log)
-        self.disk = disk_id.decode()
+            await self.disk.move("key", f"aside-{disk_id.decode()}")
+            self.acceptor = Acceptor(cast("Disk", self.disk), self.log)
+        self.disk_id = disk_id.decode()
 
     @property
     def is_blank(self) -> bool:
@@ -93,7 +93,7 @@
             if not self.is_newer(membership):
                 return
             name = f"members/{membership.version:08d}"
-            await self.files.write(name, add_checksum(ormsgpack.packb(membership.to_record())))
+            await self.disk.write(name, add_checksum(ormsgpack.packb(membership.to_record())))
             self.membership = membership
             await self.remove_old_configurations()
 
@@ -103,9 +103,9 @@
 
     async def remove_old_configurations(self) -> None:
         """Remove all membership configurations but the newest two."""
-        names = sorted(await self.files.names("members"))
+        names = sorted(await self.disk.names("members"))
         for name in names[:-RETAINED_CONFIGURATIONS]:
-            await self.files.remove(f"members/{name}")
+            await self.disk.remove(f"members/{name}")
 
     @property
     def members(self) -> dict[str, str]:
@@ -122,7 +122,7 @@
     @property
     def is_voter(self) -> bool:
         """Whether this disk has a vote."""
-        return self.disk in self.members
+        return self.disk_id in self.members
 
     @property
     def is_established_voter(self) -> bool:
@@ -130,18 +130,18 @@
 
         In a joint configuration only the old voters do.
         """
-        return self.membership is not None and self.disk in self.membership.voters
+        return self.membership is not None and self.disk_id in self.membership.voters
 
     async def put_chunk(self, body: bytes) -> str:
         """Store a chunk, and return its name."""
         name = fingerprint(body)
         if await self.touch_chunk(name) is None:
-            await self.files.write(f"blob/{name}", body)
+            await self.disk.write(f"blob/{name}", body)
         return name
 
     async def read_chunk(self, name: str) -> bytes | None:
         """Read the body of a chunk, or None if it is missing or damaged."""
-        body = await self.files.read(f"blob/{name}")
+        body = await self.disk.read(f"blob/{name}")
         return body if body is not None and fingerprint(body) == name else None
 
     async def touch_chunk(self, name: str) -> bytes | None:
@@ -165,7 +165,7 @@
 
     async def chunk_names(self) -> list[str]:
         """List the names of all chunks on this disk."""
-        names: list[str] = await self.files.names("blob")
+        names: list[str] = await self.disk.names("blob")
         return names
 
     async def remove_idle_chunk(self, name: str, idle_us: int) -> bool:
@@ -176,7 +176,7 @@
         async with self.chunk_lock:
             if monotonic_us() - self.chunk_used_at.get(name, self.started_at) < idle_us:
                 return False
-            await self.files.remove(f"blob/{name}")
+            await self.disk.remove(f"blob/{name}")
             self.chunk_used_at.pop(name, None)
             return True
 
--- a/packages/config_store/meadowdock/config_store/voting.py
+++ b/packages/config_store/meadowdock/config_store/voting.py
@@ -26,7 +26,7 @@
         """
         incarnation = f"{self.node.incarnation}:{self.node.runtime.rng.getrandbits(64):016x}"
         return Proposer(
-            f"{self.store.disk}:{incarnation}",
+            f"{self.store.disk_id}:{incarnation}",
             lambda: self.store.voter_sets,
             self.call_acceptor,
             self.node.runtime.rng,
@@ -39,8 +39,8 @@
 
         :param version: of the membership configuration that the ballot is bound to
         """
-        if member == self.store.disk:
-            return await self.answer(version, member, method, args)
+        if member == self.store.disk_id:
+            return await self.call_local_acceptor(version, member, method, args)
         address = self.store.members[member]
         try:
             return await self.node.rpc.call(
@@ -56,17 +56,17 @@
     @handlers.on("register")
     async def on_register(self, peer, args):
         """Handle a prepare, write or read of another member."""
-        return await self.answer(*args)
+        return await self.call_local_acceptor(*args)
 
-    async def answer(self, version, member, method, args):
-        """Vote as this disk, under that membership version.
+    async def call_local_acceptor(self, version, member, method, args):
+        """Pass a prepare, write or read to the acceptor of this disk, if it has a vote.
 
         :raises Rejected: this is another disk or no voter, the version is old, the process is
             leaving, or the key or the disk is damaged.
         """
         store = self.store
-        if member != store.disk or not store.is_voter:
-            raise Rejected("other_member", disk=store.disk)
+        if member != store.disk_id or not store.is_voter:
+            raise Rejected("other_member", disk=store.disk_id)
         if version < store.membership.version:
             raise Rejected("old_members", record=store.membership.to_record())
         try:
--- a/packages/model_checker/meadowdock/model_checker/operation_run.py
+++ b/packages/model_checker/meadowdock/model_checker/operation_run.py
@@ -50,9 +50,9 @@
     """Return a state transfer that handles one key at a time, so that each round is a broadcast."""
     transfer_keys = process.transfer_keys
 
-    async def wrapper(keys: list[str], deadline: int, enough: Callable[..., bool]) -> None:
+    async def wrapper(keys: list[str], deadline: int, is_enough: Callable[..., bool]) -> None:
         for key in keys:
-            await transfer_keys([key], deadline, enough)
+            await transfer_keys([key], deadline, is_enough)
 
     return wrapper
 
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -40,16 +40,16 @@
         self.handover = SimpleNamespace(retired=False)
         self.init_membership()
 
-    async def disks_at(self, addresses: Collection[str], deadline: int) -> dict[str, str]:
+    async def resolve_disks(self, addresses: Collection[str], deadline: int) -> dict[str, str]:
         """Return the target disks of the explored change, without asking any process."""
         return self.target_disks
 
     async def transfer_files(
-        self, deadline: int, enough: Callable[..., bool] | None = None
+        self, deadline: int, is_enough: Callable[..., bool] | None = None
     ) -> None:
         """Transfer no files: configuration chunks are not part of the model."""
 
-    def is_stuck(self, membership: MembershipConfiguration) -> bool:
+    def has_stalled(self, membership: MembershipConfiguration) -> bool:
         """Return False: the model has no liveness detection, new members are always reachable."""
         return False
 
--- a/packages/model_checker/meadowdock/model_checker/replica.py
+++ b/packages/model_checker/meadowdock/model_checker/replica.py
@@ -125,22 +125,22 @@
     If a key has only one file, its version is reset to 1, so that states that differ only in how
     often they were written are equal.
     """
-    names = sorted(store.files.files)
+    names = sorted(store.disk.files)
     key_files: dict[str, list[str]] = {}  # by folder
     for name in names:
         if name.startswith("key/"):
             key_files.setdefault(name.split("/")[1], []).append(name)
     single_file_folders = {folder for folder, paths in key_files.items() if len(paths) == 1}
     renamed = {key_files[folder][0]: state_file_path(folder, 1) for folder in single_file_folders}
-    files = tuple((renamed.get(name, name), store.files.files[name]) for name in names)
+    files = tuple((renamed.get(name, name), store.disk.files[name]) for name in names)
     acceptor = {}
     for folder, state in sorted(store.acceptor.states.items()):
         assert state is not None  # no file is damaged in the model
         file_version = 1 if folder in single_file_folders else state.file_version
         acceptor[folder] = [*state.to_record(store.acceptor.keys[folder]), file_version]
-    assert store.disk is not None  # it is set by Store.load
+    assert store.disk_id is not None  # it is set by Store.load
     record = None if store.membership is None else store.membership.to_record()
-    return Snapshot(store.disk, files, pack([record, acceptor]))
+    return Snapshot(store.disk_id, files, pack([record, acceptor]))
 
 
 def unpack_memory(memory: bytes) -> Memory:
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -297,13 +297,13 @@
         store = Store(disk, random.Random(1), lambda *_, **__: None)
         await store.load()
         assert store.is_blank
-        old_disk_id = store.disk
+        old_disk_id = store.disk_id
         await store.adopt(MembershipConfiguration(1, {old_disk_id: "a"}))
         await store.adopt(MembershipConfiguration(2, {"z": "b"}))
         disk.files["members/00000002"] = b"rotten"
         reopened = Store(disk, random.Random(2), lambda *_, **__: None)
         await reopened.load()
-        assert reopened.disk != old_disk_id
+        assert reopened.disk_id != old_disk_id
         assert reopened.membership.version == 1
         assert not reopened.is_blank
 
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -177,7 +177,7 @@
         for host in fleet.hosts:
             world.power_off("mdconf", host)
         await fleet.up()
-        expected = {fleet.store(h).disk: FailureDomain(z, z[0]) for h, z in fleet.zones.items()}
+        expected = {fleet.store(h).disk_id: FailureDomain(z, z[0]) for h, z in fleet.zones.items()}
         await world.eventually(
             lambda: all(m.failure_domains == expected for m in fleet.memberships().values()),
             4 * SECOND,
@@ -214,7 +214,7 @@
             for key, ballot in newest.items()
             if key != "members"
         )
-        and {f"blob/{name}" for name in head["ranges"]} <= set(new_store.files.disk.files)
+        and {f"blob/{name}" for name in head["ranges"]} <= set(new_store.disk.disk.files)
         and all(new_store.audit_log.holds(version) for version in range(1, head["version"]))
     )
 
@@ -234,7 +234,7 @@
         delayed_target = {"write": store.acceptor, "put_chunk": store, "put": store.audit_log}[slow]
         delay_method(delayed_target, slow)
         await world.eventually(
-            lambda: store.disk in (fleet.store(fleet.hosts[0]).membership.voters),
+            lambda: store.disk_id in (fleet.store(fleet.hosts[0]).membership.voters),
             9 * SECOND,
             MILLISECOND,
         )
@@ -452,7 +452,7 @@
         assert await world.stop(f"mdconf@{stopped}") <= 5 * SECOND
         head = store.acceptor.read("manifest/head")[1]
         assert head["version"] == 2
-        assert {f"blob/{name}" for name in head["ranges"]} <= set(store.files.disk.files)
+        assert {f"blob/{name}" for name in head["ranges"]} <= set(store.disk.disk.files)
         assert other in fleet.running()
 
     run(scenario, seed)
--- a/tests/config_store/test_repair.py
+++ b/tests/config_store/test_repair.py
@@ -31,15 +31,15 @@
     async def scenario(world):
         await configured(world)
         host = world.core[0]
-        old_disk_id = world.daemon("mdconf", host).store.disk
+        old_disk_id = world.daemon("mdconf", host).store.disk_id
         world.power_off("mdconf", host)
         world.disks["mdconf", host].rot(files(world, host, "key")[-1])
         await world.start("mdconf", host)
         node = world.node("mdconf", host)
-        assert node.daemon.store.disk != old_disk_id
+        assert node.daemon.store.disk_id != old_disk_id
         assert not node.daemon.store.is_voter
         # the damaged state is kept aside
-        assert files(world, host, "aside-" + node.daemon.store.disk)
+        assert files(world, host, "aside-" + node.daemon.store.disk_id)
         await world.eventually(lambda: not node.unready_reasons(), within=15 * SECOND)
         world.kill(f"mdconf@{world.core[1]}")
         assert await world.configure(changed(1), core=2) == 2
@@ -52,13 +52,13 @@
         await configured(world)
         host = world.core[0]
         store = world.daemon("mdconf", host).store
-        old_disk_id, states = store.disk, dict(store.acceptor.states)
+        old_disk_id, states = store.disk_id, dict(store.acceptor.states)
         world.power_off("mdconf", host)
         disk = world.disks["mdconf", host]
         disk.rot("disk")
         reopened = Store(disk, random.Random(1), lambda *_, **__: None)
         await reopened.load()
-        assert reopened.disk != old_disk_id
+        assert reopened.disk_id != old_disk_id
         assert reopened.acceptor.states == states
 
     run(scenario)
--- a/tests/model_checker/test_model_register.py
+++ b/tests/model_checker/test_model_register.py
@@ -68,15 +68,15 @@
 class VolatilePromiseStore(Store):
     def __init__(self, disk, rng, log):
         super().__init__(disk, rng, log)
-        self.acceptor = VolatilePromise(self.files, log)
+        self.acceptor = VolatilePromise(self.disk, log)
 
 
 class AnyVersion(ModelMembers):
     """Planted fault: a ballot of a previous membership configuration is still voted on."""
 
-    async def answer(self, version, member, method, args):
+    async def call_local_acceptor(self, version, member, method, args):
         current = self.store.membership.version if self.store.membership else version
-        return await super().answer(max(version, current), member, method, args)
+        return await super().call_local_acceptor(max(version, current), member, method, args)
 
 
 class LateTransfer(ModelMembers):
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -132,7 +132,7 @@
 
     @rule(disk=st.sampled_from(DISKS))
     def crash(self, disk):
-        files = dict(self.processes[disk].store.files.files)
+        files = dict(self.processes[disk].store.disk.files)
 
         async def restart(world):
             await self.start(disk, files=files)
@@ -212,8 +212,8 @@
 class OneKeyLess(ModelMembers):
     """Planted fault: a state transfer that omits the first key."""
 
-    async def transfer_keys(self, keys, deadline, enough):
-        await super().transfer_keys(keys[1:], deadline, enough)
+    async def transfer_keys(self, keys, deadline, is_enough):
+        await super().transfer_keys(keys[1:], deadline, is_enough)
 
 
 class OneKeyLessMachine(RegisterMachine):
--- a/tests/support/core_fleet.py
+++ b/tests/support/core_fleet.py
@@ -63,7 +63,7 @@
 
     def voting(self, hosts):
         """Each of these is ready and knows exactly these as the voters, under their disks."""
-        wanted = {self.store(h).disk: f"{h}:7421" for h in hosts}
+        wanted = {self.store(h).disk_id: f"{h}:7421" for h in hosts}
         return all(
             self.store(h).membership is not None
             and self.store(h).membership.voters == wanted
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -193,7 +193,7 @@
     reply = await record.run_once(KEYED_CALL, never)
     return readable(
         {
-            "disk": store.disk,
+            "disk": store.disk_id,
             "membership": store.membership and store.membership.to_record(),
             "voters": sorted(store.members),
             "keys": states,
