--- a/packages/admin_http/meadowdock/admin_http/app.py
+++ b/packages/admin_http/meadowdock/admin_http/app.py
@@ -23,16 +23,19 @@
 class App:
     """An ASGI 3.0 application over a table of routes.
 
-    owner: the first argument of each handler. log: receives INTERNAL_ERROR when a handler fails.
+    handler_context: the first argument of each handler. log: receives INTERNAL_ERROR when a handler
+    fails.
     Invariant: requests_in_flight counts the requests that were received and not yet answered.
-    last_request_at: when the last request other than a health check arrived, in microseconds of the
+    last_request_us: when the last request other than a health check arrived, in microseconds of the
     monotonic clock. closing: each response asks the client to close the connection.
     """
 
-    def __init__(self, table: RouteTable, owner: Any, log: Callable[..., None] | None) -> None:
-        self.table, self.owner, self.log = table, owner, log
+    def __init__(
+        self, table: RouteTable, handler_context: Any, log: Callable[..., None] | None
+    ) -> None:
+        self.table, self.handler_context, self.log = table, handler_context, log
         self.requests_in_flight = 0
-        self.last_request_at = 0
+        self.last_request_us = 0
         self.closing = False
 
     async def __call__(
@@ -47,7 +50,7 @@
         request = request_from_scope(scope, receive)
         self.requests_in_flight += 1
         if request.path not in HEALTH_CHECK_PATHS:
-            self.last_request_at = monotonic_us()
+            self.last_request_us = monotonic_us()
         try:
             try:
                 status, data, headers = await self.respond(request)
@@ -86,7 +89,7 @@
         if handler is None:
             return Response(404, {"code": "not_found"})
         try:
-            return await handler(self.owner, request)
+            return await handler(self.handler_context, request)
         except BodyTooLarge:
             return Response(413, {"code": "too_large", "verdict": "not-run"})
 
--- a/packages/admin_http/meadowdock/admin_http/routes.py
+++ b/packages/admin_http/meadowdock/admin_http/routes.py
@@ -6,7 +6,7 @@
 
 from meadowdock.admin_http.messages import Response
 
-Handler = Callable[..., Awaitable[Response]]  # takes the app's owner and a Request
+Handler = Callable[..., Awaitable[Response]]  # takes the app's handler_context and a Request
 
 
 class RouteTable:
@@ -33,7 +33,7 @@
 
         return register
 
-    def otherwise(self, handler: Handler) -> Handler:
+    def set_fallback(self, handler: Handler) -> Handler:
         """Register the fallback; usable as a decorator."""
         self.fallback = handler
         return handler
--- a/packages/client/meadowdock/client/endpoint.py
+++ b/packages/client/meadowdock/client/endpoint.py
@@ -82,7 +82,7 @@
         """
         return Response(200, {"service": self.service, "incarnation": self.incarnation})
 
-    @table.otherwise
+    @table.set_fallback
     async def handle_request(self, request: Request) -> Response:
         """Run the handler on a request that is meant for this incarnation."""
         incarnation = request.header(b"md-incarnation")
--- a/packages/config_store/meadowdock/config_store/audit_log.py
+++ b/packages/config_store/meadowdock/config_store/audit_log.py
@@ -17,7 +17,7 @@
 import trio
 
 from meadowdock import audit
-from meadowdock.consensus import for_each
+from meadowdock.consensus import run_for_each
 from meadowdock.runtime import Disk, add_checksum, fingerprint, verify_checksum
 
 RECORDS_PER_SEGMENT = 64  # about 40 KB; also the maximum that one message carries
@@ -147,7 +147,7 @@
         self.redundant_versions = [
             v for v in numbers if v < self.first_version or segment_of(v) in self.segments
         ]
-        await for_each(
+        await run_for_each(
             self.load_record, [v for v in numbers if v not in set(self.redundant_versions)]
         )
 
@@ -304,7 +304,7 @@
             index = segment_of(batch[0])
             in_segment = batch[-1] >= self.first_version
             if in_segment and not await self.read_segment(index):
-                await for_each(self.load_record, batch)  # the segment is damaged: use the files
+                await run_for_each(self.load_record, batch)  # the segment is damaged: use the files
                 continue
             for version in batch:
                 await self.files.remove(record_file(version))
--- a/packages/config_store/meadowdock/config_store/audit_log_transfer.py
+++ b/packages/config_store/meadowdock/config_store/audit_log_transfer.py
@@ -20,7 +20,7 @@
     by_segment,
 )
 from meadowdock.config_store.store import disk_failures_rejected
-from meadowdock.consensus import NoQuorum, holds_majorities
+from meadowdock.consensus import NoQuorum, is_majority_of_each
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLISECOND, SECOND, deadline_scope, monotonic_us, sleep_us
 
@@ -252,7 +252,7 @@
         state = self.audit_log.state()
         states = await self.fetch_states(deadline)
         voters = [list(self.store.membership.voters)]
-        if not holds_majorities(voters, {self.store.disk_id, *states}):
+        if not is_majority_of_each(voters, {self.store.disk_id, *states}):
             raise NoQuorum("audit log of the voters")
         for peer_state in states.values():
             state = state.merged_with(peer_state)
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -124,7 +124,7 @@
         if not self.store.is_voter and own_address not in replaced:
             return None
         answering = [a for a in voters if a in reachable and a not in replaced]
-        if not VoterSets.of([voters]).is_quorum(answering):
+        if not VoterSets.from_sets([voters]).is_quorum(answering):
             return None
         addresses = set(voters) if self.operator_managed else self.policy_choice(voters, reachable)
         if replaced or addresses != set(voters) or self.failure_domains_outdated(reachable):
--- a/packages/config_store/meadowdock/config_store/membership_configuration.py
+++ b/packages/config_store/meadowdock/config_store/membership_configuration.py
@@ -74,7 +74,7 @@
     def voter_sets(self, tolerance: Tolerance = NO_LOSSES) -> VoterSets:
         """Return the sets whose majorities make a quorum."""
         sets = [voters for voters in (self.voters, self.next_voters) if voters]
-        return VoterSets.of(sets, self.failure_domains, tolerance)
+        return VoterSets.from_sets(sets, self.failure_domains, tolerance)
 
     def with_failure_domains(self, domains: Mapping[str, FailureDomain]) -> MembershipConfiguration:
         """Return a copy with the known failure domains of its members."""
--- a/packages/config_store/meadowdock/config_store/state_transfer.py
+++ b/packages/config_store/meadowdock/config_store/state_transfer.py
@@ -71,7 +71,7 @@
         """Transfer all keys that the old voters list, to both sides."""
 
         def listed(answers):
-            return VoterSets.of([membership.voters]).is_quorum(answers)
+            return VoterSets.from_sets([membership.voters]).is_quorum(answers)
 
         answers = await self.broadcast_to(
             membership.voters, "member.keys", membership.to_record(), deadline, listed
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -60,7 +60,7 @@
         await self.audit_log.load()
         disk_id = verify_checksum(await self.disk.read("disk"))
         await self.acceptor.load()
-        lost = self.acceptor.lost_keys()
+        lost = self.acceptor.damaged_key_folders()
         self.blank_at_start = not versions and not self.acceptor.states
         if disk_id is None or lost or lost_configuration:
             # The disk counts as lost: its id is unreadable, or an older file of a key would forget
--- a/packages/consensus/meadowdock/consensus/__init__.py
+++ b/packages/consensus/meadowdock/consensus/__init__.py
@@ -7,7 +7,7 @@
 
 from meadowdock.consensus.acceptor import Acceptor, AcceptorState
 from meadowdock.consensus.ballot import ZERO_BALLOT, Ballot
-from meadowdock.consensus.concurrency import for_each
+from meadowdock.consensus.concurrency import run_for_each
 from meadowdock.consensus.exceptions import (
     ConsensusError,
     KeyStateLost,
@@ -21,7 +21,7 @@
     FailureDomain,
     Tolerance,
     VoterSets,
-    holds_majorities,
+    is_majority_of_each,
 )
 
 __all__ = [
@@ -42,6 +42,6 @@
     "VoterSets",
     "WriteRequest",
     "ZERO_BALLOT",
-    "for_each",
-    "holds_majorities",
+    "run_for_each",
+    "is_majority_of_each",
 ]
--- a/packages/consensus/meadowdock/consensus/acceptor.py
+++ b/packages/consensus/meadowdock/consensus/acceptor.py
@@ -15,7 +15,7 @@
 import trio
 
 from meadowdock.consensus.ballot import ZERO_BALLOT, Ballot
-from meadowdock.consensus.concurrency import for_each
+from meadowdock.consensus.concurrency import run_for_each
 from meadowdock.consensus.exceptions import KeyStateLost
 from meadowdock.consensus.messages import (
     Acceptance,
@@ -142,7 +142,7 @@
             raise KeyStateLost(key)
         return state
 
-    def lost_keys(self) -> list[str]:
+    def damaged_key_folders(self) -> list[str]:
         """Return the folders of the keys whose newest file was found damaged at the start."""
         return sorted(folder for folder, state in self.states.items() if state is None)
 
@@ -162,7 +162,7 @@
 
     async def load(self) -> None:
         """Read the states of all keys from the disk."""
-        await for_each(self.load_key, await self.disk.names("key"))
+        await run_for_each(self.load_key, await self.disk.names("key"))
 
     async def load_key(self, folder: str) -> None:
         """Read the newest file of one key.
--- a/packages/consensus/meadowdock/consensus/answers.py
+++ b/packages/consensus/meadowdock/consensus/answers.py
@@ -55,9 +55,9 @@
     """Return the highest accepted pair if a quorum has accepted it, else None.
 
     >>> new, old = AcceptedPair(Ballot(2, "x"), 7), AcceptedPair(Ballot(1, "y"), 6)
-    >>> agreed_pair({"a": new, "b": new, "c": old}, VoterSets.of(["abc"])).value
+    >>> agreed_pair({"a": new, "b": new, "c": old}, VoterSets.from_sets(["abc"])).value
     7
-    >>> agreed_pair({"a": new, "b": old, "c": old}, VoterSets.of(["abc"])) is None
+    >>> agreed_pair({"a": new, "b": old, "c": old}, VoterSets.from_sets(["abc"])) is None
     True
     """
     highest = highest_ballot(answers)
--- a/packages/consensus/meadowdock/consensus/concurrency.py
+++ b/packages/consensus/meadowdock/consensus/concurrency.py
@@ -9,7 +9,7 @@
 DEFAULT_CONCURRENCY = 16
 
 
-async def for_each(
+async def run_for_each(
     action: Callable[[str], Awaitable[object]],
     names: Sequence[str],
     concurrency: int = DEFAULT_CONCURRENCY,
--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -77,8 +77,8 @@
         round.
     :param voter_sets: returns the current voters; normally one set, the old and the new one during
         a membership change.
-    :param ask: ask(member, method, arguments, deadline, version) returns a member's encoded answer,
-        or raises. Without `version` the last argument is omitted.
+    :param send_request: send_request(member, method, arguments, deadline, version) returns a
+        member's encoded answer, or raises. Without `version` the last argument is omitted.
     :param nursery: runs the requests. A request to a slow member may outlive the call that sent it,
         but ends at its deadline.
     :param version: returns the version of the current membership.
@@ -90,14 +90,14 @@
         self,
         name: str,
         voter_sets: Callable[[], VoterSets | Iterable[Iterable[str]]],
-        ask: Callable[..., Awaitable[Any]],
+        send_request: Callable[..., Awaitable[Any]],
         rng: random.Random,
         nursery: trio.Nursery,
         version: Callable[[], int] | None = None,
     ) -> None:
         self.name = name
         self.voter_sets = voter_sets
-        self.ask = ask
+        self.send_request = send_request
         self.rng = rng
         self.nursery = nursery
         self.version = version
@@ -108,19 +108,19 @@
     def configuration(self) -> BallotConfiguration:
         """Return the current membership configuration."""
         version = None if self.version is None else self.version()
-        return BallotConfiguration(VoterSets.of(self.voter_sets()), version)
+        return BallotConfiguration(VoterSets.from_sets(self.voter_sets()), version)
 
     def voters(self) -> list[str]:
         """Return the members of all voter sets, sorted."""
-        return sorted(VoterSets.of(self.voter_sets()).voters)
+        return sorted(VoterSets.from_sets(self.voter_sets()).voters)
 
     def is_quorum(self, members: Iterable[str]) -> bool:
         """Return whether these members are a quorum of the current voter sets."""
-        return VoterSets.of(self.voter_sets()).is_quorum(members)
+        return VoterSets.from_sets(self.voter_sets()).is_quorum(members)
 
     def is_durable(self, members: Iterable[str]) -> bool:
         """Return whether these members are a durable quorum of the current voter sets."""
-        return VoterSets.of(self.voter_sets()).is_durable(members)
+        return VoterSets.from_sets(self.voter_sets()).is_durable(members)
 
     async def change(
         self,
@@ -268,7 +268,9 @@
 
         async def ask_member(member: str) -> None:
             try:
-                sent = await self.ask(member, request.method, arguments, deadline, *version)
+                sent = await self.send_request(
+                    member, request.method, arguments, deadline, *version
+                )
                 answers[member] = request.answer_from_wire(sent)
             except Exception:  # any failure counts as no answer from this member
                 pass
--- a/packages/consensus/meadowdock/consensus/quorum.py
+++ b/packages/consensus/meadowdock/consensus/quorum.py
@@ -41,11 +41,11 @@
     write is acknowledged once a durable quorum has it, which survives the tolerated losses. The
     requirement on zones (regions) applies only while the zone (region) of every voter is known.
 
-    >>> abc = VoterSets.of([["a", "b", "c"]], tolerance=Tolerance(disks=2))
+    >>> abc = VoterSets.from_sets([["a", "b", "c"]], tolerance=Tolerance(disks=2))
     >>> abc.is_quorum(["a", "b"]), abc.is_durable(["a", "b"]), abc.is_durable(["a", "b", "c"])
     (True, False, True)
     >>> domains = {"a": FailureDomain("x"), "b": FailureDomain("x"), "c": FailureDomain("y")}
-    >>> spread = VoterSets.of([["a", "b", "c"]], domains, Tolerance(disks=1, zones=1))
+    >>> spread = VoterSets.from_sets([["a", "b", "c"]], domains, Tolerance(disks=1, zones=1))
     >>> spread.is_durable(["a", "b"]), spread.is_durable(["b", "c"])
     (False, True)
     """
@@ -56,7 +56,7 @@
     excluded: frozenset[str] = frozenset()  # members that don't count towards durability
 
     @classmethod
-    def of(
+    def from_sets(
         cls,
         sets: VoterSets | Iterable[Iterable[str]],
         failure_domains: Mapping[str, FailureDomain] | None = None,
@@ -118,16 +118,16 @@
         return replace(self, excluded=self.excluded | {member})
 
 
-def holds_majorities(
+def is_majority_of_each(
     voter_sets: VoterSets | Iterable[Iterable[str]], members: Iterable[str]
 ) -> bool:
     """Return whether the members include a majority of each voter set.
 
-    >>> holds_majorities([["a", "b", "c"], ["b", "c", "d"]], ["a", "b"])
+    >>> is_majority_of_each([["a", "b", "c"], ["b", "c", "d"]], ["a", "b"])
     False
-    >>> holds_majorities([["a", "b", "c"], ["b", "c", "d"]], ["b", "c"])
+    >>> is_majority_of_each([["a", "b", "c"], ["b", "c", "d"]], ["b", "c"])
     True
-    >>> holds_majorities([], ["a"])
+    >>> is_majority_of_each([], ["a"])
     False
     """
-    return VoterSets.of(voter_sets).is_quorum(members)
+    return VoterSets.from_sets(voter_sets).is_quorum(members)
--- a/packages/membership/meadowdock/membership/gossip.py
+++ b/packages/membership/meadowdock/membership/gossip.py
@@ -38,16 +38,16 @@
 
     def __init__(
         self,
-        me: MemberEntry,
+        own_entry: MemberEntry,
         seeds: tuple[str, ...],
         rng: random.Random,
         rpc: ConnectionPool,
         log: Callable[..., None],
     ) -> None:
-        super().__init__(me, seeds, rng, log)
+        super().__init__(own_entry, seeds, rng, log)
         self.rpc = rpc
         self.peers = PeerSelector(self)
-        self.schedule = PeriodicSchedule(me.address)
+        self.schedule = PeriodicSchedule(own_entry.address)
 
     async def run(self) -> None:
         """Exchange samples until cancelled."""
@@ -100,7 +100,7 @@
         self.advance_heartbeat(leaving=True)
         members = sorted(self.entries)
         chosen = self.rng.sample(members, min(LEAVE_FANOUT, len(members)))
-        message = [self.me.to_wire()]
+        message = [self.own_entry.to_wire()]
         await self.rpc.call_all(
             {
                 address: (address, EXCHANGE_METHOD, message)
--- a/packages/membership/meadowdock/membership/peers.py
+++ b/packages/membership/meadowdock/membership/peers.py
@@ -37,7 +37,7 @@
         """
         known = sorted(self.view.entries)
         members = [address for address in known if self.is_available(address, now)] or known
-        seeds = [seed for seed in self.view.seeds if seed != self.view.me.address]
+        seeds = [seed for seed in self.view.seeds if seed != self.view.own_entry.address]
         if seeds and not members:
             return self.view.rng.choice(seeds)
         if seeds and now - self.last_seed_exchange > SEED_INTERVAL:
--- a/packages/membership/meadowdock/membership/view.py
+++ b/packages/membership/meadowdock/membership/view.py
@@ -23,9 +23,8 @@
 SAMPLE_SIZE = 5  # members that are not core, in each gossip message
 SILENCE_TIMEOUT = 4 * SECOND  # a member whose heartbeat has not increased for this time is dead
 REMOVED_RETENTION = 10 * SILENCE_TIMEOUT
-PAUSE_THRESHOLD = (
-    2 * SECOND
-)  # a longer gap between two calls of `expire` is a pause of this process
+# A longer gap between two calls of `expire` is a pause of this process.
+PAUSE_THRESHOLD = 2 * SECOND
 LOGGED_INCARNATIONS_MAX = 2_000
 
 NEVER_REMOVED = RemovedMember((-1, -1), 0)
@@ -46,19 +45,20 @@
 
     def __init__(
         self,
-        me: MemberEntry,
+        own_entry: MemberEntry,
         seeds: tuple[str, ...],
         rng: random.Random,
         log: Callable[..., None],
     ) -> None:
-        self.me = me
+        self.own_entry = own_entry
         self.seeds = seeds  # addresses that a process without known members contacts first
         self.rng = rng
         self.log = log
         self.entries: immutables.Map[str, KnownMember] = immutables.Map()
         self.removed: immutables.Map[str, RemovedMember] = immutables.Map()
         self.logged_incarnations: dict[str, int] = {}
-        self.on_updated: Callable[[MemberEntry], None] | None = None  # called with each newer entry
+        # called with each newer entry
+        self.on_entry_updated: Callable[[MemberEntry], None] | None = None
         self.pause_detector = PauseDetector(PAUSE_THRESHOLD, 0)
 
     def core_members(self, role: str) -> list[str]:
@@ -71,7 +71,7 @@
 
     def advance_heartbeat(self, **changes: Any) -> None:
         """Increment the heartbeat of this process, and change other fields of its entry."""
-        self.me = self.me._replace(heartbeat=self.me.heartbeat + 1, **changes)
+        self.own_entry = self.own_entry._replace(heartbeat=self.own_entry.heartbeat + 1, **changes)
 
     def merge(self, entries: Iterable[MemberEntry], now: int) -> None:
         """Adopt the entries that are newer than the known ones."""
@@ -81,7 +81,7 @@
 
     def merge_entry(self, entry: MemberEntry, now: int) -> None:
         """Adopt an entry if it is newer than the known one of its address."""
-        if entry.address == self.me.address:
+        if entry.address == self.own_entry.address:
             self.supersede_previous_incarnation(entry)
             return
         if not self.is_newer(entry):
@@ -91,8 +91,8 @@
             return
         self.log_new_incarnation(entry)
         self.entries = self.entries.set(entry.address, KnownMember(entry, now))
-        if self.on_updated:
-            self.on_updated(entry)
+        if self.on_entry_updated:
+            self.on_entry_updated(entry)
 
     def supersede_previous_incarnation(self, entry: MemberEntry) -> None:
         """Raise the incarnation of this process above that of an entry with its own address.
@@ -100,8 +100,8 @@
         The entry stems from a previous incarnation, whose number is higher if the wall clock was
         set back since.
         """
-        if entry.incarnation > self.me.incarnation:
-            self.me = self.me._replace(incarnation=entry.incarnation + 1)
+        if entry.incarnation > self.own_entry.incarnation:
+            self.own_entry = self.own_entry._replace(incarnation=entry.incarnation + 1)
 
     def is_newer(self, entry: MemberEntry) -> bool:
         """Return whether an entry is newer than the known or removed one of its address."""
@@ -182,7 +182,7 @@
         core = sorted(entry for entry in entries if entry.role in CORE_ROLES)
         others = sorted(entry for entry in entries if entry.role not in CORE_ROLES)
         size = min(SAMPLE_SIZE, len(others))
-        return [self.me, *core, *self.rng.sample(others, size)]
+        return [self.own_entry, *core, *self.rng.sample(others, size)]
 
     def is_complete(self) -> bool:
         """Return whether a member of each core role is known."""
--- a/packages/process/meadowdock/process/listeners.py
+++ b/packages/process/meadowdock/process/listeners.py
@@ -35,9 +35,9 @@
         """Return the number of requests without a response yet."""
         return sum(app.requests_in_flight for app in self.apps.values())
 
-    def last_request_at(self) -> int:
+    def last_request_us(self) -> int:
         """Return the monotonic time in microseconds of the last request that was no health check."""
-        return max(app.last_request_at for app in self.apps.values())
+        return max(app.last_request_us for app in self.apps.values())
 
     async def wait_idle(self) -> None:
         """Wait until no request is in flight."""
--- a/packages/process/meadowdock/process/shutdown.py
+++ b/packages/process/meadowdock/process/shutdown.py
@@ -88,7 +88,7 @@
     async def wait_for_quiet(self, latest_us: int) -> None:
         """Keep the listeners open until no more requests arrive, or until `latest_us`."""
         while (
-            monotonic_us() - self.node.listeners.last_request_at() < QUIET_PERIOD_US
+            monotonic_us() - self.node.listeners.last_request_us() < QUIET_PERIOD_US
             and monotonic_us() < latest_us
         ):
             await sleep_us(QUIET_PERIOD_US // 4)
--- a/packages/proxy/meadowdock/proxy/heartbeats.py
+++ b/packages/proxy/meadowdock/proxy/heartbeats.py
@@ -100,7 +100,7 @@
 
     def heartbeat(self) -> ProxyHeartbeat:
         """Build a heartbeat from the current state."""
-        server, own_entry = self.server, self.node.view.me
+        server, own_entry = self.server, self.node.view.own_entry
         routing_table = server.forwarder.routing_table
         return ProxyHeartbeat(
             address=own_entry.address,
--- a/packages/proxy/meadowdock/proxy/request_handling.py
+++ b/packages/proxy/meadowdock/proxy/request_handling.py
@@ -31,7 +31,7 @@
 routes = RouteTable()
 
 
-@routes.otherwise
+@routes.set_fallback
 async def handle_request(server: ProxyServer, request: Request) -> Response:
     """Handle a call: a request whose path no other handler has."""
     call: Call | None = None
--- a/packages/proxy/meadowdock/proxy/server.py
+++ b/packages/proxy/meadowdock/proxy/server.py
@@ -67,7 +67,7 @@
         self.peer_requests = PeerRequestHandler(self)
         self.late_ticks = 0
         self.last_call_number = 0
-        node.view.on_updated = self.on_member
+        node.view.on_entry_updated = self.on_member
 
     def rpc_handlers(self) -> Handlers:
         """Return the RPC methods that this process answers."""
--- a/packages/registry/meadowdock/registry/heartbeats.py
+++ b/packages/registry/meadowdock/registry/heartbeats.py
@@ -40,11 +40,11 @@
 
     async def send(self) -> None:
         """Send one heartbeat to every other registry, and wait for their answers."""
-        me = self.node.view.me
+        own_entry = self.node.view.own_entry
         heartbeat = RegistryHeartbeat(
-            address=me.address,
-            zone=me.zone,
-            incarnation=me.incarnation,
+            address=own_entry.address,
+            zone=own_entry.zone,
+            incarnation=own_entry.incarnation,
             shutting_down=self.node.stopping,
             highest_epoch=self.election.highest_epoch,
             collector_epoch=self.election.epoch,
--- a/packages/registry/meadowdock/registry/node_table.py
+++ b/packages/registry/meadowdock/registry/node_table.py
@@ -30,7 +30,7 @@
     """A node's latest heartbeat."""
 
     heartbeat: AnyHeartbeat
-    heard_at: int  # us, monotonic clock of this process
+    received_at_us: int  # us, monotonic clock of this process
 
 
 class NodeTable(Generic[AnyHeartbeat]):
@@ -46,7 +46,7 @@
     def __contains__(self, address: str) -> bool:
         return address in self.records
 
-    def update(self, heartbeat: AnyHeartbeat, heard_at: int) -> bool:
+    def update(self, heartbeat: AnyHeartbeat, received_at_us: int) -> bool:
         """Record a heartbeat; the heartbeat of a process that is shutting down removes its record.
 
         :returns: whether this added an incarnation that was not in the table.
@@ -59,7 +59,7 @@
         if heartbeat.shutting_down:
             self.records.pop(address, None)
             return False
-        self.records[address] = NodeRecord(heartbeat, heard_at)
+        self.records[address] = NodeRecord(heartbeat, received_at_us)
         return previous is None or previous.heartbeat.incarnation != heartbeat.incarnation
 
     def live(self, now_us: int) -> list[str]:
@@ -67,7 +67,7 @@
         return sorted(
             address
             for address, record in self.records.items()
-            if now_us - record.heard_at <= ALIVE_WITHIN_US
+            if now_us - record.received_at_us <= ALIVE_WITHIN_US
         )
 
     def expire(self, now_us: int, paused_us: int) -> list[AnyHeartbeat]:
@@ -79,11 +79,13 @@
         """
         if paused_us:
             for address, record in self.records.items():
-                self.records[address] = NodeRecord(record.heartbeat, record.heard_at + paused_us)
+                self.records[address] = NodeRecord(
+                    record.heartbeat, record.received_at_us + paused_us
+                )
         silent = [
             record.heartbeat
             for record in self.records.values()
-            if now_us - record.heard_at > ALIVE_WITHIN_US
+            if now_us - record.received_at_us > ALIVE_WITHIN_US
         ]
         for heartbeat in silent:
             del self.records[heartbeat.address]
@@ -103,6 +105,6 @@
 def proxies_to_wire(proxies: NodeTable[ProxyHeartbeat], now_us: int) -> dict[str, WireMap]:
     """Encode all proxies for the config stores: each heartbeat as received, with its age in us."""
     return {
-        address: {**record.heartbeat.wire, "heard_us_ago": now_us - record.heard_at}
+        address: {**record.heartbeat.wire, "heard_us_ago": now_us - record.received_at_us}
         for address, record in proxies.records.items()
     }
--- a/packages/registry/meadowdock/registry/server.py
+++ b/packages/registry/meadowdock/registry/server.py
@@ -43,7 +43,7 @@
         self.election = CollectorElection(node, self.registries, self.send_heartbeats)
         self.collector = LoadCollector(node, self.proxies, self.election)
         self.heartbeats = HeartbeatSender(node, self.election)
-        node.view.on_updated = self.heartbeats.on_member
+        node.view.on_entry_updated = self.heartbeats.on_member
 
     def rpc_handlers(self) -> Handlers:
         """Return the RPC methods that this process serves."""
--- a/packages/simulator/meadowdock/simulator/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -69,7 +69,7 @@
 def state_of_registry(node):
     """Bytes of a registry's table of proxies."""
     records = node.daemon.proxies.records
-    return packed({a: (r.heartbeat.wire, r.heard_at) for a, r in records.items()})
+    return packed({a: (r.heartbeat.wire, r.received_at_us) for a, r in records.items()})
 
 
 def state_of_proxy(node):
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -93,7 +93,7 @@
     table.exact = Endpoint.table.exact
     last = spoilt = None  # (headers, body) of the last answer; what the next answer is instead
 
-    @table.otherwise
+    @table.set_fallback
     async def handle_request(self, request):
         reply = await super().handle_request(request)
         spoilt, self.spoilt = self.spoilt, None
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -70,12 +70,14 @@
         "b": FailureDomain("x", "n"),
         "c": FailureDomain("y", "s"),
     }
-    sets = VoterSets.of([["a", "b", "c"]], domains, Tolerance(1, zones=1))
+    sets = VoterSets.from_sets([["a", "b", "c"]], domains, Tolerance(1, zones=1))
     assert not sets.is_durable(["a", "b"])
     assert sets.is_durable(["b", "c"])
-    regions = VoterSets.of([["a", "b", "c"]], domains, Tolerance(1, regions=1))
+    regions = VoterSets.from_sets([["a", "b", "c"]], domains, Tolerance(1, regions=1))
     assert not regions.is_durable(["a", "b"])
-    unknown = VoterSets.of([["a", "b", "c"]], {"a": FailureDomain("x")}, Tolerance(1, zones=1))
+    unknown = VoterSets.from_sets(
+        [["a", "b", "c"]], {"a": FailureDomain("x")}, Tolerance(1, zones=1)
+    )
     assert unknown.is_durable(["a", "b"])
 
 
--- a/tests/config_store/test_quorum_monitor.py
+++ b/tests/config_store/test_quorum_monitor.py
@@ -236,7 +236,7 @@
     async def scenario(world):
         await founded(world)
         proposer = world.daemon("mdconf", world.core[0]).proposer
-        original, rejected_prepares = proposer.ask, []
+        original, rejected_prepares = proposer.send_request, []
 
         async def reject_prepare(member, method, args, *more):
             if method != "prepare" or len(rejected_prepares) >= 30:
@@ -245,7 +245,7 @@
             await sleep_us(MILLISECOND)
             return "no", (args[1][0] + 1, "other"), None
 
-        proposer.ask = reject_prepare
+        proposer.send_request = reject_prepare
         begun_at_us = monotonic_us()
         await proposer.change("some/key", lambda old: 7, monotonic_us() + 4 * SECOND)
         assert len(rejected_prepares) == 30
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -81,7 +81,7 @@
             disk.power_off()
             disk.lose_at = None
             acceptor = await loaded_acceptor(disk)
-            assert not acceptor.lost_keys()
+            assert not acceptor.damaged_key_folders()
             accepted, value = acceptor.read("k")
             assert accepted[0] >= (acknowledged[-1] if acknowledged else 0)
             assert value == (f"v{accepted[0]}" if accepted[0] else None)
@@ -97,7 +97,7 @@
             await acceptor.prepare("k", (number, "p"))
         disk.rot(next(name for name in disk.files if name.startswith("key/")))
         restarted = await loaded_acceptor(disk)
-        assert len(restarted.lost_keys()) == 1
+        assert len(restarted.damaged_key_folders()) == 1
         with pytest.raises(KeyStateLost, match="k"):
             restarted.read("k")
 
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -72,17 +72,17 @@
 
 def test_a_change_interrupted_in_its_write_has_an_unknown_outcome_that_all_later_reads_agree_on():
     async def check(acceptors):
-        original_ask = acceptors.ask
+        original_send_request = acceptors.send_request
 
-        async def ask(member, method, args, deadline):
-            answer = await original_ask(member, method, args, deadline)
+        async def send_request(member, method, args, deadline):
+            answer = await original_send_request(member, method, args, deadline)
             if method == "write":
                 acceptors.down = {"x", "y", "z"} - {member}
                 raise TimeoutError
             return answer
 
         proposer = acceptors.proposer("a")
-        proposer.ask = ask
+        proposer.send_request = send_request
         with pytest.raises(OutcomeUnknown):
             await proposer.change("k", lambda value: "new", monotonic_us() + SECOND)
         acceptors.down = set()
--- a/tests/consensus/test_register_contention.py
+++ b/tests/consensus/test_register_contention.py
@@ -41,9 +41,11 @@
         self.dead, self.prepares_sent, self.loses_answers = set(), 0, False
 
     def proposer(self, name):
-        return Proposer(name, lambda: [list(self.acceptors)], self.ask, self.rng, self.nursery)
+        return Proposer(
+            name, lambda: [list(self.acceptors)], self.send_request, self.rng, self.nursery
+        )
 
-    async def ask(self, member, method, args, deadline):
+    async def send_request(self, member, method, args, deadline):
         self.prepares_sent += method == "prepare"
         await sleep_us(self.rng.randrange(1, 3) * MILLISECOND)
         if member in self.dead:
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -51,4 +51,4 @@
 
 def test_a_process_whose_clock_was_set_back_supersedes_its_previous_incarnation(view):
     view.merge([entry("me", incarnation=99)], 0)
-    assert view.me.incarnation == 100
+    assert view.own_entry.incarnation == 100
--- a/tests/model_checker/test_histories.py
+++ b/tests/model_checker/test_histories.py
@@ -106,7 +106,11 @@
 
 async def use_register(acceptors, proposer_class, name, rng, history):
     proposer = proposer_class(
-        name, lambda: [list(acceptors.acceptors)], acceptors.ask, acceptors.rng, acceptors.nursery
+        name,
+        lambda: [list(acceptors.acceptors)],
+        acceptors.send_request,
+        acceptors.rng,
+        acceptors.nursery,
     )
     for number in range(30):
         element, invoked = f"{name}{number}", monotonic_us()
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -80,7 +80,7 @@
     FaultyEndpoint.table = type(Endpoint.table)()
     FaultyEndpoint.table.exact = dict(Endpoint.table.exact)
 
-    @FaultyEndpoint.table.otherwise
+    @FaultyEndpoint.table.set_fallback
     async def handle_request(self, request):
         executed_paths.append(request.path)
         call_id = request.header(b"md-call").encode()
--- a/tests/registry/test_node_table.py
+++ b/tests/registry/test_node_table.py
@@ -61,7 +61,7 @@
     with pytest.raises(Rejected, match="old_incarnation"):
         table.update(heartbeat(incarnation=1, leaving=True), 1)
     assert table.records[ADDRESS].heartbeat.incarnation == 2
-    assert table.records[ADDRESS].heard_at == 0
+    assert table.records[ADDRESS].received_at_us == 0
 
 
 def test_a_node_that_shuts_down_is_removed_at_once(table):
--- a/tests/runtime/test_http.py
+++ b/tests/runtime/test_http.py
@@ -55,7 +55,7 @@
     return Response(200, {"no": object()})
 
 
-@table.otherwise
+@table.set_fallback
 async def other(received, request):
     """Respond with the number of the request and its body."""
     body = await request.body()
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -197,7 +197,7 @@
             "membership": store.membership and store.membership.to_record(),
             "voters": sorted(store.members),
             "keys": states,
-            "lost": store.acceptor.lost_keys(),
+            "lost": store.acceptor.damaged_key_folders(),
             "chunks": chunks,
             "audit": await store.audit_log.read(audit_chain(66)),
             "anchor": store.audit_log.state().anchor(),
--- a/tests/support/planted_faults.py
+++ b/tests/support/planted_faults.py
@@ -10,6 +10,8 @@
     """Planted: while members change, a quorum is one of the new voters."""
 
     def new_voters_alone(membership, tolerance=NO_LOSSES):
-        return VoterSets.of([membership.next_voters or membership.voters], tolerance=tolerance)
+        return VoterSets.from_sets(
+            [membership.next_voters or membership.voters], tolerance=tolerance
+        )
 
     monkeypatch.setattr(MembershipConfiguration, "voter_sets", new_voters_alone)
--- a/tests/support/three_acceptors.py
+++ b/tests/support/three_acceptors.py
@@ -24,9 +24,11 @@
         self.answer_loss = 0.0
 
     def proposer(self, name):
-        return Proposer(name, lambda: [list(self.acceptors)], self.ask, self.rng, self.nursery)
+        return Proposer(
+            name, lambda: [list(self.acceptors)], self.send_request, self.rng, self.nursery
+        )
 
-    async def ask(self, member, method, args, deadline):
+    async def send_request(self, member, method, args, deadline):
         await sleep_us(self.rng.randrange(100, 3000))
         if member in self.down:
             await sleep_us(deadline - monotonic_us())
