--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -44,7 +44,7 @@
 class ConfigStore(MembershipManager, process.Daemon):
     """One member of the config store: a voter or a spare."""
 
-    table = operator_api.table
+    routes = operator_api.table
     proposer: Proposer  # created by prepare, before any request is served
 
     def __init__(self, node: Node) -> None:
--- a/packages/forwarding/meadowdock/forwarding/admission.py
+++ b/packages/forwarding/meadowdock/forwarding/admission.py
@@ -82,7 +82,7 @@
 
     def observe(self, call: Call, duration_us: int) -> None:
         """Record for how long a call held its slot, until its response or its deadline."""
-        self.estimates(call.service).hold(call.route).observe(duration_us)
+        self.estimates(call.service).hold_time(call.route).observe(duration_us)
 
     def estimate(self, call: Call, now: int) -> None:
         """Set the expected hold time of a call at this node, and its urgency."""
--- a/packages/forwarding/meadowdock/forwarding/downstream.py
+++ b/packages/forwarding/meadowdock/forwarding/downstream.py
@@ -214,7 +214,7 @@
         idle_us = self.gateway.limits.idle_us
         return min(idle_us, KEEP_ALIVE_US) if self.keep_alive_sent else idle_us
 
-    def in_use(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Return whether a request is pending or a response is not completely sent."""
         return bool(self.pending or self.connection.unsent_size)
 
--- a/packages/forwarding/meadowdock/forwarding/gateway.py
+++ b/packages/forwarding/meadowdock/forwarding/gateway.py
@@ -163,7 +163,7 @@
         route: ItemRoute | None = self.table.find(host, request.target.partition(b"?")[0])
         return route
 
-    def tidy(self, now: int) -> None:
+    def run_maintenance(self, now: int) -> None:
         """Run the periodic maintenance: time-outs, reports and checks."""
         self.dispatcher.report(now, self.slowness.log_fields)
         self.peers.check_links(now)
@@ -177,6 +177,8 @@
         for connection in list(self.connections):
             connection.close_if_idle()
 
-    def in_use(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Return whether a call is in progress or a response is not completely sent."""
-        return bool(self.dispatcher.calls) or any(each.in_use() for each in self.connections)
+        return bool(self.dispatcher.calls) or any(
+            each.has_pending_work() for each in self.connections
+        )
--- a/packages/forwarding/meadowdock/forwarding/interfaces.py
+++ b/packages/forwarding/meadowdock/forwarding/interfaces.py
@@ -65,39 +65,39 @@
     def available_endpoints(self, service: str) -> Iterable[Endpoint]:
         """Return all local endpoints of a service that accept requests."""
 
-    def acquire_slot(self, endpoint: Endpoint, at: int) -> None:
+    def acquire_slot(self, endpoint: Endpoint, now: int) -> None:
         """Reserve a slot for a request."""
 
-    def release_slot(self, endpoint: Endpoint, at: int) -> None:
+    def release_slot(self, endpoint: Endpoint, now: int) -> None:
         """Release the slot of a request."""
 
-    def adjust_forwarded(self, service: str, change: int, at: int) -> None:
+    def adjust_forwarded(self, service: str, change: int, now: int) -> None:
         """Add a change, which may be negative, to the number of requests that are at peers."""
 
     def mark_unreachable(self, endpoint: Endpoint) -> None:
         """Record that no connection to the endpoint could be opened."""
 
-    def remove(self, endpoint: Endpoint, why: str) -> None:
+    def remove(self, endpoint: Endpoint, reason: str) -> None:
         """Remove an endpoint that no longer exists."""
 
 
 class RetryBudget(Protocol):
     """Limits the retries of one service."""
 
-    def deposit(self, at: int) -> None:
+    def deposit(self, now: int) -> None:
         """Count a request."""
 
-    def try_withdraw(self, at: int) -> bool:
+    def try_withdraw(self, now: int) -> bool:
         """Count a retry, if the budget allows it."""
 
-    def share_between(self, nodes: int) -> None:
+    def set_node_count(self, nodes: int) -> None:
         """Set the number of nodes that share the fleet's reserve of retries."""
 
 
 class RetryBudgets(Protocol):
     """Creates the retry budgets of services."""
 
-    def new_retry_budget(self, gate: Any) -> RetryBudget:
+    def new_retry_budget(self, gateway: Any) -> RetryBudget:
         """Return a new budget."""
 
 
--- a/packages/forwarding/meadowdock/forwarding/peer_calls.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_calls.py
@@ -45,7 +45,7 @@
         now = monotonic_us()
         call.peer_link, call.incarnation, call.dispatched_at = link, node.incarnation, now
         self.registry.adjust_forwarded(call.service, 1, now)
-        call.timer = self.reactor.at(call.deadline + GRACE_US, lambda: self.on_deadline(call))
+        call.timer = self.reactor.call_at(call.deadline + GRACE_US, lambda: self.on_deadline(call))
         link.submit(call, may_queue)
         return True
 
--- a/packages/forwarding/meadowdock/forwarding/peer_link.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_link.py
@@ -57,7 +57,8 @@
     """One side of a link.
 
     Invariants: outbox holds frames of which no byte was handed to the socket; ready is True once
-    both sides have proved that they know the key; a link is in reactor.dirty iff flush_requested.
+    both sides have proved that they know the key; a link is in reactor.flush_pending iff
+    flush_requested.
     """
 
     # The names under which outgoing and incoming frames are authenticated.
@@ -86,7 +87,7 @@
         """Request a flush() at the end of this turn."""
         if not self.flush_requested:
             self.flush_requested = True
-            self.peers.reactor.dirty.append(self)
+            self.peers.reactor.flush_pending.append(self)
 
     def send_handshake_frame(self, frame: Frame) -> None:
         """Send a frame of the handshake."""
@@ -167,7 +168,7 @@
         self.reads_target = False  # the peer reads the latency target and the route of a call
         self.ended = False
         peers.network.dial(address, monotonic_us() + CONNECT_TIMEOUT_US, self)
-        peers.reactor.at(monotonic_us() + HANDSHAKE_TIMEOUT_US, self.on_handshake_timeout)
+        peers.reactor.call_at(monotonic_us() + HANDSHAKE_TIMEOUT_US, self.on_handshake_timeout)
 
     def on_handshake_timeout(self) -> None:
         """Close the link if the handshake has not completed in time."""
--- a/packages/forwarding/meadowdock/forwarding/queueing.py
+++ b/packages/forwarding/meadowdock/forwarding/queueing.py
@@ -40,7 +40,9 @@
         self.registry.slot_waiters.setdefault(service, partial(self.wake, service))
         self.admission.queue(service).join(call)
         call.position_deadline = self.admission.position_deadline(call)
-        call.timer = self.reactor.at(call.position_deadline, lambda: self.on_position_timeout(call))
+        call.timer = self.reactor.call_at(
+            call.position_deadline, lambda: self.on_position_timeout(call)
+        )
 
     def on_position_timeout(self, call: Call) -> None:
         """Handle the end of the time for which a call keeps its position."""
--- a/packages/forwarding/meadowdock/forwarding/reactor.py
+++ b/packages/forwarding/meadowdock/forwarding/reactor.py
@@ -51,8 +51,8 @@
 class Reactor:
     """Runs timers, and flushes buffered output at the end of each turn.
 
-    Invariants: timers is a heap with the earliest first; dirty holds each sender with buffered
-    output once.
+    Invariants: timers is a heap with the earliest first; flush_pending holds each sender with
+    buffered output once.
 
     :param log: writes an event if a callback raises; without it the exception is propagated
     """
@@ -60,12 +60,12 @@
     def __init__(self, log: Logger | None = None) -> None:
         self.log = log
         self.timers: list[Timer] = []
-        self.dirty: list[Flushable] = []
+        self.flush_pending: list[Flushable] = []
         self.number = 0  # of the latest timer; timers for the same time run in the order of numbers
         self.sleeping_until = 0
         self.earlier_timer = trio.Event()
 
-    def at(self, when: int, callback: Callable[[], object]) -> Timer:
+    def call_at(self, when: int, callback: Callable[[], object]) -> Timer:
         """Call a function in its own turn, not before the given time."""
         self.number += 1
         timer = Timer(when, callback, self.number)
@@ -95,9 +95,9 @@
 
     def end_turn(self) -> None:
         """Flush the output that was buffered in this turn; each sender writes once."""
-        while self.dirty:
-            dirty, self.dirty = self.dirty, []
-            for sender in dirty:
+        while self.flush_pending:
+            senders, self.flush_pending = self.flush_pending, []
+            for sender in senders:
                 sender.flush()
 
     def run_timers(self, now: int) -> None:
--- a/packages/forwarding/meadowdock/forwarding/retries.py
+++ b/packages/forwarding/meadowdock/forwarding/retries.py
@@ -39,7 +39,7 @@
     def set_node_count(self, nodes: int) -> None:
         """Set the number of nodes that share the fleet's reserve of retries."""
         for budget in self.budgets.values():
-            budget.share_between(nodes)
+            budget.set_node_count(nodes)
 
     def permits(self, call: Call, now: int) -> bool:
         """Return whether a request may be retried, and count the retry if so."""
--- a/packages/forwarding/meadowdock/forwarding/sockets.py
+++ b/packages/forwarding/meadowdock/forwarding/sockets.py
@@ -118,7 +118,7 @@
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass
-        self.network.reactor.at(monotonic_us() + LINGER_US, self.close)
+        self.network.reactor.call_at(monotonic_us() + LINGER_US, self.close)
 
     def close(self) -> None:
         """Close the connection now."""
--- a/packages/forwarding/meadowdock/forwarding/upstream.py
+++ b/packages/forwarding/meadowdock/forwarding/upstream.py
@@ -156,7 +156,7 @@
     def send(self, upstream: UpstreamConnection, call: Call) -> None:
         """Send a call on an open connection and set its timer."""
         call.attempts += 1
-        call.timer = self.dispatcher.reactor.at(
+        call.timer = self.dispatcher.reactor.call_at(
             call.deadline + GRACE_US, lambda: self.on_deadline(call)
         )
         upstream.send(call)
--- a/packages/forwarding/meadowdock/forwarding/wait_estimates.py
+++ b/packages/forwarding/meadowdock/forwarding/wait_estimates.py
@@ -54,16 +54,16 @@
     (150000, 225000)
     """
 
-    __slots__ = ("known", "mean_us", "deviation_us")
+    __slots__ = ("has_samples", "mean_us", "deviation_us")
 
     def __init__(self) -> None:
-        self.known = False
+        self.has_samples = False
         self.mean_us = self.deviation_us = 0
 
     def observe(self, duration_us: int) -> None:
         """Add the time for which one call held a slot."""
-        if not self.known:
-            self.known = True
+        if not self.has_samples:
+            self.has_samples = True
             self.mean_us, self.deviation_us = duration_us, duration_us // 4
             return
         self.deviation_us += (
@@ -111,7 +111,7 @@
         self.hold_times: dict[str, HoldTime] = {}
         self.in_use: dict[int, SlotsInUse] = {}
 
-    def hold(self, route: str) -> HoldTime:
+    def hold_time(self, route: str) -> HoldTime:
         """Return the hold time of a route's calls."""
         hold_time = self.hold_times.get(route)
         if hold_time is None:
@@ -124,7 +124,7 @@
         A route without any observed call gets the mean of the other routes for both.
         """
         hold_time = self.hold_times.get(route)
-        if hold_time is not None and hold_time.known:
+        if hold_time is not None and hold_time.has_samples:
             return hold_time.mean_us, hold_time.likely_us
         mean_us = self.mean_us() or INITIAL_HOLD_US
         return mean_us, mean_us
@@ -135,7 +135,7 @@
         Each route has the same weight, so that endpoints can be compared although they had different
         mixes of calls.
         """
-        known = [hold.mean_us for hold in self.hold_times.values() if hold.known]
+        known = [hold.mean_us for hold in self.hold_times.values() if hold.has_samples]
         return sum(known) // len(known) if known else 0
 
     def slot_acquired(self, urgency: int, now: int) -> None:
--- a/packages/load_sharing/meadowdock/load_sharing/gauge.py
+++ b/packages/load_sharing/meadowdock/load_sharing/gauge.py
@@ -1,7 +1,7 @@
 """Measures the load level of a node as the mean occupation over the last interval.
 
 >>> gauge = Gauge(0)
->>> gauge.set(0, 4); gauge.set(500, 8)
+>>> gauge.update(0, 4); gauge.update(500, 8)
 >>> gauge.take_mean(1000)
 6.0
 >>> gauge.take_mean(2000)
@@ -25,7 +25,7 @@
         self.level: float = 0
         self.area: float = 0
 
-    def set(self, now: int, level: float) -> None:
+    def update(self, now: int, level: float) -> None:
         """Record that the level has changed now."""
         self.area += self.level * max(0, now - self.updated_at)
         self.updated_at = max(now, self.updated_at)
@@ -33,7 +33,7 @@
 
     def take_mean(self, now: int) -> float:
         """Return the mean since the last call of this method and start the next interval."""
-        self.set(now, self.level)
+        self.update(now, self.level)
         length = self.updated_at - self.interval_start
         mean = self.area / length if length else float(self.level)
         self.interval_start, self.area = self.updated_at, 0
--- a/packages/process/meadowdock/process/daemon.py
+++ b/packages/process/meadowdock/process/daemon.py
@@ -19,11 +19,11 @@
     The node calls the methods in the order of their definition.
 
     :ivar node: the node that runs this daemon.
-    :ivar table: the HTTP routes of the process's own listener.
+    :ivar routes: the HTTP routes of the process's own listener.
     """
 
     node: Node
-    table: RouteTable
+    routes: RouteTable
 
     def listeners(self) -> dict[str, RouteTable]:
         """Return additional HTTP listeners by address.
--- a/packages/process/meadowdock/process/node.py
+++ b/packages/process/meadowdock/process/node.py
@@ -96,7 +96,7 @@
 
     def apps(self) -> dict[str, App]:
         """Return the HTTP apps by address: the process's own, with health checks, and the daemon's."""
-        own = {self.settings.http: with_health_checks(self.daemon.table)}
+        own = {self.settings.http: with_health_checks(self.daemon.routes)}
         routes = {**own, **self.daemon.listeners()}
         return {address: App(table, self.daemon, self.log) for address, table in routes.items()}
 
--- a/packages/proxy/meadowdock/proxy/endpoints.py
+++ b/packages/proxy/meadowdock/proxy/endpoints.py
@@ -67,8 +67,8 @@
 class ServiceLoad:
     """The load of one service on this node: its gauges, and rho of the last interval."""
 
-    def __init__(self, at: int) -> None:
-        self.in_flight, self.forwarded = Gauge(at), Gauge(at)
+    def __init__(self, now: int) -> None:
+        self.in_flight, self.forwarded = Gauge(now), Gauge(now)
         self.forwarded_now = 0  # calls of this node that are in flight at peers
         self.rho = 0.0
 
@@ -128,16 +128,16 @@
         return claims.service if endpoint.identity == claims[:3] else None
 
     def register(
-        self, service: str, address: str, incarnation: str, capacity: int, at: int, wall_us: int
+        self, service: str, address: str, incarnation: str, capacity: int, now: int, wall_us: int
     ) -> str:
         """Register an endpoint, replacing any other at its address, and return its token."""
         self.last_issued_at = issued_at = max(self.last_issued_at + 1, wall_us)
         endpoint = self.by_address.get(address)
         if endpoint is not None and endpoint.identity == (service, address, incarnation):
-            endpoint.capacity, endpoint.heartbeat_at = capacity, at
+            endpoint.capacity, endpoint.heartbeat_at = capacity, now
             issued_at = endpoint.issued_at
         else:
-            self.add(Endpoint(service, address, incarnation, capacity, issued_at, at))
+            self.add(Endpoint(service, address, incarnation, capacity, issued_at, now))
         return self.tokens.issue(TokenClaims(service, address, incarnation, issued_at))
 
     def add(self, endpoint: Endpoint) -> None:
@@ -161,7 +161,7 @@
         self.notify_waiters(endpoint.service)
 
     def heartbeat(
-        self, token: str, capacity: int, draining: bool, load: float | None, at: int
+        self, token: str, capacity: int, draining: bool, load: float | None, now: int
     ) -> None:
         """Process a heartbeat of the endpoint that a token was issued to.
 
@@ -176,12 +176,12 @@
         if endpoint is not None and endpoint.issued_at > claims.issued_at:
             raise RegistrationDenied(409, "superseded", "another enrolment holds the address")
         if endpoint is None or endpoint.issued_at != claims.issued_at:
-            endpoint = Endpoint(*claims[:3], capacity, claims.issued_at, at)
+            endpoint = Endpoint(*claims[:3], capacity, claims.issued_at, now)
             self.add(endpoint)
             self.last_issued_at = max(self.last_issued_at, claims.issued_at)
-        endpoint.heartbeat_at, endpoint.capacity, endpoint.unreachable = at, capacity, False
+        endpoint.heartbeat_at, endpoint.capacity, endpoint.unreachable = now, capacity, False
         if load is not None:
-            endpoint.reported_load, endpoint.reported_load_at = load, at
+            endpoint.reported_load, endpoint.reported_load_at = load, now
         if draining:
             self.start_draining(endpoint)
         self.notify_waiters(claims.service)
@@ -213,7 +213,7 @@
             self.departed_tokens[claims] = monotonic_us() + DEPARTED_TOKEN_TTL_US
             self.remove(endpoint, "left")
 
-    def remove(self, endpoint: Endpoint, why: str) -> None:
+    def remove(self, endpoint: Endpoint, reason: str) -> None:
         """Remove an endpoint, and hand over its idle connections to be closed."""
         if endpoint.removed:
             return
@@ -222,7 +222,10 @@
         self.connections_to_close += endpoint.idle_connections
         endpoint.idle_connections = []
         self.log(
-            log_events.ENDPOINT_REMOVED, service=endpoint.service, address=endpoint.address, why=why
+            log_events.ENDPOINT_REMOVED,
+            service=endpoint.service,
+            address=endpoint.address,
+            why=reason,
         )
         self.notify_waiters(endpoint.service)
 
@@ -238,16 +241,16 @@
             )
             self.notify_waiters(endpoint.service)
 
-    def remove_expired(self, at: int) -> None:
+    def remove_expired(self, now: int) -> None:
         """Remove the endpoints whose last heartbeat is too old.
 
         A pause of this process doesn't count: heartbeats that arrived during it are still unread.
         """
-        paused_us = self.pause_detector.look(at)
+        paused_us = self.pause_detector.look(now)
         for endpoint in self.by_address.values():
             endpoint.heartbeat_at += paused_us
         for endpoint in list(self.by_address.values()):
-            if at - endpoint.heartbeat_at > self.heartbeat_timeout_us:
+            if now - endpoint.heartbeat_at > self.heartbeat_timeout_us:
                 self.remove(endpoint, "no beat")
 
     def available_endpoints(self, service: str) -> list[Endpoint]:
@@ -260,15 +263,15 @@
             self.available_endpoints(service), key=lambda e: e.in_flight / e.capacity, default=None
         )
 
-    def acquire_slot(self, endpoint: Endpoint, at: int) -> None:
+    def acquire_slot(self, endpoint: Endpoint, now: int) -> None:
         """Count a call that begins at the endpoint."""
         endpoint.in_flight += 1
-        self.update_gauges(endpoint.service, at)
+        self.update_gauges(endpoint.service, now)
 
-    def release_slot(self, endpoint: Endpoint, at: int) -> None:
+    def release_slot(self, endpoint: Endpoint, now: int) -> None:
         """Count a call that ended at the endpoint, and let a waiting call take the slot."""
         endpoint.in_flight -= 1
-        self.update_gauges(endpoint.service, at)
+        self.update_gauges(endpoint.service, now)
         self.notify_waiters(endpoint.service)
 
     def notify_waiters(self, service: str) -> None:
@@ -277,21 +280,21 @@
         if notify is not None:
             notify()
 
-    def adjust_forwarded(self, service: str, change: int, at: int) -> None:
+    def adjust_forwarded(self, service: str, change: int, now: int) -> None:
         """Change the number of the service's calls that are in flight at peers."""
-        load = self.service_loads.setdefault(service, ServiceLoad(at))
+        load = self.service_loads.setdefault(service, ServiceLoad(now))
         load.forwarded_now += change
-        self.update_gauges(service, at)
+        self.update_gauges(service, now)
 
-    def update_gauges(self, service: str, at: int) -> None:
+    def update_gauges(self, service: str, now: int) -> None:
         """Record how many calls of the service are in flight, here and at peers."""
         load = self.service_loads.get(service)
         if load is not None:
             in_flight = sum(e.in_flight for e in self.by_address.values() if e.service == service)
-            load.in_flight.set(at, in_flight)
-            load.forwarded.set(at, load.forwarded_now)
+            load.in_flight.update(now, in_flight)
+            load.forwarded.update(now, load.forwarded_now)
 
-    def measure_load(self, at: int, forwarded_weight: float) -> dict[str, ServiceReport]:
+    def measure_load(self, now: int, forwarded_weight: float) -> dict[str, ServiceReport]:
         """End the load interval and compute a new rho for every service.
 
         Return the reports of the services that have an endpoint here.
@@ -299,11 +302,11 @@
         for service, load in self.service_loads.items():
             endpoints = [e for e in self.by_address.values() if e.service == service]
             load.rho = load_level(
-                load.in_flight.take_mean(at),
-                load.forwarded.take_mean(at),
+                load.in_flight.take_mean(now),
+                load.forwarded.take_mean(now),
                 sum(endpoint.capacity for endpoint in endpoints),
                 forwarded_weight,
-                mean_reported_load(endpoints, at),
+                mean_reported_load(endpoints, now),
             )
         return {
             service: self.report(service, endpoints)
@@ -327,12 +330,12 @@
         return by_service
 
 
-def mean_reported_load(endpoints: list[Endpoint], at: int) -> float | None:
+def mean_reported_load(endpoints: list[Endpoint], now: int) -> float | None:
     """Return the mean of the loads that the endpoints reported recently, or None."""
     loads = [
         endpoint.reported_load
         for endpoint in endpoints
         if endpoint.reported_load is not None
-        and at - endpoint.reported_load_at < REPORTED_LOAD_TTL_US
+        and now - endpoint.reported_load_at < REPORTED_LOAD_TTL_US
     ]
     return sum(loads) / len(loads) if loads else None
--- a/packages/proxy/meadowdock/proxy/gateway.py
+++ b/packages/proxy/meadowdock/proxy/gateway.py
@@ -41,7 +41,7 @@
 class GatewayProxy(ProxyServer):
     """One proxy process with a gateway.
 
-    Invariant: gate.configuration is the items of delivery's active version.
+    Invariant: gateway.configuration is the items of delivery's active version.
     """
 
     dialect: Dialect  # the platform's header names, set by a subclass
@@ -51,7 +51,7 @@
         settings = node.settings
         self.reactor = Reactor(node.log)
         self.sockets = self.make_sockets()
-        self.gate = Gateway(
+        self.gateway = Gateway(
             self.sockets,
             self.reactor,
             self.endpoints,
@@ -92,13 +92,17 @@
     async def serve_callers(self) -> None:
         """Accept connections of callers on this machine, until a shutdown closes the listener."""
         self.open_listeners += 1
-        await self.sockets.listen(self.node.settings.gate_address, self.gate.accept, self.closing)
+        await self.sockets.listen(
+            self.node.settings.gate_address, self.gateway.accept, self.closing
+        )
 
     async def serve_peers(self) -> None:
         """Accept connections of peers."""
         settings = self.node.settings
         self.open_listeners += 1
-        await self.sockets.listen(f"{settings.host}:{settings.gate_port}", self.gate.peers.accept)
+        await self.sockets.listen(
+            f"{settings.host}:{settings.gate_port}", self.gateway.peers.accept
+        )
 
     def unready_reasons(self) -> list[str]:
         """Return why this process is not ready; empty if it is."""
@@ -109,7 +113,7 @@
 
     async def announce_shutdown(self) -> None:
         """Ask callers to close their connections; the node stays in rotation until `drain`."""
-        self.gate.closing = True
+        self.gateway.closing = True
 
     async def drain(self) -> None:
         """Leave the rotation, and wait until no call is in flight.
@@ -121,9 +125,9 @@
         await self.wait_until_quiet()
         self.closing.set()
         await sleep_us(QUIET_US // 4)
-        self.gate.close_idle_connections()
-        while self.gate.in_use():
-            self.gate.close_idle_connections()
+        self.gateway.close_idle_connections()
+        while self.gateway.has_pending_work():
+            self.gateway.close_idle_connections()
             await sleep_us(DRAIN_POLL_US)
         await sleep_us(FLUSH_US)
         await super().drain()
@@ -131,7 +135,9 @@
     async def wait_until_quiet(self) -> None:
         """Wait until no call has arrived for QUIET_US, or the stop is near."""
         wait_end = self.node.shutdown.deadline - STOP_MARGIN_US
-        while monotonic_us() - self.gate.last_arrival_at < QUIET_US and monotonic_us() < wait_end:
+        while (
+            monotonic_us() - self.gateway.last_arrival_at < QUIET_US and monotonic_us() < wait_end
+        ):
             await sleep_us(QUIET_US // 4)
 
     @property
@@ -146,52 +152,54 @@
     async def maintain(self) -> None:
         """Run the proxy's maintenance, and the gateway's."""
         await super().maintain()
-        self.gate.tidy(monotonic_us())
+        self.gateway.run_maintenance(monotonic_us())
 
     def activate(self, routing_table: RoutingTable) -> None:
         """Route by this configuration from now on."""
         if routing_table.load is DEFAULT_LOAD:  # the operators' configuration has no load section
             routing_table.load = {**DEFAULT_LOAD, **GATEWAY_LOAD_PARAMETERS}
         super().activate(routing_table)
-        self.gate.apply_configuration(routing_table.items, routing_table.load)
+        self.gateway.apply_configuration(routing_table.items, routing_table.load)
 
     def use_load_list(self, load_list: LoadList, nodes_by_service: NodesByService) -> None:
         """Replace the load list that calls are placed by."""
         super().use_load_list(load_list, nodes_by_service)
-        self.gate.update_loads(load_list, nodes_by_service)
+        self.gateway.update_loads(load_list, nodes_by_service)
         self.reactor.end_turn()
 
-    def measure_load(self, at: int) -> dict[str, ServiceReport]:
+    def measure_load(self, now: int) -> dict[str, ServiceReport]:
         """Measure the load as the proxy does, scaled up by how slow the endpoint here is.
 
         The reports also carry the zone and the mean slot time.
         """
         return {
-            service: self.with_gateway_load(service, report, at)
-            for service, report in super().measure_load(at).items()
+            service: self.with_gateway_load(service, report, now)
+            for service, report in super().measure_load(now).items()
         }
 
-    def with_gateway_load(self, service: str, report: ServiceReport, at: int) -> ServiceReport:
+    def with_gateway_load(self, service: str, report: ServiceReport, now: int) -> ServiceReport:
         """Return a service's report, completed by what the gateway has measured."""
         load = self.endpoints.service_loads[service]
-        load.rho = min(1.0, load.rho * self.gate.slowness.factor(service, at))
+        load.rho = min(1.0, load.rho * self.gateway.slowness.factor(service, now))
         return report._replace(
-            rho=load.rho, zone=self.node.settings.zone, slot_us=self.gate.slowness.hold_us(service)
+            rho=load.rho,
+            zone=self.node.settings.zone,
+            slot_us=self.gateway.slowness.hold_us(service),
         )
 
-    def new_retry_budget(self, gate: Gateway) -> RetryBudget:
+    def new_retry_budget(self, gateway: Gateway) -> RetryBudget:
         """Return a new retry budget for a service."""
         limits = self.node.settings.retry_budget
         ratio = RETRY_BUDGET_SHARE * limits.ratio
         reserve = int(RETRY_BUDGET_SHARE * limits.reserve)
-        return RetryBudget(gate.peer_count(), self.started_at, ratio, reserve, limits.window_us)
+        return RetryBudget(gateway.peer_count(), self.started_at, ratio, reserve, limits.window_us)
 
     def settings_changed(self, settings: Any) -> None:
         """Apply changed settings to a running process: its service and the retry limits."""
-        self.gate.caller_name = (settings.service or "guest").encode()
-        self.gate.retries.budgets = {
-            service: self.new_retry_budget(self.gate).carry_over(former)
-            for service, former in self.gate.retries.budgets.items()
+        self.gateway.caller_name = (settings.service or "guest").encode()
+        self.gateway.retries.budgets = {
+            service: self.new_retry_budget(self.gateway).carry_over(former)
+            for service, former in self.gateway.retries.budgets.items()
         }
 
     def endpoint_heartbeat(self, fields: Mapping[str, Any]) -> None:
--- a/packages/proxy/meadowdock/proxy/gateway_endpoints.py
+++ b/packages/proxy/meadowdock/proxy/gateway_endpoints.py
@@ -159,7 +159,7 @@
 
     def health_path(self) -> str | None:
         """Return the health check path of the local service, if it has one configured."""
-        table = self.server.gate.table
+        table = self.server.gateway.table
         service = table.services.get(self.node.settings.service) if table else None
         return service.get("health") if service else None
 
--- a/packages/proxy/meadowdock/proxy/retry_budget.py
+++ b/packages/proxy/meadowdock/proxy/retry_budget.py
@@ -7,13 +7,13 @@
 >>> budget = RetryBudget(nodes=8, created_at=0)
 >>> budget.try_withdraw(0)
 False
->>> at = 10_000_000
->>> [budget.try_withdraw(at) for _ in range(4)]
+>>> now = 10_000_000
+>>> [budget.try_withdraw(now) for _ in range(4)]
 [True, True, True, False]
->>> for _ in range(100): budget.deposit(at + 1)
->>> sum(budget.try_withdraw(at + 2) for _ in range(100))
+>>> for _ in range(100): budget.deposit(now + 1)
+>>> sum(budget.try_withdraw(now + 2) for _ in range(100))
 12
->>> budget.try_withdraw(2 * at + 200_000)
+>>> budget.try_withdraw(2 * now + 200_000)
 True
 """
 
@@ -57,9 +57,9 @@
         self.created_at = created_at
         self.buckets: deque[Bucket] = deque()
         self.requests = self.retries = 0
-        self.share_between(nodes)
+        self.set_node_count(nodes)
 
-    def share_between(self, nodes: int) -> None:
+    def set_node_count(self, nodes: int) -> None:
         """Divide the fleet's reserve between this many nodes."""
         self.reserve = self.fleet_reserve / nodes
 
@@ -69,31 +69,31 @@
         self.requests, self.retries = former.requests, former.retries
         return self
 
-    def deposit(self, at: int) -> None:
+    def deposit(self, now: int) -> None:
         """Count a request."""
-        self.current_bucket(at).requests += 1
+        self.current_bucket(now).requests += 1
         self.requests += 1
 
-    def try_withdraw(self, at: int) -> bool:
+    def try_withdraw(self, now: int) -> bool:
         """Count a retry and return True if the budget allows one."""
-        bucket = self.current_bucket(at)
-        reserve = self.reserve if at - self.created_at >= self.window_us else 0
+        bucket = self.current_bucket(now)
+        reserve = self.reserve if now - self.created_at >= self.window_us else 0
         if self.retries + 1 > max(reserve, self.ratio * self.requests):
             return False
         bucket.retries += 1
         self.retries += 1
         return True
 
-    def current_bucket(self, at: int) -> Bucket:
+    def current_bucket(self, now: int) -> Bucket:
         """Return the bucket that contains a time, after dropping those that left the window."""
-        while self.buckets and self.expired(self.buckets[0], at):
+        while self.buckets and self.expired(self.buckets[0], now):
             dropped = self.buckets.popleft()
             self.requests -= dropped.requests
             self.retries -= dropped.retries
-        if not self.buckets or self.buckets[-1].number < at // BUCKET_US:
-            self.buckets.append(Bucket(at // BUCKET_US))
+        if not self.buckets or self.buckets[-1].number < now // BUCKET_US:
+            self.buckets.append(Bucket(now // BUCKET_US))
         return self.buckets[-1]
 
-    def expired(self, bucket: Bucket, at: int) -> bool:
+    def expired(self, bucket: Bucket, now: int) -> bool:
         """Return whether a bucket lies outside the window."""
-        return bucket.number * BUCKET_US + self.window_us + BUCKET_US <= at
+        return bucket.number * BUCKET_US + self.window_us + BUCKET_US <= now
--- a/packages/proxy/meadowdock/proxy/server.py
+++ b/packages/proxy/meadowdock/proxy/server.py
@@ -51,7 +51,7 @@
     Invariant: forwarder.routing_table is that of delivery's active version.
     """
 
-    table = merged_routes()
+    routes = merged_routes()
 
     def __init__(self, node: process.Node) -> None:
         self.node = node
@@ -150,9 +150,9 @@
         """Replace the load list that calls are placed by."""
         self.forwarder.use_load_list(load_list, nodes_by_service)
 
-    def measure_load(self, at: int) -> dict[str, ServiceReport]:
+    def measure_load(self, now: int) -> dict[str, ServiceReport]:
         """End the load interval, and report each service that has an endpoint here."""
-        return self.endpoints.measure_load(at, self.forwarder.routing_table.load["share"])
+        return self.endpoints.measure_load(now, self.forwarder.routing_table.load["share"])
 
     def on_member(self, member: MemberEntry) -> None:
         """Handle gossip about another process, or about its new version."""
--- a/packages/registry/meadowdock/registry/server.py
+++ b/packages/registry/meadowdock/registry/server.py
@@ -33,7 +33,7 @@
 class RegistryServer(process.Daemon):
     """One registry process: its node tables, heartbeats, collector election and load collector."""
 
-    table = RouteTable()
+    routes = RouteTable()
     handlers = Handlers()
 
     def __init__(self, node: process.Node) -> None:
--- a/packages/simulator/meadowdock/simulator/wires.py
+++ b/packages/simulator/meadowdock/simulator/wires.py
@@ -99,7 +99,7 @@
 
     def half_close(self):
         self.tell_end(END)
-        self.wires.reactor.at(monotonic_us() + LINGER_US, self.close)
+        self.wires.reactor.call_at(monotonic_us() + LINGER_US, self.close)
 
     def tell_end(self, how):
         if not self.other.closed and (not self.ended or how is RESET):
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -115,9 +115,9 @@
     for estimates, short, long in ((busy_with_short, 50, 1), (busy_with_long, 1, 50)):
         for kind, held_ms, times in (("short", 15, short), ("long", 150, long)):
             for _ in range(times):
-                estimates.hold(kind).observe(held_ms * MILLISECOND)
+                estimates.hold_time(kind).observe(held_ms * MILLISECOND)
     assert busy_with_short.mean_us() == busy_with_long.mean_us()
-    busy_with_short.hold("never ran")
+    busy_with_short.hold_time("never ran")
     assert busy_with_short.expected_hold_us("never seen") == (busy_with_short.mean_us(),) * 2
     assert busy_with_short.expected_hold_us("short")[0] == 15 * MILLISECOND
     assert busy_with_short.mean_us() == busy_with_long.mean_us()
@@ -125,8 +125,8 @@
 
 def new_admission(hold_us, deviation_us=0):
     admission = Admission()
-    hold = admission.estimates("desk").hold("k")
-    hold.known, hold.mean_us, hold.deviation_us = True, hold_us, deviation_us
+    hold = admission.estimates("desk").hold_time("k")
+    hold.has_samples, hold.mean_us, hold.deviation_us = True, hold_us, deviation_us
     return admission
 
 
@@ -177,8 +177,8 @@
     assert admission.time_spent_us("r", 1500) == 0
     assert admission.time_spent_us("r", 1100) == 400
     assert admission.time_spent_us("other", 1100) == 0
-    admission.estimates("desk").hold("r").observe(9)
-    admission.estimates("desk").hold("other").observe(9)
+    admission.estimates("desk").hold_time("r").observe(9)
+    admission.estimates("desk").hold_time("other").observe(9)
     admission.forget_unused({"other"}, {"desk"})
     assert admission.time_spent_us("r", 1100) == 0
     assert set(admission.estimates("desk").hold_times) == {"other"}
--- a/tests/forwarding/test_reactor.py
+++ b/tests/forwarding/test_reactor.py
@@ -17,10 +17,10 @@
 
 def test_timers_run_in_order_of_time_unless_cancelled():
     reactor, seen = Reactor(), []
-    reactor.at(30, lambda: seen.append(30))
-    reactor.at(10, lambda: seen.append(10))
-    cancelled = reactor.at(20, lambda: seen.append(20))
-    reactor.at(10, lambda: seen.append(11))
+    reactor.call_at(30, lambda: seen.append(30))
+    reactor.call_at(10, lambda: seen.append(10))
+    cancelled = reactor.call_at(20, lambda: seen.append(20))
+    reactor.call_at(10, lambda: seen.append(11))
     cancelled.cancel()
     reactor.run_timers(29)
     assert seen == [10, 11]
@@ -33,11 +33,11 @@
     reactor = Reactor(lambda number, **fields: logged.append((number, fields["cause"])))
 
     def broken():
-        reactor.dirty.append(outlet)
+        reactor.flush_pending.append(outlet)
         raise ValueError("defect")
 
-    reactor.at(1, broken)
-    reactor.at(2, lambda: seen.append(2))
+    reactor.call_at(1, broken)
+    reactor.call_at(2, lambda: seen.append(2))
     reactor.run_timers(2)
     assert (logged, seen, outlet.flushed) == ([(801, "ValueError('defect')")], [2], 1)
     assert not reactor.turn(broken) and reactor.turn(seen.append, 3)
--- a/tests/forwarding/test_retries.py
+++ b/tests/forwarding/test_retries.py
@@ -33,7 +33,7 @@
         self.left -= 1
         return self.left >= 0
 
-    def share_between(self, nodes):
+    def set_node_count(self, nodes):
         self.nodes = nodes
 
 
--- a/tests/support/gate_beliefs.py
+++ b/tests/support/gate_beliefs.py
@@ -31,8 +31,8 @@
     """The gate's estimate of how long a call of whatever kind holds a slot."""
     for prefixes in gate.table.routes.values():
         for known in prefixes.values():
-            hold = gate.admission.estimates(service).hold(known.name)
-            hold.known, hold.mean_us, hold.deviation_us = True, mean_us, 0
+            hold = gate.admission.estimates(service).hold_time(known.name)
+            hold.has_samples, hold.mean_us, hold.deviation_us = True, mean_us, 0
 
 
 def works(**by_first):
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -79,7 +79,7 @@
 
 
 def gate_of(world, host):
-    return world.daemon("mdproxy", host).gate
+    return world.daemon("mdproxy", host).gateway
 
 
 def violations(world):
@@ -94,7 +94,7 @@
         if not name.startswith("mdproxy") or process.frozen is not None:
             continue
         daemon = process.node.daemon
-        gate, book = daemon.gate, daemon.endpoints
+        gate, book = daemon.gateway, daemon.endpoints
         found += [f"{name}: call {call.id} of {call.service}" for call in gate.dispatcher.calls]
         found += [
             f"{name}: {e.address} {e.in_flight}" for e in book.by_address.values() if e.in_flight
