--- a/packages/client/meadowdock/client/client.py
+++ b/packages/client/meadowdock/client/client.py
@@ -109,10 +109,10 @@
         """Return an idle connection that the proxy hasn't closed, or a new one."""
         while self.idle:
             connection = self.idle.pop()
-            if not connection.stale():
+            if not connection.is_stale():
                 return connection
             await connection.close()
-        return self.net.http(self.proxy)
+        return self.net.http_connection(self.proxy)
 
     def remember(self, key: str) -> None:
         """Remember that a key was sent, and forget the oldest if there are too many."""
--- a/packages/client/meadowdock/client/endpoint.py
+++ b/packages/client/meadowdock/client/endpoint.py
@@ -176,7 +176,7 @@
 
     async def post_to_proxy(self, path: str, content: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         """Return the status and content of the proxy's response; (0, {}) if there is none."""
-        connection = self.net.http(self.proxy)
+        connection = self.net.http_connection(self.proxy)
         try:
             with deadline_scope(monotonic_us() + PROXY_TIMEOUT_US):
                 headers = [(b"content-type", b"application/json")]
--- a/packages/client/meadowdock/client/execution_record.py
+++ b/packages/client/meadowdock/client/execution_record.py
@@ -81,7 +81,7 @@
     async def load(self) -> None:
         """Read all executions from the disk."""
         named_executions = []
-        for name in await self.disk.names(FOLDER):
+        for name in await self.disk.list_folder(FOLDER):
             data = await self.disk.read(f"{FOLDER}/{name}")
             named_executions.append((name, Execution.from_record(data)))
         self.entries = OrderedDict(sorted(named_executions, key=lambda pair: pair[1].number))
--- a/packages/config_store/meadowdock/config_store/audit_log.py
+++ b/packages/config_store/meadowdock/config_store/audit_log.py
@@ -140,10 +140,10 @@
         body = verify_checksum(await self.files.read(CHECKPOINT_FILE))
         if body is not None:
             self.first_version, self.previous_hash = ormsgpack.unpackb(body)
-        for name in await self.files.names(SEGMENT_FOLDER):
+        for name in await self.files.list_folder(SEGMENT_FOLDER):
             index, _, digest = name.partition("-")
             self.segments[int(index)] = digest
-        numbers = [int(name) for name in await self.files.names(RECORD_FOLDER)]
+        numbers = [int(name) for name in await self.files.list_folder(RECORD_FOLDER)]
         self.redundant_versions = [
             v for v in numbers if v < self.first_version or segment_of(v) in self.segments
         ]
--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -66,7 +66,7 @@
         """
         limit = monotonic_us() + self.node.settings.apply_us // FETCH_TIMEOUT_DIVISOR
         deadline = limit if deadline is None else min(deadline, limit)
-        sources = self.fetcher.spread(self.peers().values())
+        sources = self.fetcher.order_members_by_hash(self.peers().values())
         found = {name: self.recent[name] for name in names if name in self.recent}
         fetch = ChunkFetch(names, sources, found)
         if not fetch.complete.is_set():
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -89,7 +89,7 @@
         if errors:
             raise config_items.InvalidItems(errors)
         await self.server.quorum_monitor.require_quorum()
-        change = PendingChange([config_items.normalize(item) for item in items])
+        change = PendingChange([config_items.normalize_item(item) for item in items])
         self.pending.append(change)
         if not self.running:
             self.running = True
@@ -278,7 +278,7 @@
     rejected: dict[int, Exception] = {}
     for index, change in enumerate(batch):
         try:
-            merged, _ = config_items.merge(merged, change.items)
+            merged, _ = config_items.merge_items(merged, change.items)
         except (config_items.InvalidItems, config_items.VersionConflict) as cause:
             rejected[index] = cause
     return merged, rejected
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -55,7 +55,7 @@
         Adopt a newer membership configuration if one is reported, or bootstrap the first one if
         this process may.
         """
-        self.discount_pause(self.pause_detector.look(monotonic_us()))
+        self.discount_pause(self.pause_detector.measure_pause(monotonic_us()))
         requests = {
             address: (address, "member.hello", {"link": self.node.settings.link})
             for address in self.known_addresses()
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -24,8 +24,8 @@
 from meadowdock.config_store.revision import Plan, Revision, is_plan_id, plan_id_of
 from meadowdock.config_store.store import CURRENT_REVISION_KEY
 from meadowdock.configuration import (
-    assemble,
-    difference,
+    assemble_configuration,
+    configuration_difference,
     split_configuration,
     validate_configuration,
 )
@@ -105,7 +105,7 @@
         current = await self.server.revisions.read(self.deadline())
         current_configuration = await self.configuration_of(current.configuration_chunks)
         chunks = await runtime.offload(split_configuration, configuration)
-        changes = difference(current_configuration, configuration)
+        changes = configuration_difference(current_configuration, configuration)
         names = (*(name for name, _ in chunks), *current.item_chunks)
         if names == current.chunks:
             return PlannedChange(None, current.version, changes)
@@ -317,7 +317,9 @@
         try:
             base_configuration = await self.configuration_of(base_chunks)
             current_configuration = await self.configuration_of(current.configuration_chunks)
-            changes: dict[str, Any] = difference(base_configuration, current_configuration)
+            changes: dict[str, Any] = configuration_difference(
+                base_configuration, current_configuration
+            )
             return changes
         except NoQuorum:
             return None
@@ -344,6 +346,6 @@
         if len(bodies) < len(set(chunks)):
             raise NoQuorum("configuration chunks")
         configuration: dict[str, Any] = await self.server.node.runtime.offload(
-            lambda: assemble(bodies[name] for name in chunks)
+            lambda: assemble_configuration(bodies[name] for name in chunks)
         )
         return configuration
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -49,7 +49,7 @@
 
         A disk that has lost state gets a new id.
         """
-        versions = await self.disk.names("members")
+        versions = await self.disk.list_folder("members")
         # The newest readable one. Even an older one is useful for the addresses of the members.
         for version in reversed(versions):
             body = verify_checksum(await self.disk.read(f"members/{version}"))
@@ -69,7 +69,7 @@
             disk_id = f"{self.rng.getrandbits(64):016x}".encode()
             await self.disk.write("disk", add_checksum(disk_id))
         if lost:
-            await self.disk.move("key", f"aside-{disk_id.decode()}")
+            await self.disk.rename_folder("key", f"aside-{disk_id.decode()}")
             self.acceptor = Acceptor(cast("Disk", self.disk), self.log)
         self.disk_id = disk_id.decode()
 
@@ -103,7 +103,7 @@
 
     async def remove_old_configurations(self) -> None:
         """Remove all membership configurations but the newest two."""
-        names = sorted(await self.disk.names("members"))
+        names = sorted(await self.disk.list_folder("members"))
         for name in names[:-RETAINED_CONFIGURATIONS]:
             await self.disk.remove(f"members/{name}")
 
@@ -165,7 +165,7 @@
 
     async def chunk_names(self) -> list[str]:
         """List the names of all chunks on this disk."""
-        names: list[str] = await self.disk.names("blob")
+        names: list[str] = await self.disk.list_folder("blob")
         return names
 
     async def remove_idle_chunk(self, name: str, idle_us: int) -> bool:
--- a/packages/configuration/meadowdock/configuration/__init__.py
+++ b/packages/configuration/meadowdock/configuration/__init__.py
@@ -8,12 +8,12 @@
 )
 from meadowdock.configuration.chunks import (
     Chunk,
-    assemble,
+    assemble_configuration,
     encode_chunk,
     split_configuration,
     split_items,
 )
-from meadowdock.configuration.difference import difference
+from meadowdock.configuration.difference import configuration_difference
 from meadowdock.configuration.exceptions import CorruptChunk, EmptyResponse, InvalidJson
 from meadowdock.configuration.routing_table import (
     Route,
@@ -48,8 +48,8 @@
     "RouteLookup",
     "RoutingTable",
     "Stage",
-    "assemble",
-    "difference",
+    "assemble_configuration",
+    "configuration_difference",
     "encode_chunk",
     "pack_chunk",
     "parse_json",
--- a/packages/configuration/meadowdock/configuration/chunk_fetch.py
+++ b/packages/configuration/meadowdock/configuration/chunk_fetch.py
@@ -115,7 +115,7 @@
         self.slow_at_us: dict[str, int] = {}
         self.frame_bytes = INITIAL_FRAME_BYTES
 
-    def spread(self, members: Iterable[str]) -> list[str]:
+    def order_members_by_hash(self, members: Iterable[str]) -> list[str]:
         """Return the members in an order that differs between processes, to spread their load."""
         return sorted(members, key=lambda member: fingerprint(f"{self.address} {member}".encode()))
 
--- a/packages/configuration/meadowdock/configuration/chunks.py
+++ b/packages/configuration/meadowdock/configuration/chunks.py
@@ -84,7 +84,7 @@
     return digest[0] % MEAN_CHUNK_LENGTH == 0
 
 
-def assemble(bodies: Iterable[bytes]) -> ConfigurationMap:
+def assemble_configuration(bodies: Iterable[bytes]) -> ConfigurationMap:
     """Return the configuration that these chunks contain.
 
     It has the section "items" only if one of the chunks belongs to that section.
@@ -92,7 +92,8 @@
     >>> configuration = {
     ...     "services": [{"name": "a"}], "budgets": [], "load": {"omega": 0.9}, "ways": []
     ... }
-    >>> assemble(chunk.body for chunk in split_configuration(configuration)) == configuration
+    >>> bodies = [chunk.body for chunk in split_configuration(configuration)]
+    >>> assemble_configuration(bodies) == configuration
     True
     """
     configuration: ConfigurationMap = {"services": [], "budgets": [], LOAD_SECTION: {}, "ways": []}
--- a/packages/configuration/meadowdock/configuration/difference.py
+++ b/packages/configuration/meadowdock/configuration/difference.py
@@ -9,13 +9,13 @@
 NAMED_SECTIONS = ("services", "budgets", "ways")
 
 
-def difference(old: ConfigurationMap, new: ConfigurationMap) -> dict[str, Any]:
+def configuration_difference(old: ConfigurationMap, new: ConfigurationMap) -> dict[str, Any]:
     """Return what differs between two configurations.
 
     Each section has the names of its added, removed and changed entries; "load" has the changed
     settings as {setting: [old, new]}.
 
-    >>> difference({"ways": [{"name": "a"}]}, {"ways": [{"name": "b"}]})["ways"]
+    >>> configuration_difference({"ways": [{"name": "a"}]}, {"ways": [{"name": "b"}]})["ways"]
     {'added': ['b'], 'removed': ['a'], 'changed': []}
     """
     sections: dict[str, Any] = {
--- a/packages/configuration/meadowdock/configuration/items/__init__.py
+++ b/packages/configuration/meadowdock/configuration/items/__init__.py
@@ -19,10 +19,10 @@
     MergeResult,
     current_items,
     item_key,
-    merge,
+    merge_items,
     without_history,
 )
-from meadowdock.configuration.items.validation import normalize, validate_items
+from meadowdock.configuration.items.validation import normalize_item, validate_items
 
 __all__ = [
     "DEFAULT_LIMITS",
@@ -36,8 +36,8 @@
     "VersionConflict",
     "current_items",
     "item_key",
-    "merge",
-    "normalize",
+    "merge_items",
+    "normalize_item",
     "parse_chunk",
     "validate_items",
     "without_history",
--- a/packages/configuration/meadowdock/configuration/items/item_table.py
+++ b/packages/configuration/meadowdock/configuration/items/item_table.py
@@ -16,12 +16,12 @@
     version: int
     host: bytes  # lower case
     prefix: bytes  # begins and ends with "/"
-    repeatable: bool  # idempotent: may be retried after an unknown outcome
+    idempotent: bool  # may be retried after an unknown outcome
     timeout_us: int
-    aim_us: int  # latency target; 0 for none
+    latency_target_us: int  # 0 for none
     priority: int  # 0 is the highest
-    tries: int  # maximum of attempts of one call, each at another endpoint
-    split: tuple[tuple[str, float], ...]  # services with their weights
+    max_attempts: int  # of one call, each at another endpoint
+    traffic_split: tuple[tuple[str, float], ...]  # services with their weights
 
 
 class Limits(NamedTuple):
@@ -46,12 +46,12 @@
         version=item["version"],
         host=spec["host"].lower().encode(),
         prefix=spec["prefix"].encode(),
-        repeatable=spec["repeat"] == "safe",
+        idempotent=spec["repeat"] == "safe",
         timeout_us=spec["timeout_us"],
-        aim_us=spec.get("aim_us", 0),
+        latency_target_us=spec.get("aim_us", 0),
         priority=spec.get("priority", 0),
-        tries=spec["tries"],
-        split=tuple((service, weight) for service, weight in spec["split"]),
+        max_attempts=spec["tries"],
+        traffic_split=tuple((service, weight) for service, weight in spec["split"]),
     )
 
 
@@ -129,7 +129,7 @@
             (chunk.limits for chunk in chunks.values() if chunk.limits), DEFAULT_LIMITS
         )
 
-    def find(self, host: bytes, path: bytes) -> ItemRoute | None:
+    def find_route(self, host: bytes, path: bytes) -> ItemRoute | None:
         """Return the route with the longest prefix of the path, or None.
 
         :param host: in lower case, without a port.
@@ -140,9 +140,10 @@
         >>> item = {"kind": "route", "version": 1, "source": ""}
         >>> table = ItemTable(1, [{**item, "name": p, "spec": {**spec, "prefix": p}}
         ...                       for p in ("/", "/a/b/")])
-        >>> [table.find(b"h", p).name for p in (b"/a/b", b"/a/b/", b"/a/b/c/d", b"/a?x=/a/b/")]
+        >>> paths = (b"/a/b", b"/a/b/", b"/a/b/c/d", b"/a?x=/a/b/")
+        >>> [table.find_route(b"h", path).name for path in paths]
         ['/', '/a/b/', '/a/b/', '/']
-        >>> table.find(b"other", b"/")
+        >>> table.find_route(b"other", b"/")
         """
         routes_by_prefix = self.routes.get(host)
         if routes_by_prefix is None:
--- a/packages/configuration/meadowdock/configuration/items/merge.py
+++ b/packages/configuration/meadowdock/configuration/items/merge.py
@@ -86,7 +86,7 @@
     )
 
 
-def merge(stored: Items, items: Iterable[Item]) -> MergeResult:
+def merge_items(stored: Items, items: Iterable[Item]) -> MergeResult:
     """Merge the items of a change into the stored ones.
 
     The current version of an item is the highest that was ever merged, whether set or dropped. The
@@ -98,10 +98,10 @@
     :raises InvalidItems: a route refers to a service that doesn't exist.
 
     >>> drop = {"kind": "service", "name": "a", "version": 3, "spec": None, "source": ""}
-    >>> stored, changed = merge({}, [drop])
-    >>> merge(stored, [{**drop, "version": 2, "spec": {}}]).changed
+    >>> stored, changed = merge_items({}, [drop])
+    >>> merge_items(stored, [{**drop, "version": 2, "spec": {}}]).changed
     []
-    >>> merge(stored, [{**drop, "spec": {}}])
+    >>> merge_items(stored, [{**drop, "spec": {}}])
     Traceback (most recent call last):
     meadowdock.configuration.items.exceptions.VersionConflict: service 'a' version 3
     """
--- a/packages/configuration/meadowdock/configuration/items/validation.py
+++ b/packages/configuration/meadowdock/configuration/items/validation.py
@@ -181,7 +181,7 @@
     return errors
 
 
-def normalize(item: Item) -> Item:
+def normalize_item(item: Item) -> Item:
     """Return a valid item reduced to its known fields."""
     spec = item["spec"]
     if spec is not None:
--- a/packages/configuration/meadowdock/configuration/routing_table.py
+++ b/packages/configuration/meadowdock/configuration/routing_table.py
@@ -65,7 +65,8 @@
     def __init__(self, version: int, configuration: Mapping[str, Any]) -> None:
         """Build the table.
 
-        :param configuration: as returned by `assemble`; it was validated before it was stored.
+        :param configuration: as returned by `assemble_configuration`; it was validated before it
+            was stored.
         """
         self.version = version
         # "load" is empty until the operators' first configuration.
--- a/packages/consensus/meadowdock/consensus/acceptor.py
+++ b/packages/consensus/meadowdock/consensus/acceptor.py
@@ -162,7 +162,7 @@
 
     async def load(self) -> None:
         """Read the states of all keys from the disk."""
-        await run_for_each(self.load_key, await self.disk.names("key"))
+        await run_for_each(self.load_key, await self.disk.list_folder("key"))
 
     async def load_key(self, folder: str) -> None:
         """Read the newest file of one key.
@@ -170,7 +170,7 @@
         If it is damaged, the state of the key is lost on this disk: an older file would lack
         promises that were given since.
         """
-        versions = await self.disk.names(f"key/{folder}")
+        versions = await self.disk.list_folder(f"key/{folder}")
         if not versions:
             return
         newest = max(versions)
@@ -186,7 +186,7 @@
 
     async def remove_older_files(self, folder: str, newest: str) -> None:
         """Remove older files of one key, which a power loss may have left beside the newest."""
-        for version in await self.disk.names(f"key/{folder}"):
+        for version in await self.disk.list_folder(f"key/{folder}"):
             if version < newest:
                 await self.disk.remove(f"key/{folder}/{version}")
 
--- a/packages/forwarding/meadowdock/forwarding/arrivals.py
+++ b/packages/forwarding/meadowdock/forwarding/arrivals.py
@@ -63,7 +63,7 @@
     :param spent_us: how much of its latency target was probably spent on earlier attempts
     :param lowest_priority: the lowest priority of all routes, which is the greatest number
     """
-    target_us = min(route.aim_us or total_us, total_us)
+    target_us = min(route.latency_target_us or total_us, total_us)
     join_share = (
         QUEUE_JOIN_SHARE if route.priority >= lowest_priority else QUEUE_JOIN_SHARE_ABOVE_LOWEST
     )
@@ -72,14 +72,14 @@
         head=head,
         body=request.body,
         service=service,
-        idempotent=route.repeatable,
+        idempotent=route.idempotent,
         deadline=now + total_us,
         arrived_at=now,
         target_deadline=now + max(0, target_us - spent_us),
         no_endpoint_deadline=now + int(NO_ENDPOINT_WAIT_SHARE * target_us),
         join_deadline=now + int(join_share * target_us),
         wait_deadline=now + max(int(QUEUE_WAIT_SHARE * target_us), total_us // 3),
-        max_attempts=route.tries,
+        max_attempts=route.max_attempts,
         route=route.name,
         priority=route.priority,
         is_head=request.method == b"HEAD",
--- a/packages/forwarding/meadowdock/forwarding/gateway.py
+++ b/packages/forwarding/meadowdock/forwarding/gateway.py
@@ -160,7 +160,7 @@
         """Return the route that matches a request's host and path, or None."""
         assert self.table is not None
         host = request.host.lower().partition(b":")[0]
-        route: ItemRoute | None = self.table.find(host, request.target.partition(b"?")[0])
+        route: ItemRoute | None = self.table.find_route(host, request.target.partition(b"?")[0])
         return route
 
     def run_maintenance(self, now: int) -> None:
--- a/packages/forwarding/meadowdock/forwarding/peers.py
+++ b/packages/forwarding/meadowdock/forwarding/peers.py
@@ -89,7 +89,8 @@
 
     def check_links(self, now: int) -> None:
         """Close silent links and reopen ended ones; called periodically."""
-        paused_us = self.pause_detector.look(now)  # peers may have sent something unread meanwhile
+        # During a pause peers may have sent something that is still unread.
+        paused_us = self.pause_detector.measure_pause(now)
         for link in list(self.outgoing.values()):
             link.received_at += paused_us
             link.check_silence(now)
--- a/packages/forwarding/meadowdock/forwarding/traffic_split.py
+++ b/packages/forwarding/meadowdock/forwarding/traffic_split.py
@@ -22,7 +22,7 @@
 
     def service_for(self, route: ItemRoute) -> str | None:
         """Return the service of the route's next request; None if all weights are 0."""
-        split = route.split
+        split = route.traffic_split
         if len(split) == 1:
             only: tuple[str, float] = split[0]
             return only[0] if only[1] > 0 else None
@@ -44,6 +44,6 @@
         if credit is None:
             for key in [key for key in self.credits if key[0] == route.name]:
                 del self.credits[key]
-            credit = {service: 0.0 for service, _ in route.split}
+            credit = {service: 0.0 for service, _ in route.traffic_split}
             self.credits[route.name, route.version] = credit
         return credit
--- a/packages/local_fleet/meadowdock/local_fleet/caller.py
+++ b/packages/local_fleet/meadowdock/local_fleet/caller.py
@@ -28,7 +28,7 @@
 
 async def fetch(net, address, path, wait_us=SECOND):
     """(status, body) of one GET over a connection of its own; (0, b"") if there is no answer."""
-    connection = net.http(address)
+    connection = net.http_connection(address)
     try:
         with deadline_scope(monotonic_us() + wait_us):
             status, _, body = await connection.request("GET", path, [], b"")
--- a/packages/membership/meadowdock/membership/gossip.py
+++ b/packages/membership/meadowdock/membership/gossip.py
@@ -51,7 +51,7 @@
 
     async def run(self) -> None:
         """Exchange samples until cancelled."""
-        started = self.pause_detector.last_look_us = monotonic_us()
+        started = self.pause_detector.last_measured_us = monotonic_us()
         while True:
             answered = await self.exchange()
             converged = answered and self.has_converged(monotonic_us() - started)
--- a/packages/membership/meadowdock/membership/view.py
+++ b/packages/membership/meadowdock/membership/view.py
@@ -136,7 +136,7 @@
 
         A pause of this process itself does not count as silence of the members.
         """
-        pause = self.pause_detector.look(now)
+        pause = self.pause_detector.measure_pause(now)
         if pause:
             self.postpone_expiry(pause)
         for known in list(self.entries.values()):
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -68,7 +68,7 @@
         """Return the content of a file, or None if it doesn't exist."""
         return self.files.get(name)
 
-    async def names(self, folder: str) -> list[str]:
+    async def list_folder(self, folder: str) -> list[str]:
         """Return the names in a folder, sorted."""
         prefix = f"{folder}/"
         return sorted({n[len(prefix) :].split("/")[0] for n in self.files if n.startswith(prefix)})
--- a/packages/proxy/meadowdock/proxy/endpoint_connections.py
+++ b/packages/proxy/meadowdock/proxy/endpoint_connections.py
@@ -29,10 +29,10 @@
         """
         while endpoint.idle_connections:
             connection = endpoint.idle_connections.pop()
-            if not connection.stale():
+            if not connection.is_stale():
                 return connection
             await connection.close()
-        connection = self.node.runtime.net.http(endpoint.address)
+        connection = self.node.runtime.net.http_connection(endpoint.address)
         if service["identity"]:
             await self.verify_identity(endpoint, connection)
         if endpoint.removed:
@@ -61,7 +61,7 @@
     def release(self, endpoint: Endpoint, connection: HttpConnection) -> None:
         """Keep a connection that carried a complete response for reuse, or have it closed."""
         idle = endpoint.idle_connections
-        if not endpoint.removed and not connection.stale() and len(idle) < endpoint.capacity:
+        if not endpoint.removed and not connection.is_stale() and len(idle) < endpoint.capacity:
             idle.append(connection)
         else:
             self.endpoints.connections_to_close.append(connection)
--- a/packages/proxy/meadowdock/proxy/endpoints.py
+++ b/packages/proxy/meadowdock/proxy/endpoints.py
@@ -246,7 +246,7 @@
 
         A pause of this process doesn't count: heartbeats that arrived during it are still unread.
         """
-        paused_us = self.pause_detector.look(now)
+        paused_us = self.pause_detector.measure_pause(now)
         for endpoint in self.by_address.values():
             endpoint.heartbeat_at += paused_us
         for endpoint in list(self.by_address.values()):
--- a/packages/proxy/meadowdock/proxy/gateway_endpoints.py
+++ b/packages/proxy/meadowdock/proxy/gateway_endpoints.py
@@ -168,7 +168,7 @@
 
         :raises HttpConnectionFailed: no complete response arrived.
         """
-        connection = self.node.runtime.net.http(address)
+        connection = self.node.runtime.net.http_connection(address)
         status, headers, _ = await connection.request("GET", health_path, [], b"")
         await connection.close()
         by_name = {name.lower(): value for name, value in headers}
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -7,7 +7,12 @@
 import ormsgpack
 import trio
 
-from meadowdock.configuration import ROUTING_FORM, RoutingTable, assemble, unpack_chunk
+from meadowdock.configuration import (
+    ROUTING_FORM,
+    RoutingTable,
+    assemble_configuration,
+    unpack_chunk,
+)
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration.chunk_fetch import ChunkFetch, ChunkFetcher
 from meadowdock.configuration.chunk_server import serve_chunks
@@ -119,9 +124,9 @@
         """Return the addresses to fetch from, in order."""
         members = self.node.view.core_members("mdconf")
         if source in members:
-            return self.fetcher.spread(members)
+            return self.fetcher.order_members_by_hash(members)
         # The source is a peer: the config stores are unreachable.
-        return [source, *self.fetcher.spread(members)]
+        return [source, *self.fetcher.order_members_by_hash(members)]
 
     def retain_chunks(self, revisions):
         """Drop the chunks that neither these revisions nor the running stagings need."""
@@ -141,7 +146,7 @@
         if former is None or configuration_chunks != split_chunk_names(former[1])[0]:
             routing_table = RoutingTable(
                 revision["version"],
-                assemble(self.chunk_body(name) for name in configuration_chunks),
+                assemble_configuration(self.chunk_body(name) for name in configuration_chunks),
             )
         else:
             routing_table = former[0]
--- a/packages/registry/meadowdock/registry/server.py
+++ b/packages/registry/meadowdock/registry/server.py
@@ -143,7 +143,7 @@
         """Remove the nodes that are no longer alive and send heartbeats, at an interval."""
         pause_detector = PauseDetector(PAUSE_THRESHOLD_US, monotonic_us())
         while True:
-            self.expire_nodes(pause_detector.look(monotonic_us()))
+            self.expire_nodes(pause_detector.measure_pause(monotonic_us()))
             await self.heartbeats.send_and_wait()
 
     def expire_nodes(self, paused_us: int) -> None:
--- a/packages/runtime/meadowdock/runtime/disk.py
+++ b/packages/runtime/meadowdock/runtime/disk.py
@@ -2,7 +2,7 @@
 
 >>> import trio
 >>> disk = MemoryDisk()
->>> trio.run(disk.write, "a/x", b"1"); trio.run(disk.names, "a")
+>>> trio.run(disk.write, "a/x", b"1"); trio.run(disk.list_folder, "a")
 ['x']
 >>> trio.run(disk.read, "a/x")
 b'1'
@@ -28,13 +28,13 @@
     async def read(self, name: str) -> bytes | None:
         """Return the content of a file, or None if it doesn't exist."""
 
-    async def names(self, folder: str) -> list[str]:
+    async def list_folder(self, folder: str) -> list[str]:
         """Return the names in a folder, sorted."""
 
     async def remove(self, name: str) -> None:
         """Remove a file, if it exists."""
 
-    async def move(self, folder: str, to: str) -> None:
+    async def rename_folder(self, folder: str, new_name: str) -> None:
         """Rename a folder; the new name is durable once this returns."""
 
 
@@ -76,17 +76,21 @@
         """Return the content of a file, or None if it doesn't exist."""
         return await trio.to_thread.run_sync(self.read_in_thread, name, limiter=self.threads)
 
-    async def names(self, folder: str) -> list[str]:
+    async def list_folder(self, folder: str) -> list[str]:
         """Return the names in a folder, sorted."""
-        return await trio.to_thread.run_sync(self.names_in_thread, folder, limiter=self.threads)
+        return await trio.to_thread.run_sync(
+            self.list_folder_in_thread, folder, limiter=self.threads
+        )
 
     async def remove(self, name: str) -> None:
         """Remove a file, if it exists."""
         await trio.to_thread.run_sync(self.remove_in_thread, name, limiter=self.threads)
 
-    async def move(self, folder: str, to: str) -> None:
+    async def rename_folder(self, folder: str, new_name: str) -> None:
         """Rename a folder; the new name is durable once this returns."""
-        await trio.to_thread.run_sync(self.move_in_thread, folder, to, limiter=self.threads)
+        await trio.to_thread.run_sync(
+            self.rename_folder_in_thread, folder, new_name, limiter=self.threads
+        )
 
     def write_in_thread(self, name: str, data: bytes) -> None:
         """Write a file (blocking)."""
@@ -111,7 +115,7 @@
         except FileNotFoundError:
             return None
 
-    def names_in_thread(self, folder: str) -> list[str]:
+    def list_folder_in_thread(self, folder: str) -> list[str]:
         """List a folder (blocking)."""
         try:
             names = os.listdir(self.path(folder))
@@ -119,10 +123,10 @@
         except FileNotFoundError:
             return []
 
-    def move_in_thread(self, folder: str, to: str) -> None:
+    def rename_folder_in_thread(self, folder: str, new_name: str) -> None:
         """Rename a folder (blocking)."""
         if os.path.isdir(self.path(folder)):
-            os.rename(self.path(folder), self.path(to))
+            os.rename(self.path(folder), self.path(new_name))
         sync_folder(self.root)
 
     def remove_in_thread(self, name: str) -> None:
@@ -158,7 +162,7 @@
         await trio.lowlevel.checkpoint()
         return self.files.get(name)
 
-    async def names(self, folder: str) -> list[str]:
+    async def list_folder(self, folder: str) -> list[str]:
         """Return the names in a folder, sorted."""
         await trio.lowlevel.checkpoint()
         prefix = folder.rstrip("/") + "/"
@@ -172,11 +176,11 @@
         await trio.lowlevel.checkpoint()
         self.files.pop(name, None)
 
-    async def move(self, folder: str, to: str) -> None:
+    async def rename_folder(self, folder: str, new_name: str) -> None:
         """Rename a folder."""
         await trio.lowlevel.checkpoint()
         for name in [name for name in self.files if name.startswith(f"{folder}/")]:
-            self.files[to + name[len(folder) :]] = self.files.pop(name)
+            self.files[new_name + name[len(folder) :]] = self.files.pop(name)
 
 
 class NoDisk(MemoryDisk):
--- a/packages/runtime/meadowdock/runtime/http_client.py
+++ b/packages/runtime/meadowdock/runtime/http_client.py
@@ -47,7 +47,7 @@
         self.stream: trio.SocketStream | None = None
         self.closed = False
 
-    def stale(self) -> bool:
+    def is_stale(self) -> bool:
         """Return whether no further request can be sent.
 
         This is so if either side closed the connection, or the server sent bytes that belong to no
@@ -156,7 +156,7 @@
         try:
             await stream.send_all(data)
         except CONNECTION_ERRORS:
-            if not self.stale():
+            if not self.is_stale():
                 raise
             return False
         return True
--- a/packages/runtime/meadowdock/runtime/net.py
+++ b/packages/runtime/meadowdock/runtime/net.py
@@ -61,9 +61,11 @@
         """
         await serve_http(app, Address(address), stopping, grace_us, task_status=task_status)
 
-    def http(self, address: str, limit: int = MAX_RESPONSE_SIZE) -> HttpConnection:
+    def http_connection(
+        self, address: str, max_response_size: int = MAX_RESPONSE_SIZE
+    ) -> HttpConnection:
         """Return a connection for requests to an address; it is opened at the first request.
 
-        :param limit: maximum size of a response's body in bytes.
+        :param max_response_size: maximum size of a response's body in bytes.
         """
-        return HttpConnection(Address(address), self.host, limit)
+        return HttpConnection(Address(address), self.host, max_response_size)
--- a/packages/simulator/meadowdock/simulator/disk.py
+++ b/packages/simulator/meadowdock/simulator/disk.py
@@ -63,8 +63,8 @@
         if self.rng.random() < 0.5:  # a removal that isn't synced may come undone
             self.lasting.pop(name, None)
 
-    async def move(self, folder, to):
-        await super().move(folder, to)
+    async def rename_folder(self, folder, new_name):
+        await super().rename_folder(folder, new_name)
         self.lasting = dict(self.files)
 
     # ------------------------------------------------------------ faults
--- a/packages/simulator/meadowdock/simulator/net.py
+++ b/packages/simulator/meadowdock/simulator/net.py
@@ -201,7 +201,7 @@
         with deadline_scope(monotonic_us() + grace_us):
             await app.wait_idle()
 
-    def http(self, address, limit=4 << 20):
+    def http_connection(self, address, max_response_size=4 << 20):
         return SimHttp(self, Address(address))
 
     def reset(self):
@@ -234,7 +234,7 @@
         self.app = None
         self.closed = False
 
-    def stale(self):
+    def is_stale(self):
         return self.closed or (self.app is not None and not self.app[1].alive)
 
     async def request(self, method, target, headers, body, started=None):
--- a/packages/simulator/meadowdock/simulator/scale/loopback.py
+++ b/packages/simulator/meadowdock/simulator/scale/loopback.py
@@ -107,7 +107,7 @@
         address, here = f"{self.core[0]}:7420", next(iter(self.application))
         deadline = monotonic_us() + OPERATE_WITHIN
         while monotonic_us() < deadline:
-            answer = await Net(here).http(address).request("POST", path, [], body)
+            answer = await Net(here).http_connection(address).request("POST", path, [], body)
             if answer[0] == 200:
                 return json.loads(answer[2])
             await sleep_us(200 * MILLISECOND)
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -181,7 +181,7 @@
 
         with deadline_scope(monotonic_us() + 6 * SECOND):
             try:
-                status, headers, answer = await net.http(f"{host}:7400").request(
+                status, headers, answer = await net.http_connection(f"{host}:7400").request(
                     "POST" if once else "GET", f"/{kind}/{uid}", lines, body, started
                 )
                 asked.heard(status, headers, answer)
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -391,7 +391,9 @@
         net = SimNet(self.web, host)
         net.home = self.nursery
         body = facts if isinstance(facts, bytes) else json.dumps(facts).encode() if facts else b""
-        status, lines, answer = await net.http(address).request(method, path, list(headers), body)
+        status, lines, answer = await net.http_connection(address).request(
+            method, path, list(headers), body
+        )
         return status, dict(lines), json.loads(answer) if answer else None
 
     async def operate(self, method, path, facts=None, core=0):
--- a/packages/soak/meadowdock/soak/traffic.py
+++ b/packages/soak/meadowdock/soak/traffic.py
@@ -179,7 +179,7 @@
         self, source: str | None, address: str, method: str, path: str, facts: object = None
     ) -> tuple[int, dict]:
         """One plain request; (0, {}) without an answer in time."""
-        connection = Net(source).http(address)
+        connection = Net(source).http_connection(address)
         body = json.dumps(facts).encode() if facts is not None else b""
         try:
             with deadline_scope(monotonic_us() + ORDER_WAIT):
--- a/packages/zone_drill/meadowdock/zone_drill/drill.py
+++ b/packages/zone_drill/meadowdock/zone_drill/drill.py
@@ -73,7 +73,7 @@
         uid = f"{self.tag}-{self.number}"
         path = f"{stream['path']}/{uid}"
         asked = Asked(uid, host, stream["name"], "guest", monotonic_us(), path=path)
-        connection = Net(host).http(self.facts["proxies"][host])
+        connection = Net(host).http_connection(self.facts["proxies"][host])
         lines = [(b"md-key", uid.encode())] if stream.get("keyed") else []
         body = b'{"amount": 1}' if stream["method"] == "POST" else b""
         sent = False
@@ -160,7 +160,7 @@
 
     async def standin(self, host, **knobs):
         """Turn the knobs of a stand-in endpoint, or (none) read its counts."""
-        connection = Net(host).http(f"{host}:8000")
+        connection = Net(host).http_connection(f"{host}:8000")
         try:
             with deadline_scope(monotonic_us() + 5 * SECOND):
                 method, body = ("POST", json.dumps(knobs).encode()) if knobs else ("GET", b"")
--- a/tests/config_store/test_item_changes.py
+++ b/tests/config_store/test_item_changes.py
@@ -363,7 +363,7 @@
             )
             routing_table = world.daemon("mdproxy", host).delivery.active.routing_table
             assert routing_table.find_route("guest", "GET", "/balances")[0].name == "new"
-            assert routing_table.items.find(b"h.example", b"/p/x").version == 2
+            assert routing_table.items.find_route(b"h.example", b"/p/x").version == 2
 
     run(scenario)
 
@@ -399,8 +399,8 @@
             for proxy in proxies:
                 table = proxy.delivery.active.routing_table.items
                 assert table.version == version
-                assert table.find(b"h.example", f"/turn{turn}/x".encode()).name == "r0"
-                assert table.find(b"h.example", b"/499/").name == "r499"
+                assert table.find_route(b"h.example", f"/turn{turn}/x".encode()).name == "r0"
+                assert table.find_route(b"h.example", b"/499/").name == "r499"
                 assert table.limits.header_bytes == 9
         for host in world.application:
             await world.eventually(lambda h=host: not world.node("mdproxy", h).unready_reasons())
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -499,6 +499,6 @@
         await store.load()
         for version in range(1, 40):
             await store.adopt(MembershipConfiguration(version, {"a": "x"}))
-        assert await disk.names("members") == ["00000038", "00000039"]
+        assert await disk.list_folder("members") == ["00000038", "00000039"]
 
     run(work)
--- a/tests/configuration/test_chunks.py
+++ b/tests/configuration/test_chunks.py
@@ -10,7 +10,7 @@
 
 from meadowdock.configuration import (
     RoutingTable,
-    assemble,
+    assemble_configuration,
     split_configuration,
     split_items,
     validate_configuration,
@@ -35,13 +35,15 @@
 
 
 def test_changing_one_item_changes_one_chunk_and_the_chunks_contain_all_items():
-    stored, _ = config_items.merge({}, [service("desk"), *(route(f"r{n}") for n in range(3000))])
-    stored, _ = config_items.merge(stored, [dropped(route("r5"), 2)])
+    stored, _ = config_items.merge_items(
+        {}, [service("desk"), *(route(f"r{n}") for n in range(3000))]
+    )
+    stored, _ = config_items.merge_items(stored, [dropped(route("r5"), 2)])
     before = split_items(stored)
-    after = split_items(config_items.merge(stored, [route("r77", 2)])[0])
+    after = split_items(config_items.merge_items(stored, [route("r77", 2)])[0])
     assert len(before) > 20
     assert len({name for name, _ in after} - {name for name, _ in before}) == 1
-    items = assemble(body for _, body in before)["items"]
+    items = assemble_configuration(body for _, body in before)["items"]
     assert {config_items.item_key(item): item for item in items} == stored
 
 
@@ -51,12 +53,12 @@
         config_items.item_key(item): item for item in (service("desk", 4), route("r", 6))
     }
     bodies = [body for _, body in split_items(stored_by_previous_release)]
-    stored = {config_items.item_key(item): item for item in assemble(bodies)["items"]}
+    stored = {config_items.item_key(item): item for item in assemble_configuration(bodies)["items"]}
     assert stored == stored_by_previous_release
-    assert config_items.merge(stored, [route("r", 6), service("desk", 4)])[0] is stored
-    after, _ = config_items.merge(stored, [route("r", 7)])
+    assert config_items.merge_items(stored, [route("r", 6), service("desk", 4)])[0] is stored
+    after, _ = config_items.merge_items(stored, [route("r", 7)])
     bodies = [body for _, body in split_items(after)]
-    items_by_name = {item["name"]: item for item in assemble(bodies)["items"]}
+    items_by_name = {item["name"]: item for item in assemble_configuration(bodies)["items"]}
     assert [version for version, _ in items_by_name["r"]["superseded"]] == [6]
     with pytest.raises(config_items.VersionConflict):
-        config_items.merge(after, [route("r", 6, prefix="/other/")])
+        config_items.merge_items(after, [route("r", 6, prefix="/other/")])
--- a/tests/configuration/test_item_merge.py
+++ b/tests/configuration/test_item_merge.py
@@ -32,9 +32,9 @@
         new_item = make("x", abs(version))
         return new_item if version > 0 else dropped(new_item, -version)
 
-    base, _ = config_items.merge({}, [service("desk")])
-    before, _ = config_items.merge(base, [item(stored)] if stored else [])
-    after, changed = config_items.merge(before, [item(incoming)])
+    base, _ = config_items.merge_items({}, [service("desk")])
+    before, _ = config_items.merge_items(base, [item(stored)] if stored else [])
+    after, changed = config_items.merge_items(before, [item(incoming)])
     key = config_items.item_key(item(incoming))
     assert config_items.without_history(after[key]) == item(current)
     assert bool(changed) == (current != stored)
@@ -45,7 +45,7 @@
         *(version for version, _ in after[key].get("superseded", [])),
     }
     assert known_versions == {abs(version) for version in (stored, incoming) if version is not None}
-    repeated, _ = config_items.merge(after, [item(stored or incoming), item(incoming)])
+    repeated, _ = config_items.merge_items(after, [item(stored or incoming), item(incoming)])
     assert repeated is after
 
 
@@ -56,40 +56,40 @@
         new_item = make("x", abs(version))
         return new_item if version > 0 else dropped(new_item, -version)
 
-    before, _ = config_items.merge({}, [service("desk"), item(stored)])
+    before, _ = config_items.merge_items({}, [service("desk"), item(stored)])
     with pytest.raises(config_items.VersionConflict) as conflict:
-        config_items.merge(before, [service("new"), item(incoming)])
+        config_items.merge_items(before, [service("new"), item(incoming)])
     key = config_items.item_key(item(incoming))
     assert conflict.value.conflicts == [config_items.ItemVersion(*key, abs(incoming))]
 
 
 def test_the_source_is_part_of_the_content():
-    before, _ = config_items.merge({}, [service("a", 3)])
+    before, _ = config_items.merge_items({}, [service("a", 3)])
     other = {**service("a", 3), "source": "another text"}
     with pytest.raises(config_items.VersionConflict):
-        config_items.merge(before, [other])
-    after, _ = config_items.merge(before, [service("a", 4)])
+        config_items.merge_items(before, [other])
+    after, _ = config_items.merge_items(before, [service("a", 4)])
     with pytest.raises(config_items.VersionConflict):
-        config_items.merge(after, [other])
+        config_items.merge_items(after, [other])
     assert "given twice" in config_items.validate_items([service("a", 3), other])[0]
 
 
 def test_the_number_of_stored_superseded_versions_is_bounded():
-    stored, _ = config_items.merge({}, [service("a", 1)])
+    stored, _ = config_items.merge_items({}, [service("a", 1)])
     for version in range(2, 200):
-        stored, _ = config_items.merge(stored, [service("a", version)])
+        stored, _ = config_items.merge_items(stored, [service("a", version)])
     oldest = [service("a", 1, health="/beyond")]
-    assert config_items.merge(stored, oldest)[0] is stored
+    assert config_items.merge_items(stored, oldest)[0] is stored
     superseded_versions = [version for version, _ in stored["service", "a"]["superseded"]]
     assert superseded_versions == list(range(198, 190, -1))
     with pytest.raises(config_items.VersionConflict):
-        config_items.merge(stored, [service("a", 191, health="/other")])
+        config_items.merge_items(stored, [service("a", 191, health="/other")])
 
 
 def test_a_weight_beyond_the_integers_of_chunks_is_invalid():
     errors = config_items.validate_items([service("desk"), route("r", split=[["desk", 10**30]])])
     assert [error.partition(":")[0] for error in errors] == ["items.1.spec.split"]
-    stored, _ = config_items.merge(
+    stored, _ = config_items.merge_items(
         {}, [service("desk"), route("r", split=[["desk", (1 << 63) - 1]])]
     )
     assert split_items(stored)
@@ -105,16 +105,16 @@
     ]
     results = []
     for order in itertools.permutations(calls[1:]):
-        stored, _ = config_items.merge({}, calls[0])
+        stored, _ = config_items.merge_items({}, calls[0])
         for call in order:
-            stored, _ = config_items.merge(stored, call)
+            stored, _ = config_items.merge_items(stored, call)
         results.append(stored)
     assert all(result == results[0] for result in results)
     assert [item["version"] for item in config_items.current_items(results[0])] == [4, 5]
 
 
 def test_routes_must_have_their_services_when_either_changes():
-    stored, _ = config_items.merge({}, [service("a"), service("b"), route("r", 5, ["a"])])
+    stored, _ = config_items.merge_items({}, [service("a"), service("b"), route("r", 5, ["a"])])
     invalid_calls = [
         [route("n", 1, ["nowhere"])],
         [route("r", 6, ["a", "nowhere"])],
@@ -123,7 +123,7 @@
     ]
     for call in invalid_calls:
         with pytest.raises(config_items.InvalidItems):
-            config_items.merge(stored, call)
+            config_items.merge_items(stored, call)
     valid_calls = [
         [route("r", 4, ["nowhere"])],  # an older version than the stored one has no effect
         [dropped(service("a"), 0)],
@@ -132,6 +132,6 @@
         [dropped(service("b"), 2)],
     ]
     for call in valid_calls:
-        config_items.merge(stored, call)
+        config_items.merge_items(stored, call)
     with pytest.raises(config_items.VersionConflict):
-        config_items.merge(stored, [dropped(service("a"), 1)])
+        config_items.merge_items(stored, [dropped(service("a"), 1)])
--- a/tests/configuration/test_item_merge_model.py
+++ b/tests/configuration/test_item_merge_model.py
@@ -56,7 +56,7 @@
 def merged(stored, call):
     """Return the stored items after a call, and whether the call was acknowledged."""
     try:
-        return config_items.merge(stored, call)[0], True
+        return config_items.merge_items(stored, call)[0], True
     except config_items.VersionConflict:
         return stored, False
 
@@ -103,7 +103,7 @@
 def test_what_is_remembered_does_not_depend_on_the_order(orders):
     held = {}
     for order in orders:
-        held, _ = config_items.merge(held, [order])
+        held, _ = config_items.merge_items(held, [order])
     versions = [version for version, _ in held["service", "a"]["superseded"]]
     top = 2 * MAX_SUPERSEDED - 1
     assert versions == list(range(top - 1, top - 1 - MAX_SUPERSEDED, -1))
--- a/tests/configuration/test_item_table.py
+++ b/tests/configuration/test_item_table.py
@@ -36,11 +36,13 @@
         expected = max(
             matching, key=lambda r: (len(r["spec"]["prefix"]), r["version"]), default=None
         )
-        result = table.find(host.encode(), request_path.encode() + rng.choice([b"", b"?q=/a/b/"]))
+        result = table.find_route(
+            host.encode(), request_path.encode() + rng.choice([b"", b"?q=/a/b/"])
+        )
         assert (result and result.name) == (expected and expected["name"])
         found_count += result is not None
     assert 500 < found_count < 2000
-    assert table.find(b"one", b"*") is None
+    assert table.find_route(b"one", b"*") is None
 
 
 def test_a_table_has_the_items_of_its_version_without_dropped_ones():
@@ -50,8 +52,8 @@
     expected = config_items.ItemRoute(
         "r", 4, b"h.example", b"/p/", True, 2_000_000, 5, 1, 2, (("desk", 10),)
     )
-    assert table.find(b"h.example", b"/p/") == expected
-    assert table.find(b"h.example", b"/gone/x") is None
+    assert table.find_route(b"h.example", b"/p/") == expected
+    assert table.find_route(b"h.example", b"/gone/x") is None
     assert table.services == {"desk": {"health": "/h"}}
     assert table.limits == config_items.Limits(9, 8, 7, 6)
     assert config_items.ItemTable(0, []).limits == config_items.DEFAULT_LIMITS
--- a/tests/configuration/test_routing_table.py
+++ b/tests/configuration/test_routing_table.py
@@ -11,7 +11,7 @@
 from meadowdock.configuration import (
     DEFAULT_LOAD,
     RoutingTable,
-    assemble,
+    assemble_configuration,
     split_configuration,
     split_items,
     validate_configuration,
@@ -47,10 +47,10 @@
 
 def test_a_table_with_new_item_chunks_keeps_everything_else():
     configuration = {"services": [{"name": "a"}], "budgets": [], "ways": [], "load": {}}
-    stored, _ = config_items.merge({}, [service("desk"), route("r")])
+    stored, _ = config_items.merge_items({}, [service("desk"), route("r")])
     bodies = [body for _, body in (*split_configuration(configuration), *split_items(stored))]
-    table = RoutingTable(2, assemble(bodies))
-    assert table.items.find(b"h.example", b"/p/q").name == "r"
+    table = RoutingTable(2, assemble_configuration(bodies))
+    assert table.items.find_route(b"h.example", b"/p/q").name == "r"
     assert (table.load, RoutingTable(1, configuration).items.routes) == (DEFAULT_LOAD, {})
     newer = table.with_chunks(3, {})
     assert (newer.version, newer.items.version, newer.items.routes) == (3, 3, {})
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -245,7 +245,7 @@
     def order(self, name, version, content):
         expected = self.taken.get((name, version), content) == content
         try:
-            self.items, _ = config_items.merge(self.items, [item_of(name, version, content)])
+            self.items, _ = config_items.merge_items(self.items, [item_of(name, version, content)])
         except config_items.VersionConflict:
             assert not expected
         else:
@@ -283,7 +283,7 @@
     def order(self, name, version, content):
         expected = self.taken.get((name, version), content) == content
         try:
-            self.items, _ = config_items.merge(self.items, [item_of(name, version, content)])
+            self.items, _ = config_items.merge_items(self.items, [item_of(name, version, content)])
         except config_items.VersionConflict:
             pass
         assert expected
--- a/tests/platform/test_platform_items.py
+++ b/tests/platform/test_platform_items.py
@@ -11,7 +11,7 @@
 import trio
 
 from meadowdock.admin_http import App
-from meadowdock.configuration.items import InvalidItems, current_items, merge, validate_items
+from meadowdock.configuration.items import InvalidItems, current_items, merge_items, validate_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
 from meadowdock.proxy.exceptions import RegistrationDenied
 
@@ -96,7 +96,7 @@
 
 def test_a_fetch_returns_the_entries_that_were_sent():
     sent = [LIMITS, route(), *SERVICES]
-    stored, _ = merge({}, items.items_from_change(change(*sent)))
+    stored, _ = merge_items({}, items.items_from_change(change(*sent)))
     body = items.items_to_body(current_items(stored))
     assert sorted(json.loads(body)["resourceList"], key=str) == sorted(sent, key=str)
     assert json.loads(items.items_to_body([])) == {"resourceList": []}
@@ -200,7 +200,7 @@
         errors = validate_items(change)
         if errors:
             raise InvalidItems(errors)
-        self.stored, _ = merge(self.stored, change)
+        self.stored, _ = merge_items(self.stored, change)
         return 1
 
     async def read_items(self):
--- a/tests/proxy/test_delivery.py
+++ b/tests/proxy/test_delivery.py
@@ -149,7 +149,9 @@
             assert elapsed_us < 100 * MILLISECOND  # no timeout of a silent member was waited for
             cache.get = original
             for delivery in deliveries(world):
-                changed = delivery.active.routing_table.items.find(b"h3.example", b"/area10/x")
+                changed = delivery.active.routing_table.items.find_route(
+                    b"h3.example", b"/area10/x"
+                )
                 assert changed.version == 2 + round_index
 
     run(scenario, application=SIX_PROXIES)
@@ -357,9 +359,9 @@
         await wait_until_in_force(world, await world.set_items([many_routes(1400, 2)[77]]))
         assert len(parsed) == 1
         table = deliveries(world)[0].active.routing_table.items
-        assert table.find(b"h0.example", b"/area77/").version == 2
+        assert table.find_route(b"h0.example", b"/area77/").version == 2
         assert table.routes[b"h1.example"] is former_table.routes[b"h1.example"]
-        assert former_table.find(b"h0.example", b"/area77/").version == 1
+        assert former_table.find_route(b"h0.example", b"/area77/").version == 1
         fetched = [line["fetched"] for _, line in world.trace.events(501)]
         assert fetched[-1] == 1
 
@@ -399,9 +401,9 @@
         disk = world.disks["mdconf", world.core[0]]
         for name in [n for n in disk.files if n.startswith("blob/")]:
             del disk.files[name]
-        first_source = config_store.chunks.fetcher.spread(config_store.broadcast.peers().values())[
-            0
-        ].partition(":")[0]
+        first_source = config_store.chunks.fetcher.order_members_by_hash(
+            config_store.broadcast.peers().values()
+        )[0].partition(":")[0]
         if fault == "frozen":
             world.processes[f"mdconf@{first_source}"].freeze()
         else:
@@ -456,8 +458,8 @@
 
 def test_the_routing_form_omits_sources_and_removed_items():
     items = [route("kept", 2), route("gone", 2)]
-    stored, _ = config_items.merge({}, [service("desk"), *items])
-    stored, _ = config_items.merge(stored, [route("kept", 3), dropped(items[1], 3)])
+    stored, _ = config_items.merge_items({}, [service("desk"), *items])
+    stored, _ = config_items.merge_items(stored, [route("kept", 3), dropped(items[1], 3)])
     ((name, body),) = split_items(stored)
     assert b"superseded" in body
     sent = ormsgpack.unpackb(
@@ -556,10 +558,10 @@
         "two": config_items.parse_chunk([conflicting[1], route("c", host="other")]),
     }
     first = config_items.ItemTable(1, []).with_chunks(2, chunks)
-    assert first.find(b"h.example", b"/same/").name == "b"
+    assert first.find_route(b"h.example", b"/same/").name == "b"
     second = first.with_chunks(3, {"one": chunks["one"]})
-    assert second.find(b"h.example", b"/same/").name == "a"
-    assert second.find(b"other", b"/p/") is None
+    assert second.find_route(b"h.example", b"/same/").name == "a"
+    assert second.find_route(b"other", b"/p/") is None
     assert (second.version, second.services) == (3, {"desk": {}})
     rebuilt = config_items.ItemTable(3, [conflicting[0], service("desk")])
     assert (second.routes, second.services, second.limits) == (
@@ -567,4 +569,4 @@
         rebuilt.services,
         rebuilt.limits,
     )
-    assert first.find(b"other", b"/p/").name == "c"
+    assert first.find_route(b"other", b"/p/").name == "c"
--- a/tests/proxy/test_idempotency_keys.py
+++ b/tests/proxy/test_idempotency_keys.py
@@ -201,7 +201,7 @@
         for number in range(5):
             await reopened.run_once(key_request(f"n{number}"), work)
         assert len(reopened.entries) == 3
-        assert len(await reopened.disk.names("key")) == 3
+        assert len(await reopened.disk.list_folder("key")) == 3
         assert executed_keys.count("k") == 2
         assert executed_keys.count("breaks") == 1
 
@@ -215,7 +215,7 @@
 
         record = ExecutionRecord(Disk(tmp_path))
         await record.run_once(key_request(), work)
-        (name,) = await record.disk.names("key")
+        (name,) = await record.disk.list_folder("key")
         with open(tmp_path / "key" / name, "r+b") as file:
             file.truncate(20)
         assert (await ExecutionRecord(Disk(tmp_path)).run_once(key_request(), work)).status == 409
--- a/tests/runtime/test_http.py
+++ b/tests/runtime/test_http.py
@@ -345,11 +345,11 @@
 
     async def main():
         async with http_server(app) as (address, _, _, _):
-            connection = Net(HOST).http(address)
+            connection = Net(HOST).http_connection(address)
             for _ in range(3):
                 status, _, body = await connection.request("GET", "/", [], b"")
                 assert (status, body) == (200, b"one two")
-                assert not connection.stale()
+                assert not connection.is_stale()
             data = await exchange(address, b"GET / HTTP/1.0\r\n\r\n")
             assert data.endswith(b"connection: close\r\n\r\none two")
 
@@ -432,11 +432,11 @@
 def test_a_request_with_a_faulty_response_fails_as_sent(name):
     async def main():
         async with endpoint(FAULTY_RESPONSES[name]) as (address, requests):
-            connection, started = Net(HOST).http(address, limit=100), []
+            connection, started = Net(HOST).http_connection(address, max_response_size=100), []
             with pytest.raises(HttpConnectionFailed) as failure:
                 await connection.request("GET", "/", [], b"", lambda: started.append(len(requests)))
             assert failure.value.sent
-            assert connection.stale()
+            assert connection.is_stale()
             assert (started, len(requests)) == ([0], 1)
 
     trio.run(main)
@@ -469,9 +469,9 @@
             address,
             requests,
         ):
-            connection = Net(HOST).http(address)
+            connection = Net(HOST).http_connection(address)
             assert (await connection.request("PUT", "/", [], b"x"))[2] == body
-            assert connection.stale() != reusable
+            assert connection.is_stale() != reusable
             if reusable:
                 assert (await connection.request("PUT", "/", [], b"x"))[2] == body
                 assert len(requests) == 2
@@ -497,12 +497,12 @@
 
             async with trio.open_nursery() as nursery:
                 (listener,) = await nursery.start(partial(trio.serve_tcp, serve, 0, host=HOST))
-                connection = Net(HOST).http(f"{HOST}:{listener.socket.getsockname()[1]}")
+                connection = Net(HOST).http_connection(f"{HOST}:{listener.socket.getsockname()[1]}")
                 await connection.request("GET", "/", [], b"")
-                assert not connection.stale()
+                assert not connection.is_stale()
                 gate.set()
                 await trio.lowlevel.wait_readable(connection.stream.socket)
-                assert connection.stale()
+                assert connection.is_stale()
                 nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -514,7 +514,7 @@
             await free_socket.bind((HOST, 0))
             unused_address = f"{HOST}:{free_socket.getsockname()[1]}"
         with pytest.raises(HttpConnectionFailed) as failure:
-            await Net(HOST).http(unused_address).request("GET", "/", [], b"")
+            await Net(HOST).http_connection(unused_address).request("GET", "/", [], b"")
         assert not failure.value.sent
         async with endpoint(GOOD_RESPONSE) as (address, requests):
             for target, headers in (
@@ -524,7 +524,7 @@
                 ("/", [(b"a:", b"b")]),
             ):
                 with pytest.raises(HttpConnectionFailed) as failure:
-                    await Net(HOST).http(address).request("GET", target, headers, b"")
+                    await Net(HOST).http_connection(address).request("GET", target, headers, b"")
                 assert not failure.value.sent
             assert requests == []
 
