--- a/packages/cli/meadowdock/cli/__main__.py
+++ b/packages/cli/meadowdock/cli/__main__.py
@@ -17,7 +17,7 @@
 
 from meadowdock import audit
 from meadowdock.cli.exceptions import OutcomeUnknown, Unreachable
-from meadowdock.cli.operator_client import ask
+from meadowdock.cli.operator_client import send_request
 from meadowdock.configuration import validate_configuration
 from meadowdock.settings import VERSION
 
@@ -130,7 +130,7 @@
             sys.exit(EXIT_USAGE)
         hint = f"mdctl settle {plan}" if plan else "ask again"
         try:
-            status, content = ask(self._members, method, path, body, self._key)
+            status, content = send_request(self._members, method, path, body, self._key)
         except Unreachable as cause:
             _print({"code": "unreachable", "detail": f"nothing was sent to {cause}"})
             sys.exit(EXIT_REJECTED)
--- a/packages/cli/meadowdock/cli/operator_client.py
+++ b/packages/cli/meadowdock/cli/operator_client.py
@@ -17,7 +17,7 @@
 TRANSPORT_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
-def ask(
+def send_request(
     members: list[str],
     method: str,
     path: str,
@@ -36,16 +36,16 @@
     """
     for member in members:
         try:
-            return ask_member(member, method, path, body, key, wait_s)
+            return send_request_to_member(member, method, path, body, key, wait_s)
         except Unreachable:
             continue
     raise Unreachable(", ".join(members))
 
 
-def ask_member(
+def send_request_to_member(
     member: str, method: str, path: str, body: bytes, key: str | None, wait_s: float
 ) -> tuple[int, Any]:
-    """Send a request to one member, as `ask` does."""
+    """Send a request to one member, as `send_request` does."""
     sent = False
 
     def trace(event: str, info: dict[str, Any]) -> None:
--- a/packages/config_store/meadowdock/config_store/__main__.py
+++ b/packages/config_store/meadowdock/config_store/__main__.py
@@ -11,7 +11,7 @@
 from meadowdock.config_store.server import ConfigStore
 from meadowdock.process import start
 from meadowdock.runtime import Disk
-from meadowdock.settings import command, load
+from meadowdock.settings import build_command_line, load_settings
 
 CONFIRMED = "yes"
 
@@ -23,9 +23,9 @@
     Run it only while the daemon is stopped. Everything that was accepted while this disk was away
     is lost. Without --lose_others=yes it only reports what this disk holds.
     """
-    settings = load("mdconf", boot)
+    settings = load_settings("mdconf", boot)
     confirmed = lose_others == CONFIRMED
-    print(trio.run(rescue_disk, Disk(settings.data), settings.link, confirmed))
+    print(trio.run(rescue_disk, Disk(settings.data), settings.rpc_address, confirmed))
     if not confirmed:
         print(
             "nothing was changed; --lose_others=yes makes this disk the only voter", file=sys.stderr
@@ -33,7 +33,7 @@
         sys.exit(1)
 
 
-main = command("mdconf", start(ConfigStore), rescue=rescue)
+main = build_command_line("mdconf", start(ConfigStore), rescue=rescue)
 
 if __name__ == "__main__":
     main()
--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -39,7 +39,7 @@
         self.recent_bytes = 0
         self.packed = PackedChunkCache(self.read)
         hedge_us = node.settings.apply_us // HEDGE_DELAY_DIVISOR
-        self.fetcher = ChunkFetcher(node.rpc, node.settings.link, hedge_us, COMPLETE_FORM)
+        self.fetcher = ChunkFetcher(node.rpc, node.settings.rpc_address, hedge_us, COMPLETE_FORM)
 
     async def read(self, name: str) -> bytes | None:
         """Read the body of a chunk from memory or disk; None if it is missing or damaged."""
--- a/packages/config_store/meadowdock/config_store/delivery.py
+++ b/packages/config_store/meadowdock/config_store/delivery.py
@@ -35,7 +35,7 @@
         """Fetch the node table of every registry once."""
         requests = {
             address: (address, "reg.roster", None)
-            for address in self.node.view.core_members("mdreg")
+            for address in self.node.membership.core_members("mdreg")
         }
         deadline = monotonic_us() + REFRESH_TIMEOUT_US
         self.node_tables = await self.node.rpc.successful_responses(requests, deadline)
--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -44,7 +44,7 @@
         if membership is not None and membership.is_joint:
             return True
         target = server.target_voters()
-        return target is not None and server.node.settings.link not in target
+        return target is not None and server.node.settings.rpc_address not in target
 
     async def leave_membership(self, deadline: int) -> None:
         """Wait until another voter has replaced this one, as long as that is possible.
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -57,7 +57,7 @@
         """
         self.discount_pause(self.pause_detector.measure_pause(monotonic_us()))
         requests = {
-            address: (address, "member.hello", {"link": self.node.settings.link})
+            address: (address, "member.hello", {"link": self.node.settings.rpc_address})
             for address in self.known_addresses()
         }
         answers = await self.node.rpc.successful_responses(
@@ -85,10 +85,10 @@
             {
                 *self.bootstrap_members,
                 *self.store.members.values(),
-                *self.node.view.core_members("mdconf"),
+                *self.node.membership.core_members("mdconf"),
                 *self.recent_pollers,
             }
-            - {self.node.settings.link}
+            - {self.node.settings.rpc_address}
         )
 
     def discount_pause(self, pause_us):
@@ -136,7 +136,7 @@
             for address, status in self.peer_statuses.items()
             if monotonic_us() - status.answered_at < self.timing.failed_after_us
         }
-        return {**fresh, self.node.settings.link: own_status}
+        return {**fresh, self.node.settings.rpc_address: own_status}
 
     def silent_for_us(self, address):
         """Return how long an address has been silent, in microseconds."""
@@ -149,7 +149,7 @@
     @handlers.on("member.hello")
     async def on_hello(self, peer, poller):
         """Answer a poll with the disk id, membership configuration and state of this process."""
-        if poller and poller["link"] != self.node.settings.link:
+        if poller and poller["link"] != self.node.settings.rpc_address:
             self.recent_pollers[poller["link"]] = monotonic_us()
         return {
             "disk": self.store.disk_id,
@@ -177,10 +177,10 @@
         with the same list. Therefore members configured with different lists never bootstrap, and a
         lost disk is never mistaken for a blank one.
         """
-        others = set(self.bootstrap_members) - {self.node.settings.link}
+        others = set(self.bootstrap_members) - {self.node.settings.rpc_address}
         return (
             self.is_blank()
-            and self.node.settings.link == self.bootstrap_members[0]
+            and self.node.settings.rpc_address == self.bootstrap_members[0]
             and all(
                 address in answers
                 and tuple(answers[address]["founders"] or ()) == self.bootstrap_members
@@ -193,9 +193,9 @@
         voters = {
             answers[address]["disk"]: address
             for address in self.bootstrap_members
-            if address != self.node.settings.link
+            if address != self.node.settings.rpc_address
         }
-        voters[self.store.disk_id] = self.node.settings.link
+        voters[self.store.disk_id] = self.node.settings.rpc_address
         domains = {hello["disk"]: failure_domain_of(hello) for hello in answers.values()}
         domains[self.store.disk_id] = self.failure_domain
         membership = MembershipConfiguration(1, voters).with_failure_domains(domains)
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -83,7 +83,7 @@
     def is_spare(self):
         """Whether this process has no vote, and no further voter is wanted."""
         membership, reachable = self.store.membership, self.reachable()
-        own_address = self.node.settings.link
+        own_address = self.node.settings.rpc_address
         if self.operator_managed or own_address in self.store.members.values():
             return False
         voters = set(membership.voters.values())
@@ -120,7 +120,7 @@
         reachable = self.reachable()
         voters = {address: disk for disk, address in self.store.membership.voters.items()}
         replaced = {a for a, disk in voters.items() if a in reachable and reachable[a].disk != disk}
-        own_address = self.node.settings.link
+        own_address = self.node.settings.rpc_address
         if not self.store.is_voter and own_address not in replaced:
             return None
         answering = [a for a in voters if a in reachable and a not in replaced]
@@ -149,7 +149,7 @@
             ),
             suspected=frozenset(
                 address
-                for address in voters - {self.node.settings.link}
+                for address in voters - {self.node.settings.rpc_address}
                 if self.silent_for_us(address) > self.timing.suspect_after_us
             ),
             candidates=candidates,
@@ -218,7 +218,7 @@
             and reachable[address].disk_writable
             and not reachable[address].leaving
         )
-        own_address = self.node.settings.link
+        own_address = self.node.settings.rpc_address
         return eligible.index(own_address) if own_address in eligible else min(len(eligible), 2)
 
     def wanted_change(self):
@@ -295,7 +295,7 @@
         If a member is to be replaced by another disk at the same address, that disk must answer.
         Otherwise nothing would change, and the request would be reported as done.
         """
-        own_address = self.node.settings.link
+        own_address = self.node.settings.rpc_address
         requests = {address: (address, "member.hello", {"link": own_address})}
         deadline = monotonic_us() + self.timing.hello_timeout_us
         return address == own_address or bool(
--- a/packages/config_store/meadowdock/config_store/membership_change.py
+++ b/packages/config_store/meadowdock/config_store/membership_change.py
@@ -116,7 +116,7 @@
             if address not in reachable
             else reachable[address].disk != disk or not reachable[address].disk_writable
             for disk, address in newcomers.items()
-            if address != self.node.settings.link
+            if address != self.node.settings.rpc_address
         )
 
     async def revert_change(self, membership: MembershipConfiguration, deadline: int) -> NoReturn:
@@ -142,7 +142,7 @@
 
         :raises MembershipConflict: an address that belongs to no voter doesn't answer
         """
-        own_address, voters = self.node.settings.link, self.store.membership.voters
+        own_address, voters = self.node.settings.rpc_address, self.store.membership.voters
         disks = await self.answering_disks(addresses, deadline)
         if own_address in addresses:
             disks[self.store.disk_id] = own_address
@@ -158,7 +158,7 @@
 
         Voters that failed are not polled.
         """
-        own_address, voters = self.node.settings.link, self.store.membership.voters
+        own_address, voters = self.node.settings.rpc_address, self.store.membership.voters
         failed = {
             address
             for address in voters.values()
--- a/packages/config_store/meadowdock/config_store/quorum_monitor.py
+++ b/packages/config_store/meadowdock/config_store/quorum_monitor.py
@@ -110,7 +110,7 @@
             node.settings.contact_us // POLL_TIMEOUT_DIVISOR, self.server.timing.hello_timeout_us
         )
         deadline = monotonic_us() + timeout
-        sender = {"link": node.settings.link}
+        sender = {"link": node.settings.rpc_address}
 
         async def poll(address: str) -> None:
             try:
--- a/packages/config_store/meadowdock/config_store/revision_reader.py
+++ b/packages/config_store/meadowdock/config_store/revision_reader.py
@@ -97,7 +97,7 @@
         """Remember a revision if it is newer than the latest known one, and gossip its version."""
         if revision.version > self.latest.version:
             self.latest = revision
-            self.server.node.view.advance_heartbeat(version=revision.version)
+            self.server.node.membership.advance_heartbeat(version=revision.version)
 
     async def run(self) -> None:
         """Keep the current revision known and its chunks on this disk, and remove old chunks."""
--- a/packages/config_store/meadowdock/config_store/server.py
+++ b/packages/config_store/meadowdock/config_store/server.py
@@ -103,7 +103,7 @@
 
     def operator_addresses(self) -> dict[str, str]:
         """Return {listener name: address} where operators reach this member."""
-        return {operator_api.LISTENER: self.node.settings.http}
+        return {operator_api.LISTENER: self.node.settings.http_address}
 
     async def change_items(self, items: list[dict[str, Any]]) -> int:
         """Change items, and return the version of the revision that contains the change.
--- a/packages/forwarding/meadowdock/forwarding/gateway.py
+++ b/packages/forwarding/meadowdock/forwarding/gateway.py
@@ -69,7 +69,7 @@
         self.lowest_priority = 0
         self.traffic_split = TrafficSplit()
         self.placement = ZonePlacement(
-            settings.link, settings.zone, lambda: rng.choice(ADDRESS_FIRST_CHARACTERS)
+            settings.rpc_address, settings.zone, lambda: rng.choice(ADDRESS_FIRST_CHARACTERS)
         )
         self.loads = self.placement.loads
         self.retries = RetryPolicy(lambda: retry_budgets.new_retry_budget(self))
--- a/packages/forwarding/meadowdock/forwarding/peers.py
+++ b/packages/forwarding/meadowdock/forwarding/peers.py
@@ -40,10 +40,10 @@
     ) -> None:
         self.dispatcher, self.calls = dispatcher, dispatcher.peer_calls
         self.network, self.reactor = network, dispatcher.reactor
-        self.key, self.name = derive_key(settings.fleet_key, b"gate"), settings.name
+        self.key, self.name = derive_key(settings.fleet_key, b"gate"), settings.node_name
         self.rng, self.log = rng, log
         self.link_port = settings.gate_port
-        self.node_port = settings.link.rpartition(":")[2]
+        self.node_port = settings.rpc_address.rpartition(":")[2]
         self.outgoing: dict[str, OutgoingLink] = {}
         self.incoming: set[IncomingLink] = set()
         self.backoff_until: dict[str, int] = {}
--- a/packages/logs/meadowdock/logs/log.py
+++ b/packages/logs/meadowdock/logs/log.py
@@ -19,13 +19,13 @@
 
     Values that JSON can't represent are written as text.
 
-    :ivar of: the name of the process, "role@host".
+    :ivar process_name: the name of the process, "role@host".
     :ivar file: the output, standard error by default.
     :ivar timed: whether each line has a timestamp.
     """
 
-    def __init__(self, of: str, file: TextIO | None = None, timed: bool = True) -> None:
-        self.of, self.file, self.timed = of, file or sys.stderr, timed
+    def __init__(self, process_name: str, file: TextIO | None = None, timed: bool = True) -> None:
+        self.process_name, self.file, self.timed = process_name, file or sys.stderr, timed
 
     def __call__(self, number: int, **fields: Any) -> None:
         """Write an event with its fields.
@@ -33,7 +33,12 @@
         :param number: the number of the event, from `meadowdock.logs.events`.
         :raises KeyError: the number is not in the catalogue.
         """
-        line = {"of": self.of, "number": number, **fields, "event": CATALOGUE[number].name}
+        line = {
+            "of": self.process_name,
+            "number": number,
+            **fields,
+            "event": CATALOGUE[number].name,
+        }
         if self.timed:
             line["timestamp"] = datetime.now(UTC).isoformat().replace("+00:00", "Z")
         print(json.dumps(line, default=str), file=self.file, flush=True)
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/process.py
@@ -90,7 +90,7 @@
     name: str, rpc: object = None, nursery: trio.Nursery | None = None
 ) -> SimpleNamespace:
     """Return a substitute for a node, with the attributes that the register's code uses."""
-    settings = SimpleNamespace(link=name, zone="", members=(), seeds=("seed",), losses=1)
+    settings = SimpleNamespace(rpc_address=name, zone="", members=(), seeds=("seed",), losses=1)
     runtime = SimpleNamespace(rng=random.Random(name))
     return SimpleNamespace(
         settings=settings,
--- a/packages/process/meadowdock/process/node.py
+++ b/packages/process/meadowdock/process/node.py
@@ -46,16 +46,16 @@
         log: Log | None = None,
     ) -> None:
         self.settings, self.runtime, self.nursery = settings, runtime, nursery
-        self.log = log or Log(settings.name)
+        self.log = log or Log(settings.node_name)
         self.incarnation = runtime.wall_us()
-        self_peer = Peer(settings.name, settings.link)
+        self_peer = Peer(settings.node_name, settings.rpc_address)
         self.rpc = ConnectionPool(
             nursery, runtime.net, settings.fleet_key, runtime.rng, self_peer, self.log
         )
         entry = MemberEntry(
-            settings.link, settings.role, settings.zone, self.incarnation, 0, False, 0
+            settings.rpc_address, settings.role, settings.zone, self.incarnation, 0, False, 0
         )
-        self.view = GossipMembership(entry, settings.seeds, runtime.rng, self.rpc, self.log)
+        self.membership = GossipMembership(entry, settings.seeds, runtime.rng, self.rpc, self.log)
         self.stopping = False
         self.shutdown = GracefulShutdown(self)
 
@@ -76,8 +76,10 @@
         self.daemon = make_daemon(self)
         self.listeners = HttpListeners(self.apps())
         await self.daemon.prepare()
-        await self.serve_rpc(self.daemon.rpc_handlers() | GossipMembership.handlers.bind(self.view))
-        tasks = {"view": self.view.run, **self.daemon.background_tasks()}
+        await self.serve_rpc(
+            self.daemon.rpc_handlers() | GossipMembership.handlers.bind(self.membership)
+        )
+        tasks = {"view": self.membership.run, **self.daemon.background_tasks()}
         for name, task in tasks.items():
             self.nursery.start_soon(supervise, name, task, self.log)
         grace_us = self.shutdown.timeout_us - self.shutdown.linger_us
@@ -86,8 +88,8 @@
         self.log(
             log_events.STARTED,
             role=settings.role,
-            link=settings.link,
-            http=settings.http,
+            link=settings.rpc_address,
+            http=settings.http_address,
             zone=settings.zone,
         )
         task_status.started()
@@ -96,7 +98,7 @@
 
     def apps(self) -> dict[str, App]:
         """Return the HTTP apps by address: the process's own, with health checks, and the daemon's."""
-        own = {self.settings.http: with_health_checks(self.daemon.routes)}
+        own = {self.settings.http_address: with_health_checks(self.daemon.routes)}
         routes = {**own, **self.daemon.listeners()}
         return {address: App(table, self.daemon, self.log) for address, table in routes.items()}
 
@@ -107,8 +109,8 @@
             serve_connection,
             key=settings.fleet_key,
             rng=runtime.rng,
-            name=settings.name,
+            name=settings.node_name,
             handlers=handlers,
             log=self.log,
         )
-        await self.nursery.start(runtime.net.serve_streams, settings.link, serve)
+        await self.nursery.start(runtime.net.serve_streams, settings.rpc_address, serve)
--- a/packages/process/meadowdock/process/shutdown.py
+++ b/packages/process/meadowdock/process/shutdown.py
@@ -82,7 +82,7 @@
         """Notify peers, and keep serving until readiness checks have noticed the shutdown."""
         linger_until_us = monotonic_us() + self.linger_us
         await self.node.daemon.announce_shutdown()
-        await self.node.view.announce_leaving()
+        await self.node.membership.announce_leaving()
         await sleep_us(linger_until_us - monotonic_us())
 
     async def wait_for_quiet(self, latest_us: int) -> None:
--- a/packages/proxy/meadowdock/proxy/__main__.py
+++ b/packages/proxy/meadowdock/proxy/__main__.py
@@ -2,9 +2,9 @@
 
 from meadowdock.process import start
 from meadowdock.proxy.server import ProxyServer
-from meadowdock.settings import command
+from meadowdock.settings import build_command_line
 
-main = command("mdproxy", start(ProxyServer))
+main = build_command_line("mdproxy", start(ProxyServer))
 
 if __name__ == "__main__":
     main()
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -122,7 +122,7 @@
         """Return when to confirm the version next, unless a newer one is heard of."""
         if self.retry_soon:
             return monotonic_us() + self.fraction_of_apply_us(RETRY_INTERVAL_DIVISOR)
-        return self.node.view.schedule.next_wakeup(
+        return self.node.membership.schedule.next_wakeup(
             self.fraction_of_apply_us(CONFIRM_INTERVAL_DIVISOR)
         )
 
@@ -172,7 +172,7 @@
 
         The member that replied last is asked first; if it doesn't reply, three are asked at once.
         """
-        members = self.node.view.core_members("mdconf")
+        members = self.node.membership.core_members("mdconf")
         if self.preferred_source in members:
             reply = await self.query_first(
                 [self.preferred_source], self.fraction_of_apply_us(PREFERRED_QUERY_TIMEOUT_DIVISOR)
@@ -223,7 +223,7 @@
         """
         peers = [
             (seen.entry.version, address)
-            for address, seen in self.node.view.entries.items()
+            for address, seen in self.node.membership.entries.items()
             if seen.entry.role == "mdproxy" and seen.entry.version > self.newest
         ]
         newest = [address for _, address in sorted(peers, reverse=True)[:2]]
@@ -306,7 +306,7 @@
         self.active, self.staged = staged, None
         self.stager.retain_chunks([staged.revision])
         self.use_routing_table(staged.routing_table)
-        self.node.view.advance_heartbeat(version=staged.routing_table.version)
+        self.node.membership.advance_heartbeat(version=staged.routing_table.version)
         self.node.log(log_events.CONFIGURATION_ACTIVATED, version=staged.routing_table.version)
 
     @handlers.on("manifest.stage")
--- a/packages/proxy/meadowdock/proxy/forwarder.py
+++ b/packages/proxy/meadowdock/proxy/forwarder.py
@@ -62,7 +62,7 @@
         self.connections = EndpointConnections(node, endpoints)
         self.slab = Slab()
         self.routing_table: RoutingTable | None = None  # of the configuration in force
-        self.placement = Placement(node.settings.link)
+        self.placement = Placement(node.settings.rpc_address)
         self.slot_queues: dict[str, SlotQueue] = {}
         self.counts: dict[str, int] = {}
 
--- a/packages/proxy/meadowdock/proxy/heartbeats.py
+++ b/packages/proxy/meadowdock/proxy/heartbeats.py
@@ -63,7 +63,7 @@
         """Wait until the next heartbeat is scheduled or a new registry was discovered."""
         has_load_list = self.server.forwarder.load_list.seq
         interval = HEARTBEAT_INTERVAL_US if has_load_list else STARTUP_HEARTBEAT_INTERVAL_US
-        with deadline_scope(self.node.view.schedule.next_wakeup(interval)):
+        with deadline_scope(self.node.membership.schedule.next_wakeup(interval)):
             await self.registry_discovered.wait()
             await sleep_us(DISCOVERY_DELAY_US)
         self.registry_discovered = trio.Event()
@@ -71,7 +71,7 @@
     async def send(self) -> None:
         """Send one heartbeat to every known registry."""
         heartbeat = self.heartbeat().to_wire()
-        registries = self.node.view.core_members(REGISTRY_ROLE)
+        registries = self.node.membership.core_members(REGISTRY_ROLE)
         self.known_registries = set(registries)
         replies: list[HeartbeatReply] = []
         deadline = monotonic_us() + HEARTBEAT_INTERVAL_US
@@ -100,11 +100,11 @@
 
     def heartbeat(self) -> ProxyHeartbeat:
         """Build a heartbeat from the current state."""
-        server, own_entry = self.server, self.node.view.own_entry
+        server, own_entry = self.server, self.node.membership.own_entry
         routing_table = server.forwarder.routing_table
         return ProxyHeartbeat(
             address=own_entry.address,
-            http_address=self.node.settings.http,
+            http_address=self.node.settings.http_address,
             zone=own_entry.zone,
             incarnation=own_entry.incarnation,
             version=server.delivery.version,
--- a/packages/proxy/meadowdock/proxy/request_handling.py
+++ b/packages/proxy/meadowdock/proxy/request_handling.py
@@ -219,7 +219,7 @@
     version = call.version if call else server.delivery.version
     return [
         (b"md-verdict", outcome.verdict.value.encode()),
-        (b"md-node", server.node.settings.name.encode()),
+        (b"md-node", server.node.settings.node_name.encode()),
         *([(b"md-call", call.id.encode())] if call else []),
         (b"md-version", str(version).encode()),
         *([(b"md-cut-off", b"1")] if cut_off else []),
--- a/packages/proxy/meadowdock/proxy/server.py
+++ b/packages/proxy/meadowdock/proxy/server.py
@@ -67,7 +67,7 @@
         self.peer_requests = PeerRequestHandler(self)
         self.late_ticks = 0
         self.last_call_number = 0
-        node.view.on_entry_updated = self.on_member
+        node.membership.on_entry_updated = self.on_member
 
     def rpc_handlers(self) -> Handlers:
         """Return the RPC methods that this process answers."""
@@ -120,7 +120,7 @@
         while True:
             self.delivery.detect_pause()
             await self.maintain()
-            wakeup = self.node.view.schedule.next_wakeup(MAINTENANCE_INTERVAL_US)
+            wakeup = self.node.membership.schedule.next_wakeup(MAINTENANCE_INTERVAL_US)
             await sleep_us(wakeup - monotonic_us())
             late = monotonic_us() - wakeup > LATE_AFTER_US
             self.late_ticks = self.late_ticks + 1 if late else 0
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -56,7 +56,7 @@
         self.on_staged = on_staged  # called with (routing table, revision, count of fetched chunks)
         self.chunks, self.running = {}, {}
         hedge_us = node.settings.apply_us // HEDGE_DELAY_DIVISOR
-        self.fetcher = ChunkFetcher(node.rpc, node.settings.link, hedge_us, ROUTING_FORM)
+        self.fetcher = ChunkFetcher(node.rpc, node.settings.rpc_address, hedge_us, ROUTING_FORM)
 
     async def stage(self, revision, source):
         """Stage a revision; return True once it or a newer one is staged.
@@ -122,7 +122,7 @@
 
     def sources(self, source):
         """Return the addresses to fetch from, in order."""
-        members = self.node.view.core_members("mdconf")
+        members = self.node.membership.core_members("mdconf")
         if source in members:
             return self.fetcher.order_members_by_hash(members)
         # The source is a peer: the config stores are unreachable.
--- a/packages/proxy/meadowdock/proxy/status.py
+++ b/packages/proxy/meadowdock/proxy/status.py
@@ -39,5 +39,5 @@
             "requests": forwarder.retry_budget.requests,
             "tries": forwarder.retry_budget.retries,
         },
-        "neighbours": sorted(server.node.view.entries),
+        "neighbours": sorted(server.node.membership.entries),
     }
--- a/packages/registry/meadowdock/registry/__main__.py
+++ b/packages/registry/meadowdock/registry/__main__.py
@@ -2,9 +2,9 @@
 
 from meadowdock.process import start
 from meadowdock.registry.server import RegistryServer
-from meadowdock.settings import command
+from meadowdock.settings import build_command_line
 
-main = command("mdreg", start(RegistryServer))
+main = build_command_line("mdreg", start(RegistryServer))
 
 if __name__ == "__main__":
     main()
--- a/packages/registry/meadowdock/registry/election.py
+++ b/packages/registry/meadowdock/registry/election.py
@@ -111,7 +111,7 @@
 
     def is_vacant(self) -> bool:
         """Return whether the time without a collector has reached the wait for this rank."""
-        own_address = self.node.settings.link
+        own_address = self.node.settings.rpc_address
         candidates = [*self.registries.live(monotonic_us()), own_address]
         rank = rank_candidates(COLLECTOR, candidates).index(own_address)
         return monotonic_us() - self.collector_seen_at >= VACANCY_US * (1 + 2 * rank)
--- a/packages/registry/meadowdock/registry/heartbeats.py
+++ b/packages/registry/meadowdock/registry/heartbeats.py
@@ -40,7 +40,7 @@
 
     async def send(self) -> None:
         """Send one heartbeat to every other registry, and wait for their answers."""
-        own_entry = self.node.view.own_entry
+        own_entry = self.node.membership.own_entry
         heartbeat = RegistryHeartbeat(
             address=own_entry.address,
             zone=own_entry.zone,
@@ -49,7 +49,7 @@
             highest_epoch=self.election.highest_epoch,
             collector_epoch=self.election.epoch,
         ).to_wire()
-        registries = self.node.view.core_members(REGISTRY_ROLE)
+        registries = self.node.membership.core_members(REGISTRY_ROLE)
         self.receivers = set(registries)
         await self.node.rpc.call_all(
             {address: (address, HEARTBEAT_METHOD, heartbeat) for address in registries},
--- a/packages/registry/meadowdock/registry/lease_client.py
+++ b/packages/registry/meadowdock/registry/lease_client.py
@@ -94,7 +94,7 @@
         self.key = key
         self.duration_us = duration_us
         # the random part makes a restarted process a different holder, whatever the wall clock says
-        self.holder = f"{node.settings.link}/{node.runtime.rng.getrandbits(64):016x}"
+        self.holder = f"{node.settings.rpc_address}/{node.runtime.rng.getrandbits(64):016x}"
         self.sequence = 0
         self.granted: GrantedLease | None = None
         self.preferred_store: str | None = None  # the config store that granted the last request
@@ -189,7 +189,7 @@
 
     def stores(self) -> list[str]:
         """Return the known config stores in random order, with the preferred one first."""
-        addresses = self.node.view.core_members(STORE_ROLE)
+        addresses = self.node.membership.core_members(STORE_ROLE)
         self.node.runtime.rng.shuffle(addresses)
         return sorted(addresses, key=lambda address: address != self.preferred_store)
 
--- a/packages/registry/meadowdock/registry/server.py
+++ b/packages/registry/meadowdock/registry/server.py
@@ -43,7 +43,7 @@
         self.election = CollectorElection(node, self.registries, self.send_heartbeats)
         self.collector = LoadCollector(node, self.proxies, self.election)
         self.heartbeats = HeartbeatSender(node, self.election)
-        node.view.on_entry_updated = self.heartbeats.on_member
+        node.membership.on_entry_updated = self.heartbeats.on_member
 
     def rpc_handlers(self) -> Handlers:
         """Return the RPC methods that this process serves."""
@@ -60,7 +60,7 @@
 
     def unready_reasons(self) -> list[str]:
         """Return the reasons why this process is not ready; an empty list means that it is."""
-        return [] if self.node.view.core_members("mdconf") else ["no mdconf known"]
+        return [] if self.node.membership.core_members("mdconf") else ["no mdconf known"]
 
     async def announce_shutdown(self) -> None:
         """Shut down gracefully: release the lease and notify the other registries."""
@@ -131,9 +131,9 @@
         """Return the node tables, the epoch if this is the collector, and the last collection."""
         now_us = monotonic_us()
         return {
-            "reg": self.node.settings.link,
+            "reg": self.node.settings.rpc_address,
             "proxies": proxies_to_wire(self.proxies, now_us),
-            "regs": [*self.registries.live(now_us), self.node.settings.link],
+            "regs": [*self.registries.live(now_us), self.node.settings.rpc_address],
             "collector": self.election.epoch,
             "seen_epoch": self.election.highest_epoch,
             "last": self.collector.last_collection.to_wire(),
--- a/packages/settings/meadowdock/settings/__init__.py
+++ b/packages/settings/meadowdock/settings/__init__.py
@@ -1,11 +1,11 @@
 """The settings of a process, from files and flags, and the command line of the daemons."""
 
-from meadowdock.settings.command import command
+from meadowdock.settings.command import build_command_line
 from meadowdock.settings.exceptions import InvalidSettings
-from meadowdock.settings.loading import load, stop_times
+from meadowdock.settings.loading import load_settings, shutdown_times
 from meadowdock.settings.model import ProcessSettings, RetryBudgetSettings
 from meadowdock.settings.schema import passes_checks, schema_errors
-from meadowdock.settings.validation import checked
+from meadowdock.settings.validation import validate_settings
 from meadowdock.settings.version import VERSION
 
 __all__ = [
@@ -13,10 +13,10 @@
     "InvalidSettings",
     "ProcessSettings",
     "RetryBudgetSettings",
-    "checked",
-    "command",
-    "load",
+    "build_command_line",
+    "load_settings",
     "passes_checks",
     "schema_errors",
-    "stop_times",
+    "shutdown_times",
+    "validate_settings",
 ]
--- a/packages/settings/meadowdock/settings/command.py
+++ b/packages/settings/meadowdock/settings/command.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 from meadowdock.settings.exceptions import InvalidSettings
-from meadowdock.settings.loading import load
+from meadowdock.settings.loading import load_settings
 from meadowdock.settings.model import ProcessSettings
 from meadowdock.settings.version import VERSION
 
 EXIT_INVALID_SETTINGS = 2
 
 
-def command(
+def build_command_line(
     role: str, start: Callable[[ProcessSettings], None], **extra: Callable[..., Any]
 ) -> Callable[..., None]:
     """Return the `main` function of a daemon's program.
@@ -36,7 +36,11 @@
         fleet_key: str | None = None,
     ) -> None:
         """Run the daemon until a signal stops it. Flags override the settings in the boot file."""
-        start(load(role, boot, host=host, hall=hall, seeds=seeds, data=data, fleet_key=fleet_key))
+        start(
+            load_settings(
+                role, boot, host=host, hall=hall, seeds=seeds, data=data, fleet_key=fleet_key
+            )
+        )
 
     @fire.decorators.SetParseFn(str)
     def check(
@@ -48,7 +52,7 @@
         fleet_key: str | None = None,
     ) -> str:
         """Check a boot file and flags, and list all errors."""
-        load(role, boot, host=host, hall=hall, seeds=seeds, data=data, fleet_key=fleet_key)
+        load_settings(role, boot, host=host, hall=hall, seeds=seeds, data=data, fleet_key=fleet_key)
         return "boot is good"
 
     def main(argv: list[str] | None = None) -> None:
--- a/packages/settings/meadowdock/settings/loading.py
+++ b/packages/settings/meadowdock/settings/loading.py
@@ -7,7 +7,7 @@
 
 from meadowdock.settings.exceptions import InvalidSettings
 from meadowdock.settings.model import SECOND, ProcessSettings
-from meadowdock.settings.validation import checked
+from meadowdock.settings.validation import validate_settings
 
 # Readiness is checked once a second: two checks fail while the listeners are still open.
 MAX_LINGER_US = 2_300_000
@@ -15,7 +15,7 @@
 KILL_MARGIN_US = SECOND
 
 
-def load(role: str, boot: str | None = None, **flags: Any) -> ProcessSettings:
+def load_settings(role: str, boot: str | None = None, **flags: Any) -> ProcessSettings:
     """Load the settings of a process from the file `boot`, if there is one, and from flags.
 
     Flags override the file; a flag that is None is ignored.
@@ -31,7 +31,9 @@
         )
     if "fleet_key" in given_flags:
         values.pop("fleet_key_file", None)
-    return checked(role, values | {name: flag_value(value) for name, value in given_flags.items()})
+    return validate_settings(
+        role, values | {name: flag_value(value) for name, value in given_flags.items()}
+    )
 
 
 def read_file(path: str) -> dict[str, Any]:
@@ -53,14 +55,14 @@
     return value if isinstance(value, list) else str(value)
 
 
-def stop_times(grace_us: int) -> dict[str, int]:
+def shutdown_times(grace_us: int) -> dict[str, int]:
     """Return linger_us and stop_us for a platform that kills a process grace_us after the signal.
 
     The process ends one second earlier, and lingers for two readiness checks if there is time.
 
-    >>> stop_times(6_000_000)
+    >>> shutdown_times(6_000_000)
     {'linger_us': 2300000, 'stop_us': 5000000}
-    >>> stop_times(1_500_000)
+    >>> shutdown_times(1_500_000)
     {'linger_us': 375000, 'stop_us': 750000}
     """
     stop_us = max(grace_us - KILL_MARGIN_US, grace_us // 2, 2)
--- a/packages/settings/meadowdock/settings/model.py
+++ b/packages/settings/meadowdock/settings/model.py
@@ -42,8 +42,8 @@
 class ProcessSettings:
     """The settings of one process.
 
-    Invariant: only `checked` creates them, so that each field has passed the schema and the
-    cross-checks. Times are in microseconds; addresses are "ip:port".
+    Invariant: only `validate_settings` creates them, so that each field has passed the schema and
+    the cross-checks. Times are in microseconds; addresses are "ip:port".
     """
 
     role: str
@@ -78,16 +78,16 @@
     retry_budget: RetryBudgetSettings = RetryBudgetSettings()
 
     @property
-    def name(self) -> str:
+    def node_name(self) -> str:
         """The node's name in logs and records."""
         return f"{self.role}@{self.host}"
 
     @property
-    def link(self) -> str:
+    def rpc_address(self) -> str:
         """The address of the process's rpc listener."""
         return f"{self.host}:{self.link_port}"
 
     @property
-    def http(self) -> str:
+    def http_address(self) -> str:
         """The address of the process's own HTTP listener."""
         return f"{self.host}:{self.http_port}"
--- a/packages/settings/meadowdock/settings/validation.py
+++ b/packages/settings/meadowdock/settings/validation.py
@@ -45,13 +45,13 @@
 )
 
 
-def checked(role: str, values: dict[str, Any]) -> ProcessSettings:
+def validate_settings(role: str, values: dict[str, Any]) -> ProcessSettings:
     """Validate the settings of a process and return them as ProcessSettings.
 
     :param role: "mdproxy", "mdreg" or "mdconf".
     :raises InvalidSettings: with all errors and their paths.
 
-    >>> try: checked("mdreg", {"host": "x", "hall": "H", "zone": "b"})
+    >>> try: validate_settings("mdreg", {"host": "x", "hall": "H", "zone": "b"})
     ... except InvalidSettings as invalid: print(invalid)
     boot: 'seeds' is a required property
     boot: Additional properties are not allowed ('zone' was unexpected)
--- a/packages/simulator/meadowdock/simulator/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -74,7 +74,7 @@
 
 def state_of_proxy(node):
     """Bytes of a proxy's load lists and membership view."""
-    entries = [state.entry for state in node.view.entries.values()]
+    entries = [state.entry for state in node.membership.entries.values()]
     return packed(node.daemon.forwarder.nodes_by_service) + packed(entries)
 
 
@@ -92,13 +92,15 @@
     seeds = set(world.boot("mdproxy", next(iter(world.application))).seeds)
     return {
         "mdproxy": [f"mdproxy@{host}" for host in world.application],
-        "mdreg": [node.settings.name for node in registries if node is not collector],
-        "collector": [collector.settings.name],
-        "mdconf": [node.settings.name for node in stores],
+        "mdreg": [node.settings.node_name for node in registries if node is not collector],
+        "collector": [collector.settings.node_name],
+        "mdconf": [node.settings.node_name for node in stores],
         "seed": [
-            node.settings.name for node in (*registries, *stores) if node.settings.link in seeds
+            node.settings.node_name
+            for node in (*registries, *stores)
+            if node.settings.rpc_address in seeds
         ],
-        "deliverer": [stores[0].settings.name],
+        "deliverer": [stores[0].settings.node_name],
     }
 
 
--- a/packages/simulator/meadowdock/simulator/scale/loopback.py
+++ b/packages/simulator/meadowdock/simulator/scale/loopback.py
@@ -22,7 +22,7 @@
     monotonic_us,
     sleep_us,
 )
-from meadowdock.settings import checked
+from meadowdock.settings import validate_settings
 from meadowdock.simulator.scale.fleet import stand_in
 from meadowdock.simulator.scale.meter import ANY_METHOD, Meter, Unread, metered
 from meadowdock.simulator.scale.places import VOTERS, manifest, places
@@ -73,22 +73,22 @@
         if role == "mdconf":
             data = os.path.join(self.folder, host)
             facts |= {"data": data, "members": [f"{h}:7421" for h in self.core[:VOTERS]]}
-        return checked(role, facts)
+        return validate_settings(role, facts)
 
     async def start(self, role, host):
         """Start a node; returns when it is up."""
         boot = self.boot(role, host)
         net = self.net(host)
-        net.meter, net.node = self.meter, boot.name
+        net.meter, net.node = self.meter, boot.node_name
         runtime = Runtime(net, Disk(boot.data) if boot.data else NoDisk())
         up = trio.Event()
 
         async def work():
-            current_node.set(boot.name)
+            current_node.set(boot.node_name)
             async with trio.open_nursery() as nursery:
-                node = Node(boot, runtime, nursery, Log(boot.name, self.log))
+                node = Node(boot, runtime, nursery, Log(boot.node_name, self.log))
                 await nursery.start(node.run, PARTS[role])
-                self.nodes[boot.name] = node
+                self.nodes[boot.node_name] = node
                 if role == "mdproxy":
                     nursery.start_soon(stand_in, node, self.application[host])
                 up.set()
--- a/packages/simulator/meadowdock/simulator/scale/processes.py
+++ b/packages/simulator/meadowdock/simulator/scale/processes.py
@@ -40,7 +40,9 @@
             await loopback.start("mdconf", host)
         found = await measure_window(loopback, at, window, times)
         nodes = loopback.nodes.values()
-        collector = [node.settings.name for node in nodes if getattr(node.daemon, "epoch", None)]
+        collector = [
+            node.settings.node_name for node in nodes if getattr(node.daemon, "epoch", None)
+        ]
         while not ended.is_set():
             await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -20,7 +20,7 @@
 from meadowdock.registry.server import RegistryServer
 from meadowdock.rpc import ConnectionFailed
 from meadowdock.runtime import MILLISECOND, SECOND, Runtime, monotonic_us, sleep_us
-from meadowdock.settings import checked
+from meadowdock.settings import validate_settings
 from meadowdock.simulator.disk import SimDisk
 from meadowdock.simulator.net import SimNet, Web
 from meadowdock.simulator.standin import RequestAudit, StandIn, StandInCaller
@@ -203,7 +203,7 @@
             facts |= {"gate": f"{host}:{GATE_PORT}", "gate_port": LINKS_OF_GATES, **self.boots}
             if self.application.get(host):
                 facts["service"] = self.application[host]
-        return checked(role, facts)
+        return validate_settings(role, facts)
 
     # ------------------------------------------------------------ processes
 
@@ -221,7 +221,9 @@
         async def work(process, nursery):
             wall = lambda: WALL + monotonic_us()  # noqa: E731
             runtime = Runtime(process.net, disk, rng, offload=inline, wall_us=wall)
-            process.node = Node(boot, runtime, nursery, Log(boot.name, self.trace, timed=False))
+            process.node = Node(
+                boot, runtime, nursery, Log(boot.node_name, self.trace, timed=False)
+            )
             self.listen(process.node.rpc)
             disk.on_loss = process.kill
             gated = self.gated and role == "mdproxy"
--- a/packages/soak/meadowdock/soak/daemon.py
+++ b/packages/soak/meadowdock/soak/daemon.py
@@ -18,7 +18,7 @@
 from meadowdock.proxy.gateway import GatewayProxy
 from meadowdock.registry.server import RegistryServer
 from meadowdock.runtime import Disk, NoDisk, Runtime
-from meadowdock.settings import ProcessSettings, load
+from meadowdock.settings import ProcessSettings, load_settings
 from meadowdock.soak.cuts import CutNet, Cuts
 
 HEARTBEATS_PORT = 7403
@@ -71,4 +71,4 @@
 
 
 if __name__ == "__main__":
-    trio.run(serve, load(sys.argv[1], sys.argv[2]), sys.argv[3])
+    trio.run(serve, load_settings(sys.argv[1], sys.argv[2]), sys.argv[3])
--- a/packages/zone_drill/meadowdock/zone_drill/drill.py
+++ b/packages/zone_drill/meadowdock/zone_drill/drill.py
@@ -10,7 +10,7 @@
 import trio
 
 from meadowdock.cli.exceptions import OutcomeUnknown, Unreachable
-from meadowdock.cli.operator_client import ask
+from meadowdock.cli.operator_client import send_request
 from meadowdock.local_fleet.caller import fetch
 from meadowdock.runtime import (
     MILLISECOND,
@@ -103,7 +103,7 @@
 
     async def operate(self, method, path, facts=None):
         body = json.dumps(facts).encode() if facts is not None else b""
-        return await trio.to_thread.run_sync(ask, self.facts["core"], method, path, body)
+        return await trio.to_thread.run_sync(send_request, self.facts["core"], method, path, body)
 
     async def change(self):
         """A harmless change there and back: the share that a spilled call costs at home."""
--- a/tests/config_store/test_audit_log.py
+++ b/tests/config_store/test_audit_log.py
@@ -319,7 +319,7 @@
         await world.start("mdconf", other)
         await world.eventually(lambda: not world.node("mdconf", other).unready_reasons())
         leaders = [line["of"] for _, line in world.trace.events(607)]
-        assert leaders == [daemon.node.settings.name]
+        assert leaders == [daemon.node.settings.node_name]
         assert (await world.operate("GET", "/manifest", core=0))[1]["version"] == 61
         world.kill(f"mdconf@{third}")  # the only member that had all records
         assert len((await verified_audit(world, 0, 61))["records"]) == 61
--- a/tests/configuration/test_configuration_changes.py
+++ b/tests/configuration/test_configuration_changes.py
@@ -177,8 +177,8 @@
         await world.start("mdproxy", host)
         world.web.heal_links({(host, peer_host), (peer_host, host)})
         daemon = world.daemon("mdproxy", host)
-        view = world.node("mdproxy", peer_host).view
-        daemon.node.view.merge([view.own_entry], monotonic_us())
+        view = world.node("mdproxy", peer_host).membership
+        daemon.node.membership.merge([view.own_entry], monotonic_us())
         await sleep_us(3 * SECOND)
         assert daemon.delivery.newest == 1  # staged, but not active
         status, _, response = await world.http(host, "GET", f"{host}:7400", "/balances/1")
@@ -207,8 +207,8 @@
         )
         assert daemon.delivery.version == 1
         staged_at = daemon.delivery.staged.since
-        world.node("mdproxy", host).view.merge(
-            [world.node("mdproxy", peer_host).view.own_entry], monotonic_us()
+        world.node("mdproxy", host).membership.merge(
+            [world.node("mdproxy", peer_host).membership.own_entry], monotonic_us()
         )
         await world.eventually(lambda: daemon.delivery.version == 2, every=MILLISECOND)
         activation_delay_us = daemon.node.settings.apply_us // ACTIVATION_DELAY_DIVISOR
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -22,7 +22,7 @@
         remaining_registry = world.daemon("mdreg", world.core[2])
         await world.eventually(lambda: proxies <= set(remaining_registry.proxies.records))
         for host in hosts(world):
-            view = world.node("mdproxy", host).view
+            view = world.node("mdproxy", host).membership
             await world.eventually(lambda v=view: len(v.core_members("mdconf")) == 3)
 
     run(scenario, application=("desk",) * 12)
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -13,9 +13,9 @@
 from meadowdock.settings import (
     InvalidSettings,
     RetryBudgetSettings,
-    checked,
     passes_checks,
     schema_errors,
+    validate_settings,
 )
 
 ADAPTER_FOLDER = Path(__file__).parents[2] / "platform"
@@ -110,7 +110,7 @@
     assert (conf.link_port, conf.http_port) == (9100, 9104)
     assert (reg.link_port, reg.http_port) == (9101, 9105)
     assert (conf.data, conf.members, reg.data) == ("DATA", (), None)
-    assert conf.link in conf.seeds
+    assert conf.rpc_address in conf.seeds
 
 
 def test_each_deployment_has_a_fleet_key_of_its_own(file):
@@ -189,7 +189,7 @@
 )
 def test_an_invalid_setting_is_rejected_with_its_path(name, value):
     with pytest.raises(InvalidSettings, match=f"boot.{name}"):
-        checked("mdreg", {**VALID, name: value})
+        validate_settings("mdreg", {**VALID, name: value})
 
 
 @pytest.mark.parametrize(
@@ -201,7 +201,7 @@
 
 
 def test_defaults_and_a_config_store_without_listed_members():
-    process = checked("mdconf", {**VALID, "data": "x", "members": []})
+    process = validate_settings("mdconf", {**VALID, "data": "x", "members": []})
     assert process.members == ()
     assert (process.may_bootstrap, process.losses, process.gate_address, process.service) == (
         True,
@@ -213,7 +213,7 @@
     assert process.retry_budget.reserve == 24
     assert passes_checks(VALID)
     with pytest.raises(InvalidSettings, match="'members' is needed"):
-        checked("mdconf", {**VALID, "data": "x"})
+        validate_settings("mdconf", {**VALID, "data": "x"})
 
 
 def test_valid_settings_dont_import_the_schema_checker(file):
@@ -237,13 +237,13 @@
     notified = []
     node = SimpleNamespace(
         settings=settings.process_settings,
-        view=SimpleNamespace(seeds=settings.process_settings.seeds),
+        membership=SimpleNamespace(seeds=settings.process_settings.seeds),
         daemon=SimpleNamespace(settings_changed=notified.append),
     )
     changed = EXAMPLE_FILE.replace("127.0.9.2:9090", "127.0.9.3:9090").replace("9091", "9099")
     file.write_text(changed.replace('"mill"', '"forge"').replace("0.25", "0.5"))
     apply_settings(node, settings.reread())
-    assert node.settings.seeds == node.view.seeds == ("127.0.9.1:9100", "127.0.9.3:9100")
+    assert node.settings.seeds == node.membership.seeds == ("127.0.9.1:9100", "127.0.9.3:9100")
     assert (node.settings.service, node.settings.retry_budget.ratio) == ("forge", 0.5)
     assert node.settings.gate_address == "127.0.9.1:9091"
     assert notified == [node.settings]
--- a/tests/proxy/test_stop.py
+++ b/tests/proxy/test_stop.py
@@ -135,7 +135,7 @@
     async def slow(daemon, request):
         await sleep_us(700 * MILLISECOND)
         return Response(
-            200, {"of": daemon.node.settings.name, "got": (await request.body()).decode()}
+            200, {"of": daemon.node.settings.node_name, "got": (await request.body()).decode()}
         )
 
     monkeypatch.setattr(
--- a/tests/support/core_fleet.py
+++ b/tests/support/core_fleet.py
@@ -6,7 +6,7 @@
 from facts import manifest, way
 
 from meadowdock.runtime import MILLISECOND, SECOND
-from meadowdock.settings import checked
+from meadowdock.settings import validate_settings
 from meadowdock.simulator.world import KEY
 
 SEEDS = range(1, 5)
@@ -30,7 +30,7 @@
         world.core = self.hosts
 
     def boot(self, role, host):
-        return checked(role, self.facts(role, host))
+        return validate_settings(role, self.facts(role, host))
 
     def facts(self, role, host):
         facts = {
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -53,7 +53,7 @@
 from meadowdock.rpc.handshake import client_handshake
 from meadowdock.rpc.messages import pack, unpack
 from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, monotonic_us, sleep_us
-from meadowdock.settings import InvalidSettings, load
+from meadowdock.settings import InvalidSettings, load_settings
 from meadowdock.simulator import SimDisk, run
 from meadowdock.simulator.wires import SimWire
 
@@ -800,10 +800,10 @@
         path = Path(folder) / "boot.toml"
         path.write_text(text)
         try:
-            boot = load(role, str(path))
+            boot = load_settings(role, str(path))
         except InvalidSettings as wrong:
             return {"errors": str(wrong).splitlines()}
-    return {"accepted": normal_form(boot), "name": boot.name, "link": boot.link}
+    return {"accepted": normal_form(boot), "name": boot.node_name, "link": boot.rpc_address}
 
 
 def settings_outcomes(inputs):
