--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -14,7 +14,9 @@
 
 import trio
 
-from meadowdock.consensus.answers import (
+from meadowdock.consensus.backoff import ReadRepairDelay, RetryDelay
+from meadowdock.consensus.ballot import Ballot
+from meadowdock.consensus.broadcast_answers import (
     QuorumRule,
     granted_by,
     highest_ballot,
@@ -22,8 +24,6 @@
     is_decided,
     refused_ballots,
 )
-from meadowdock.consensus.backoff import ReadRepairDelay, RetryDelay
-from meadowdock.consensus.ballot import Ballot
 from meadowdock.consensus.exceptions import NoQuorum, OutcomeUnknown
 from meadowdock.consensus.messages import (
     Acceptance,
@@ -37,7 +37,7 @@
     WriteRequest,
 )
 from meadowdock.consensus.quorum import VoterSets
-from meadowdock.consensus.read import READ_TIMEOUT, QuorumRead
+from meadowdock.consensus.quorum_read import READ_TIMEOUT, QuorumRead
 from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us, sleep_us
 
 MIN_TIME_FOR_ATTEMPT = 50 * MILLISECOND  # us; no attempt starts closer to the deadline
--- a/packages/consensus/meadowdock/consensus/read.py
+++ b/packages/consensus/meadowdock/consensus/quorum_read.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from meadowdock.consensus.answers import HighestBallot, agreed_pair, highest_ballot
 from meadowdock.consensus.backoff import jittered
+from meadowdock.consensus.broadcast_answers import HighestBallot, agreed_pair, highest_ballot
 from meadowdock.consensus.exceptions import NoQuorum
 from meadowdock.consensus.messages import AcceptedPair, ReadRequest
 from meadowdock.runtime import MILLISECOND, monotonic_us, sleep_us
--- a/packages/forwarding/meadowdock/forwarding/figures.py
+++ b/packages/forwarding/meadowdock/forwarding/call_statistics.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class PriorityFigures:
+class PriorityStatistics:
     """Counts of calls and sums of times in microseconds, for one service and priority."""
 
     arrived: int = 0  # from callers on this machine
@@ -31,7 +31,7 @@
     rejected: Counter[str] = field(default_factory=Counter)  # by reason, from callers and peers
 
 
-class FiguresLog:
+class CallStatisticsLog:
     """Collects the figures of all services and logs those of services that rejected calls.
 
     Invariants: an interval is at least REPORT_INTERVAL_US long; each event of a call is counted in
@@ -41,14 +41,14 @@
     def __init__(self, log: Callable[..., None]) -> None:
         self.log = log
         self.since = monotonic_us()
-        self.services: dict[str, dict[int, PriorityFigures]] = {}
+        self.services: dict[str, dict[int, PriorityStatistics]] = {}
 
-    def for_call(self, call: Call) -> PriorityFigures:
+    def for_call(self, call: Call) -> PriorityStatistics:
         """Return the figures of a call's service and priority since the last report."""
         priorities = self.services.setdefault(call.service, {})
         figures = priorities.get(call.priority)
         if figures is None:
-            figures = priorities[call.priority] = PriorityFigures()
+            figures = priorities[call.priority] = PriorityStatistics()
         return figures
 
     def count_arrival(self, call: Call) -> None:
@@ -90,7 +90,7 @@
         self,
         now: int,
         log_fields: Callable[[str], dict[str, object]],
-        check_interval: Callable[[str, int, PriorityFigures, int], None],
+        check_interval: Callable[[str, int, PriorityStatistics, int], None],
     ) -> None:
         """Log the figures of services that rejected calls, and start the next interval.
 
@@ -115,7 +115,7 @@
                 )
 
 
-def summary(figures: PriorityFigures) -> dict[str, object]:
+def summary(figures: PriorityStatistics) -> dict[str, object]:
     """Return the figures as fields of a log event: counts, and mean times in milliseconds."""
     ended = figures.in_time + figures.late
     return {
--- a/packages/forwarding/meadowdock/forwarding/dispatcher.py
+++ b/packages/forwarding/meadowdock/forwarding/dispatcher.py
@@ -13,7 +13,7 @@
 
 from meadowdock.forwarding.admission import Admission
 from meadowdock.forwarding.call import Call, Outcome, OutcomeUnknown, Rejected, Served
-from meadowdock.forwarding.figures import FiguresLog
+from meadowdock.forwarding.call_statistics import CallStatisticsLog
 from meadowdock.forwarding.invariants import Invariants
 from meadowdock.forwarding.local_calls import LocalCalls
 from meadowdock.forwarding.outcome_codes import (
@@ -63,7 +63,7 @@
         self.placement, self.loads, self.retries = placement, placement.loads, retries
         self.thresholds = Thresholds(0.0, 0.0, 0)  # until a configuration is active
         self.admission = Admission()
-        self.figures = FiguresLog(log)
+        self.figures = CallStatisticsLog(log)
         self.invariants = Invariants(log)
         self.counts: Counter[str] = Counter()
         self.calls: set[Call] = set()
--- a/packages/forwarding/meadowdock/forwarding/gateway.py
+++ b/packages/forwarding/meadowdock/forwarding/gateway.py
@@ -10,16 +10,16 @@
 from typing import TYPE_CHECKING, Any
 
 from meadowdock.configuration.items import DEFAULT_LIMITS
-from meadowdock.forwarding.arrivals import forwarded_head, new_call, total_time_us
 from meadowdock.forwarding.call import Rejected
 from meadowdock.forwarding.dispatcher import Dispatcher
 from meadowdock.forwarding.downstream import DownstreamConnection
 from meadowdock.forwarding.http import Request
+from meadowdock.forwarding.load_adjustment import SlownessEstimator
+from meadowdock.forwarding.new_calls import forwarded_head, new_call, total_time_us
 from meadowdock.forwarding.outcome_codes import NO_CONFIGURATION, NO_ENDPOINT
 from meadowdock.forwarding.peers import Peers
 from meadowdock.forwarding.placement import Thresholds, ZonePlacement
 from meadowdock.forwarding.retries import RETRY_AFTER_MIN_US, RetryPolicy
-from meadowdock.forwarding.slowness import SlownessEstimator
 from meadowdock.forwarding.traffic_split import TrafficSplit
 from meadowdock.load_sharing import LoadList, NodeLoad
 from meadowdock.runtime import MILLISECOND, monotonic_us
--- a/packages/forwarding/meadowdock/forwarding/invariants.py
+++ b/packages/forwarding/meadowdock/forwarding/invariants.py
@@ -7,7 +7,7 @@
 
 from meadowdock.forwarding.admission import Admission
 from meadowdock.forwarding.call import Call
-from meadowdock.forwarding.figures import PriorityFigures
+from meadowdock.forwarding.call_statistics import PriorityStatistics
 from meadowdock.logs import events as log_events
 from meadowdock.runtime import SECOND
 
@@ -64,7 +64,9 @@
         if waiting and has_capacity:
             self.report_violation(WAITING_WITH_CAPACITY, now, service=service, waiting=waiting)
 
-    def check_queue(self, service: str, priority: int, figures: PriorityFigures, now: int) -> None:
+    def check_queue(
+        self, service: str, priority: int, figures: PriorityStatistics, now: int
+    ) -> None:
         """Check the figures of a service and priority at the end of an interval."""
         in_time, late = figures.admitted_in_time, figures.admitted_late
         if late <= in_time or in_time + late < CHECKED_CALLS_MIN:
--- a/packages/model_checker/meadowdock/model_checker/__init__.py
+++ b/packages/model_checker/meadowdock/model_checker/__init__.py
@@ -9,8 +9,8 @@
     non_linearizable_keys,
 )
 from meadowdock.model_checker.messages import Choice, Counterexample, Outcome, OutcomeKind
+from meadowdock.model_checker.model_process import Implementation, ModelMembers
 from meadowdock.model_checker.operations import Append, ChangeMembers, Read
-from meadowdock.model_checker.process import Implementation, ModelMembers
 from meadowdock.model_checker.state import Scenario
 
 __all__ = [
--- a/packages/model_checker/meadowdock/model_checker/actor.py
+++ b/packages/model_checker/meadowdock/model_checker/actor.py
@@ -15,9 +15,9 @@
 from meadowdock.model_checker.controlled_rpc import SentRequest
 from meadowdock.model_checker.kernel import Kernel
 from meadowdock.model_checker.messages import Event, Outcome
+from meadowdock.model_checker.model_process import Implementation
 from meadowdock.model_checker.operation_run import OperationRun
 from meadowdock.model_checker.operations import Operation
-from meadowdock.model_checker.process import Implementation
 
 History = tuple[tuple[Event, ...], ...]  # for each round, its events in order
 ActorKey = tuple[Any, ...]
--- a/packages/model_checker/meadowdock/model_checker/controlled_rpc.py
+++ b/packages/model_checker/meadowdock/model_checker/controlled_rpc.py
@@ -9,7 +9,7 @@
 import trio
 
 from meadowdock.model_checker.messages import Event, EventKind
-from meadowdock.model_checker.process import pack
+from meadowdock.model_checker.model_process import pack
 from meadowdock.rpc import ConnectionFailed, Rejected
 
 
--- a/packages/model_checker/meadowdock/model_checker/operation_run.py
+++ b/packages/model_checker/meadowdock/model_checker/operation_run.py
@@ -13,13 +13,13 @@
 from meadowdock.model_checker.controlled_rpc import ControlledRpc, SentRequest
 from meadowdock.model_checker.kernel import Kernel
 from meadowdock.model_checker.messages import Event, EventKind, Outcome, OutcomeKind
-from meadowdock.model_checker.operations import Operation
-from meadowdock.model_checker.process import (
+from meadowdock.model_checker.model_process import (
     Implementation,
     ModelMembers,
     make_node,
     make_store,
 )
+from meadowdock.model_checker.operations import Operation
 from meadowdock.runtime import SECOND, monotonic_us
 
 OPERATION_TIMEOUT = 2 * SECOND
--- a/packages/model_checker/meadowdock/model_checker/operations.py
+++ b/packages/model_checker/meadowdock/model_checker/operations.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from meadowdock.model_checker.process import ModelMembers
+from meadowdock.model_checker.model_process import ModelMembers
 
 KEY = "k"
 READ_REPAIR_DELAY = 1  # us; a read repairs members as soon as two polls show the same divergence
--- a/packages/model_checker/meadowdock/model_checker/replica.py
+++ b/packages/model_checker/meadowdock/model_checker/replica.py
@@ -11,7 +11,7 @@
 from meadowdock.config_store.store import Store
 from meadowdock.consensus import AcceptorState
 from meadowdock.consensus.acceptor import state_file_path
-from meadowdock.model_checker.process import Implementation, make_node, make_store, pack
+from meadowdock.model_checker.model_process import Implementation, make_node, make_store, pack
 from meadowdock.rpc import Rejected
 
 HANDLERS = {"register": "on_register", "member.adopt": "on_adopt", "member.keys": "on_keys"}
--- a/packages/model_checker/meadowdock/model_checker/state.py
+++ b/packages/model_checker/meadowdock/model_checker/state.py
@@ -8,8 +8,8 @@
 from meadowdock.model_checker.actor import ActorState
 from meadowdock.model_checker.invariants import EndedOperation
 from meadowdock.model_checker.messages import Message
+from meadowdock.model_checker.model_process import Implementation
 from meadowdock.model_checker.operations import Operation
-from meadowdock.model_checker.process import Implementation
 from meadowdock.model_checker.replica import ReplicaState
 
 
--- a/packages/model_checker/meadowdock/model_checker/transitions.py
+++ b/packages/model_checker/meadowdock/model_checker/transitions.py
@@ -9,7 +9,7 @@
 from meadowdock.model_checker.actor import Actors, ActorState
 from meadowdock.model_checker.choices import ChoiceGenerator
 from meadowdock.model_checker.messages import Action, Choice, Event, EventKind, Message
-from meadowdock.model_checker.process import pack, voters_record
+from meadowdock.model_checker.model_process import pack, voters_record
 from meadowdock.model_checker.replica import Replicas
 from meadowdock.model_checker.state import Scenario, State
 
--- a/packages/rpc/meadowdock/rpc/__init__.py
+++ b/packages/rpc/meadowdock/rpc/__init__.py
@@ -27,8 +27,8 @@
 from meadowdock.rpc.frame import FrameAuthenticator, derive_key, read_frame, write_frame
 from meadowdock.rpc.handlers import Handlers
 from meadowdock.rpc.handshake import Peer
+from meadowdock.rpc.periodic_schedule import PeriodicSchedule
 from meadowdock.rpc.queueing_delay import QueueingDelayEstimator
-from meadowdock.rpc.schedule import PeriodicSchedule
 from meadowdock.rpc.server import serve_connection
 
 __all__ = [
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -9,8 +9,8 @@
 
 from meadowdock.forwarding.admission import MAX_REMEMBERED_ROUTES, Admission
 from meadowdock.forwarding.call import Call
+from meadowdock.forwarding.call_statistics import PriorityStatistics
 from meadowdock.forwarding.caller_timeouts import CallerTimeouts
-from meadowdock.forwarding.figures import PriorityFigures
 from meadowdock.forwarding.invariants import (
     LATE_BEFORE_IN_TIME,
     QUEUE_OVERCOMMITTED,
@@ -357,7 +357,7 @@
 
 
 def new_figures(in_time, late):
-    figures = PriorityFigures()
+    figures = PriorityStatistics()
     figures.admitted_in_time, figures.admitted_late = in_time, late
     return figures
 
--- a/tests/forwarding/test_arrivals.py
+++ b/tests/forwarding/test_arrivals.py
@@ -5,7 +5,9 @@
 import pytest
 
 from meadowdock.configuration.items import ItemRoute
-from meadowdock.forwarding.arrivals import (
+from meadowdock.forwarding.dialect import Dialect
+from meadowdock.forwarding.http import Request
+from meadowdock.forwarding.new_calls import (
     NO_ENDPOINT_WAIT_SHARE,
     QUEUE_JOIN_SHARE,
     QUEUE_JOIN_SHARE_ABOVE_LOWEST,
@@ -14,8 +16,6 @@
     new_call,
     total_time_us,
 )
-from meadowdock.forwarding.dialect import Dialect
-from meadowdock.forwarding.http import Request
 
 ARRIVED_AT, LOWEST_PRIORITY = 5_000_000, 3
 MILLISECONDS = Dialect(deadline_unit_us=1000)
--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -8,8 +8,8 @@
 from gates import LIMITS, SEEDS, all_done, asked, busy, gate_of, gated, items
 from item_builders import route, service
 
-from meadowdock.forwarding.arrivals import NO_ENDPOINT_WAIT_SHARE
 from meadowdock.forwarding.downstream import KEEP_ALIVE_S, KEEP_ALIVE_US
+from meadowdock.forwarding.new_calls import NO_ENDPOINT_WAIT_SHARE
 from meadowdock.load_sharing import LoadList, NodeLoad
 from meadowdock.runtime import MILLISECOND, SECOND, Address, monotonic_us, sleep_us
 
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -18,7 +18,7 @@
 from meadowdock.configuration import split_items
 from meadowdock.configuration.items.merge import MAX_SUPERSEDED
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
-from meadowdock.model_checker.process import (
+from meadowdock.model_checker.model_process import (
     Implementation,
     ModelMembers,
     make_node,
