--- a/packages/forwarding/meadowdock/forwarding/call_statistics.py
+++ b/packages/forwarding/meadowdock/forwarding/call_statistics.py
@@ -32,7 +32,7 @@
 
 
 class CallStatisticsLog:
-    """Collects the figures of all services and logs those of services that rejected calls.
+    """Collects the statistics of all services and logs those of services that rejected calls.
 
     Invariants: an interval is at least REPORT_INTERVAL_US long; each event of a call is counted in
     the interval in which it happened.
@@ -44,39 +44,39 @@
         self.services: dict[str, dict[int, PriorityStatistics]] = {}
 
     def for_call(self, call: Call) -> PriorityStatistics:
-        """Return the figures of a call's service and priority since the last report."""
+        """Return the statistics of a call's service and priority since the last report."""
         priorities = self.services.setdefault(call.service, {})
-        figures = priorities.get(call.priority)
-        if figures is None:
-            figures = priorities[call.priority] = PriorityStatistics()
-        return figures
+        statistics = priorities.get(call.priority)
+        if statistics is None:
+            statistics = priorities[call.priority] = PriorityStatistics()
+        return statistics
 
     def count_arrival(self, call: Call) -> None:
         """Count a call that has arrived from a caller or a peer."""
-        figures = self.for_call(call)
+        statistics = self.for_call(call)
         if not call.from_peer:
-            figures.arrived += 1
-            figures.left_us += call.deadline - call.arrived_at
+            statistics.arrived += 1
+            statistics.left_us += call.deadline - call.arrived_at
         else:
-            figures.relocated_here += 1
+            statistics.relocated_here += 1
 
     def count_start(self, call: Call, now: int) -> None:
         """Count a call that has got a slot."""
-        figures = self.for_call(call)
-        figures.started += 1
-        figures.start_wait_us += now - call.arrived_at
-        figures.late_starts += now > call.target_deadline
+        statistics = self.for_call(call)
+        statistics.started += 1
+        statistics.start_wait_us += now - call.arrived_at
+        statistics.late_starts += now > call.target_deadline
 
     def count_end(self, call: Call, now: int) -> None:
         """Count a call that has ended with a response."""
-        figures = self.for_call(call)
+        statistics = self.for_call(call)
         if now <= call.target_deadline:
-            figures.in_time += 1
-            figures.admitted_in_time += call.admitted
+            statistics.in_time += 1
+            statistics.admitted_in_time += call.admitted
         else:
-            figures.late += 1
-            figures.admitted_late += call.admitted
-        figures.hold_us += now - call.dispatched_at
+            statistics.late += 1
+            statistics.admitted_late += call.admitted
+        statistics.hold_us += now - call.dispatched_at
 
     def count_unserved(self, call: Call) -> None:
         """Count a queued call that is rejected without having started."""
@@ -92,19 +92,19 @@
         log_fields: Callable[[str], dict[str, object]],
         check_interval: Callable[[str, int, PriorityStatistics, int], None],
     ) -> None:
-        """Log the figures of services that rejected calls, and start the next interval.
+        """Log the statistics of services that rejected calls, and start the next interval.
 
         :param log_fields: returns additional fields of a service's log event
-        :param check_interval: called with the figures of each service and priority
+        :param check_interval: called with the statistics of each service and priority
         """
         length = now - self.since
         if length < REPORT_INTERVAL_US:
             return
         services, self.services, self.since = self.services, {}, now
         for service, priorities in services.items():
-            for priority, figures in priorities.items():
-                check_interval(service, priority, figures, now)
-            if any(figures.rejected for figures in priorities.values()):
+            for priority, statistics in priorities.items():
+                check_interval(service, priority, statistics, now)
+            if any(statistics.rejected for statistics in priorities.values()):
                 by_priority = {each: summary(priorities[each]) for each in sorted(priorities)}
                 self.log(
                     log_events.SERVICE_OVERLOADED,
@@ -115,19 +115,19 @@
                 )
 
 
-def summary(figures: PriorityStatistics) -> dict[str, object]:
-    """Return the figures as fields of a log event: counts, and mean times in milliseconds."""
-    ended = figures.in_time + figures.late
+def summary(statistics: PriorityStatistics) -> dict[str, object]:
+    """Return the statistics as fields of a log event: counts, and mean times in milliseconds."""
+    ended = statistics.in_time + statistics.late
     return {
-        "arrived": figures.arrived,
-        "left_ms": figures.left_us // MILLISECOND // max(1, figures.arrived),
-        "taken": figures.relocated_here,
-        "started": figures.started,
-        "hopeless_starts": figures.late_starts,
-        "wait_ms": figures.start_wait_us // MILLISECOND // max(1, figures.started),
-        "in_aim": figures.in_time,
-        "late": figures.late,
-        "hold_ms": figures.hold_us // MILLISECOND // max(1, ended),
-        "let_in": [figures.admitted_in_time, figures.admitted_late],
-        "refused": dict(figures.rejected),
+        "arrived": statistics.arrived,
+        "left_ms": statistics.left_us // MILLISECOND // max(1, statistics.arrived),
+        "taken": statistics.relocated_here,
+        "started": statistics.started,
+        "hopeless_starts": statistics.late_starts,
+        "wait_ms": statistics.start_wait_us // MILLISECOND // max(1, statistics.started),
+        "in_aim": statistics.in_time,
+        "late": statistics.late,
+        "hold_ms": statistics.hold_us // MILLISECOND // max(1, ended),
+        "let_in": [statistics.admitted_in_time, statistics.admitted_late],
+        "refused": dict(statistics.rejected),
     }
--- a/packages/forwarding/meadowdock/forwarding/dispatcher.py
+++ b/packages/forwarding/meadowdock/forwarding/dispatcher.py
@@ -63,7 +63,7 @@
         self.placement, self.loads, self.retries = placement, placement.loads, retries
         self.thresholds = Thresholds(0.0, 0.0, 0)  # until a configuration is active
         self.admission = Admission()
-        self.figures = CallStatisticsLog(log)
+        self.call_statistics = CallStatisticsLog(log)
         self.invariants = Invariants(log)
         self.counts: Counter[str] = Counter()
         self.calls: set[Call] = set()
@@ -75,7 +75,7 @@
         """Handle a new call of a local caller."""
         self.admission.estimate(call, now)
         self.counts["calls"] += 1
-        self.figures.count_arrival(call)
+        self.call_statistics.count_arrival(call)
         self.retries.budget(call.service).deposit(now)
         self.calls.add(call)
         self.place(call)
@@ -87,7 +87,7 @@
         """
         self.calls.add(call)
         self.counts["taken"] += 1
-        self.figures.count_arrival(call)
+        self.call_statistics.count_arrival(call)
         if monotonic_us() >= call.deadline:
             self.finish(call, Rejected(DEADLINE_PASSED, 0))
             return
@@ -256,7 +256,7 @@
         """Count a call that got no response of an endpoint."""
         rejected = isinstance(outcome, Rejected)
         if rejected:
-            self.figures.count_rejection(call, outcome.code)
+            self.call_statistics.count_rejection(call, outcome.code)
         if not call.from_peer:
             self.counts[f"{'refused' if rejected else 'unknown'}.{outcome.code}"] += 1
 
@@ -265,5 +265,5 @@
 
         :param log_fields: returns the state of a service as fields of a log event
         """
-        self.figures.report(now, log_fields, self.invariants.check_queue)
+        self.call_statistics.report(now, log_fields, self.invariants.check_queue)
         self.invariants.check_slots(self.admission, self.calls, now)
--- a/packages/forwarding/meadowdock/forwarding/invariants.py
+++ b/packages/forwarding/meadowdock/forwarding/invariants.py
@@ -65,10 +65,10 @@
             self.report_violation(WAITING_WITH_CAPACITY, now, service=service, waiting=waiting)
 
     def check_queue(
-        self, service: str, priority: int, figures: PriorityStatistics, now: int
+        self, service: str, priority: int, statistics: PriorityStatistics, now: int
     ) -> None:
-        """Check the figures of a service and priority at the end of an interval."""
-        in_time, late = figures.admitted_in_time, figures.admitted_late
+        """Check the statistics of a service and priority at the end of an interval."""
+        in_time, late = statistics.admitted_in_time, statistics.admitted_late
         if late <= in_time or in_time + late < CHECKED_CALLS_MIN:
             self.overcommitted.pop((service, priority), None)
             return
--- a/packages/forwarding/meadowdock/forwarding/local_calls.py
+++ b/packages/forwarding/meadowdock/forwarding/local_calls.py
@@ -23,7 +23,7 @@
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher, self.registry = dispatcher, dispatcher.registry
-        self.admission, self.figures = dispatcher.admission, dispatcher.figures
+        self.admission, self.call_statistics = dispatcher.admission, dispatcher.call_statistics
         self.counts, self.log = dispatcher.counts, dispatcher.log
         self.pools: dict[int, UpstreamPool] = {}  # by id() of the endpoint's registration
 
@@ -31,7 +31,7 @@
         """Run a call at an endpoint that has a free slot."""
         call.endpoint = endpoint
         now = monotonic_us()
-        self.figures.count_start(call, now)
+        self.call_statistics.count_start(call, now)
         self.admission.slot_acquired(call, now)
         self.registry.acquire_slot(endpoint, now)
         self.pool(endpoint).run(call, now)
@@ -59,7 +59,7 @@
         """Finish a call with the response of its endpoint."""
         now = monotonic_us()
         self.admission.observe(call, now - call.dispatched_at)
-        self.figures.count_end(call, now)
+        self.call_statistics.count_end(call, now)
         self.free_slot(call, now)
         self.dispatcher.finish(call, served)
 
--- a/packages/forwarding/meadowdock/forwarding/queueing.py
+++ b/packages/forwarding/meadowdock/forwarding/queueing.py
@@ -27,7 +27,7 @@
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher, self.registry = dispatcher, dispatcher.registry
         self.reactor, self.admission = dispatcher.reactor, dispatcher.admission
-        self.figures, self.invariants = dispatcher.figures, dispatcher.invariants
+        self.call_statistics, self.invariants = dispatcher.call_statistics, dispatcher.invariants
 
     def admit(self, call: Call) -> None:
         """Queue a call that will likely be served in time."""
@@ -58,7 +58,7 @@
         ):
             self.join(call)
         else:
-            self.figures.count_unserved(call)
+            self.call_statistics.count_unserved(call)
             self.dispatcher.reject(call, BUSY)
 
     def wake(self, service: str) -> None:
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -357,9 +357,9 @@
 
 
 def new_figures(in_time, late):
-    figures = PriorityStatistics()
-    figures.admitted_in_time, figures.admitted_late = in_time, late
-    return figures
+    statistics = PriorityStatistics()
+    statistics.admitted_in_time, statistics.admitted_late = in_time, late
+    return statistics
 
 
 def test_queue_whose_calls_mostly_end_late_for_two_intervals_is_a_violation():
@@ -383,11 +383,11 @@
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
         believe_hold(gate, 100 * MILLISECOND)  # the slot is actually held for 300 ms
-        gate.dispatcher.figures.services.clear()
-        gate.dispatcher.figures.since = monotonic_us()
+        gate.dispatcher.call_statistics.services.clear()
+        gate.dispatcher.call_statistics.since = monotonic_us()
         calls = [(await world.caller(host)).ask(b"/low/x"), (await world.caller(host)).ask(b"/p/y")]
         await all_done([first, *calls])
-        by_priority = gate.dispatcher.figures.services["desk"]
+        by_priority = gate.dispatcher.call_statistics.services["desk"]
         assert [calls[0].status, calls[1].status] == [200, 200]
         assert (by_priority[3].admitted_in_time, by_priority[3].admitted_late) == (1, 0)
         assert by_priority[0].started == 1 and by_priority[0].admitted_in_time == 1
