--- a/packages/config_store/meadowdock/config_store/audit_log.py
+++ b/packages/config_store/meadowdock/config_store/audit_log.py
@@ -123,8 +123,8 @@
     checkpoint is durable before the first segment that it leaves out is removed.
     """
 
-    def __init__(self, files: Disk) -> None:
-        self.files = files
+    def __init__(self, disk: Disk) -> None:
+        self.disk = disk
         self.first_version, self.previous_hash = 1, ""
         self.segments: dict[int, str] = {}  # index -> digest
         self.tail: Records = {}
@@ -137,13 +137,13 @@
         In the former layout each version has a single file; these form a long tail, which seal()
         shortens.
         """
-        body = verify_checksum(await self.files.read(CHECKPOINT_FILE))
+        body = verify_checksum(await self.disk.read(CHECKPOINT_FILE))
         if body is not None:
             self.first_version, self.previous_hash = ormsgpack.unpackb(body)
-        for name in await self.files.list_folder(SEGMENT_FOLDER):
+        for name in await self.disk.list_folder(SEGMENT_FOLDER):
             index, _, digest = name.partition("-")
             self.segments[int(index)] = digest
-        numbers = [int(name) for name in await self.files.list_folder(RECORD_FOLDER)]
+        numbers = [int(name) for name in await self.disk.list_folder(RECORD_FOLDER)]
         self.redundant_versions = [
             v for v in numbers if v < self.first_version or segment_of(v) in self.segments
         ]
@@ -153,7 +153,7 @@
 
     async def load_record(self, version: int) -> None:
         """Read the single file of a version into the tail; a damaged one counts as missing."""
-        body = verify_checksum(await self.files.read(record_file(version)))
+        body = verify_checksum(await self.disk.read(record_file(version)))
         if body is not None:  # else it is pulled from another member
             self.tail[version] = body.decode()
 
@@ -201,7 +201,7 @@
         digest = self.segments.get(index)
         if digest is None:
             return {}
-        body = verify_checksum(await self.files.read(segment_file(index, digest)))
+        body = verify_checksum(await self.disk.read(segment_file(index, digest)))
         if body is not None:
             records = ormsgpack.unpackb(body, option=ormsgpack.OPT_NON_STR_KEYS)
             if records and digest_of(records) == digest:
@@ -215,7 +215,7 @@
         for version, record in records.items():
             if version < self.first_version or self.holds(version):
                 continue
-            await self.files.write(record_file(version), add_checksum(record.encode()))
+            await self.disk.write(record_file(version), add_checksum(record.encode()))
             if segment_of(version) in self.segments:  # sealed meanwhile
                 self.redundant_versions.append(version)
             else:
@@ -287,7 +287,7 @@
         """Write one sealed segment, and remove its records from the tail."""
         digest = digest_of(records)
         body = ormsgpack.packb(records, option=ormsgpack.OPT_NON_STR_KEYS)
-        await self.files.write(segment_file(index, digest), add_checksum(body))
+        await self.disk.write(segment_file(index, digest), add_checksum(body))
         self.segments[index] = digest
         for version in records:
             if self.tail.pop(version, None) is not None:
@@ -307,7 +307,7 @@
                 await run_for_each(self.load_record, batch)  # the segment is damaged: use the files
                 continue
             for version in batch:
-                await self.files.remove(record_file(version))
+                await self.disk.remove(record_file(version))
 
     async def drop_broken_links(self, records: Records) -> None:
         """Drop records that their successors don't chain to.
@@ -317,7 +317,7 @@
         """
         for version in versions_with_broken_link(records):
             del self.tail[version]
-            await self.files.remove(record_file(version))
+            await self.disk.remove(record_file(version))
 
     async def drop_oldest(self) -> None:
         """Drop segments beyond MAX_SEGMENTS, once the checkpoint is durable."""
@@ -331,7 +331,7 @@
         first = min(records)
         await self.write_checkpoint(first, audit.read_payload(records[first])["former"])
         for index in dropped:
-            await self.files.remove(segment_file(index, self.segments.pop(index)))
+            await self.disk.remove(segment_file(index, self.segments.pop(index)))
         self.redundant_versions += [v for v in self.tail if v < first]
         self.tail = {v: r for v, r in self.tail.items() if v >= first}
         await self.remove_redundant_files()
@@ -339,7 +339,7 @@
     async def write_checkpoint(self, first_version: int, previous_hash: str) -> None:
         """Store where the retained chain begins."""
         checkpoint = ormsgpack.packb([first_version, previous_hash])
-        await self.files.write(CHECKPOINT_FILE, add_checksum(checkpoint))
+        await self.disk.write(CHECKPOINT_FILE, add_checksum(checkpoint))
         self.first_version, self.previous_hash = first_version, previous_hash
 
 
--- a/packages/config_store/meadowdock/config_store/store.py
+++ b/packages/config_store/meadowdock/config_store/store.py
@@ -60,15 +60,15 @@
         await self.audit_log.load()
         disk_id = verify_checksum(await self.disk.read("disk"))
         await self.acceptor.load()
-        lost = self.acceptor.damaged_key_folders()
+        damaged_folders = self.acceptor.damaged_key_folders()
         self.blank_at_start = not versions and not self.acceptor.states
-        if disk_id is None or lost or lost_configuration:
+        if disk_id is None or damaged_folders or lost_configuration:
             # The disk counts as lost: its id is unreadable, or an older file of a key would forget
             # promises, or an older configuration would let replaced voters vote. It continues under
             # a new id and keeps the configuration, to apply for the place of the old disk.
             disk_id = f"{self.rng.getrandbits(64):016x}".encode()
             await self.disk.write("disk", add_checksum(disk_id))
-        if lost:
+        if damaged_folders:
             await self.disk.rename_folder("key", f"aside-{disk_id.decode()}")
             self.acceptor = Acceptor(cast("Disk", self.disk), self.log)
         self.disk_id = disk_id.decode()
--- a/packages/consensus/meadowdock/consensus/proposer.py
+++ b/packages/consensus/meadowdock/consensus/proposer.py
@@ -266,7 +266,7 @@
         pending = set(voters)
         done = trio.Event()
 
-        async def ask_member(member: str) -> None:
+        async def send_to_member(member: str) -> None:
             try:
                 sent = await self.send_request(
                     member, request.method, arguments, deadline, *version
@@ -279,7 +279,7 @@
                 done.set()
 
         for member in voters:
-            self.nursery.start_soon(ask_member, member)
+            self.nursery.start_soon(send_to_member, member)
         with deadline_scope(deadline):
             if voters:
                 await done.wait()
--- a/packages/forwarding/meadowdock/forwarding/wait_estimates.py
+++ b/packages/forwarding/meadowdock/forwarding/wait_estimates.py
@@ -130,13 +130,13 @@
         return mean_us, mean_us
 
     def mean_us(self) -> int:
-        """Return the mean hold time over all known routes; 0 if none is known.
+        """Return the mean hold time over all routes with samples; 0 if there is none.
 
         Each route has the same weight, so that endpoints can be compared although they had different
         mixes of calls.
         """
-        known = [hold.mean_us for hold in self.hold_times.values() if hold.has_samples]
-        return sum(known) // len(known) if known else 0
+        means_us = [hold.mean_us for hold in self.hold_times.values() if hold.has_samples]
+        return sum(means_us) // len(means_us) if means_us else 0
 
     def slot_acquired(self, urgency: int, now: int) -> None:
         """Record that a call has taken a slot."""
--- a/tests/config_store/test_members_auto.py
+++ b/tests/config_store/test_members_auto.py
@@ -455,7 +455,7 @@
     async def work(world):
         voter_sets, versions, written = [["x", "y", "z"]], [1], []
 
-        async def ask(member, method, args, deadline, version):
+        async def send_request(member, method, args, deadline, version):
             if method == "prepare":
                 return "yes", (0, ""), None
             written.append((version, args[2]))
@@ -470,7 +470,12 @@
             return "new"
 
         proposer = Proposer(
-            "n", lambda: list(voter_sets), ask, random.Random(1), world.nursery, lambda: versions[0]
+            "n",
+            lambda: list(voter_sets),
+            send_request,
+            random.Random(1),
+            world.nursery,
+            lambda: versions[0],
         )
         assert await proposer.change("k", update, monotonic_us() + 5 * SECOND) == "new"
         assert {v for v, value in written if value == "old"} == {1}
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -239,11 +239,11 @@
 def test_late_retry_is_queued_behind_a_first_attempt_of_its_priority():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
-        gate.admission.time_spent_us("low", 2 * SECOND)
+        gateway = gate_of(world, host)
+        gateway.admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate, 20 * MILLISECOND)
+        believe_hold(gateway, 20 * MILLISECOND)
         calls = [(await world.caller(host)).ask(b"/low/again", due_ms=900)]
         await sleep_us(5 * MILLISECOND)
         calls.append((await world.caller(host)).ask(b"/low/fresh", due_ms=2000))
@@ -258,15 +258,15 @@
 def test_call_that_can_no_longer_meet_its_target_is_demoted_in_the_queue():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
-        gate.admission.time_spent_us("low", 2 * SECOND)
+        gateway = gate_of(world, host)
+        gateway.admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate, 100 * MILLISECOND)
+        believe_hold(gateway, 100 * MILLISECOND)
         # its target counts from an attempt 800 ms ago: after 100 ms it can't be met any more
         old = (await world.caller(host)).ask(b"/low/old", due_ms=1200)
         await sleep_us(120 * MILLISECOND)
-        assert gate.admission.queue("desk").waiting == {6: 0, 7: 1}
+        assert gateway.admission.queue("desk").waiting == {6: 0, 7: 1}
         new = (await world.caller(host)).ask(b"/low/new", due_ms=2000)
         await all_done([first, old, new])
         assert [exchange.status for exchange in (old, new)] == [200, 200]
@@ -297,14 +297,14 @@
 def test_calls_without_a_response_count_for_the_hold_time():
     async def scenario(world):
         host = list(world.application)[0]
-        gate, end = gate_of(world, host), world.ends[host]
+        gateway, end = gate_of(world, host), world.ends[host]
         await asked(world, host)
-        assert gate.slowness.hold_us("desk") < 50 * MILLISECOND
+        assert gateway.slowness.hold_us("desk") < 50 * MILLISECOND
         end.faults["*"] = ["silence"] * 30
         for _ in range(30):
             exchange = await asked(world, host, due_ms=300)
             assert exchange.status == 504
-        assert gate.slowness.hold_us("desk") > 200 * MILLISECOND
+        assert gateway.slowness.hold_us("desk") > 200 * MILLISECOND
         # a call that would be late is not queued for such a slot
         end.faults["*"] = ["silence"]
         occupying = (await world.caller(host)).ask(due_ms=300)
@@ -345,12 +345,12 @@
 def test_gateway_checks_its_slots_periodically():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
-        gate.admission.slot_acquired(make_call(), monotonic_us())  # a slot that no call holds
+        gateway = gate_of(world, host)
+        gateway.admission.slot_acquired(make_call(), monotonic_us())  # a slot that no call holds
         await sleep_us(300 * MILLISECOND)
-        assert gate.dispatcher.invariants.violations[SLOTS_DIFFER] >= 1
+        assert gateway.dispatcher.invariants.violations[SLOTS_DIFFER] >= 1
         assert len(world.trace.events(802)) == 1
-        gate.admission.slot_released(make_call(), monotonic_us())
+        gateway.admission.slot_released(make_call(), monotonic_us())
         world.trace.lines.clear()
 
     gated(scenario, application=("desk",), items=items(HIGH))
@@ -379,15 +379,15 @@
 def test_admitted_calls_are_counted_as_in_time_or_late():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gate_of(world, host)
+        gateway = gate_of(world, host)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        believe_hold(gate, 100 * MILLISECOND)  # the slot is actually held for 300 ms
-        gate.dispatcher.call_statistics.services.clear()
-        gate.dispatcher.call_statistics.since = monotonic_us()
+        believe_hold(gateway, 100 * MILLISECOND)  # the slot is actually held for 300 ms
+        gateway.dispatcher.call_statistics.services.clear()
+        gateway.dispatcher.call_statistics.since = monotonic_us()
         calls = [(await world.caller(host)).ask(b"/low/x"), (await world.caller(host)).ask(b"/p/y")]
         await all_done([first, *calls])
-        by_priority = gate.dispatcher.call_statistics.services["desk"]
+        by_priority = gateway.dispatcher.call_statistics.services["desk"]
         assert [calls[0].status, calls[1].status] == [200, 200]
         assert (by_priority[3].admitted_in_time, by_priority[3].admitted_late) == (1, 0)
         assert by_priority[0].started == 1 and by_priority[0].admitted_in_time == 1
--- a/tests/forwarding/test_endpoint_faults.py
+++ b/tests/forwarding/test_endpoint_faults.py
@@ -343,18 +343,18 @@
 
     async def scenario(world):
         local, good = hosts(world)
-        gate = gate_of(world, local)
+        gateway = gate_of(world, local)
         nodes = [
             NodeLoad(f"10.9.{number // 100}.{number % 100}:7401", 0.1, "i", False)
             for number in range(600)
         ]
-        real = gate.loads.nodes["desk"]
-        gate.update_loads(
-            LoadList(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()),
+        real = gateway.loads.nodes["desk"]
+        gateway.update_loads(
+            LoadList(gateway.loads.latest.epoch, gateway.loads.latest.seq, monotonic_us()),
             {"desk": (*nodes, *real)},
         )
-        gate.peers.backoff_until = {
-            gate.peers.link_address(node.address): monotonic_us() + SECOND for node in nodes
+        gateway.peers.backoff_until = {
+            gateway.peers.link_address(node.address): monotonic_us() + SECOND for node in nodes
         }
         exchange = await asked(world, local)
         assert exchange.status == 200
--- a/tests/forwarding/test_gateway.py
+++ b/tests/forwarding/test_gateway.py
@@ -179,11 +179,13 @@
     :param rho: the load of the gateway's own node
     :param rhos: the load of each host on its load list
     """
-    gate = gate_of(world, host)
+    gateway = gate_of(world, host)
     if rho is not None:
         busy(world, host, rho)
-    gate.update_loads(
-        type(gate.loads.latest)(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()),
+    gateway.update_loads(
+        type(gateway.loads.latest)(
+            gateway.loads.latest.epoch, gateway.loads.latest.seq, monotonic_us()
+        ),
         {"desk": nodes_of(world, rhos)},
     )
     caller = await world.caller(host)
@@ -199,11 +201,11 @@
 def test_calls_stay_local_below_omega_and_are_relocated_round_robin_from_omega_on(seed):
     async def scenario(world):
         local, peer_b, peer_c, peer_d = hosts(world)
-        gate = gate_of(world, local)
+        gateway = gate_of(world, local)
         for host in hosts(world):  # only the test sets loads and lists
             world.daemon("mdproxy", host).endpoints.measure_load = lambda at, share: {}
         world.daemon("mdproxy", local).use_load_list = lambda load_list, nodes: None
-        omega, phi = gate.dispatcher.thresholds.omega, gate.dispatcher.thresholds.phi
+        omega, phi = gateway.dispatcher.thresholds.omega, gateway.dispatcher.thresholds.phi
         low, mid = phi / 2, (phi + omega) / 2
         assert await batch(world, local, low, {peer_b: low, peer_c: low}) == [local] * 6
         assert await batch(world, local, mid, {peer_b: low, peer_c: low}) == [local] * 6
@@ -376,14 +378,14 @@
 def test_waiting_call_is_relocated_as_soon_as_a_peer_is_listed():
     async def scenario(world):
         local, other = hosts(world)
-        gate = gate_of(world, local)
-        known = dict(gate.loads.nodes)
-        gate.update_loads(gate.loads.latest, {})
+        gateway = gate_of(world, local)
+        known = dict(gateway.loads.nodes)
+        gateway.update_loads(gateway.loads.latest, {})
         first, second = [(await world.caller(local)).ask(b"/p/%d" % number) for number in range(2)]
         await sleep_us(10 * MILLISECOND)
-        assert len(gate.admission.queues["desk"]) == 1
-        gate.update_loads(gate.loads.latest, known)
-        gate.reactor.end_turn()
+        assert len(gateway.admission.queues["desk"]) == 1
+        gateway.update_loads(gateway.loads.latest, known)
+        gateway.reactor.end_turn()
         at = monotonic_us()
         await all_done([first, second])
         (ran,) = world.ends[other].journal
--- a/tests/forwarding/test_gateway_http.py
+++ b/tests/forwarding/test_gateway_http.py
@@ -232,18 +232,18 @@
         world.ends[host].size = 30_000
         caller = await world.caller(host)
         caller.wire.pause()
-        gate = gate_of(world, host)
+        gateway = gate_of(world, host)
         calls, max_unsent = [], 0
         for number in range(400):
             calls.append(caller.ask(b"/p/%d" % number, due_ms=60_000))
             await sleep_us(10 * MILLISECOND)
-            (connection,) = gate.connections or [None]
+            (connection,) = gateway.connections or [None]
             if connection is not None:
                 max_unsent = max(max_unsent, connection.connection.unsent_size)
         assert 1 << 20 < max_unsent < 3 << 20
         assert len(world.request_audit.runs()) < 150
         await sleep_us(15 * SECOND)
-        assert not gate.connections  # closed, since the caller does not read
+        assert not gateway.connections  # closed, since the caller does not read
         caller.wire.resume()
         await sleep_us(SECOND)
 
--- a/tests/forwarding/test_gateway_rules.py
+++ b/tests/forwarding/test_gateway_rules.py
@@ -27,12 +27,13 @@
 
 def set_load_list(world, host, rhos):
     """Give the gateway a new load list of desk, with the loads {host: rho}."""
-    gate = gate_of(world, host)
+    gateway = gate_of(world, host)
     entries = tuple(list_entry(world, other, rho) for other, rho in rhos.items())
-    gate.update_loads(
-        LoadList(gate.loads.latest.epoch, gate.loads.latest.seq, monotonic_us()), {"desk": entries}
+    gateway.update_loads(
+        LoadList(gateway.loads.latest.epoch, gateway.loads.latest.seq, monotonic_us()),
+        {"desk": entries},
     )
-    gate.reactor.end_turn()
+    gateway.reactor.end_turn()
 
 
 def passive_rho(world, host):
@@ -120,19 +121,19 @@
         local, other = hosts(world)
         hold(world)
         occupying = await occupied(world, local, 30 * MILLISECOND)
-        gate = gate_of(world, local)
-        for rho in (passive_rho(world, local), (1 + gate.dispatcher.thresholds.omega) / 2):
+        gateway = gate_of(world, local)
+        for rho in (passive_rho(world, local), (1 + gateway.dispatcher.thresholds.omega) / 2):
             set_load_list(world, local, {other: rho})
             sent_at = monotonic_us()
             exchange = await asked(world, local, target=b"/once/x")
             assert exchange.status == 200 and hosts_that_ran(world, exchange) == [other]
             assert world.request_audit.runs(exchange.id)[0].begun - sent_at < 20 * MILLISECOND
-        assert gate.counts["rule.full-any-room"] == 2 and "desk" not in gate.admission.queues
+        assert gateway.counts["rule.full-any-room"] == 2 and "desk" not in gateway.admission.queues
         # at full load of the peer the call waits at its own node
         set_load_list(world, local, {other: 1.0})
         exchange = (await world.caller(local)).ask(b"/once/y")
         await sleep_us(30 * MILLISECOND)
-        assert len(gate.admission.queues["desk"]) == 1 and not hosts_that_ran(world, exchange)
+        assert len(gateway.admission.queues["desk"]) == 1 and not hosts_that_ran(world, exchange)
         await all_done([exchange, *occupying])
         assert exchange.status == 200 and hosts_that_ran(world, exchange) == [local]
 
@@ -154,8 +155,10 @@
         set_load_list(world, local, {other: passive_rho(world, local)})
         exchange = (await world.caller(local)).ask(b"/once/y")
         await sleep_us(30 * MILLISECOND)
-        gate = gate_of(world, local)
-        assert gate.counts["spill.refused.busy"] == 1 and len(gate.admission.queues["desk"]) == 1
+        gateway = gate_of(world, local)
+        assert (
+            gateway.counts["spill.refused.busy"] == 1 and len(gateway.admission.queues["desk"]) == 1
+        )
         await all_done([exchange, *occupying[0], *occupying[1]])
         assert exchange.status == 200 and hosts_that_ran(world, exchange) == [local]
 
@@ -176,16 +179,16 @@
     async def scenario(world):
         host = hosts(world)[0]
         hold(world)
-        gate = gate_of(world, host)
-        assert gate.slowness.factor("paper", monotonic_us()) == 1.0  # nothing is known yet
-        believe_hold(gate, own * MILLISECOND)
-        gate.slowness.fleet_hold_us["desk"] = fleet * MILLISECOND
-        assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(index)
+        gateway = gate_of(world, host)
+        assert gateway.slowness.factor("paper", monotonic_us()) == 1.0  # nothing is known yet
+        believe_hold(gateway, own * MILLISECOND)
+        gateway.slowness.fleet_hold_us["desk"] = fleet * MILLISECOND
+        assert gateway.slowness.factor("desk", monotonic_us()) == pytest.approx(index)
         world.ends[host].left = True  # only the test sends heartbeats
         world.heartbeat(host, world.ends[host], 1000, warm_us=300 * MILLISECOND)
-        assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(max(1.5, index))
+        assert gateway.slowness.factor("desk", monotonic_us()) == pytest.approx(max(1.5, index))
         await sleep_us(350 * MILLISECOND)
-        assert gate.slowness.factor("desk", monotonic_us()) == pytest.approx(index)
+        assert gateway.slowness.factor("desk", monotonic_us()) == pytest.approx(index)
 
     gated(scenario, application=("desk",))
 
@@ -313,10 +316,10 @@
 
     async def scenario(world):
         caller_host, endpoint_host = hosts(world)
-        gate = gate_of(world, endpoint_host)
+        gateway = gate_of(world, endpoint_host)
         for target, expected in ((b"/low/x", low), (b"/high/x", high)):
             occupying = await occupied(world, endpoint_host, 50 * MILLISECOND)
-            believe_hold(gate, mean_ms * MILLISECOND)
+            believe_hold(gateway, mean_ms * MILLISECOND)
             exchange = await asked(
                 world, caller_host if relocated else endpoint_host, target=target
             )
@@ -349,17 +352,17 @@
     async def scenario(world):
         caller_host, endpoint_host = hosts(world)
         occupying = await occupied(world, endpoint_host, 50 * MILLISECOND)
-        gate = gate_of(world, endpoint_host)
-        believe_hold(gate, 490 * MILLISECOND)
+        gateway = gate_of(world, endpoint_host)
+        believe_hold(gateway, 490 * MILLISECOND)
         exchange = (await world.caller(caller_host if relocated else endpoint_host)).ask(
             b"/high/x", due_ms=1000
         )
         await sleep_us(100 * MILLISECOND)
-        assert len(gate.admission.queues["desk"]) == 1
+        assert len(gateway.admission.queues["desk"]) == 1
         await exchange.done.wait()
         assert exchange.status == 503 and exchange.line(b"Retry-After")
         assert 460 * MILLISECOND < exchange.took < 520 * MILLISECOND
-        assert not len(gate.admission.queues["desk"])
+        assert not len(gateway.admission.queues["desk"])
         await all_done(occupying)
 
     gated(
@@ -378,16 +381,16 @@
         for host in ends:
             occupying += await occupied(world, host, 10 * MILLISECOND)
             believe_hold(gate_of(world, host), 1100 * MILLISECOND)
-        gate, relocations = gate_of(world, caller_host), []
+        gateway, relocations = gate_of(world, caller_host), []
         hold(world)  # with a new load list the peers would be asked again
         set_load_list(world, caller_host, dict.fromkeys(ends, 1.0))
-        relocate = gate.dispatcher.peer_calls.relocate
+        relocate = gateway.dispatcher.peer_calls.relocate
 
         def recording_relocate(call, node, may_queue=False):
             relocations.append((node.address, may_queue))
             return relocate(call, node, may_queue)
 
-        gate.dispatcher.peer_calls.relocate = recording_relocate
+        gateway.dispatcher.peer_calls.relocate = recording_relocate
         exchange = await asked(world, caller_host, target=b"/once/x")
         assert exchange.status == 503 and exchange.line(b"Retry-After")
         assert exchange.took < NO_ENDPOINT_WAIT_SHARE * 2 * SECOND + 20 * MILLISECOND
@@ -414,11 +417,13 @@
         set_load_list(world, full, {free: 1.0})
         exchange = (await world.caller(caller_host)).ask(b"/once/x")
         await sleep_us(50 * MILLISECOND)
-        full_gate = gate_of(world, full)
-        assert len(full_gate.admission.queues["desk"]) == 1
+        full_gateway = gate_of(world, full)
+        assert len(full_gateway.admission.queues["desk"]) == 1
         set_load_list(world, full, {free: 0.1})  # local calls would be relocated there
         await sleep_us(50 * MILLISECOND)
-        assert len(full_gate.admission.queues["desk"]) == 1 and not hosts_that_ran(world, exchange)
+        assert len(full_gateway.admission.queues["desk"]) == 1 and not hosts_that_ran(
+            world, exchange
+        )
         set_load_list(world, caller_host, {full: 0.1, free: 0.1})
         world.ends[full].left = True
         daemon, deregistered_at = world.daemon("mdproxy", full), monotonic_us()
@@ -426,7 +431,7 @@
         await exchange.done.wait()
         assert exchange.status == 200 and hosts_that_ran(world, exchange) == [free]
         assert monotonic_us() - deregistered_at < 50 * MILLISECOND
-        assert "spilled" not in full_gate.counts
+        assert "spilled" not in full_gateway.counts
         assert gate_of(world, caller_host).counts["spill.refused.gone"] == 1
         await all_done(occupying)
 
@@ -450,10 +455,10 @@
         for number in range(2):
             calls.append((await world.caller(local)).ask(b"/once/%d" % number))
         await sleep_us(20 * MILLISECOND)
-        gate, endpoints = gate_of(world, local), world.daemon("mdproxy", local).endpoints
-        queue, endpoint = gate.admission.queues["desk"], endpoints.local_endpoint("desk")
+        gateway, endpoints = gate_of(world, local), world.daemon("mdproxy", local).endpoints
+        queue, endpoint = gateway.admission.queues["desk"], endpoints.local_endpoint("desk")
         assert len(queue) == 2
-        place = gate.dispatcher.place
+        place = gateway.dispatcher.place
 
         def placing_and_freeing_slot(call):
             place(call)
@@ -461,9 +466,9 @@
                 endpoint.capacity = 2
                 endpoints.notify_waiters("desk")
 
-        gate.dispatcher.place = placing_and_freeing_slot
+        gateway.dispatcher.place = placing_and_freeing_slot
         set_load_list(world, local, {other: 0.1})
-        gate.dispatcher.place = place
+        gateway.dispatcher.place = place
         assert len(queue) == 0 and endpoint.in_flight == 2
         await all_done([*calls, *occupying])
         assert [exchange.status for exchange in calls] == [200, 200]
@@ -573,13 +578,13 @@
         await sleep_us(100 * MILLISECOND)
         started_at = monotonic_us()
         await world.start("mdproxy", caller_host)
-        forwarder, gate = (
+        forwarder, gateway = (
             world.daemon("mdproxy", caller_host).forwarder,
             gate_of(world, caller_host),
         )
         expected = {address_of(host) for host in ends}
         await world.eventually(
-            lambda: {node.address for node in gate.loads.nodes.get("desk", ())} == expected
+            lambda: {node.address for node in gateway.loads.nodes.get("desk", ())} == expected
         )
         assert monotonic_us() - started_at < 500 * MILLISECOND and forwarder.load_list.seq == 0
         assert forwarder.load_list.stale(monotonic_us(), 1 << 60)
@@ -593,14 +598,14 @@
         # a real list replaces it
         reg.collector.collect = collect
         await world.eventually(lambda: forwarder.load_list.seq)
-        listed = gate.loads.nodes
+        listed = gateway.loads.nodes
         assert {node.address for node in listed["desk"]} == expected
         # no provisional list is used after it
         daemon = world.daemon("mdproxy", caller_host)
         daemon.heartbeats.use_provisional_list(
             [{"10.9.9.9:7401": {"desk": [0.0, "x", False, "b"]}}] * 3
         )
-        assert gate.loads.nodes is listed
+        assert gateway.loads.nodes is listed
 
     gated(scenario, application=("", "desk", "desk"))
 
@@ -619,21 +624,21 @@
     async def scenario(world):
         await sleep_us(2 * RETRY_BUDGET["window_us"])  # until the reserve of retries is available
         caller_host, bad, good = hosts(world)
-        gate, calls, stopped = gate_of(world, caller_host), [], trio.Event()
-        link = gate.peers.link_address(address_of(bad))
+        gateway, calls, stopped = gate_of(world, caller_host), [], trio.Event()
+        link = gateway.peers.link_address(address_of(bad))
         world.nursery.start_soon(send_steadily, world, caller_host, calls, stopped)
         await sleep_us(300 * MILLISECOND)
         if how == "cut":
             world.web.cut(caller_host, bad)
         else:
             world.kill(f"mdproxy@{bad}")
-        await world.eventually(lambda: link in gate.peers.backoff_until)
+        await world.eventually(lambda: link in gateway.peers.backoff_until)
         broken_at = monotonic_us()
         dialled = []
 
         async def watch():
             while not stopped.is_set():
-                dialled.append(link in gate.peers.outgoing)
+                dialled.append(link in gateway.peers.outgoing)
                 await sleep_us(10 * MILLISECOND)
 
         world.nursery.start_soon(watch)
@@ -644,7 +649,7 @@
             await world.start("mdproxy", bad)
             await world.eventually(lambda: world.daemon("mdproxy", bad).endpoints.by_address)
             await world.eventually(
-                lambda: address_of(bad) in {node.address for node in gate.loads.nodes["desk"]}
+                lambda: address_of(bad) in {node.address for node in gateway.loads.nodes["desk"]}
             )
         recovered_at = monotonic_us()
         await sleep_us(1500 * MILLISECOND)
--- a/tests/forwarding/test_response_matching.py
+++ b/tests/forwarding/test_response_matching.py
@@ -27,8 +27,8 @@
 
 
 def link_of(world, local, peer):
-    gate = gate_of(world, local)
-    return gate.peers.link(f"{peer}:{gate.peers.link_port}")
+    gateway = gate_of(world, local)
+    return gateway.peers.link(f"{peer}:{gateway.peers.link_port}")
 
 
 async def ready_link(world, local, peer):
@@ -283,8 +283,10 @@
         exchange = (await world.caller(local)).ask(b"/once/2", b"POST")
         await sleep_us(100 * MILLISECOND)
         assert next(iter(fresh.pending)).peer_handle == (0, 0)  # the handle of the first call, too
-        gate = gate_of(world, local)
-        world.processes[f"mdproxy@{local}"].enter(lambda: gate.reactor.turn(fresh.on_data, answer))
+        gateway = gate_of(world, local)
+        world.processes[f"mdproxy@{local}"].enter(
+            lambda: gateway.reactor.turn(fresh.on_data, answer)
+        )
         await all_done([exchange])
         await sleep_us(SECOND)
         assert exchange.status == 502
@@ -325,12 +327,12 @@
 def test_cancel_does_not_end_a_started_call():
     async def scenario(world):
         local, *_ = hosts(world)
-        gate = gate_of(world, local)
+        gateway = gate_of(world, local)
         exchange = (await world.caller(local)).ask(b"/once/x", b"POST")
         await sleep_us(100 * MILLISECOND)
-        (call,) = gate.dispatcher.calls
+        (call,) = gateway.dispatcher.calls
         world.processes[f"mdproxy@{local}"].enter(
-            lambda: gate.reactor.turn(call.peer_link.send, [CANCEL, *call.peer_handle])
+            lambda: gateway.reactor.turn(call.peer_link.send, [CANCEL, *call.peer_handle])
         )
         await all_done([exchange])
         assert exchange.status == 200 and world.request_audit.arrivals(exchange.id) == 1
