--- a/packages/config_store/meadowdock/config_store/handover.py
+++ b/packages/config_store/meadowdock/config_store/handover.py
@@ -44,7 +44,7 @@
         if membership is not None and membership.is_joint:
             return True
         target = server.target_voters()
-        return target is not None and server.node.settings.link not in target
+        return target is not None and server.node.settings.rpc_address not in target
 
     async def leave_membership(self, deadline: int) -> None:
         """Wait until another voter has replaced this one, as long as that is possible.
@@ -64,14 +64,14 @@
         store = self.server.store
         if not store.is_voter:
             return
-        others = store.voter_sets.without(store.disk)
+        others = store.voter_sets.without(store.disk_id)
         answering = {answer.disk for answer in self.server.reachable().values()}
         if not others.is_durable(answering):
             return  # without this member no write is possible anyway
         self.retired = True
 
         def is_durable(voter_sets: VoterSets, members: Iterable[str]) -> bool:
-            return voter_sets.without(store.disk).is_durable(members)
+            return voter_sets.without(store.disk_id).is_durable(members)
 
         with deadline_scope(min(deadline, monotonic_us() + SECURE_TIMEOUT_US)):
             try:
--- a/packages/config_store/meadowdock/config_store/plans.py
+++ b/packages/config_store/meadowdock/config_store/plans.py
@@ -24,13 +24,14 @@
 from meadowdock.config_store.revision import Plan, Revision, is_plan_id, plan_id_of
 from meadowdock.config_store.store import CURRENT_REVISION_KEY
 from meadowdock.configuration import (
-    assemble,
-    difference,
+    assemble_configuration,
+    configuration_difference,
     split_configuration,
     validate_configuration,
 )
 from meadowdock.configuration.items import current_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import monotonic_us
 
 if TYPE_CHECKING:
@@ -107,7 +108,7 @@
         current = await self.server.revisions.read(self.deadline())
         current_configuration = await self.configuration_of(current.configuration_chunks)
         chunks = await runtime.offload(split_configuration, configuration)
-        changes = difference(current_configuration, configuration)
+        changes = configuration_difference(current_configuration, configuration)
         names = (*(name for name, _ in chunks), *current.item_chunks)
         if names == current.chunks:
             return PlannedChange(None, current.version, changes)
@@ -118,7 +119,7 @@
             {**dict(chunks), plan_id: plan_body},
             monotonic_us() + 2 * self.server.operator_timing.change_us,
         )
-        self.server.node.log(604, plan=plan_id, base=current.version)
+        self.server.node.log(log_events.PLAN_STORED, plan=plan_id, base=current.version)
         return PlannedChange(plan_id, current.version, changes)
 
     async def checked_configuration(self, body: bytes) -> dict[str, Any]:
@@ -205,7 +206,7 @@
         committed = Revision.from_record(record)
         self.server.revisions.learn(committed)
         version = committed.version_of(plan_id)
-        self.server.node.log(605, plan=plan_id, version=version)
+        self.server.node.log(log_events.PLAN_COMMITTED, plan=plan_id, version=version)
         self.server.node.nursery.start_soon(self.server.delivery.deliver, committed)
         return version
 
@@ -319,7 +320,9 @@
         try:
             base_configuration = await self.configuration_of(base_chunks)
             current_configuration = await self.configuration_of(current.configuration_chunks)
-            changes: dict[str, Any] = difference(base_configuration, current_configuration)
+            changes: dict[str, Any] = configuration_difference(
+                base_configuration, current_configuration
+            )
             return changes
         except NoQuorum:
             return None
@@ -346,6 +349,6 @@
         if len(bodies) < len(set(chunks)):
             raise NoQuorum("configuration chunks")
         configuration: dict[str, Any] = await self.server.node.runtime.offload(
-            lambda: assemble(bodies[name] for name in chunks)
+            lambda: assemble_configuration(bodies[name] for name in chunks)
         )
         return configuration
--- a/packages/consensus/meadowdock/consensus/acceptor.py
+++ b/packages/consensus/meadowdock/consensus/acceptor.py
@@ -15,7 +15,7 @@
 import trio
 
 from meadowdock.consensus.ballot import ZERO_BALLOT, Ballot
-from meadowdock.consensus.concurrency import for_each
+from meadowdock.consensus.concurrency import run_for_each
 from meadowdock.consensus.exceptions import KeyStateLost
 from meadowdock.consensus.messages import (
     Acceptance,
@@ -26,6 +26,7 @@
     Refusal,
     WriteRequest,
 )
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import add_checksum, fingerprint, verify_checksum
 
 if TYPE_CHECKING:
@@ -141,7 +142,7 @@
             raise KeyStateLost(key)
         return state
 
-    def lost_keys(self) -> list[str]:
+    def damaged_key_folders(self) -> list[str]:
         """Return the folders of the keys whose newest file was found damaged at the start."""
         return sorted(folder for folder, state in self.states.items() if state is None)
 
@@ -161,7 +162,7 @@
 
     async def load(self) -> None:
         """Read the states of all keys from the disk."""
-        await for_each(self.load_key, await self.disk.names("key"))
+        await run_for_each(self.load_key, await self.disk.list_folder("key"))
 
     async def load_key(self, folder: str) -> None:
         """Read the newest file of one key.
@@ -169,13 +170,13 @@
         If it is damaged, the state of the key is lost on this disk: an older file would lack
         promises that were given since.
         """
-        versions = await self.disk.names(f"key/{folder}")
+        versions = await self.disk.list_folder(f"key/{folder}")
         if not versions:
             return
         newest = max(versions)
         body = verify_checksum(await self.disk.read(f"key/{folder}/{newest}"))
         if body is None:
-            self.log(602, folder=folder, file=newest)
+            self.log(log_events.KEY_FILE_CORRUPT, folder=folder, file=newest)
             self.states[folder] = None
             return
         record = ormsgpack.unpackb(body)
@@ -185,7 +186,7 @@
 
     async def remove_older_files(self, folder: str, newest: str) -> None:
         """Remove older files of one key, which a power loss may have left beside the newest."""
-        for version in await self.disk.names(f"key/{folder}"):
+        for version in await self.disk.list_folder(f"key/{folder}"):
             if version < newest:
                 await self.disk.remove(f"key/{folder}/{version}")
 
--- a/packages/forwarding/meadowdock/forwarding/gateway.py
+++ b/packages/forwarding/meadowdock/forwarding/gateway.py
@@ -10,16 +10,16 @@
 from typing import TYPE_CHECKING, Any
 
 from meadowdock.configuration.items import DEFAULT_LIMITS
-from meadowdock.forwarding.arrivals import forwarded_head, new_call, total_time_us
 from meadowdock.forwarding.call import Rejected
 from meadowdock.forwarding.dispatcher import Dispatcher
 from meadowdock.forwarding.downstream import DownstreamConnection
 from meadowdock.forwarding.http import Request
+from meadowdock.forwarding.load_adjustment import SlownessEstimator
+from meadowdock.forwarding.new_calls import forwarded_head, new_call, total_time_us
 from meadowdock.forwarding.outcome_codes import NO_CONFIGURATION, NO_ENDPOINT
 from meadowdock.forwarding.peers import Peers
 from meadowdock.forwarding.placement import Thresholds, ZonePlacement
 from meadowdock.forwarding.retries import RETRY_AFTER_MIN_US, RetryPolicy
-from meadowdock.forwarding.slowness import SlownessEstimator
 from meadowdock.forwarding.traffic_split import TrafficSplit
 from meadowdock.load_sharing import LoadList, NodeLoad
 from meadowdock.runtime import MILLISECOND, monotonic_us
@@ -69,7 +69,7 @@
         self.lowest_priority = 0
         self.traffic_split = TrafficSplit()
         self.placement = ZonePlacement(
-            settings.link, settings.zone, lambda: rng.choice(ADDRESS_FIRST_CHARACTERS)
+            settings.rpc_address, settings.zone, lambda: rng.choice(ADDRESS_FIRST_CHARACTERS)
         )
         self.loads = self.placement.loads
         self.retries = RetryPolicy(lambda: retry_budgets.new_retry_budget(self))
@@ -160,10 +160,10 @@
         """Return the route that matches a request's host and path, or None."""
         assert self.table is not None
         host = request.host.lower().partition(b":")[0]
-        route: ItemRoute | None = self.table.find(host, request.target.partition(b"?")[0])
+        route: ItemRoute | None = self.table.find_route(host, request.target.partition(b"?")[0])
         return route
 
-    def tidy(self, now: int) -> None:
+    def run_maintenance(self, now: int) -> None:
         """Run the periodic maintenance: time-outs, reports and checks."""
         self.dispatcher.report(now, self.slowness.log_fields)
         self.peers.check_links(now)
@@ -177,6 +177,8 @@
         for connection in list(self.connections):
             connection.close_if_idle()
 
-    def in_use(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Return whether a call is in progress or a response is not completely sent."""
-        return bool(self.dispatcher.calls) or any(each.in_use() for each in self.connections)
+        return bool(self.dispatcher.calls) or any(
+            each.has_pending_work() for each in self.connections
+        )
--- a/packages/forwarding/meadowdock/forwarding/invariants.py
+++ b/packages/forwarding/meadowdock/forwarding/invariants.py
@@ -7,7 +7,8 @@
 
 from meadowdock.forwarding.admission import Admission
 from meadowdock.forwarding.call import Call
-from meadowdock.forwarding.figures import PriorityFigures
+from meadowdock.forwarding.call_statistics import PriorityStatistics
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import SECOND
 
 LOG_INTERVAL_US = SECOND  # violations of one kind are logged at most once per interval
@@ -23,7 +24,7 @@
 
 
 class Invariants:
-    """Counts violations by name and logs them as event 802.
+    """Counts violations by name and logs them as INVARIANT_VIOLATED.
 
     - late_before_in_time: a queued call was started after its latency target, although a call of
       the same or a higher priority that could still meet its target was waiting.
@@ -45,7 +46,9 @@
         self.violations[name] += 1
         if now - self.logged_at.get(name, -LOG_INTERVAL_US) >= LOG_INTERVAL_US:
             self.logged_at[name] = now
-            self.log(802, invariant=name, count=self.violations[name], **fields)
+            self.log(
+                log_events.INVARIANT_VIOLATED, invariant=name, count=self.violations[name], **fields
+            )
 
     def check_start(self, call: Call, admission: Admission, now: int) -> None:
         """Check that a call taken from the queue may start before those that still wait in it."""
@@ -61,9 +64,11 @@
         if waiting and has_capacity:
             self.report_violation(WAITING_WITH_CAPACITY, now, service=service, waiting=waiting)
 
-    def check_queue(self, service: str, priority: int, figures: PriorityFigures, now: int) -> None:
-        """Check the figures of a service and priority at the end of an interval."""
-        in_time, late = figures.admitted_in_time, figures.admitted_late
+    def check_queue(
+        self, service: str, priority: int, statistics: PriorityStatistics, now: int
+    ) -> None:
+        """Check the statistics of a service and priority at the end of an interval."""
+        in_time, late = statistics.admitted_in_time, statistics.admitted_late
         if late <= in_time or in_time + late < CHECKED_CALLS_MIN:
             self.overcommitted.pop((service, priority), None)
             return
--- a/packages/forwarding/meadowdock/forwarding/peer_link.py
+++ b/packages/forwarding/meadowdock/forwarding/peer_link.py
@@ -33,6 +33,7 @@
     encode_outcome,
     frame_sent_at,
 )
+from meadowdock.logs import events as log_events
 from meadowdock.rpc.frame import FrameAuthenticator, derive_key
 from meadowdock.rpc.queueing_delay import QueueingDelayEstimator
 from meadowdock.runtime import MILLISECOND, monotonic_us
@@ -57,7 +58,8 @@
     """One side of a link.
 
     Invariants: outbox holds frames of which no byte was handed to the socket; ready is True once
-    both sides have proved that they know the key; a link is in reactor.dirty iff flush_requested.
+    both sides have proved that they know the key; a link is in reactor.flush_pending iff
+    flush_requested.
     """
 
     # The names under which outgoing and incoming frames are authenticated.
@@ -86,7 +88,7 @@
         """Request a flush() at the end of this turn."""
         if not self.flush_requested:
             self.flush_requested = True
-            self.peers.reactor.dirty.append(self)
+            self.peers.reactor.flush_pending.append(self)
 
     def send_handshake_frame(self, frame: Frame) -> None:
         """Send a frame of the handshake."""
@@ -110,7 +112,7 @@
                 else:
                     self.on_handshake_frame(frame)
         except (ValueError, TypeError, IndexError) as cause:
-            self.peers.log(201, cause=repr(cause))
+            self.peers.log(log_events.CONNECTION_REJECTED, cause=repr(cause))
             self.close(cause)
 
     def close(self, cause: object) -> None:
@@ -167,7 +169,7 @@
         self.reads_target = False  # the peer reads the latency target and the route of a call
         self.ended = False
         peers.network.dial(address, monotonic_us() + CONNECT_TIMEOUT_US, self)
-        peers.reactor.at(monotonic_us() + HANDSHAKE_TIMEOUT_US, self.on_handshake_timeout)
+        peers.reactor.call_at(monotonic_us() + HANDSHAKE_TIMEOUT_US, self.on_handshake_timeout)
 
     def on_handshake_timeout(self) -> None:
         """Close the link if the handshake has not completed in time."""
--- a/packages/local_fleet/meadowdock/local_fleet/caller.py
+++ b/packages/local_fleet/meadowdock/local_fleet/caller.py
@@ -31,7 +31,7 @@
 
     Return (0, b"") if there is no response in time.
     """
-    connection = net.http(address)
+    connection = net.http_connection(address)
     try:
         with deadline_scope(monotonic_us() + wait_us):
             status, _, body = await connection.request("GET", path, [], b"")
--- a/packages/membership/meadowdock/membership/gossip.py
+++ b/packages/membership/meadowdock/membership/gossip.py
@@ -40,20 +40,20 @@
 
     def __init__(
         self,
-        me: MemberEntry,
+        own_entry: MemberEntry,
         seeds: tuple[str, ...],
         rng: random.Random,
         rpc: ConnectionPool,
         log: Callable[..., None],
     ) -> None:
-        super().__init__(me, seeds, rng, log)
+        super().__init__(own_entry, seeds, rng, log)
         self.rpc = rpc
         self.peers = PeerSelector(self)
-        self.schedule = PeriodicSchedule(me.address)
+        self.schedule = PeriodicSchedule(own_entry.address)
 
     async def run(self) -> None:
         """Exchange samples until cancelled."""
-        started = self.pause_detector.last_look_us = monotonic_us()
+        started = self.pause_detector.last_measured_us = monotonic_us()
         while True:
             answered = await self.exchange()
             converged = answered and self.has_converged(monotonic_us() - started)
@@ -102,7 +102,7 @@
         self.advance_heartbeat(leaving=True)
         members = sorted(self.entries)
         chosen = self.rng.sample(members, min(LEAVE_FANOUT, len(members)))
-        message = [self.me.to_wire()]
+        message = [self.own_entry.to_wire()]
         await self.rpc.call_all(
             {
                 address: (address, EXCHANGE_METHOD, message)
--- a/packages/proxy/meadowdock/proxy/endpoint_connections.py
+++ b/packages/proxy/meadowdock/proxy/endpoint_connections.py
@@ -5,6 +5,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
+from meadowdock.logs import events as log_events
 from meadowdock.proxy.endpoints import Endpoint, EndpointRegistry
 from meadowdock.runtime import HttpConnectionFailed
 from meadowdock.runtime.http_client import HttpConnection
@@ -28,10 +29,10 @@
         """
         while endpoint.idle_connections:
             connection = endpoint.idle_connections.pop()
-            if not connection.stale():
+            if not connection.is_stale():
                 return connection
             await connection.close()
-        connection = self.node.runtime.net.http(endpoint.address)
+        connection = self.node.runtime.net.http_connection(endpoint.address)
         if service["identity"]:
             await self.verify_identity(endpoint, connection)
         if endpoint.removed:
@@ -51,14 +52,16 @@
         expected = {"service": endpoint.service, "incarnation": endpoint.incarnation}
         if status != 200 or not has_fields(body, expected):
             await connection.close()
-            self.node.log(405, address=endpoint.address, why="identity")
+            self.node.log(
+                log_events.ENDPOINT_CHECK_FAILED, address=endpoint.address, why="identity"
+            )
             self.endpoints.remove(endpoint, "identity")
             raise HttpConnectionFailed(False, f"another process answers at {endpoint.address}")
 
     def release(self, endpoint: Endpoint, connection: HttpConnection) -> None:
         """Keep a connection that carried a complete response for reuse, or have it closed."""
         idle = endpoint.idle_connections
-        if not endpoint.removed and not connection.stale() and len(idle) < endpoint.capacity:
+        if not endpoint.removed and not connection.is_stale() and len(idle) < endpoint.capacity:
             idle.append(connection)
         else:
             self.endpoints.connections_to_close.append(connection)
--- a/packages/proxy/meadowdock/proxy/gateway_endpoints.py
+++ b/packages/proxy/meadowdock/proxy/gateway_endpoints.py
@@ -160,7 +160,7 @@
 
     def health_path(self) -> str | None:
         """Return the health check path of the local service, if it has one configured."""
-        table = self.server.gate.table
+        table = self.server.gateway.table
         service = table.services.get(self.node.settings.service) if table else None
         return service.get("health") if service else None
 
@@ -169,7 +169,7 @@
 
         :raises HttpConnectionFailed: no complete response arrived.
         """
-        connection = self.node.runtime.net.http(address)
+        connection = self.node.runtime.net.http_connection(address)
         status, headers, _ = await connection.request("GET", health_path, [], b"")
         await connection.close()
         by_name = {name.lower(): value for name, value in headers}
--- a/packages/proxy/meadowdock/proxy/request_handling.py
+++ b/packages/proxy/meadowdock/proxy/request_handling.py
@@ -31,7 +31,7 @@
 routes = RouteTable()
 
 
-@routes.otherwise
+@routes.set_fallback
 async def handle_request(server: ProxyServer, request: Request) -> Response:
     """Handle a call, which is any request whose path has no other handler."""
     call: Call | None = None
@@ -219,7 +219,7 @@
     version = call.version if call else server.delivery.version
     return [
         (b"md-verdict", outcome.verdict.value.encode()),
-        (b"md-node", server.node.settings.name.encode()),
+        (b"md-node", server.node.settings.node_name.encode()),
         *([(b"md-call", call.id.encode())] if call else []),
         (b"md-version", str(version).encode()),
         *([(b"md-cut-off", b"1")] if cut_off else []),
--- a/packages/proxy/meadowdock/proxy/server.py
+++ b/packages/proxy/meadowdock/proxy/server.py
@@ -53,7 +53,7 @@
     Invariant: forwarder.routing_table is that of delivery's active version.
     """
 
-    table = merged_routes()
+    routes = merged_routes()
 
     def __init__(self, node: process.Node) -> None:
         self.node = node
@@ -69,7 +69,7 @@
         self.peer_requests = PeerRequestHandler(self)
         self.late_ticks = 0
         self.last_call_number = 0
-        node.view.on_updated = self.on_member
+        node.membership.on_entry_updated = self.on_member
 
     def rpc_handlers(self) -> Handlers:
         """Return the RPC methods that this process answers."""
@@ -122,7 +122,7 @@
         while True:
             self.delivery.detect_pause()
             await self.maintain()
-            wakeup = self.node.view.schedule.next_wakeup(MAINTENANCE_INTERVAL_US)
+            wakeup = self.node.membership.schedule.next_wakeup(MAINTENANCE_INTERVAL_US)
             await sleep_us(wakeup - monotonic_us())
             late = monotonic_us() - wakeup > LATE_AFTER_US
             self.late_ticks = self.late_ticks + 1 if late else 0
@@ -152,9 +152,9 @@
         """Replace the load list that calls are placed by."""
         self.forwarder.use_load_list(load_list, nodes_by_service)
 
-    def measure_load(self, at: int) -> dict[str, ServiceReport]:
+    def measure_load(self, now: int) -> dict[str, ServiceReport]:
         """End the load interval, and report each service that has an endpoint here."""
-        return self.endpoints.measure_load(at, self.forwarder.routing_table.load["share"])
+        return self.endpoints.measure_load(now, self.forwarder.routing_table.load["share"])
 
     def on_member(self, member: MemberEntry) -> None:
         """Handle gossip about another process, or about its new version."""
--- a/packages/registry/meadowdock/registry/server.py
+++ b/packages/registry/meadowdock/registry/server.py
@@ -6,6 +6,7 @@
 
 from meadowdock import process
 from meadowdock.admin_http import RouteTable
+from meadowdock.logs import events as log_events
 from meadowdock.registry.election import CollectorElection
 from meadowdock.registry.heartbeats import HEARTBEAT_INTERVAL_US, HeartbeatSender
 from meadowdock.registry.load_collector import LoadCollector
@@ -32,7 +33,7 @@
 class RegistryServer(process.Daemon):
     """One registry process: its node tables, heartbeats, collector election and load collector."""
 
-    table = RouteTable()
+    routes = RouteTable()
     handlers = Handlers()
 
     def __init__(self, node: process.Node) -> None:
@@ -42,7 +43,7 @@
         self.election = CollectorElection(node, self.registries, self.send_heartbeats)
         self.collector = LoadCollector(node, self.proxies, self.election)
         self.heartbeats = HeartbeatSender(node, self.election)
-        node.view.on_updated = self.heartbeats.on_member
+        node.membership.on_entry_updated = self.heartbeats.on_member
 
     def rpc_handlers(self) -> Handlers:
         """Return the RPC methods that this process serves."""
@@ -59,7 +60,7 @@
 
     def unready_reasons(self) -> list[str]:
         """Return the reasons why this process is not ready; an empty list means that it is."""
-        return [] if self.node.view.core_members("mdconf") else ["no mdconf known"]
+        return [] if self.node.membership.core_members("mdconf") else ["no mdconf known"]
 
     async def announce_shutdown(self) -> None:
         """Shut down gracefully: release the lease and notify the other registries."""
@@ -106,7 +107,7 @@
         """
         if table.update(heartbeat, monotonic_us()):
             self.node.log(
-                301,
+                log_events.PEER_SEEN,
                 peer=heartbeat.address,
                 role=heartbeat.role,
                 incarnation=heartbeat.incarnation,
@@ -130,9 +131,9 @@
         """Return the node tables, the epoch if this is the collector, and the last collection."""
         now_us = monotonic_us()
         return {
-            "reg": self.node.settings.link,
+            "reg": self.node.settings.rpc_address,
             "proxies": proxies_to_wire(self.proxies, now_us),
-            "regs": [*self.registries.live(now_us), self.node.settings.link],
+            "regs": [*self.registries.live(now_us), self.node.settings.rpc_address],
             "collector": self.election.epoch,
             "seen_epoch": self.election.highest_epoch,
             "last": self.collector.last_collection.to_wire(),
@@ -142,7 +143,7 @@
         """Remove the nodes that are no longer alive and send heartbeats, at an interval."""
         pause_detector = PauseDetector(PAUSE_THRESHOLD_US, monotonic_us())
         while True:
-            self.expire_nodes(pause_detector.look(monotonic_us()))
+            self.expire_nodes(pause_detector.measure_pause(monotonic_us()))
             await self.heartbeats.send_and_wait()
 
     def expire_nodes(self, paused_us: int) -> None:
@@ -153,7 +154,9 @@
             *self.registries.expire(now_us, paused_us),
         ]
         for heartbeat in expired:
-            self.node.log(302, peer=heartbeat.address, role=heartbeat.role, why="silent")
+            self.node.log(
+                log_events.PEER_REMOVED, peer=heartbeat.address, role=heartbeat.role, why="silent"
+            )
 
     async def send_heartbeats(self) -> None:
         """Send a heartbeat to the other registries at once."""
--- a/packages/simulator/meadowdock/simulator/disk.py
+++ b/packages/simulator/meadowdock/simulator/disk.py
@@ -67,8 +67,8 @@
         if self.rng.random() < 0.5:  # a removal is not synced: a power loss may undo it
             self.lasting.pop(name, None)
 
-    async def move(self, folder, to):
-        await super().move(folder, to)
+    async def rename_folder(self, folder, new_name):
+        await super().rename_folder(folder, new_name)
         self.lasting = dict(self.files)
 
     def power_off(self):
--- a/packages/simulator/meadowdock/simulator/scale/count.py
+++ b/packages/simulator/meadowdock/simulator/scale/count.py
@@ -72,12 +72,12 @@
 def state_of_registry(node):
     """Return the size in bytes of a registry's table of proxies."""
     records = node.daemon.proxies.records
-    return json_size({a: (r.heartbeat.wire, r.heard_at) for a, r in records.items()})
+    return json_size({a: (r.heartbeat.wire, r.received_at_us) for a, r in records.items()})
 
 
 def state_of_proxy(node):
     """Return the size in bytes of a proxy's load lists and membership view."""
-    entries = [state.entry for state in node.view.entries.values()]
+    entries = [state.entry for state in node.membership.entries.values()]
     return json_size(node.daemon.forwarder.nodes_by_service) + json_size(entries)
 
 
@@ -95,13 +95,15 @@
     seeds = set(world.boot("mdproxy", next(iter(world.application))).seeds)
     return {
         "mdproxy": [f"mdproxy@{host}" for host in world.application],
-        "mdreg": [node.settings.name for node in registries if node is not collector],
-        "collector": [collector.settings.name],
-        "mdconf": [node.settings.name for node in stores],
+        "mdreg": [node.settings.node_name for node in registries if node is not collector],
+        "collector": [collector.settings.node_name],
+        "mdconf": [node.settings.node_name for node in stores],
         "seed": [
-            node.settings.name for node in (*registries, *stores) if node.settings.link in seeds
+            node.settings.node_name
+            for node in (*registries, *stores)
+            if node.settings.rpc_address in seeds
         ],
-        "deliverer": [stores[0].settings.name],
+        "deliverer": [stores[0].settings.node_name],
     }
 
 
--- a/packages/simulator/meadowdock/simulator/scenario.py
+++ b/packages/simulator/meadowdock/simulator/scenario.py
@@ -105,7 +105,7 @@
     last_response = None  # (headers, body)
     replacement = None  # a body, or (headers, body), to be sent in place of the next response
 
-    @table.otherwise
+    @table.set_fallback
     async def handle_request(self, request):
         response = await super().handle_request(request)
         replacement, self.replacement = self.replacement, None
@@ -205,7 +205,7 @@
 
         with deadline_scope(monotonic_us() + 6 * SECOND):
             try:
-                response = await net.http(f"{host}:7400").request(
+                response = await net.http_connection(f"{host}:7400").request(
                     "POST" if runs_once else "GET", f"/{kind}/{uid}", headers, body, started
                 )
                 call.heard(*response)
--- a/packages/simulator/meadowdock/simulator/wires.py
+++ b/packages/simulator/meadowdock/simulator/wires.py
@@ -101,7 +101,7 @@
 
     def half_close(self):
         self.send_end(END)
-        self.wires.reactor.at(monotonic_us() + LINGER_US, self.close)
+        self.wires.reactor.call_at(monotonic_us() + LINGER_US, self.close)
 
     def send_end(self, ending):
         if not self.other.closed and (not self.ended or ending is RESET):
--- a/packages/simulator/meadowdock/simulator/world.py
+++ b/packages/simulator/meadowdock/simulator/world.py
@@ -23,7 +23,7 @@
 from meadowdock.registry.server import RegistryServer
 from meadowdock.rpc import ConnectionFailed
 from meadowdock.runtime import MILLISECOND, SECOND, Runtime, monotonic_us, sleep_us
-from meadowdock.settings import checked
+from meadowdock.settings import validate_settings
 from meadowdock.simulator.disk import SimDisk
 from meadowdock.simulator.net import SimNet, Web
 from meadowdock.simulator.standin import RequestAudit, StandIn, StandInCaller
@@ -236,7 +236,7 @@
             }
             if self.application.get(host):
                 settings["service"] = self.application[host]
-        return checked(role, settings)
+        return validate_settings(role, settings)
 
     def launch(self, name, host, work):
         """Start a process that runs work(process, nursery)."""
@@ -254,7 +254,9 @@
         async def work(process, nursery):
             wall_us = lambda: WALL + monotonic_us()  # noqa: E731
             runtime = Runtime(process.net, disk, rng, offload=run_inline, wall_us=wall_us)
-            process.node = Node(boot, runtime, nursery, Log(boot.name, self.trace, timed=False))
+            process.node = Node(
+                boot, runtime, nursery, Log(boot.node_name, self.trace, timed=False)
+            )
             self.listen(process.node.rpc)
             disk.on_loss = process.kill
             is_gateway = self.gated and role == "mdproxy"
@@ -434,7 +436,9 @@
         net = SimNet(self.web, host)
         net.home = self.nursery
         body = facts if isinstance(facts, bytes) else json.dumps(facts).encode() if facts else b""
-        status, lines, answer = await net.http(address).request(method, path, list(headers), body)
+        status, lines, answer = await net.http_connection(address).request(
+            method, path, list(headers), body
+        )
         return status, dict(lines), json.loads(answer) if answer else None
 
     async def operate(self, method, path, facts=None, core=0):
--- a/tests/config_store/test_members_losses.py
+++ b/tests/config_store/test_members_losses.py
@@ -70,12 +70,14 @@
         "b": FailureDomain("x", "n"),
         "c": FailureDomain("y", "s"),
     }
-    sets = VoterSets.of([["a", "b", "c"]], domains, Tolerance(1, zones=1))
+    sets = VoterSets.from_sets([["a", "b", "c"]], domains, Tolerance(1, zones=1))
     assert not sets.is_durable(["a", "b"])
     assert sets.is_durable(["b", "c"])
-    regions = VoterSets.of([["a", "b", "c"]], domains, Tolerance(1, regions=1))
+    regions = VoterSets.from_sets([["a", "b", "c"]], domains, Tolerance(1, regions=1))
     assert not regions.is_durable(["a", "b"])
-    unknown = VoterSets.of([["a", "b", "c"]], {"a": FailureDomain("x")}, Tolerance(1, zones=1))
+    unknown = VoterSets.from_sets(
+        [["a", "b", "c"]], {"a": FailureDomain("x")}, Tolerance(1, zones=1)
+    )
     assert unknown.is_durable(["a", "b"])
 
 
@@ -179,7 +181,7 @@
         for host in fleet.hosts:
             world.power_off("mdconf", host)
         await fleet.start()
-        expected = {fleet.store(h).disk: FailureDomain(z, z[0]) for h, z in fleet.zones.items()}
+        expected = {fleet.store(h).disk_id: FailureDomain(z, z[0]) for h, z in fleet.zones.items()}
         await world.eventually(
             lambda: all(m.failure_domains == expected for m in fleet.memberships().values()),
             4 * SECOND,
@@ -216,7 +218,7 @@
             for key, ballot in newest.items()
             if key != "members"
         )
-        and {f"blob/{name}" for name in head["ranges"]} <= set(new_store.files.disk.files)
+        and {f"blob/{name}" for name in head["ranges"]} <= set(new_store.disk.disk.files)
         and all(new_store.audit_log.holds(version) for version in range(1, head["version"]))
     )
 
@@ -236,7 +238,7 @@
         delayed_target = {"write": store.acceptor, "put_chunk": store, "put": store.audit_log}[slow]
         delay_method(delayed_target, slow)
         await world.eventually(
-            lambda: store.disk in (fleet.store(fleet.hosts[0]).membership.voters),
+            lambda: store.disk_id in (fleet.store(fleet.hosts[0]).membership.voters),
             9 * SECOND,
             MILLISECOND,
         )
@@ -456,7 +458,7 @@
         assert await world.stop(f"mdconf@{stopped}") <= 5 * SECOND
         head = store.acceptor.read("manifest/head")[1]
         assert head["version"] == 2
-        assert {f"blob/{name}" for name in head["ranges"]} <= set(store.files.disk.files)
+        assert {f"blob/{name}" for name in head["ranges"]} <= set(store.disk.disk.files)
         assert other in fleet.running_hosts()
 
     run(scenario, seed)
@@ -501,6 +503,6 @@
         await store.load()
         for version in range(1, 40):
             await store.adopt(MembershipConfiguration(version, {"a": "x"}))
-        assert await disk.names("members") == ["00000038", "00000039"]
+        assert await disk.list_folder("members") == ["00000038", "00000039"]
 
     run(work)
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -9,8 +9,8 @@
 
 from meadowdock.forwarding.admission import MAX_REMEMBERED_ROUTES, Admission
 from meadowdock.forwarding.call import Call
+from meadowdock.forwarding.call_statistics import PriorityStatistics
 from meadowdock.forwarding.caller_timeouts import CallerTimeouts
-from meadowdock.forwarding.figures import PriorityFigures
 from meadowdock.forwarding.invariants import (
     LATE_BEFORE_IN_TIME,
     QUEUE_OVERCOMMITTED,
@@ -115,9 +115,9 @@
     for estimates, short, long in ((busy_with_short, 50, 1), (busy_with_long, 1, 50)):
         for kind, held_ms, times in (("short", 15, short), ("long", 150, long)):
             for _ in range(times):
-                estimates.hold(kind).observe(held_ms * MILLISECOND)
+                estimates.hold_time(kind).observe(held_ms * MILLISECOND)
     assert busy_with_short.mean_us() == busy_with_long.mean_us()
-    busy_with_short.hold("never ran")
+    busy_with_short.hold_time("never ran")
     assert busy_with_short.expected_hold_us("never seen") == (busy_with_short.mean_us(),) * 2
     assert busy_with_short.expected_hold_us("short")[0] == 15 * MILLISECOND
     assert busy_with_short.mean_us() == busy_with_long.mean_us()
@@ -125,8 +125,8 @@
 
 def new_admission(hold_us, deviation_us=0):
     admission = Admission()
-    hold = admission.estimates("desk").hold("k")
-    hold.known, hold.mean_us, hold.deviation_us = True, hold_us, deviation_us
+    hold = admission.estimates("desk").hold_time("k")
+    hold.has_samples, hold.mean_us, hold.deviation_us = True, hold_us, deviation_us
     return admission
 
 
@@ -177,8 +177,8 @@
     assert admission.time_spent_us("r", 1500) == 0
     assert admission.time_spent_us("r", 1100) == 400
     assert admission.time_spent_us("other", 1100) == 0
-    admission.estimates("desk").hold("r").observe(9)
-    admission.estimates("desk").hold("other").observe(9)
+    admission.estimates("desk").hold_time("r").observe(9)
+    admission.estimates("desk").hold_time("other").observe(9)
     admission.forget_unused({"other"}, {"desk"})
     assert admission.time_spent_us("r", 1100) == 0
     assert set(admission.estimates("desk").hold_times) == {"other"}
@@ -239,11 +239,11 @@
 def test_late_retry_is_queued_behind_a_first_attempt_of_its_priority():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gateway_of(world, host)
-        gate.admission.time_spent_us("low", 2 * SECOND)
+        gateway = gateway_of(world, host)
+        gateway.admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        set_hold_time(gate, 20 * MILLISECOND)
+        set_hold_time(gateway, 20 * MILLISECOND)
         calls = [(await world.caller(host)).ask(b"/low/again", due_ms=900)]
         await sleep_us(5 * MILLISECOND)
         calls.append((await world.caller(host)).ask(b"/low/fresh", due_ms=2000))
@@ -258,15 +258,15 @@
 def test_call_that_can_no_longer_meet_its_target_is_demoted_in_the_queue():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gateway_of(world, host)
-        gate.admission.time_spent_us("low", 2 * SECOND)
+        gateway = gateway_of(world, host)
+        gateway.admission.time_spent_us("low", 2 * SECOND)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        set_hold_time(gate, 100 * MILLISECOND)
+        set_hold_time(gateway, 100 * MILLISECOND)
         # its target counts from an attempt 800 ms ago: after 100 ms it can't be met any more
         old = (await world.caller(host)).ask(b"/low/old", due_ms=1200)
         await sleep_us(120 * MILLISECOND)
-        assert gate.admission.queue("desk").waiting == {6: 0, 7: 1}
+        assert gateway.admission.queue("desk").waiting == {6: 0, 7: 1}
         new = (await world.caller(host)).ask(b"/low/new", due_ms=2000)
         await wait_until_done([first, old, new])
         assert [exchange.status for exchange in (old, new)] == [200, 200]
@@ -297,14 +297,14 @@
 def test_calls_without_a_response_count_for_the_hold_time():
     async def scenario(world):
         host = list(world.application)[0]
-        gate, end = gateway_of(world, host), world.ends[host]
+        gateway, end = gateway_of(world, host), world.ends[host]
         await send_call(world, host)
-        assert gate.slowness.hold_us("desk") < 50 * MILLISECOND
+        assert gateway.slowness.hold_us("desk") < 50 * MILLISECOND
         end.faults["*"] = ["silence"] * 30
         for _ in range(30):
             exchange = await send_call(world, host, due_ms=300)
             assert exchange.status == 504
-        assert gate.slowness.hold_us("desk") > 200 * MILLISECOND
+        assert gateway.slowness.hold_us("desk") > 200 * MILLISECOND
         # a call that would be late is not queued for such a slot
         end.faults["*"] = ["silence"]
         occupying = (await world.caller(host)).ask(due_ms=300)
@@ -345,21 +345,21 @@
 def test_gateway_checks_its_slots_periodically():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gateway_of(world, host)
-        gate.admission.slot_acquired(make_call(), monotonic_us())  # a slot that no call holds
+        gateway = gateway_of(world, host)
+        gateway.admission.slot_acquired(make_call(), monotonic_us())  # a slot that no call holds
         await sleep_us(300 * MILLISECOND)
-        assert gate.dispatcher.invariants.violations[SLOTS_DIFFER] >= 1
+        assert gateway.dispatcher.invariants.violations[SLOTS_DIFFER] >= 1
         assert len(world.trace.events(802)) == 1
-        gate.admission.slot_released(make_call(), monotonic_us())
+        gateway.admission.slot_released(make_call(), monotonic_us())
         world.trace.lines.clear()
 
     gated(scenario, application=("desk",), items=default_items(HIGH))
 
 
 def new_figures(in_time, late):
-    figures = PriorityFigures()
-    figures.admitted_in_time, figures.admitted_late = in_time, late
-    return figures
+    statistics = PriorityStatistics()
+    statistics.admitted_in_time, statistics.admitted_late = in_time, late
+    return statistics
 
 
 def test_queue_whose_calls_mostly_end_late_for_two_intervals_is_a_violation():
@@ -379,15 +379,15 @@
 def test_admitted_calls_are_counted_as_in_time_or_late():
     async def scenario(world):
         host = list(world.application)[0]
-        gate = gateway_of(world, host)
+        gateway = gateway_of(world, host)
         first = (await world.caller(host)).ask(b"/longlow/x", due_ms=None)
         await sleep_us(20 * MILLISECOND)
-        set_hold_time(gate, 100 * MILLISECOND)  # the slot is actually held for 300 ms
-        gate.dispatcher.figures.services.clear()
-        gate.dispatcher.figures.since = monotonic_us()
+        set_hold_time(gateway, 100 * MILLISECOND)  # the slot is actually held for 300 ms
+        gateway.dispatcher.call_statistics.services.clear()
+        gateway.dispatcher.call_statistics.since = monotonic_us()
         calls = [(await world.caller(host)).ask(b"/low/x"), (await world.caller(host)).ask(b"/p/y")]
         await wait_until_done([first, *calls])
-        by_priority = gate.dispatcher.figures.services["desk"]
+        by_priority = gateway.dispatcher.call_statistics.services["desk"]
         assert [calls[0].status, calls[1].status] == [200, 200]
         assert (by_priority[3].admitted_in_time, by_priority[3].admitted_late) == (1, 0)
         assert by_priority[0].started == 1 and by_priority[0].admitted_in_time == 1
--- a/tests/project/test_docs.py
+++ b/tests/project/test_docs.py
@@ -8,6 +8,7 @@
 import pytest
 
 from meadowdock.logs import CATALOGUE
+from meadowdock.logs import events as log_events
 from meadowdock.outcome import REJECTION_CODES, SECOND
 
 DOCS = os.path.join(os.path.dirname(__file__), "..", "..", "docs")
@@ -88,7 +89,7 @@
     assert missing == []
 
 
-LOG_CALL = re.compile(r"log\((\d{3})\b")
+LOG_CALL = re.compile(r"log\(\s*(?:log_events\.)?([A-Z_]+|\d{3})\b")
 
 
 def modules_by_event():
@@ -100,9 +101,10 @@
             if not name.endswith(".py") or "simulator" in path or "soak" in path:
                 continue
             with open(path, encoding="utf-8") as file:
-                for number in LOG_CALL.findall(file.read()):
+                for event in LOG_CALL.findall(file.read()):
+                    number = int(event) if event.isdigit() else getattr(log_events, event)
                     module = path.split("/meadowdock/")[1]
-                    modules.setdefault(int(number), set()).add(module)
+                    modules.setdefault(number, set()).add(module)
     return modules
 
 
--- a/tests/support/core_fleet.py
+++ b/tests/support/core_fleet.py
@@ -6,7 +6,7 @@
 from manifests import manifest, manifest_route
 
 from meadowdock.runtime import MILLISECOND, SECOND
-from meadowdock.settings import checked
+from meadowdock.settings import validate_settings
 from meadowdock.simulator.world import KEY
 
 SEEDS = range(1, 5)
@@ -34,7 +34,7 @@
 
     def boot(self, role, host):
         """Return the validated settings of a process."""
-        return checked(role, self.raw_settings(role, host))
+        return validate_settings(role, self.raw_settings(role, host))
 
     def raw_settings(self, role, host):
         """Return the settings of a process as its boot file has them."""
@@ -71,7 +71,7 @@
 
     def are_voters(self, hosts):
         """Return whether each of these hosts is ready and knows exactly them as the voters."""
-        expected_voters = {self.store(host).disk: f"{host}:7421" for host in hosts}
+        expected_voters = {self.store(host).disk_id: f"{host}:7421" for host in hosts}
         return all(
             self.store(host).membership is not None
             and self.store(host).membership.voters == expected_voters
--- a/tests/support/gates.py
+++ b/tests/support/gates.py
@@ -93,7 +93,7 @@
 
 
 def gateway_of(world, host):
-    return world.daemon("mdproxy", host).gate
+    return world.daemon("mdproxy", host).gateway
 
 
 def invariant_violations(world):
@@ -108,7 +108,7 @@
         if not name.startswith("mdproxy") or process.frozen is not None:
             continue
         daemon = process.node.daemon
-        gateway, registry = daemon.gate, daemon.endpoints
+        gateway, registry = daemon.gateway, daemon.endpoints
         found += [f"{name}: call {call.id} of {call.service}" for call in gateway.dispatcher.calls]
         found += [
             f"{name}: {endpoint.address} {endpoint.in_flight}"
