--- a/packages/config_store/meadowdock/config_store/chunks.py
+++ b/packages/config_store/meadowdock/config_store/chunks.py
@@ -39,7 +39,7 @@
         self.recent_bytes = 0
         self.packed = PackedChunkCache(self.read)
         hedge_us = node.settings.apply_us // HEDGE_DELAY_DIVISOR
-        self.fetcher = ChunkFetcher(node.rpc, node.settings.link, hedge_us, COMPLETE_FORM)
+        self.fetcher = ChunkFetcher(node.rpc, node.settings.rpc_address, hedge_us, COMPLETE_FORM)
 
     async def read(self, name: str) -> bytes | None:
         """Read the body of a chunk from memory or disk; None if it is missing or damaged."""
@@ -66,7 +66,7 @@
         """
         limit = monotonic_us() + self.node.settings.apply_us // FETCH_TIMEOUT_DIVISOR
         deadline = limit if deadline is None else min(deadline, limit)
-        sources = self.fetcher.spread(self.peers().values())
+        sources = self.fetcher.order_members_by_hash(self.peers().values())
         found = {name: self.recent[name] for name in names if name in self.recent}
         fetch = ChunkFetch(names, sources, found)
         if not fetch.complete.is_set():
--- a/packages/config_store/meadowdock/config_store/item_changes.py
+++ b/packages/config_store/meadowdock/config_store/item_changes.py
@@ -23,6 +23,7 @@
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration import split_items
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
+from meadowdock.logs import events as log_events
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import MILLISECOND, deadline_scope, fingerprint, monotonic_us, sleep_us
 
@@ -90,7 +91,7 @@
         if errors:
             raise config_items.InvalidItems(errors)
         await self.server.quorum_monitor.require_quorum()
-        change = PendingChange([config_items.normalize(item) for item in items])
+        change = PendingChange([config_items.normalize_item(item) for item in items])
         self.pending.append(change)
         if not self.running:
             self.running = True
@@ -206,7 +207,7 @@
         await server.node.runtime.offload(lambda: server.audit_signer.key)
         committed = await self.propose(server.plans.transition(plan_id, plan), deadline)
         server.revisions.learn(committed)
-        server.node.log(605, plan=plan_id, version=committed.version)
+        server.node.log(log_events.PLAN_COMMITTED, plan=plan_id, version=committed.version)
         server.node.nursery.start_soon(server.delivery.deliver, committed)
         return committed
 
@@ -283,7 +284,7 @@
     rejected: dict[int, Exception] = {}
     for index, change in enumerate(batch):
         try:
-            merged, _ = config_items.merge(merged, change.items)
+            merged, _ = config_items.merge_items(merged, change.items)
         except (config_items.InvalidItems, config_items.VersionConflict) as cause:
             rejected[index] = cause
     return merged, rejected
--- a/packages/config_store/meadowdock/config_store/liveness.py
+++ b/packages/config_store/meadowdock/config_store/liveness.py
@@ -10,6 +10,7 @@
 
 from meadowdock.config_store.membership_configuration import MembershipConfiguration
 from meadowdock.consensus import FailureDomain
+from meadowdock.logs import events as log_events
 from meadowdock.rpc import Handlers
 from meadowdock.runtime import monotonic_us, sleep_us
 
@@ -54,9 +55,9 @@
         Adopt a newer membership configuration if one is reported, or bootstrap the first one if
         this process may.
         """
-        self.discount_pause(self.pause_detector.look(monotonic_us()))
+        self.discount_pause(self.pause_detector.measure_pause(monotonic_us()))
         requests = {
-            address: (address, "member.hello", {"link": self.node.settings.link})
+            address: (address, "member.hello", {"link": self.node.settings.rpc_address})
             for address in self.known_addresses()
         }
         answers = await self.node.rpc.successful_responses(
@@ -84,10 +85,10 @@
             {
                 *self.bootstrap_members,
                 *self.store.members.values(),
-                *self.node.view.core_members("mdconf"),
+                *self.node.membership.core_members("mdconf"),
                 *self.recent_pollers,
             }
-            - {self.node.settings.link}
+            - {self.node.settings.rpc_address}
         )
 
     def discount_pause(self, pause_us):
@@ -123,10 +124,10 @@
     def reachable(self):
         """Return {address: PeerStatus} of all processes that answer, including this one."""
         own_status = PeerStatus(
-            self.store.disk,
+            self.store.disk_id,
             self.started_at,
             monotonic_us(),
-            self.store.files.failure() is None,
+            self.store.disk.failure() is None,
             self.node.stopping,
             self.failure_domain,
         )
@@ -135,7 +136,7 @@
             for address, status in self.peer_statuses.items()
             if monotonic_us() - status.answered_at < self.timing.failed_after_us
         }
-        return {**fresh, self.node.settings.link: own_status}
+        return {**fresh, self.node.settings.rpc_address: own_status}
 
     def silent_for_us(self, address):
         """Return how long an address has been silent, in microseconds."""
@@ -148,18 +149,18 @@
     @handlers.on("member.hello")
     async def on_hello(self, peer, poller):
         """Answer a poll with the disk id, membership configuration and state of this process."""
-        if poller and poller["link"] != self.node.settings.link:
+        if poller and poller["link"] != self.node.settings.rpc_address:
             self.recent_pollers[poller["link"]] = monotonic_us()
         return {
-            "disk": self.store.disk,
+            "disk": self.store.disk_id,
             "record": self.store.membership.to_record() if self.store.membership else None,
             "founders": self.bootstrap_members if self.is_blank() else None,
-            "well": self.store.files.failure() is None,
+            "well": self.store.disk.failure() is None,
             "leaving": self.node.stopping,
             "zone": self.failure_domain.zone,
             "region": self.failure_domain.region,
             "quorum": self.quorum_monitor.has_quorum(),
-            "doors": self.operator_doors(),
+            "doors": self.operator_addresses(),
         }
 
     def is_blank(self):
@@ -176,10 +177,10 @@
         with the same list. Therefore members configured with different lists never bootstrap, and a
         lost disk is never mistaken for a blank one.
         """
-        others = set(self.bootstrap_members) - {self.node.settings.link}
+        others = set(self.bootstrap_members) - {self.node.settings.rpc_address}
         return (
             self.is_blank()
-            and self.node.settings.link == self.bootstrap_members[0]
+            and self.node.settings.rpc_address == self.bootstrap_members[0]
             and all(
                 address in answers
                 and tuple(answers[address]["founders"] or ()) == self.bootstrap_members
@@ -192,14 +193,14 @@
         voters = {
             answers[address]["disk"]: address
             for address in self.bootstrap_members
-            if address != self.node.settings.link
+            if address != self.node.settings.rpc_address
         }
-        voters[self.store.disk] = self.node.settings.link
+        voters[self.store.disk_id] = self.node.settings.rpc_address
         domains = {hello["disk"]: failure_domain_of(hello) for hello in answers.values()}
-        domains[self.store.disk] = self.failure_domain
+        domains[self.store.disk_id] = self.failure_domain
         membership = MembershipConfiguration(1, voters).with_failure_domains(domains)
         await self.store.adopt(membership)
-        self.node.log(601, members=sorted(voters.values()))
+        self.node.log(log_events.BOOTSTRAPPED, members=sorted(voters.values()))
         requests = {a: (a, "member.adopt", membership.to_record()) for a in answers}
         await self.node.rpc.call_all(requests, monotonic_us() + self.timing.hello_timeout_us)
 
--- a/packages/config_store/meadowdock/config_store/members.py
+++ b/packages/config_store/meadowdock/config_store/members.py
@@ -18,6 +18,7 @@
 from meadowdock.config_store.timing import MembershipTiming
 from meadowdock.config_store.voting import VotingMember
 from meadowdock.consensus import FailureDomain, NoQuorum, OutcomeUnknown, Tolerance, VoterSets
+from meadowdock.logs import events as log_events
 from meadowdock.rpc import ConnectionFailed, Rejected
 from meadowdock.runtime import MILLISECOND, SECOND, PauseDetector, monotonic_us, sleep_us
 
@@ -82,7 +83,7 @@
     def is_spare(self):
         """Whether this process has no vote, and no further voter is wanted."""
         membership, reachable = self.store.membership, self.reachable()
-        own_address = self.node.settings.link
+        own_address = self.node.settings.rpc_address
         if self.operator_managed or own_address in self.store.members.values():
             return False
         voters = set(membership.voters.values())
@@ -120,11 +121,11 @@
         reachable = self.reachable()
         voters = {address: disk for disk, address in self.store.membership.voters.items()}
         replaced = {a for a, disk in voters.items() if a in reachable and reachable[a].disk != disk}
-        own_address = self.node.settings.link
+        own_address = self.node.settings.rpc_address
         if not self.store.is_voter and own_address not in replaced:
             return None
         answering = [a for a in voters if a in reachable and a not in replaced]
-        if not VoterSets.of([voters]).is_quorum(answering):
+        if not VoterSets.from_sets([voters]).is_quorum(answering):
             return None
         addresses = set(voters) if self.operator_managed else self.policy_choice(voters, reachable)
         if replaced or addresses != set(voters) or self.failure_domains_outdated(reachable):
@@ -149,7 +150,7 @@
             ),
             suspected=frozenset(
                 address
-                for address in voters - {self.node.settings.link}
+                for address in voters - {self.node.settings.rpc_address}
                 if self.silent_for_us(address) > self.timing.suspect_after_us
             ),
             candidates=candidates,
@@ -222,7 +223,7 @@
             and reachable[address].disk_writable
             and not reachable[address].leaving
         )
-        own_address = self.node.settings.link
+        own_address = self.node.settings.rpc_address
         return eligible.index(own_address) if own_address in eligible else min(len(eligible), 2)
 
     def wanted_change(self):
@@ -232,7 +233,7 @@
         change in progress is to be completed.
         """
         membership = self.store.membership
-        if membership is None or self.changes_in_progress or self.store.files.failure():
+        if membership is None or self.changes_in_progress or self.store.disk.failure():
             return None
         if membership.is_joint:
             if self.joint_seen[0] != membership.version:
@@ -291,7 +292,7 @@
     def log_change(self, membership):
         """Log the voters after a change."""
         voters = sorted(membership.voters.values())
-        self.node.log(607, version=membership.version, members=voters)
+        self.node.log(log_events.MEMBERS_CHANGED, version=membership.version, members=voters)
 
     async def is_answering(self, address):
         """Whether the process at an address answers.
@@ -299,7 +300,7 @@
         If a member is to be replaced by another disk at the same address, that disk must answer.
         Otherwise nothing would change, and the request would be reported as done.
         """
-        own_address = self.node.settings.link
+        own_address = self.node.settings.rpc_address
         requests = {address: (address, "member.hello", {"link": own_address})}
         deadline = monotonic_us() + self.timing.hello_timeout_us
         return address == own_address or bool(
--- a/packages/config_store/meadowdock/config_store/revision_reader.py
+++ b/packages/config_store/meadowdock/config_store/revision_reader.py
@@ -13,6 +13,7 @@
 from meadowdock.config_store.revision import EMPTY_REVISION, Revision
 from meadowdock.config_store.store import CURRENT_REVISION_KEY
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import SECOND, deadline_scope, monotonic_us, sleep_us
 
 if TYPE_CHECKING:
@@ -89,19 +90,19 @@
     def note_no_quorum(self) -> None:
         """Mark this member as not ready until a quorum read succeeds."""
         if not self.no_quorum:
-            self.server.node.log(603, members=len(self.server.proposer.voters()))
+            self.server.node.log(log_events.NO_QUORUM, members=len(self.server.proposer.voters()))
         self.no_quorum = True
 
     def learn(self, revision: Revision) -> None:
         """Remember a revision if it is newer than the latest known one, and gossip its version."""
         if revision.version > self.latest.version:
             self.latest = revision
-            self.server.node.view.advance_heartbeat(version=revision.version)
+            self.server.node.membership.advance_heartbeat(version=revision.version)
 
     async def run(self) -> None:
         """Keep the current revision known and its chunks on this disk, and remove old chunks."""
         while True:
-            await self.server.store.files.retry_after_failure()
+            await self.server.store.disk.retry_after_failure()
             if self.server.store.membership:
                 try:
                     revision = await self.read(monotonic_us() + REFRESH_TIMEOUT_US)
--- a/packages/forwarding/meadowdock/forwarding/peers.py
+++ b/packages/forwarding/meadowdock/forwarding/peers.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING
 
 from meadowdock.forwarding.peer_link import IncomingLink, OutgoingLink
+from meadowdock.logs import events as log_events
 from meadowdock.rpc.frame import derive_key
 from meadowdock.runtime import MILLISECOND, PauseDetector, monotonic_us
 
@@ -39,10 +40,10 @@
     ) -> None:
         self.dispatcher, self.calls = dispatcher, dispatcher.peer_calls
         self.network, self.reactor = network, dispatcher.reactor
-        self.key, self.name = derive_key(settings.fleet_key, b"gate"), settings.name
+        self.key, self.name = derive_key(settings.fleet_key, b"gate"), settings.node_name
         self.rng, self.log = rng, log
         self.link_port = settings.gate_port
-        self.node_port = settings.link.rpartition(":")[2]
+        self.node_port = settings.rpc_address.rpartition(":")[2]
         self.outgoing: dict[str, OutgoingLink] = {}
         self.incoming: set[IncomingLink] = set()
         self.backoff_until: dict[str, int] = {}
@@ -84,12 +85,12 @@
         if self.outgoing.get(link.address) is link:
             del self.outgoing[link.address]
         self.backoff_until[link.address] = monotonic_us() + RECONNECT_BACKOFF_US
-        self.log(202, peer=link.address, cause=str(cause))
+        self.log(log_events.CONNECTION_LOST, peer=link.address, cause=str(cause))
 
     def check_links(self, now: int) -> None:
         """Close silent links and reopen ended ones; called periodically."""
         # what peers sent during a pause of this process may still be unread
-        paused_us = self.pause_detector.look(now)
+        paused_us = self.pause_detector.measure_pause(now)
         for link in list(self.outgoing.values()):
             link.received_at += paused_us
             link.check_silence(now)
--- a/packages/forwarding/meadowdock/forwarding/queueing.py
+++ b/packages/forwarding/meadowdock/forwarding/queueing.py
@@ -27,7 +27,7 @@
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher, self.registry = dispatcher, dispatcher.registry
         self.reactor, self.admission = dispatcher.reactor, dispatcher.admission
-        self.figures, self.invariants = dispatcher.figures, dispatcher.invariants
+        self.call_statistics, self.invariants = dispatcher.call_statistics, dispatcher.invariants
 
     def admit(self, call: Call) -> None:
         """Queue a call that will likely be served in time."""
@@ -40,7 +40,9 @@
         self.registry.slot_waiters.setdefault(service, partial(self.wake, service))
         self.admission.queue(service).join(call)
         call.position_deadline = self.admission.position_deadline(call)
-        call.timer = self.reactor.at(call.position_deadline, lambda: self.on_position_timeout(call))
+        call.timer = self.reactor.call_at(
+            call.position_deadline, lambda: self.on_position_timeout(call)
+        )
 
     def on_position_timeout(self, call: Call) -> None:
         """Handle the end of the time for which a call keeps its position."""
@@ -56,7 +58,7 @@
         ):
             self.join(call)
         else:
-            self.figures.count_unserved(call)
+            self.call_statistics.count_unserved(call)
             self.dispatcher.reject(call, BUSY)
 
     def wake(self, service: str) -> None:
--- a/packages/membership/meadowdock/membership/view.py
+++ b/packages/membership/meadowdock/membership/view.py
@@ -13,6 +13,7 @@
 
 import immutables
 
+from meadowdock.logs import events as log_events
 from meadowdock.membership.entry import KnownMember, MemberEntry, RemovedMember
 from meadowdock.runtime import SECOND, PauseDetector
 
@@ -44,19 +45,20 @@
 
     def __init__(
         self,
-        me: MemberEntry,
+        own_entry: MemberEntry,
         seeds: tuple[str, ...],
         rng: random.Random,
         log: Callable[..., None],
     ) -> None:
-        self.me = me
+        self.own_entry = own_entry
         self.seeds = seeds  # addresses that a process without known members contacts first
         self.rng = rng
         self.log = log
         self.entries: immutables.Map[str, KnownMember] = immutables.Map()
         self.removed: immutables.Map[str, RemovedMember] = immutables.Map()
         self.logged_incarnations: dict[str, int] = {}
-        self.on_updated: Callable[[MemberEntry], None] | None = None  # called with each newer entry
+        # called with each newer entry
+        self.on_entry_updated: Callable[[MemberEntry], None] | None = None
         self.pause_detector = PauseDetector(PAUSE_THRESHOLD, 0)
 
     def core_members(self, role: str) -> list[str]:
@@ -69,7 +71,7 @@
 
     def advance_heartbeat(self, **changes: Any) -> None:
         """Increment the heartbeat of this process, and change other fields of its entry."""
-        self.me = self.me._replace(heartbeat=self.me.heartbeat + 1, **changes)
+        self.own_entry = self.own_entry._replace(heartbeat=self.own_entry.heartbeat + 1, **changes)
 
     def merge(self, entries: Iterable[MemberEntry], now: int) -> None:
         """Adopt the entries that are newer than the known ones."""
@@ -79,7 +81,7 @@
 
     def merge_entry(self, entry: MemberEntry, now: int) -> None:
         """Adopt an entry if it is newer than the known one of its address."""
-        if entry.address == self.me.address:
+        if entry.address == self.own_entry.address:
             self.supersede_previous_incarnation(entry)
             return
         if not self.is_newer(entry):
@@ -89,8 +91,8 @@
             return
         self.log_new_incarnation(entry)
         self.entries = self.entries.set(entry.address, KnownMember(entry, now))
-        if self.on_updated:
-            self.on_updated(entry)
+        if self.on_entry_updated:
+            self.on_entry_updated(entry)
 
     def supersede_previous_incarnation(self, entry: MemberEntry) -> None:
         """Raise the incarnation of this process above that of an entry with its own address.
@@ -98,8 +100,8 @@
         The entry stems from a previous incarnation, whose number is higher if the wall clock was
         set back since.
         """
-        if entry.incarnation > self.me.incarnation:
-            self.me = self.me._replace(incarnation=entry.incarnation + 1)
+        if entry.incarnation > self.own_entry.incarnation:
+            self.own_entry = self.own_entry._replace(incarnation=entry.incarnation + 1)
 
     def is_newer(self, entry: MemberEntry) -> bool:
         """Return whether an entry is newer than the known or removed one of its address."""
@@ -115,14 +117,16 @@
         if self.logged_incarnations.get(entry.address) == entry.incarnation:
             return
         self.logged_incarnations[entry.address] = entry.incarnation
-        self.log(301, peer=entry.address, role=entry.role, incarnation=entry.incarnation)
+        self.log(
+            log_events.PEER_SEEN, peer=entry.address, role=entry.role, incarnation=entry.incarnation
+        )
         if len(self.logged_incarnations) > LOGGED_INCARNATIONS_MAX:
             del self.logged_incarnations[next(iter(self.logged_incarnations))]
 
     def remove(self, entry: MemberEntry, now: int, reason: str) -> None:
         """Remove a member that left or is silent, until a newer entry of it is received."""
         if self.logged_incarnations.pop(entry.address, None) is not None:
-            self.log(302, peer=entry.address, role=entry.role, why=reason)
+            self.log(log_events.PEER_REMOVED, peer=entry.address, role=entry.role, why=reason)
         self.removed = self.removed.set(entry.address, RemovedMember(entry.freshness, now))
         if entry.address in self.entries:
             self.entries = self.entries.delete(entry.address)
@@ -132,7 +136,7 @@
 
         A pause of this process itself does not count as silence of the members.
         """
-        pause = self.pause_detector.look(now)
+        pause = self.pause_detector.measure_pause(now)
         if pause:
             self.postpone_expiry(pause)
         for known in list(self.entries.values()):
@@ -178,7 +182,7 @@
         core = sorted(entry for entry in entries if entry.role in CORE_ROLES)
         others = sorted(entry for entry in entries if entry.role not in CORE_ROLES)
         size = min(SAMPLE_SIZE, len(others))
-        return [self.me, *core, *self.rng.sample(others, size)]
+        return [self.own_entry, *core, *self.rng.sample(others, size)]
 
     def is_complete(self) -> bool:
         """Return whether a member of each core role is known."""
--- a/packages/model_checker/meadowdock/model_checker/process.py
+++ b/packages/model_checker/meadowdock/model_checker/model_process.py
@@ -40,16 +40,16 @@
         self.handover = SimpleNamespace(retired=False)
         self.init_membership()
 
-    async def disks_at(self, addresses: Collection[str], deadline: int) -> dict[str, str]:
+    async def resolve_disks(self, addresses: Collection[str], deadline: int) -> dict[str, str]:
         """Return the target disks of the explored change, without asking any process."""
         return self.target_disks
 
     async def transfer_files(
-        self, deadline: int, enough: Callable[..., bool] | None = None
+        self, deadline: int, is_enough: Callable[..., bool] | None = None
     ) -> None:
         """Transfer no files: configuration chunks are not part of the model."""
 
-    def is_stuck(self, membership: MembershipConfiguration) -> bool:
+    def has_stalled(self, membership: MembershipConfiguration) -> bool:
         """Return False: the model has no liveness detection, new members are always reachable."""
         return False
 
@@ -68,7 +68,7 @@
         """Return the content of a file, or None if it doesn't exist."""
         return self.files.get(name)
 
-    async def names(self, folder: str) -> list[str]:
+    async def list_folder(self, folder: str) -> list[str]:
         """Return the names in a folder, sorted."""
         prefix = f"{folder}/"
         return sorted({n[len(prefix) :].split("/")[0] for n in self.files if n.startswith(prefix)})
@@ -90,7 +90,7 @@
     name: str, rpc: object = None, nursery: trio.Nursery | None = None
 ) -> SimpleNamespace:
     """Return a substitute for a node, with the attributes that the register's code uses."""
-    settings = SimpleNamespace(link=name, zone="", members=(), seeds=("seed",), losses=1)
+    settings = SimpleNamespace(rpc_address=name, zone="", members=(), seeds=("seed",), losses=1)
     runtime = SimpleNamespace(rng=random.Random(name))
     return SimpleNamespace(
         settings=settings,
--- a/packages/model_checker/meadowdock/model_checker/operation_run.py
+++ b/packages/model_checker/meadowdock/model_checker/operation_run.py
@@ -13,13 +13,13 @@
 from meadowdock.model_checker.controlled_rpc import ControlledRpc, SentRequest
 from meadowdock.model_checker.kernel import Kernel
 from meadowdock.model_checker.messages import Event, EventKind, Outcome, OutcomeKind
-from meadowdock.model_checker.operations import Operation
-from meadowdock.model_checker.process import (
+from meadowdock.model_checker.model_process import (
     Implementation,
     ModelMembers,
     make_node,
     make_store,
 )
+from meadowdock.model_checker.operations import Operation
 from meadowdock.runtime import SECOND, monotonic_us
 
 OPERATION_TIMEOUT = 2 * SECOND  # us
@@ -50,9 +50,9 @@
     """Return a state transfer that handles one key at a time, so that each round is a broadcast."""
     transfer_keys = process.transfer_keys
 
-    async def wrapper(keys: list[str], deadline: int, enough: Callable[..., bool]) -> None:
+    async def wrapper(keys: list[str], deadline: int, is_enough: Callable[..., bool]) -> None:
         for key in keys:
-            await transfer_keys([key], deadline, enough)
+            await transfer_keys([key], deadline, is_enough)
 
     return wrapper
 
--- a/packages/proxy/meadowdock/proxy/delivery.py
+++ b/packages/proxy/meadowdock/proxy/delivery.py
@@ -12,6 +12,7 @@
 import trio
 
 from meadowdock.configuration import RoutingTable
+from meadowdock.logs import events as log_events
 from meadowdock.proxy.staging import Stager
 from meadowdock.rpc import ConnectionFailed, Handlers, Rejected
 from meadowdock.runtime import MILLISECOND, deadline_scope, monotonic_us, sleep_us
@@ -122,7 +123,7 @@
         """Return when to confirm the version next, unless a newer one is reported earlier."""
         if self.retry_soon:
             return monotonic_us() + self.fraction_of_apply_us(RETRY_INTERVAL_DIVISOR)
-        return self.node.view.schedule.next_wakeup(
+        return self.node.membership.schedule.next_wakeup(
             self.fraction_of_apply_us(CONFIRM_INTERVAL_DIVISOR)
         )
 
@@ -159,9 +160,9 @@
         # Cut off until the stores' version is in force here, or staged for its normal activation.
         unconfirmed = not (reached and complete)
         if unconfirmed and not self.cut_off:
-            self.node.log(503, version=self.version)
+            self.node.log(log_events.CORE_UNREACHABLE, version=self.version)
         elif not unconfirmed and (self.cut_off or pending_revalidation is not None):
-            self.node.log(504, version=self.version)
+            self.node.log(log_events.CONFIGURATION_REVALIDATED, version=self.version)
         self.cut_off = unconfirmed
         if pending_revalidation is not None:
             pending_revalidation.set()
@@ -172,7 +173,7 @@
 
         The member that replied last is asked first; if it doesn't reply, three are asked at once.
         """
-        members = self.node.view.core_members("mdconf")
+        members = self.node.membership.core_members("mdconf")
         if self.preferred_source in members:
             reply = await self.query_first(
                 [self.preferred_source], self.fraction_of_apply_us(PREFERRED_QUERY_TIMEOUT_DIVISOR)
@@ -223,7 +224,7 @@
         """
         peers = [
             (seen.entry.version, address)
-            for address, seen in self.node.view.entries.items()
+            for address, seen in self.node.membership.entries.items()
             if seen.entry.role == "mdproxy" and seen.entry.version > self.newest
         ]
         newest = [address for _, address in sorted(peers, reverse=True)[:2]]
@@ -266,7 +267,9 @@
         first_staged = self.staged is None
         since = monotonic_us() if first_staged else self.staged.since
         self.staged = StagedRevision(routing_table, revision, since)
-        self.node.log(501, version=routing_table.version, fetched=fetched)
+        self.node.log(
+            log_events.CONFIGURATION_STAGED, version=routing_table.version, fetched=fetched
+        )
         if self.active is not None and (
             self.activate_at_once or routing_table.version <= self.highest_active_elsewhere
         ):
@@ -304,8 +307,8 @@
         self.active, self.staged = staged, None
         self.stager.retain_chunks([staged.revision])
         self.use_routing_table(staged.routing_table)
-        self.node.view.advance_heartbeat(version=staged.routing_table.version)
-        self.node.log(502, version=staged.routing_table.version)
+        self.node.membership.advance_heartbeat(version=staged.routing_table.version)
+        self.node.log(log_events.CONFIGURATION_ACTIVATED, version=staged.routing_table.version)
 
     @handlers.on("manifest.stage")
     async def on_stage_request(self, peer, revision):
--- a/packages/proxy/meadowdock/proxy/staging.py
+++ b/packages/proxy/meadowdock/proxy/staging.py
@@ -7,10 +7,16 @@
 import ormsgpack
 import trio
 
-from meadowdock.configuration import ROUTING_FORM, RoutingTable, assemble, unpack_chunk
+from meadowdock.configuration import (
+    ROUTING_FORM,
+    RoutingTable,
+    assemble_configuration,
+    unpack_chunk,
+)
 from meadowdock.configuration import items as config_items
 from meadowdock.configuration.chunk_fetch import ChunkFetch, ChunkFetcher
 from meadowdock.configuration.chunk_server import serve_chunks
+from meadowdock.logs import events as log_events
 from meadowdock.process import RECOVERABLE_ERRORS
 from meadowdock.runtime import monotonic_us
 
@@ -50,7 +56,7 @@
         self.on_staged = on_staged  # called with (routing table, revision, count of fetched chunks)
         self.chunks, self.running = {}, {}
         hedge_us = node.settings.apply_us // HEDGE_DELAY_DIVISOR
-        self.fetcher = ChunkFetcher(node.rpc, node.settings.link, hedge_us, ROUTING_FORM)
+        self.fetcher = ChunkFetcher(node.rpc, node.settings.rpc_address, hedge_us, ROUTING_FORM)
 
     async def stage(self, revision, source):
         """Stage a revision; return True once it or a newer one is staged.
@@ -91,8 +97,9 @@
         try:
             routing_table = await self.node.runtime.offload(self.build, staging.revision)
         except RECOVERABLE_ERRORS as cause:
-            # A peer sent a malformed chunk: the chunks that were fetched are dropped.
-            self.node.log(105, task="staging", cause=repr(cause))
+            # A peer sent a malformed chunk: the chunks that were fetched are dropped, so that the
+            # next staging fetches them again.
+            self.node.log(log_events.TASK_FAILED, task="staging", cause=repr(cause))
             for name in staging.missing:
                 self.chunks.pop(name, None)
             return
@@ -116,11 +123,11 @@
 
     def sources(self, source):
         """Return the addresses to fetch from, in order."""
-        members = self.node.view.core_members("mdconf")
+        members = self.node.membership.core_members("mdconf")
         if source in members:
-            return self.fetcher.spread(members)
+            return self.fetcher.order_members_by_hash(members)
         # The source is a peer: the config stores are unreachable.
-        return [source, *self.fetcher.spread(members)]
+        return [source, *self.fetcher.order_members_by_hash(members)]
 
     def retain_chunks(self, revisions):
         """Drop the chunks that neither these revisions nor the running stagings need."""
@@ -140,7 +147,7 @@
         if former is None or configuration_chunks != split_chunk_names(former[1])[0]:
             routing_table = RoutingTable(
                 revision["version"],
-                assemble(self.chunk_body(name) for name in configuration_chunks),
+                assemble_configuration(self.chunk_body(name) for name in configuration_chunks),
             )
         else:
             routing_table = former[0]
--- a/packages/soak/meadowdock/soak/soak.py
+++ b/packages/soak/meadowdock/soak/soak.py
@@ -7,6 +7,7 @@
 
 import trio
 
+from meadowdock.logs import events as log_events
 from meadowdock.runtime import MILLISECOND, SECOND, monotonic_us, sleep_us
 from meadowdock.soak.faults import Fault, draw_faults
 from meadowdock.soak.fleet import SoakFleet, soak_topology
@@ -163,7 +164,12 @@
         result.violations += traffic.request_audit.broken(
             lambda call: not call.target.startswith(b"/once/")
         )
-        result.violations += [f"event {event}" for event in self.fleet.log_events(105, 801, 802)]
+        result.violations += [
+            f"event {event}"
+            for event in self.fleet.log_events(
+                log_events.TASK_FAILED, log_events.INTERNAL_ERROR, log_events.INVARIANT_VIOLATED
+            )
+        ]
         result.violations += self.fleet.tracebacks()
         for name, process in self.fleet.processes.items():
             self.check(process.handle.poll() is None, f"{name} exited unexpectedly")
--- a/packages/soak/meadowdock/soak/traffic.py
+++ b/packages/soak/meadowdock/soak/traffic.py
@@ -199,7 +199,7 @@
 
         Return (0, {}) if there is no response within HTTP_TIMEOUT_US.
         """
-        connection = Net(source).http(address)
+        connection = Net(source).http_connection(address)
         body = json.dumps(content).encode() if content is not None else b""
         try:
             with deadline_scope(monotonic_us() + HTTP_TIMEOUT_US):
--- a/packages/zone_drill/meadowdock/zone_drill/drill.py
+++ b/packages/zone_drill/meadowdock/zone_drill/drill.py
@@ -10,7 +10,7 @@
 import trio
 
 from meadowdock.cli.exceptions import OutcomeUnknown, Unreachable
-from meadowdock.cli.operator_client import ask
+from meadowdock.cli.operator_client import send_request
 from meadowdock.local_fleet.caller import fetch
 from meadowdock.runtime import (
     MILLISECOND,
@@ -84,7 +84,7 @@
         uid = f"{self.uid_prefix}-{self.call_count}"
         path = f"{stream['path']}/{uid}"
         request = Asked(uid, host, stream["name"], "guest", monotonic_us(), path=path)
-        connection = Net(host).http(self.fleet["proxies"][host])
+        connection = Net(host).http_connection(self.fleet["proxies"][host])
         headers = [(b"md-key", uid.encode())] if stream.get("keyed") else []
         body = b'{"amount": 1}' if stream["method"] == "POST" else b""
         sent = False
@@ -115,7 +115,7 @@
     async def operate(self, method, path, content=None):
         """Send an operator's request to the core and return (status, body)."""
         body = json.dumps(content).encode() if content is not None else b""
-        return await trio.to_thread.run_sync(ask, self.fleet["core"], method, path, body)
+        return await trio.to_thread.run_sync(send_request, self.fleet["core"], method, path, body)
 
     async def change(self):
         """Make a harmless change of the configuration and undo it.
@@ -174,7 +174,7 @@
 
     async def access_stand_in(self, host, **knobs):
         """Set knobs of a stand-in endpoint; without knobs, return its counts."""
-        connection = Net(host).http(f"{host}:8000")
+        connection = Net(host).http_connection(f"{host}:8000")
         try:
             with deadline_scope(monotonic_us() + 5 * SECOND):
                 method, body = ("POST", json.dumps(knobs).encode()) if knobs else ("GET", b"")
--- a/tests/model_checker/test_state_machines.py
+++ b/tests/model_checker/test_state_machines.py
@@ -1,4 +1,7 @@
-"""Random sequences of operations and faults, compared with simple models: register and items."""
+"""Random sequences of operations and faults, compared with simple models.
+
+The models are those of the register, whose members change, and of the items.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 from meadowdock.configuration import split_items
 from meadowdock.configuration.items.merge import MAX_SUPERSEDED
 from meadowdock.consensus import NoQuorum, OutcomeUnknown
-from meadowdock.model_checker.process import (
+from meadowdock.model_checker.model_process import (
     Implementation,
     ModelMembers,
     make_node,
@@ -132,7 +135,7 @@
 
     @rule(disk=st.sampled_from(DISKS))
     def crash(self, disk):
-        files = dict(self.processes[disk].store.files.files)
+        files = dict(self.processes[disk].store.disk.files)
 
         async def restart(world):
             await self.start(disk, files=files)
@@ -212,8 +215,8 @@
 class OneKeyLess(ModelMembers):
     """Planted fault: a state transfer that omits the first key."""
 
-    async def transfer_keys(self, keys, deadline, enough):
-        await super().transfer_keys(keys[1:], deadline, enough)
+    async def transfer_keys(self, keys, deadline, is_enough):
+        await super().transfer_keys(keys[1:], deadline, is_enough)
 
 
 class OneKeyLessMachine(RegisterMachine):
@@ -245,7 +248,7 @@
     def order(self, name, version, content):
         expected = self.taken.get((name, version), content) == content
         try:
-            self.items, _ = config_items.merge(self.items, [item_of(name, version, content)])
+            self.items, _ = config_items.merge_items(self.items, [item_of(name, version, content)])
         except config_items.VersionConflict:
             assert not expected
         else:
@@ -283,7 +286,7 @@
     def order(self, name, version, content):
         expected = self.taken.get((name, version), content) == content
         try:
-            self.items, _ = config_items.merge(self.items, [item_of(name, version, content)])
+            self.items, _ = config_items.merge_items(self.items, [item_of(name, version, content)])
         except config_items.VersionConflict:
             pass
         assert expected
--- a/tests/support/gateway_estimates.py
+++ b/tests/support/gateway_estimates.py
@@ -30,8 +30,8 @@
     """Set a gateway's estimate of the time for which a call of any route holds a slot."""
     for routes_by_prefix in gateway.table.routes.values():
         for known_route in routes_by_prefix.values():
-            estimate = gateway.admission.estimates(service).hold(known_route.name)
-            estimate.known, estimate.mean_us, estimate.deviation_us = True, mean_us, 0
+            estimate = gateway.admission.estimates(service).hold_time(known_route.name)
+            estimate.has_samples, estimate.mean_us, estimate.deviation_us = True, mean_us, 0
 
 
 def work_us_by_path(**milliseconds):
--- a/tests/support/golden_facts.py
+++ b/tests/support/golden_facts.py
@@ -53,7 +53,7 @@
 from meadowdock.rpc.handshake import client_handshake
 from meadowdock.rpc.messages import pack, unpack
 from meadowdock.runtime import MILLISECOND, SECOND, MemoryDisk, monotonic_us, sleep_us
-from meadowdock.settings import InvalidSettings, load
+from meadowdock.settings import InvalidSettings, load_settings
 from meadowdock.simulator import SimDisk, run
 from meadowdock.simulator.wires import SimWire
 
@@ -197,11 +197,11 @@
     response = await record.run_once(KEYED_CALL, fail)
     return readable(
         {
-            "disk": store.disk,
+            "disk": store.disk_id,
             "membership": store.membership and store.membership.to_record(),
             "voters": sorted(store.members),
             "keys": states,
-            "lost": store.acceptor.lost_keys(),
+            "lost": store.acceptor.damaged_key_folders(),
             "chunks": chunks,
             "audit": await store.audit_log.read(audit_chain(66)),
             "anchor": store.audit_log.state().anchor(),
@@ -833,10 +833,10 @@
         path = Path(folder) / "boot.toml"
         path.write_text(text)
         try:
-            boot = load(role, str(path))
+            boot = load_settings(role, str(path))
         except InvalidSettings as invalid:
             return {"errors": str(invalid).splitlines()}
-    return {"accepted": normal_form(boot), "name": boot.name, "link": boot.link}
+    return {"accepted": normal_form(boot), "name": boot.node_name, "link": boot.rpc_address}
 
 
 def settings_outcomes(inputs):
